--- /dev/null
+++ b/decide/characterization_test.go
@@ -0,0 +1,571 @@
+package decide_test
+
+import (
+	"bufio"
+	"container/heap"
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"hash"
+	"maps"
+	"math"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"lotusbend/decide"
+)
+
+var update = flag.Bool("update", false,
+	"write testdata/characterization.txt anew: only with a deliberate change of the decisions")
+
+// scenario is one simulated fleet, played for a while.
+type scenario struct {
+	name     string
+	seed     uint64
+	groups   int
+	arrivals float64 // a second
+	sessions int
+	length   time.Duration
+	fleet    bool
+	config   decide.Config
+}
+
+// classes cover each consistency, each kind of effect and each scope of a key.
+func classes() []decide.Class {
+	return []decide.Class{
+		{Name: "plain write", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 4,
+			Repeat: decide.Unsafe, Consistency: decide.Write},
+		{Name: "keyed write", Aim: 400 * time.Millisecond, Deadline: 3 * time.Second, Worth: 3, LateWorth: 0.5,
+			Repeat: decide.Keyed, Scope: decide.ScopeGroup, KeyTTL: 900 * time.Millisecond, Consistency: decide.Write},
+		{Name: "zone-keyed write", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 2, LateWorth: 0.2,
+			Repeat: decide.Keyed, Scope: decide.ScopeZone, KeyTTL: 2 * time.Second, Consistency: decide.Write},
+		{Name: "everywhere-keyed write", Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1,
+			Repeat: decide.Keyed, Scope: decide.ScopeAll, KeyTTL: 5 * time.Second, Consistency: decide.Write},
+		{Name: "fresh read", Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 2,
+			Repeat: decide.Pure, Consistency: decide.Fresh},
+		{Name: "session read", Aim: 250 * time.Millisecond, Deadline: time.Second, Worth: 1, LateWorth: 0.3,
+			Repeat: decide.Pure, Consistency: decide.Session},
+		{Name: "bounded read", Aim: 150 * time.Millisecond, Deadline: 800 * time.Millisecond, Worth: 1,
+			Repeat: decide.Pure, Consistency: decide.Bounded, Bound: 400 * time.Millisecond},
+		{Name: "any read", Aim: 600 * time.Millisecond, Deadline: 3 * time.Second, Worth: 0.5, LateWorth: 1,
+			Repeat: decide.Pure, Consistency: decide.Any},
+	}
+}
+
+func scenarios() []scenario {
+	base := decide.Config{
+		Routers: 3, Classes: classes(), Check: decide.RefuseStale, Positions: true, ReportsRole: true,
+		MaxAttempts: 6, Parallel: true, Probes: true, Cancels: true, MaxRetryWait: time.Second,
+		AskWithin: 4 * time.Second, StartCapacity: 0.2, ColdFor: 3 * time.Second, OverloadFactor: 2,
+		OverloadFor: time.Second, RemovalBinds: true,
+	}
+	unchecked := base
+	unchecked.Check, unchecked.Carried, unchecked.MustAsk = decide.Unchecked, true, true
+	waiting := base
+	waiting.Check, waiting.Patience, waiting.Positions = decide.WaitStale, 80*time.Millisecond, false
+	waiting.Parallel, waiting.Cancels, waiting.RemovalBinds = false, false, false
+	frugal := base
+	frugal.Probes, frugal.ReportsRole, frugal.MaxAttempts = false, false, 2
+	endless := unchecked
+	endless.Carried, endless.MaxAttempts, endless.Positions, endless.MustAsk = false, 0, false, false
+	minute := time.Minute
+	return []scenario{
+		{"checking", 1, 4, 200, 20, minute, false, base},
+		{"checking, another seed", 2, 2, 300, 40, minute, false, base},
+		{"unchecked, tokens carried, polled", 3, 3, 150, 20, minute, false, unchecked},
+		{"waiting, one attempt at a time, no cancels", 4, 3, 150, 20, minute, false, waiting},
+		{"two attempts, no probes", 5, 3, 150, 20, minute, false, frugal},
+		{"unchecked, tokens remembered, any number of attempts", 6, 3, 150, 20, minute, false, endless},
+		{"overload", 7, 1, 1200, 20, 20 * time.Second, false, base},
+		{"with a fleet", 8, 4, 200, 20, minute, true, base},
+		{"with a fleet, unchecked", 9, 3, 200, 20, minute, true, unchecked},
+		{"more sessions than are remembered", 10, 1, 2000, 1 << 20, 45 * time.Second, false, endless},
+	}
+}
+
+// TestCharacterization holds the stream of actions of each scenario against a
+// digest that was taken before the package was restructured. Only numbers and
+// positions are hashed, so names may change; the decisions may not.
+func TestCharacterization(t *testing.T) {
+	path := filepath.Join("testdata", "characterization.txt")
+	got := map[string]string{}
+	for _, s := range scenarios() {
+		digest, counts := play(t, s)
+		got[s.name] = digest
+		t.Logf("%s: actions by kind %v", s.name, counts)
+	}
+	if *update {
+		writeDigests(t, path, got)
+	}
+	want := readDigests(t, path)
+	for _, name := range slices.Sorted(maps.Keys(got)) {
+		if got[name] != want[name] {
+			t.Errorf("%s: digest %s, want %s", name, got[name], want[name])
+		}
+		delete(want, name)
+	}
+	for name := range want {
+		t.Errorf("%s: a digest of no scenario", name)
+	}
+}
+
+func writeDigests(t *testing.T, path string, digests map[string]string) {
+	t.Helper()
+	var text strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(digests)) {
+		fmt.Fprintf(&text, "%s\t%s\n", name, digests[name])
+	}
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, []byte(text.String()), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func readDigests(t *testing.T, path string) map[string]string {
+	t.Helper()
+	file, err := os.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	digests := map[string]string{}
+	for lines := bufio.NewScanner(file); lines.Scan(); {
+		name, digest, found := strings.Cut(lines.Text(), "\t")
+		if !found {
+			t.Fatalf("%s: no tab in %q", path, lines.Text())
+		}
+		digests[name] = digest
+	}
+	return digests
+}
+
+// condition is how a simulated host behaves.
+type condition int
+
+const (
+	healthy condition = iota
+	hung
+	refusing
+	failing
+	slow
+	conditions
+)
+
+// host is a simulated database host.
+type host struct {
+	line      decide.Member
+	primary   bool
+	condition condition
+	latency   time.Duration
+	lag       time.Duration
+}
+
+// simulation drives one router through scheduled events and hashes its actions.
+type simulation struct {
+	scenario
+	rng      *rand.Rand
+	now      time.Duration
+	router   *decide.Router
+	hosts    []*host
+	events   eventQueue
+	order    int
+	nextID   uint64
+	attempts map[uint64][]bool // by request, whether each attempt has ended
+	class    map[uint64]int
+	deadline map[uint64]time.Duration
+	digest   hash.Hash
+	counts   [9]int
+}
+
+func play(t *testing.T, s scenario) (digest string, counts [9]int) {
+	t.Helper()
+	sim := &simulation{
+		scenario: s, rng: rand.New(rand.NewPCG(s.seed, 77)), now: time.Hour,
+		attempts: map[uint64][]bool{}, class: map[uint64]int{}, deadline: map[uint64]time.Duration{},
+		digest: sha256.New(),
+	}
+	router, err := decide.New(s.config, s.seed, sim)
+	if err != nil {
+		t.Fatal(err)
+	}
+	sim.router = router
+	if s.fleet {
+		router.Join(advice{})
+	}
+	sim.addHosts()
+	end := sim.now + s.length
+	router.Start(sim.now)
+	router.Listed(sim.now, decide.ListCached, sim.list())
+	sim.after(0, sim.arrive)
+	sim.after(200*time.Millisecond, sim.disturb)
+	sim.after(time.Second, sim.observe)
+	for len(sim.events) > 0 && sim.now < end {
+		next := heap.Pop(&sim.events).(event)
+		sim.now = next.at
+		next.run()
+	}
+	sim.observe()
+	return hex.EncodeToString(sim.digest.Sum(nil)), sim.counts
+}
+
+func (s *simulation) addHosts() {
+	for group := range s.groups {
+		for i := range 4 {
+			s.hosts = append(s.hosts, &host{
+				line: decide.Member{ID: uint32(len(s.hosts) + 1), Zone: (group + i) % 2, Group: group,
+					State: decide.Ready, Primary: i == 0},
+				primary: i == 0,
+				latency: time.Duration(5+10*i) * time.Millisecond,
+				lag:     time.Duration(30*i) * time.Millisecond,
+			})
+		}
+	}
+}
+
+// list is the endpoint list as it is now.
+func (s *simulation) list() []decide.Member {
+	var lines []decide.Member
+	for _, h := range s.hosts {
+		if h.line.State != decide.Gone {
+			lines = append(lines, h.line)
+		}
+	}
+	return lines
+}
+
+func (s *simulation) host(id uint32) *host { return s.hosts[id-1] }
+
+// chance is true with probability p.
+func (s *simulation) chance(p float64) bool { return s.rng.Float64() < p }
+
+// spread draws around d.
+func (s *simulation) spread(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (0.5 + s.rng.ExpFloat64()/2))
+}
+
+// arrive sends the next new request and schedules the one after it.
+func (s *simulation) arrive() {
+	s.after(time.Duration(s.rng.ExpFloat64()/s.arrivals*float64(time.Second)), s.arrive)
+	class := s.rng.IntN(len(s.config.Classes))
+	s.request(class, s.config.Classes[class].Deadline)
+	switch {
+	case s.chance(0.002):
+		s.router.Arrived(s.now, decide.Request{ID: s.nextID, Class: class}) // its id is in use
+	case s.chance(0.001):
+		s.nextID++
+		s.router.Arrived(s.now, decide.Request{ID: s.nextID, Class: len(s.config.Classes)})
+	case s.chance(0.005):
+		id := s.nextID - uint64(s.rng.IntN(20))
+		s.after(s.spread(30*time.Millisecond), func() { s.router.Lapsed(s.now, id) })
+	}
+}
+
+func (s *simulation) request(class int, timeLeft time.Duration) {
+	s.nextID++
+	request := decide.Request{ID: s.nextID, Group: s.rng.IntN(s.groups), Class: class,
+		Session: uint64(s.rng.IntN(s.sessions)), TimeLeft: timeLeft}
+	if s.chance(0.5) {
+		request.SinceWrite = s.spread(200 * time.Millisecond)
+	}
+	s.class[request.ID], s.deadline[request.ID] = class, s.now+timeLeft
+	s.router.Arrived(s.now, request)
+}
+
+// disturb makes one fault, or ends one, and schedules the next.
+func (s *simulation) disturb() {
+	s.after(s.spread(250*time.Millisecond), s.disturb)
+	h := s.hosts[s.rng.IntN(len(s.hosts))]
+	switch s.rng.IntN(12) {
+	case 0, 1, 2, 3, 4:
+		h.condition = healthy
+	case 5, 6:
+		h.condition = condition(s.rng.IntN(int(conditions)))
+	case 7:
+		h.lag = s.spread(300 * time.Millisecond)
+	case 8:
+		s.moveState(h)
+	case 9:
+		s.failOver(h)
+	case 10:
+		s.notify([]decide.ListKind{decide.ListFull, decide.ListCached, decide.ListFailed}[s.rng.IntN(3)], s.list())
+	case 11:
+		s.router.Ended(s.now, decide.Result{Request: s.nextID + 1000, Member: h.line.ID, Outcome: decide.OK,
+			Note: decide.Note{Role: decide.RoleReplica, Position: s.now - h.lag}})
+	}
+}
+
+// moveState drains a ready host, removes a draining one, or brings one back
+// cold.
+func (s *simulation) moveState(h *host) {
+	switch h.line.State {
+	case decide.Ready:
+		h.line.State = decide.Draining
+	case decide.Draining:
+		h.line.State = decide.Gone
+	case decide.Gone:
+		h.line.State, h.line.Started, h.condition = decide.Ready, s.now, healthy
+	}
+	s.notify(decide.ListDelta, []decide.Member{h.line})
+}
+
+// failOver makes h its group's primary; the endpoint list follows later.
+func (s *simulation) failOver(h *host) {
+	var changed []*host
+	for _, other := range s.hosts {
+		if other.line.Group == h.line.Group && other.primary != (other == h) {
+			other.primary = other == h
+			changed = append(changed, other)
+		}
+	}
+	s.after(s.spread(400*time.Millisecond), func() {
+		var lines []decide.Member
+		for _, other := range changed {
+			other.line.Primary = other.primary
+			lines = append(lines, other.line)
+		}
+		s.notify(decide.ListDelta, lines)
+	})
+}
+
+func (s *simulation) notify(kind decide.ListKind, lines []decide.Member) {
+	s.router.Listed(s.now, kind, lines)
+}
+
+// observe hashes what the router tells of its endpoints.
+func (s *simulation) observe() {
+	s.after(time.Second, s.observe)
+	s.router.View(s.now, func(v decide.MemberView) {
+		s.record(7, uint64(v.ID), uint64(v.Group), flags(v.Ready, v.Primary, v.Open, v.Failing, v.Cold, v.Needed, v.Seeking),
+			uint64(v.LeadsAt), uint64(v.Latency), uint64(v.Usual), uint64(v.Lag), uint64(v.LagAt))
+	})
+	saved, most, earned := s.router.Retries()
+	s.record(8, math.Float64bits(saved), math.Float64bits(most), math.Float64bits(earned))
+}
+
+func flags(values ...bool) uint64 {
+	var bits uint64
+	for i, value := range values {
+		if value {
+			bits |= 1 << i
+		}
+	}
+	return bits
+}
+
+// record hashes one action with its time.
+func (s *simulation) record(kind byte, values ...uint64) {
+	s.counts[kind]++
+	buffer := binary.LittleEndian.AppendUint64([]byte{kind}, uint64(s.now))
+	for _, value := range values {
+		buffer = binary.LittleEndian.AppendUint64(buffer, value)
+	}
+	s.digest.Write(buffer)
+}
+
+// The simulation is the router's Actions. What they bring about is scheduled,
+// never called from within them.
+
+func (s *simulation) Send(request uint64, member uint32, timeout time.Duration) {
+	s.record(0, request, uint64(member), uint64(timeout))
+	attempt := len(s.attempts[request])
+	s.attempts[request] = append(s.attempts[request], false)
+	h := s.host(member)
+	if s.chance(0.1) { // it waits for its connection, and may no longer leave after that
+		s.after(s.spread(20*time.Millisecond), func() {
+			if s.attempts[request][attempt] {
+				return
+			}
+			allowed := s.router.MayLeave(s.now, request, attempt)
+			s.record(6, request, uint64(attempt), flags(allowed))
+			if allowed {
+				s.serve(request, attempt, h, timeout)
+			} else {
+				s.end(request, attempt, h, decide.Moot, 0)
+			}
+		})
+		return
+	}
+	s.serve(request, attempt, h, timeout)
+}
+
+// serve schedules what becomes of an attempt at h.
+func (s *simulation) serve(request uint64, attempt int, h *host, timeout time.Duration) {
+	took, outcome := s.spread(h.latency), decide.OK
+	class := s.config.Classes[s.class[request]]
+	switch h.condition {
+	case hung:
+		outcome, took = decide.TimedOut, s.spread(3*time.Second)
+		if timeout > 0 {
+			took = timeout
+		}
+		if s.chance(0.1) { // its end is never told
+			return
+		}
+	case refusing:
+		outcome, took = decide.ConnectFailed, time.Millisecond
+	case failing:
+		outcome = []decide.Outcome{decide.Error, decide.Full, decide.Reset, decide.Spoilt}[s.rng.IntN(4)]
+	case slow:
+		took *= 6
+	default:
+		outcome = s.outcome(h, class)
+	}
+	if outcome == decide.OK && s.chance(0.05) {
+		s.after(took/2, func() {
+			if !s.attempts[request][attempt] {
+				s.router.Streaming(s.now, request, attempt)
+			}
+		})
+	}
+	s.after(took, func() { s.end(request, attempt, h, outcome, took) })
+}
+
+// outcome is what a healthy host answers.
+func (s *simulation) outcome(h *host, class decide.Class) decide.Outcome {
+	needsPrimary := class.Consistency <= decide.Fresh
+	tooOld := class.Consistency == decide.Bounded && h.lag > class.Bound
+	switch {
+	case needsPrimary && !h.primary:
+		return decide.Miss
+	case tooOld && !h.primary && s.config.Check != decide.Unchecked:
+		return decide.Miss
+	case s.chance(0.01):
+		return decide.Error + decide.Outcome(s.rng.IntN(int(decide.Rejected)))
+	}
+	return decide.OK
+}
+
+// end tells the router the end of an attempt, once.
+func (s *simulation) end(request uint64, attempt int, h *host, outcome decide.Outcome, took time.Duration) {
+	if s.attempts[request][attempt] {
+		return
+	}
+	s.attempts[request][attempt] = true
+	s.router.Ended(s.now, decide.Result{Request: request, Attempt: attempt, Member: h.line.ID, Outcome: outcome,
+		Latency: took, Over: outcome == decide.OK, Note: s.note(h)})
+}
+
+// note is what an answer or a report tells of h.
+func (s *simulation) note(h *host) decide.Note {
+	note := decide.Note{Role: decide.RoleReplica, Position: s.now - h.lag}
+	if h.primary {
+		note = decide.Note{Role: decide.RolePrimary, Position: s.now}
+	}
+	if !s.config.Positions && s.chance(0.7) {
+		note.Position = 0
+	}
+	if s.chance(0.02) {
+		note = decide.Note{}
+	}
+	return note
+}
+
+func (s *simulation) Cancel(request uint64, attempt int) {
+	s.record(1, request, uint64(attempt))
+	h := s.hosts[int(request)%len(s.hosts)]
+	s.after(s.spread(4*time.Millisecond), func() { s.end(request, attempt, h, decide.Cancelled, 0) })
+}
+
+func (s *simulation) Refuse(request uint64, retryAfter time.Duration) {
+	s.record(2, request, uint64(retryAfter))
+	class, known := s.class[request]
+	left := s.deadline[request] - s.now - retryAfter
+	if known && left > 0 && s.chance(0.5) {
+		s.after(retryAfter, func() { s.request(class, left) })
+	}
+}
+
+func (s *simulation) Fail(request uint64) { s.record(3, request) }
+
+func (s *simulation) Probe(member uint32) {
+	s.record(4, uint64(member))
+	h := s.host(member)
+	s.after(s.spread(8*time.Millisecond), func() {
+		result := decide.ProbeResult{Member: member, Outcome: decide.OK, Note: s.note(h)}
+		switch h.condition {
+		case hung:
+			result.Outcome = decide.TimedOut
+		case refusing:
+			result.Outcome = decide.ConnectFailed
+		case failing:
+			result.Outcome = decide.Error
+		}
+		if result.Outcome == decide.OK && s.chance(0.1) {
+			return // lost
+		}
+		s.router.Probed(s.now, result)
+	})
+}
+
+func (s *simulation) CloseIdle(member uint32) { s.record(5, uint64(member)) }
+
+func (s *simulation) Watch() {
+	s.record(5, 0)
+	s.after(s.spread(30*time.Millisecond), func() {
+		if s.chance(0.4) {
+			s.notify(decide.ListFailed, nil)
+		} else {
+			s.notify(decide.ListFull, s.list())
+		}
+	})
+}
+
+func (s *simulation) SetTimer(after time.Duration, token uint32) {
+	s.after(after, func() { s.router.Timer(s.now, token) })
+}
+
+// advice is a Fleet whose answers depend on nothing but what it is asked.
+type advice struct{}
+
+func (advice) Routers() int { return 5 }
+func (advice) Cold(member uint32, own, one float64, _ time.Duration) float64 {
+	return own*0.7 + one*float64(member%3)
+}
+func (advice) Repeats(now time.Duration) float64 { return 0.5 * math.Sin(now.Seconds()) }
+func (advice) Last(member uint32, now time.Duration) bool {
+	return (uint32(now/time.Second)+member)%7 == 0
+}
+func (advice) Leads(member uint32, now time.Duration) bool {
+	return (uint32(now/time.Second)+member)%5 == 0
+}
+
+// event is something that happens at a time.
+type event struct {
+	at    time.Duration
+	order int // among events of the same time
+	run   func()
+}
+
+// after schedules run.
+func (s *simulation) after(wait time.Duration, run func()) {
+	s.order++
+	heap.Push(&s.events, event{at: s.now + max(wait, 0), order: s.order, run: run})
+}
+
+// eventQueue is a heap of events, the earliest first.
+type eventQueue []event
+
+func (q eventQueue) Len() int      { return len(q) }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
+	}
+	return q[i].order < q[j].order
+}
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	old := *q
+	last := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return last
+}
