--- /dev/null
+++ b/internal/discovery/pace/characterization_test.go
@@ -0,0 +1,204 @@
+package pace_test
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"hash"
+	"maps"
+	"math"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+
+	"lotusbend/internal/discovery/pace"
+)
+
+// update rewrites the golden file. Its values may change only together with a
+// deliberate change of behaviour, never with a renaming or a refactoring.
+var update = flag.Bool("update", false,
+	"rewrite testdata/characterization.txt; its values may change only with a deliberate change of behaviour")
+
+const (
+	goldenFile      = "testdata/characterization.txt"
+	eventsPerStream = 4000
+)
+
+// TestCharacterization replays seeded event streams and compares a digest of
+// everything that was returned. The digest covers numbers only, so that it
+// survives any renaming. It was taken on amd64: on other architectures Go may
+// fuse floating-point operations, whose last bits differ then.
+func TestCharacterization(t *testing.T) {
+	digests := map[string]string{}
+	for i, config := range characterizedConfigs() {
+		name := fmt.Sprintf("ask=%t,within=%g,routers=%d", config.MustAsk, config.AskWithin, config.Routers)
+		seed := uint64(i + 1)
+		digests["pace/"+name] = replayPace(config, seed)
+		digests["watch/"+name] = replayWatch(config, seed)
+	}
+	compareWithGolden(t, digests)
+}
+
+func characterizedConfigs() []pace.Config {
+	var configs []pace.Config
+	for _, mustAsk := range []bool{false, true} {
+		for _, askWithin := range []float64{0, 800, 10000} {
+			for _, routers := range []int{0, 1, 3, 300} {
+				configs = append(configs, pace.Config{Routers: routers, MustAsk: mustAsk, AskWithin: askWithin})
+			}
+		}
+	}
+	return configs
+}
+
+// replayPace returns the digest of one router's waits. Failures come in runs,
+// so that the waits grow up to their bounds.
+func replayPace(config pace.Config, seed uint64) string {
+	events := rand.New(rand.NewPCG(seed, 1))
+	p := pace.New(config, seed)
+	d := newDigest()
+	for range eventsPerStream {
+		switch n := events.IntN(16); {
+		case n == 0:
+			p.Heard()
+		case n <= 2:
+			d.float(p.First(n == 1))
+		default:
+			d.float(p.Failed(n%2 == 0))
+		}
+	}
+	return d.sum()
+}
+
+// replayWatch returns the digest of one router's calls and of the waits
+// between them.
+func replayWatch(config pace.Config, seed uint64) string {
+	failures := []pace.Failure{pace.Broken, pace.Silent, pace.Busy, pace.Refused, pace.Unreadable}
+	events := rand.New(rand.NewPCG(seed, 2))
+	w := pace.NewWatch(config, seed)
+	d := newDigest()
+	for range eventsPerStream {
+		call := w.Call()
+		d.bool(call.Resumes)
+		d.uint(call.Index)
+		d.float(call.Wait)
+		d.float(call.Limit)
+		switch n := events.IntN(16); {
+		case n == 0:
+			w.Resume(events.Uint64N(1000))
+		case n == 1:
+			d.float(w.First())
+		case n <= 7:
+			d.float(w.Failed(failures[events.IntN(len(failures))]))
+		default:
+			index := nextIndex(events, call.Index)
+			whole, news := events.IntN(4) == 0, events.IntN(2) == 0
+			d.float(w.Listed(call, index, whole, news, answerTime(events, call)))
+		}
+	}
+	return d.sum()
+}
+
+// nextIndex draws the index of an answer: more often than not it grows, else
+// it stays or falls.
+func nextIndex(events *rand.Rand, index uint64) uint64 {
+	switch events.IntN(5) {
+	case 0:
+		return index
+	case 1:
+		return index - min(index, 1+events.Uint64N(50))
+	default:
+		return index + 1 + events.Uint64N(50)
+	}
+}
+
+// answerTime draws how long an answer took. Half of the time for which the
+// service may wait is the bound between an early answer and one in time.
+func answerTime(events *rand.Rand, call pace.Call) float64 {
+	switch events.IntN(6) {
+	case 0:
+		return 0
+	case 1:
+		return call.Wait / 2
+	case 2:
+		return math.Nextafter(call.Wait/2, 0)
+	case 3:
+		return call.Wait
+	default:
+		return call.Limit * events.Float64()
+	}
+}
+
+// digest is a running SHA-256 over numbers.
+type digest struct{ hash.Hash }
+
+func newDigest() digest { return digest{sha256.New()} }
+
+func (d digest) uint(v uint64) {
+	d.Write(binary.LittleEndian.AppendUint64(nil, v))
+}
+
+func (d digest) float(v float64) { d.uint(math.Float64bits(v)) }
+
+func (d digest) bool(v bool) {
+	if v {
+		d.Write([]byte{1})
+	} else {
+		d.Write([]byte{0})
+	}
+}
+
+func (d digest) sum() string { return hex.EncodeToString(d.Sum(nil)) }
+
+// compareWithGolden compares digests, by scenario, with the golden file, or
+// rewrites the file if the update flag is set.
+func compareWithGolden(t *testing.T, got map[string]string) {
+	t.Helper()
+	played := slices.Sorted(maps.Keys(got))
+	if *update {
+		var b strings.Builder
+		for _, scenario := range played {
+			fmt.Fprintf(&b, "%s %s\n", scenario, got[scenario])
+		}
+		if err := os.WriteFile(goldenFile, []byte(b.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want := readGolden(t)
+	for _, scenario := range played {
+		expected, ok := want[scenario]
+		switch {
+		case !ok:
+			t.Errorf("%s: not in %s", scenario, goldenFile)
+		case got[scenario] != expected:
+			t.Errorf("%s: digest %s, want %s", scenario, got[scenario], expected)
+		}
+		delete(want, scenario)
+	}
+	for _, scenario := range slices.Sorted(maps.Keys(want)) {
+		t.Errorf("%s: in %s, but not played", scenario, goldenFile)
+	}
+}
+
+// readGolden returns the digests of the golden file by their scenario.
+func readGolden(t *testing.T) map[string]string {
+	t.Helper()
+	content, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	digests := map[string]string{}
+	for line := range strings.Lines(string(content)) {
+		scenario, sum, ok := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+		if _, repeated := digests[scenario]; !ok || repeated {
+			t.Fatalf("%s: malformed or repeated line %q", goldenFile, line)
+		}
+		digests[scenario] = sum
+	}
+	return digests
+}
