--- /dev/null
+++ b/internal/edge/store/characterization_test.go
@@ -0,0 +1,350 @@
+package store_test
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"errors"
+	"flag"
+	"fmt"
+	"maps"
+	"math"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"go.etcd.io/bbolt"
+
+	"lotusbend/internal/edge/intake"
+	"lotusbend/internal/edge/store"
+)
+
+// update rewrites the expected values. They may change only with a deliberate
+// change of behaviour, which the commit has to name.
+var update = flag.Bool("update", false, "rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
+
+const expectedFile = "testdata/characterization.txt"
+
+// storeFile was written by an earlier version of the program. It is never
+// written again: whatever changes, the readings of a router's disk have to be
+// found. -update makes it only where there is none.
+const storeFile = "testdata/store.db"
+
+// most is how many bytes of readings the stores of these tests may hold.
+const most = 1 << 20
+
+// TestCharacterization pins what is read of a file of an earlier version, what
+// an intake makes of it, and what is written today.
+func TestCharacterization(t *testing.T) {
+	got := map[string]string{}
+	if _, err := os.Stat(storeFile); *update && os.IsNotExist(err) {
+		writeStore(t, storeFile)
+	}
+	path := copyOfStore(t)
+	held := readStore(t, got, "old", path)
+	recoverReadings(t, got, held)
+
+	writeStore(t, path) // behind what is there
+	readStore(t, got, "old-and-new", path)
+
+	path = filepath.Join(t.TempDir(), "store")
+	writeStore(t, path)
+	readStore(t, got, "new", path)
+	readEntries(t, got, path)
+	got["errors"] = refusals(t)
+	got["spoilt-files"] = spoiltFiles(t)
+	compareExpected(t, got)
+}
+
+// compareExpected compares the scenarios with the expected values, or rewrites
+// these with -update.
+func compareExpected(t *testing.T, got map[string]string) {
+	t.Helper()
+	if *update {
+		var out strings.Builder
+		for _, name := range slices.Sorted(maps.Keys(got)) {
+			fmt.Fprintln(&out, strings.TrimSpace(name+" "+got[name]))
+		}
+		if err := os.WriteFile(expectedFile, []byte(out.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	text, err := os.ReadFile(expectedFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := map[string]string{}
+	for line := range strings.Lines(string(text)) {
+		name, value, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+		want[name] = value
+	}
+	for _, name := range slices.Sorted(maps.Keys(got)) {
+		if value, ok := want[name]; !ok {
+			t.Errorf("scenario %s is not in %s", name, expectedFile)
+		} else if got[name] != value {
+			t.Errorf("scenario %s: got %s, want %s", name, got[name], value)
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(want)) {
+		if _, ok := got[name]; !ok {
+			t.Errorf("scenario %s of %s did not run", name, expectedFile)
+		}
+	}
+}
+
+func copyOfStore(t *testing.T) (path string) {
+	t.Helper()
+	file, err := os.ReadFile(storeFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	path = filepath.Join(t.TempDir(), "store")
+	if err := os.WriteFile(path, file, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+func open(t *testing.T, path string) (*store.Store, []intake.Reading) {
+	t.Helper()
+	s, held, err := store.Open(path, most)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s, held
+}
+
+func closeStore(t *testing.T, s *store.Store) {
+	t.Helper()
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// reading returns a reading whose value tells which it is.
+func reading(device string, epoch, seq uint64) *intake.Reading {
+	return &intake.Reading{ID: intake.ID{Device: device, Epoch: epoch, Seq: seq}, Route: 1, Value: fmt.Appendf(nil, "%s/%d/%d", device, epoch, seq)}
+}
+
+// writeStore leaves readings in every state: held, urgent or not, at the bounds
+// of their numbers and names, written twice, recorded, and kept aside as a
+// conflict while they were held and while they were not.
+func writeStore(t *testing.T, path string) {
+	t.Helper()
+	s, _ := open(t, path)
+	urgent, first, last := reading("meter-2", 1, 4), reading("meter-3", 0, 0), reading("meter-3", math.MaxUint64, math.MaxUint64)
+	urgent.Urgent, first.Route, last.Route = true, 0, math.MaxUint16
+	bare, twice := reading("meter-4", 1, 1), reading("meter-4", 1, 2)
+	bare.Value, twice.Value = nil, []byte("the first value")
+	binary := reading("\x00\xff\x00a\x00", 1, 1)
+	binary.Value = []byte{0, 1, 0xfe, 0xff}
+	long := reading(strings.Repeat("n", intake.MaxDevice), 1, 1)
+	recorded, aside := reading("meter-1", 1, 1), reading("meter-1", 1, 2)
+	for _, r := range []*intake.Reading{recorded, aside, reading("meter-1", 1, 3), reading("meter-1", 2, 1), reading("meter-1", 1, 256), urgent,
+		first, last, bare, twice, reading("meter-4", 1, 2), binary, long, reading("m", 1, 1), reading("meter-10", 1, 1), reading("gone", 1, 1)} {
+		put(t, s, r)
+	}
+	s.Forget(recorded.ID)
+	s.Forget(intake.ID{Device: "gone", Epoch: 1, Seq: 1})
+	s.Forget(intake.ID{Device: "never there", Epoch: 1, Seq: 1})
+	aside.Urgent = true
+	s.Quarantine(aside)
+	s.Quarantine(reading("meter-5", 3, 9))
+	closeStore(t, s)
+}
+
+func put(t *testing.T, s *store.Store, r *intake.Reading) {
+	t.Helper()
+	done := make(chan error, 1)
+	s.Put(r, func(err error) { done <- err })
+	if err := <-done; err != nil {
+		t.Fatal(err)
+	}
+}
+
+// readStore adds what the store at path holds to the scenarios.
+func readStore(t *testing.T, got map[string]string, name, path string) (held []intake.Reading) {
+	t.Helper()
+	s, held := open(t, path)
+	defer closeStore(t, s)
+	for i, r := range held {
+		got[fmt.Sprintf("%s-held-%02d", name, i)] = readingText(&r)
+	}
+	conflicts, err := s.Conflicts()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, r := range conflicts {
+		got[fmt.Sprintf("%s-conflict-%02d", name, i)] = readingText(&r)
+	}
+	got[name+"-bytes"] = fmt.Sprint(s.Bytes())
+	return held
+}
+
+// readingText writes a reading's device, epoch, sequence, route, urgency and
+// value.
+func readingText(r *intake.Reading) string {
+	return fmt.Sprintf("%x %d %d %d %d =%x", r.Device, r.Epoch, r.Seq, r.Route, digit(r.Urgent), r.Value)
+}
+
+// readEntries adds every entry of the file at path, as it stands on the disk.
+func readEntries(t *testing.T, got map[string]string, path string) {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	err = db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
+			count := 0
+			return b.ForEach(func(key, value []byte) error {
+				got[fmt.Sprintf("entry-%x-%02d", bucket, count)] = hex.EncodeToString(key) + " " + hex.EncodeToString(value)
+				count++
+				return nil
+			})
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// refusals writes for each of some calls whether it failed, and with ErrFull.
+func refusals(t *testing.T) (text string) {
+	t.Helper()
+	const room = 60 // for one reading
+	s, _, err := store.Open(filepath.Join(t.TempDir(), "store"), room)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for n := range 4 {
+		if n == 3 {
+			closeStore(t, s)
+			closeStore(t, s)
+			s.Forget(intake.ID{Device: "a"})
+			s.Quarantine(reading("a", 1, 1))
+		}
+		done := make(chan error, 1)
+		s.Put(reading("meter", 1, uint64(n)), func(err error) { done <- err })
+		err := <-done
+		text += fmt.Sprintf("%d%d ", digit(err != nil), digit(errors.Is(err, store.ErrFull)))
+	}
+	return strings.TrimSpace(text)
+}
+
+func digit(is bool) int {
+	if is {
+		return 1
+	}
+	return 0
+}
+
+// spoiltFiles reads copies of the old file with a few bytes changed, and some
+// that were cut, and returns the digest of what was found.
+func spoiltFiles(t *testing.T) string {
+	t.Helper()
+	const copies = 250
+	whole, err := os.ReadFile(storeFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	random := rand.New(rand.NewPCG(1, 2))
+	path := filepath.Join(t.TempDir(), "store")
+	found := sha256.New()
+	for n := range copies {
+		file := slices.Clone(whole)
+		for range 1 + random.IntN(3) {
+			at := random.IntN(len(file))
+			if random.IntN(2) == 0 { // the beginning of a page, which says what it holds
+				at = at&^4095 + random.IntN(160)
+			}
+			file[at] ^= byte(1 + random.IntN(255))
+		}
+		if n%10 == 0 {
+			file = file[:random.IntN(len(file))]
+		}
+		if err := os.WriteFile(path, file, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		s, held, err := store.Open(path, most)
+		fmt.Fprintln(found, digit(err != nil), len(held))
+		for _, r := range held {
+			fmt.Fprintln(found, readingText(&r))
+		}
+		if err == nil {
+			closeStore(t, s)
+		}
+	}
+	return hex.EncodeToString(found.Sum(nil))
+}
+
+// database is the actions of an intake, answered in the order in which they
+// were asked for: no row is there yet, a write is done, and one is not, since
+// another value is there.
+type database struct {
+	actions     []string
+	submissions []submission
+}
+
+type submission struct {
+	number  uint64
+	work    intake.Work
+	reading *intake.Reading
+}
+
+func (d *database) Submit(id intake.ID, n uint64, w intake.Work, r *intake.Reading, group int, wait float64) {
+	d.note(0, id, n, uint64(w), uint64(group), uint64(wait))
+	d.actions[len(d.actions)-1] += " " + id.Row() + " " + id.Key() + " " + readingText(r)
+	d.submissions = append(d.submissions, submission{n, w, r})
+}
+func (d *database) Answer(intake.Origin, intake.Answer) { d.actions = append(d.actions, "1") }
+func (d *database) Persist(r *intake.Reading)           { d.note(2, r.ID) }
+func (d *database) Forget(id intake.ID)                 { d.note(3, id) }
+func (d *database) Quarantine(r *intake.Reading)        { d.note(4, r.ID) }
+
+func (d *database) note(kind int, id intake.ID, numbers ...uint64) {
+	action := fmt.Sprintf("%d %x %d %d", kind, id.Device, id.Epoch, id.Seq)
+	for _, n := range numbers {
+		action += fmt.Sprintf(" %d", n)
+	}
+	d.actions = append(d.actions, action)
+}
+
+// recoverReadings adds what an intake asks for after a start with the readings.
+func recoverReadings(t *testing.T, got map[string]string, held []intake.Reading) {
+	t.Helper()
+	const now, keyTTL = 1.7e12, 60000
+	var routes [math.MaxUint16 + 1]intake.Route
+	for i := range routes {
+		routes[i] = intake.Route{KeyTTL: keyTTL, Groups: []int{0, 1, 2}}
+	}
+	config := intake.Defaults()
+	config.Durable = true
+	d := &database{}
+	in, err := intake.New(config, routes[:], 1, d)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, r := range held {
+		in.Recover(now, r)
+	}
+	for len(d.submissions) > 0 {
+		s := d.submissions[0]
+		d.submissions = d.submissions[1:]
+		switch {
+		case s.work == intake.Check:
+			in.Served(now, s.number, nil)
+		case s.reading.Device == "m":
+			in.Served(now, s.number, []byte("another value"))
+		default:
+			in.Served(now, s.number, s.reading.Value)
+		}
+	}
+	for i, action := range d.actions {
+		got[fmt.Sprintf("recovered-%02d", i)] = action
+	}
+}
