--- /dev/null
+++ b/internal/edge/coap/characterization_test.go
@@ -0,0 +1,349 @@
+package coap_test
+
+import (
+	"flag"
+	"fmt"
+	"maps"
+	"net/netip"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/plgd-dev/go-coap/v3/message"
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+	"github.com/plgd-dev/go-coap/v3/udp/coder"
+
+	"lotusbend/internal/edge/coap"
+	"lotusbend/internal/edge/progress"
+)
+
+// update rewrites the expected values. They may change only with a deliberate
+// change of behaviour, which the commit has to name.
+var update = flag.Bool("update", false, "rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
+
+const expectedFile = "testdata/characterization.txt"
+
+// TestCharacterization pins every datagram that is sent in answer to those of
+// clients, and what is handed on.
+func TestCharacterization(t *testing.T) {
+	got := map[string]string{}
+	for name, run := range exchanges {
+		e := newEndpoint(t)
+		run(e)
+		for i, event := range e.events {
+			got[fmt.Sprintf("%s-%02d", name, i)] = event
+		}
+		s := e.server.Stats()
+		got[name+"-counts"] = fmt.Sprint(s.Datagrams, s.Malformed, s.Repeats, s.Challenges, s.Evicted, s.Stalled, s.Separate)
+	}
+	compareExpected(t, got)
+}
+
+// compareExpected compares the scenarios with the expected values, or rewrites
+// these with -update.
+func compareExpected(t *testing.T, got map[string]string) {
+	t.Helper()
+	if *update {
+		var out strings.Builder
+		for _, name := range slices.Sorted(maps.Keys(got)) {
+			fmt.Fprintln(&out, strings.TrimSpace(name+" "+got[name]))
+		}
+		if err := os.WriteFile(expectedFile, []byte(out.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	text, err := os.ReadFile(expectedFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := map[string]string{}
+	for line := range strings.Lines(string(text)) {
+		name, value, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+		want[name] = value
+	}
+	for _, name := range slices.Sorted(maps.Keys(got)) {
+		if value, ok := want[name]; !ok {
+			t.Errorf("scenario %s is not in %s", name, expectedFile)
+		} else if got[name] != value {
+			t.Errorf("scenario %s: got %s, want %s", name, got[name], value)
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(want)) {
+		if _, ok := got[name]; !ok {
+			t.Errorf("scenario %s of %s did not run", name, expectedFile)
+		}
+	}
+}
+
+var home, away = netip.MustParseAddrPort("10.0.0.1:5683"), netip.MustParseAddrPort("[2001:db8::1]:1024")
+
+// endpoint is a server's clients, and all that it asks for, as numbers and
+// bytes.
+type endpoint struct {
+	t      *testing.T
+	server *coap.Server
+	now    float64
+	tokens []uint64
+	events []string
+	echo   map[netip.AddrPort][]byte // the latest value that an address was sent
+	next   int32                     // message number
+}
+
+func newEndpoint(t *testing.T) *endpoint {
+	t.Helper()
+	e := &endpoint{t: t, now: 1.7e12, echo: map[netip.AddrPort][]byte{}}
+	limits := coap.Limits{Exchanges: 6, MessageBytes: 200, Progress: progress.Limits{Window: 10000, Least: 16, Bytes: 2000}}
+	e.server = coap.New(limits, [32]byte{1, 2, 3}, 4, e)
+	return e
+}
+
+func (e *endpoint) note(format string, values ...any) {
+	e.events = append(e.events, fmt.Sprintf(format, values...))
+}
+
+func (e *endpoint) Send(to netip.AddrPort, datagram []byte) {
+	e.note("1 %x %x", to.Addr().AsSlice(), datagram)
+	m := message.Message{Options: make(message.Options, 0, 16)}
+	if _, err := coder.DefaultCoder.Decode(datagram, &m); err != nil {
+		e.t.Errorf("%x was sent: %v", datagram, err)
+	}
+	if value, err := m.Options.GetBytes(message.Echo); err == nil {
+		e.echo[to] = value
+	}
+}
+
+func (e *endpoint) Deliver(token uint64, from netip.AddrPort, path string, payload []byte, notBefore float64) {
+	e.tokens = append(e.tokens, token)
+	e.note("2 %d %x %x %x %.3f", token, from.Addr().AsSlice(), path, payload, notBefore)
+}
+
+func (e *endpoint) Read(token uint64, from netip.AddrPort, path, arg string) {
+	e.tokens = append(e.tokens, token)
+	e.note("3 %d %x %x %x", token, from.Addr().AsSlice(), path, arg)
+}
+
+// pass lets time pass and does what is due meanwhile.
+func (e *endpoint) pass(ms float64) {
+	end := e.now + ms
+	for due, ok := e.server.Next(); ok && due <= end; due, ok = e.server.Next() {
+		e.now = max(e.now, due)
+		e.server.Tick(e.now)
+	}
+	e.now = end
+}
+
+// request encodes a request to a path, without what proves the address.
+func (e *endpoint) request(kind message.Type, method codes.Code, path, payload string, options ...message.Option) []byte {
+	e.t.Helper()
+	e.next++
+	m := message.Message{Type: kind, Code: method, MessageID: e.next, Token: []byte{7, 8}, Payload: []byte(payload)}
+	for segment := range strings.SplitSeq(path, "/") {
+		if path != "" {
+			m.Options = append(m.Options, message.Option{ID: message.URIPath, Value: []byte(segment)})
+		}
+	}
+	for _, o := range options {
+		m.Options = m.Options.Add(o)
+	}
+	b := make([]byte, 2000)
+	n, err := coder.DefaultCoder.Encode(m, b)
+	if err != nil {
+		e.t.Fatal(err)
+	}
+	return b[:n]
+}
+
+func (e *endpoint) datagram(from netip.AddrPort, b []byte) { e.server.Datagram(e.now, from, b) }
+
+// proof returns the option that proves an address, which it asks for first.
+func (e *endpoint) proof(from netip.AddrPort) message.Option {
+	e.t.Helper()
+	if e.echo[from] == nil {
+		e.datagram(from, e.request(message.Confirmable, codes.POST, "readings", strings.Repeat("x", 20)))
+	}
+	return message.Option{ID: message.Echo, Value: e.echo[from]}
+}
+
+// post sends a whole message from a proven address.
+func (e *endpoint) post(kind message.Type, payload string, options ...message.Option) (sent []byte) {
+	e.t.Helper()
+	sent = e.request(kind, codes.POST, "readings", payload, append(options, e.proof(home))...)
+	e.datagram(home, sent)
+	return sent
+}
+
+// block is the option of one block of 16 bytes, or of another size.
+func block(number int, more bool, size ...int) message.Option {
+	exponent := 0
+	if len(size) > 0 {
+		exponent = size[0]
+	}
+	v := number<<4 | exponent
+	if more {
+		v |= 8
+	}
+	return message.Option{ID: message.Block1, Value: []byte{byte(v >> 8), byte(v)}}
+}
+
+func tag(value string) message.Option {
+	return message.Option{ID: message.RequestTag, Value: []byte(value)}
+}
+
+// part is a block's payload.
+const part = "0123456789abcdef"
+
+var exchanges = map[string]func(*endpoint){
+	"challenge": func(e *endpoint) {
+		e.datagram(home, e.request(message.Confirmable, codes.POST, "readings", part))
+		e.datagram(home, e.request(message.NonConfirmable, codes.POST, "readings", part))
+		e.datagram(away, e.request(message.Confirmable, codes.GET, "limits/x", ""))
+		e.datagram(away, []byte{1<<6 | 1, 2, 0, 9, 7, 0xb1, 'r'}) // too short to be answered
+		e.datagram(away, e.request(message.Confirmable, codes.POST, "readings", part, e.proof(home)))
+		stale := e.proof(home)
+		e.pass(120001)
+		e.datagram(home, e.request(message.Confirmable, codes.POST, "readings", part, stale))
+		e.datagram(home, e.request(message.Confirmable, codes.POST, "readings", part, message.Option{ID: message.Echo, Value: []byte("0123456789abcdef")}))
+	},
+	"piggybacked": func(e *endpoint) {
+		sent := e.post(message.Confirmable, "batch")
+		e.datagram(home, sent) // a repeat before the answer
+		e.pass(300)
+		e.server.Answer(e.now, e.tokens[0], codes.Changed, []byte{0xa1, 1, 0x80}, 0)
+		e.datagram(home, sent)
+		e.server.Answer(e.now, e.tokens[0], codes.Changed, nil, 0) // once only
+		e.pass(250000)
+		e.datagram(home, sent) // forgotten, and its proof is old
+	},
+	"not-confirmable": func(e *endpoint) {
+		sent := e.post(message.NonConfirmable, "batch")
+		e.pass(1500)
+		e.server.Answer(e.now, e.tokens[0], codes.Changed, []byte("reply"), 0)
+		e.datagram(home, sent)
+	},
+	"separate": func(e *endpoint) {
+		sent := e.post(message.Confirmable, "batch")
+		e.pass(1000)
+		e.datagram(home, sent)
+		e.server.Answer(e.now, e.tokens[0], codes.Changed, []byte("reply"), 0)
+		e.datagram(home, sent)
+		e.pass(100000) // repeated until it is given up
+	},
+	"separate-and-acknowledged": func(e *endpoint) {
+		for kind := message.Acknowledgement; kind <= message.Reset; kind++ {
+			e.post(message.Confirmable, "batch")
+			e.pass(1000)
+			e.server.Answer(e.now, e.tokens[len(e.tokens)-1], codes.Changed, []byte("reply"), 0)
+			var address, number string
+			last := e.events[len(e.events)-1]
+			if _, err := fmt.Sscanf(last, "1 %s %8s", &address, &number); err != nil {
+				e.t.Fatal(err)
+			}
+			var id uint16
+			if _, err := fmt.Sscanf(number[4:], "%04x", &id); err != nil {
+				e.t.Fatal(err)
+			}
+			e.datagram(home, []byte{1<<6 | byte(kind)<<4, 0, byte(id >> 8), byte(id)})
+			e.pass(60000)
+		}
+	},
+	"answers": func(e *endpoint) {
+		for _, a := range []struct {
+			code    codes.Code
+			payload string
+			maxAge  float64
+		}{{codes.Changed, "", 0}, {codes.Content, "value", 0}, {codes.Content, "value", 60000}, {codes.ServiceUnavailable, "", 1}, {codes.ServiceUnavailable, "busy", 300001},
+			{codes.BadRequest, "no", 0}, {codes.RequestEntityTooLarge, "", 0}} {
+			e.post(message.Confirmable, "batch")
+			e.server.Answer(e.now, e.tokens[len(e.tokens)-1], a.code, []byte(a.payload), a.maxAge)
+		}
+	},
+	"reads": func(e *endpoint) {
+		e.datagram(home, e.request(message.Confirmable, codes.GET, "limits/north/meter-1", "", e.proof(home)))
+		e.server.Answer(e.now, e.tokens[0], codes.Content, []byte("value"), 1500)
+		e.datagram(home, e.request(message.Confirmable, codes.GET, "limits", "", e.proof(home)))
+		e.datagram(home, e.request(message.Confirmable, codes.PUT, "readings", "batch", e.proof(home)))
+	},
+	"not-understood": func(e *endpoint) {
+		e.proof(home)
+		e.datagram(home, []byte{1<<6 | 9, 2, 9, 1})
+		e.datagram(home, []byte{1<<6 | 1<<4 | 9, 2, 9, 1})
+		e.datagram(home, []byte{1 << 6, 0, 9, 2})
+		e.datagram(home, []byte{1<<6 | 1<<4, 0, 9, 2})
+		e.datagram(home, []byte{1 << 6, 0, 9, 2, 0xb1, 'r'})
+		e.datagram(home, []byte{1 << 6, 69, 9, 3})
+		e.datagram(home, []byte{1<<6 | 1<<4, 69, 9, 3})
+		e.datagram(home, []byte{1 << 6, 4, 9, 4})
+		e.datagram(home, []byte{1<<6 | 1<<4, 4, 9, 5})
+		e.datagram(home, []byte{1<<6 | 2<<4, 0, 9, 6})
+		e.datagram(home, e.request(message.Confirmable, codes.POST, "", "x"))
+		e.datagram(home, e.request(message.Confirmable, codes.POST, "readings", "x", message.Option{ID: 9, Value: []byte{1}}))
+		e.datagram(home, e.request(message.Confirmable, codes.POST, "readings", "x", message.Option{ID: 2050, Value: []byte{1}}))
+		e.datagram(home, e.request(message.Confirmable, codes.POST, strings.Repeat("s", 65), "x"))
+		e.datagram(home, e.request(message.Confirmable, codes.POST, "readings//x", "x"))
+		e.datagram(home, nil)
+		e.datagram(home, make([]byte, 1473))
+		e.post(message.Confirmable, strings.Repeat("x", 201))
+	},
+	"blocks": func(e *endpoint) {
+		e.post(message.Confirmable, "whole", block(0, false))
+		e.post(message.Confirmable, part, block(0, true), tag("12345678"))
+		e.post(message.Confirmable, "end", block(2, false), tag("12345678"))
+		e.post(message.Confirmable, part, block(0, true), tag("12345678"))
+		e.datagram(away, e.request(message.Confirmable, codes.POST, "readings", part, block(1, true), tag("12345678"), e.proof(away)))
+		e.post(message.Confirmable, part, block(1, true), tag("12345678"))
+		e.post(message.Confirmable, "end", block(2, false), tag("12345678"))
+		e.server.Answer(e.now, e.tokens[len(e.tokens)-1], codes.Changed, []byte("reply"), 0)
+	},
+	"blocks-of-two-clients": func(e *endpoint) {
+		for n := range 2 {
+			e.datagram(home, e.request(message.Confirmable, codes.POST, "readings", part, block(n, n == 0), tag("short"), e.proof(home)))
+			e.datagram(away, e.request(message.Confirmable, codes.POST, "readings", part, block(n, n == 0), tag("short"), e.proof(away)))
+		}
+	},
+	"blocks-begun-anew": func(e *endpoint) {
+		for _, n := range []int{0, 1, 0, 1} {
+			e.post(message.Confirmable, part, block(n, true))
+		}
+		e.post(message.Confirmable, "end", block(2, false))
+	},
+	"blocks-refused": func(e *endpoint) {
+		e.post(message.Confirmable, "short", block(0, true))
+		e.post(message.Confirmable, part+part, block(0, false))
+		e.post(message.Confirmable, part, block(0, true, 7))
+		e.post(message.Confirmable, part, block(3, true))
+		e.post(message.Confirmable, part, block(0, true))
+		e.post(message.Confirmable, part+part, block(1, true, 1))
+	},
+	"blocks-too-long": func(e *endpoint) {
+		for n := range 14 {
+			e.post(message.Confirmable, part, block(n, true))
+		}
+	},
+	"blocks-that-stall": func(e *endpoint) {
+		e.post(message.Confirmable, part, block(0, true))
+		e.pass(21000)
+		e.post(message.Confirmable, part, block(1, true))
+	},
+	"blocks-of-many": func(e *endpoint) {
+		for n := range 12 {
+			e.post(message.Confirmable, part, block(0, true), tag(fmt.Sprintf("%08d", n)))
+			e.pass(100)
+		}
+	},
+	"blocks-of-the-slowest": func(e *endpoint) {
+		for n := range 14 { // each of seven clients has sent two blocks when another begins
+			e.post(message.Confirmable, part, block(n%2, true), tag(fmt.Sprintf("%08d", n/2)))
+		}
+		e.post(message.Confirmable, part, block(0, true), tag("the last"))
+	},
+	"forgotten-out-of-order": func(e *endpoint) {
+		for n := range 5 {
+			e.post([]message.Type{message.Confirmable, message.NonConfirmable}[min(n, 1)], "batch")
+		}
+		e.pass(145001)
+		e.post(message.Confirmable, "batch")
+		e.pass(250000)
+	},
+}
