--- /dev/null
+++ b/internal/edge/mqtt/characterization_test.go
@@ -0,0 +1,397 @@
+package mqtt_test
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/mochi-mqtt/server/v2/packets"
+
+	"lotusbend/internal/edge/batch"
+	"lotusbend/internal/edge/intake"
+	"lotusbend/internal/edge/mqtt"
+)
+
+// update rewrites the expected values. They may change only with a deliberate
+// change of behaviour, which the commit has to name.
+var update = flag.Bool("update", false, "rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
+
+const expectedFile = "testdata/characterization.txt"
+
+// TestCharacterization pins every packet that is sent, in both versions of the
+// protocol, and what is handed on.
+func TestCharacterization(t *testing.T) {
+	got := map[string]string{}
+	for _, version := range []byte{version311, version5} {
+		for name, run := range sessions {
+			e := newEndpoint(version)
+			run(e)
+			prefix := fmt.Sprintf("version-%d-%s", version, name)
+			for i, event := range e.events {
+				got[fmt.Sprintf("%s-%02d", prefix, i)] = event
+			}
+			s := e.server.Stats()
+			got[prefix+"-counts"] = fmt.Sprint(s.Connects, s.Resumed, s.TakenOver, s.Silent, s.Violations, s.Evicted)
+		}
+	}
+	got["lengths"] = lengths()
+	compareExpected(t, got)
+}
+
+// compareExpected compares the scenarios with the expected values, or rewrites
+// these with -update.
+func compareExpected(t *testing.T, got map[string]string) {
+	t.Helper()
+	if *update {
+		var out strings.Builder
+		for _, name := range slices.Sorted(maps.Keys(got)) {
+			fmt.Fprintln(&out, strings.TrimSpace(name+" "+got[name]))
+		}
+		if err := os.WriteFile(expectedFile, []byte(out.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	text, err := os.ReadFile(expectedFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := map[string]string{}
+	for line := range strings.Lines(string(text)) {
+		name, value, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+		want[name] = value
+	}
+	for _, name := range slices.Sorted(maps.Keys(got)) {
+		if value, ok := want[name]; !ok {
+			t.Errorf("scenario %s is not in %s", name, expectedFile)
+		} else if got[name] != value {
+			t.Errorf("scenario %s: got %s, want %s", name, got[name], value)
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(want)) {
+		if _, ok := got[name]; !ok {
+			t.Errorf("scenario %s of %s did not run", name, expectedFile)
+		}
+	}
+}
+
+const (
+	version311 = 4
+	version5   = 5
+)
+
+// endpoint is a server's clients, and all that it asks for, as numbers and
+// bytes.
+type endpoint struct {
+	server  *mqtt.Server
+	version byte
+	now     float64
+	tokens  []uint64
+	events  []string
+}
+
+func newEndpoint(version byte) *endpoint {
+	e := &endpoint{version: version, now: 1.7e12}
+	limits := mqtt.Limits{Sessions: 3, SessionMs: 60000, KeepAliveMs: 30000, ReceiveMax: 4, MessageBytes: 1000}
+	e.server = mqtt.New(limits, batch.NewCodec(), e)
+	return e
+}
+
+func (e *endpoint) note(format string, values ...any) {
+	e.events = append(e.events, fmt.Sprintf(format, values...))
+}
+
+func (e *endpoint) Send(conn uint64, packet []byte) { e.note("1 %d %x", conn, packet) }
+func (e *endpoint) Close(conn uint64)               { e.note("2 %d", conn) }
+
+func (e *endpoint) Deliver(token, conn uint64, topic string, payload []byte, greeted float64, again bool) {
+	e.tokens = append(e.tokens, token)
+	sentBefore := 0
+	if again {
+		sentBefore = 1
+	}
+	e.note("3 %d %d %x %x %.3f %d", token, conn, topic, payload, greeted, sentBefore)
+}
+
+// pass lets time pass and does what is due meanwhile.
+func (e *endpoint) pass(ms float64) {
+	end := e.now + ms
+	for due, ok := e.server.Next(); ok && due <= end; due, ok = e.server.Next() {
+		e.now = max(e.now, due)
+		e.server.Tick(e.now)
+	}
+	e.now = end
+}
+
+// send encodes a packet in the endpoint's version and hands it to the server.
+func (e *endpoint) send(conn uint64, pk packets.Packet) {
+	if pk.ProtocolVersion == 0 {
+		pk.ProtocolVersion = e.version
+	}
+	e.server.Packet(e.now, conn, mqtt.Encode(&pk))
+}
+
+// connectPacket begins a connection. keep is its keep-alive time in seconds, and
+// kept for how many seconds its session is kept, 0 for a clean start.
+func connectPacket(version byte, id string, keep uint16, kept uint32) packets.Packet {
+	pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Connect}, ProtocolVersion: version,
+		Connect: packets.ConnectParams{ProtocolName: []byte("MQTT"), Clean: kept == 0, ClientIdentifier: id, Keepalive: keep}}
+	if version == version5 && kept > 0 {
+		pk.Properties.SessionExpiryInterval, pk.Properties.SessionExpiryIntervalFlag = kept, true
+	}
+	return pk
+}
+
+func (e *endpoint) connect(conn uint64, id string, keep uint16, kept uint32, change ...func(*packets.Packet)) {
+	e.server.Open(e.now, conn)
+	pk := connectPacket(e.version, id, keep, kept)
+	for _, f := range change {
+		f(&pk)
+	}
+	e.send(conn, pk)
+}
+
+func (e *endpoint) publish(conn uint64, qos byte, number uint16, payload string, change ...func(*packets.Packet)) {
+	pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Publish, Qos: qos}, TopicName: "readings", PacketID: number, Payload: []byte(payload)}
+	for _, f := range change {
+		f(&pk)
+	}
+	e.send(conn, pk)
+}
+
+// control sends a packet that has a number at most.
+func (e *endpoint) control(conn uint64, kind byte, number uint16) {
+	pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: kind}, PacketID: number}
+	if kind == packets.Pubrel {
+		pk.FixedHeader.Qos = 1
+	}
+	e.send(conn, pk)
+}
+
+// subscribe asks for topics, or ends that.
+func (e *endpoint) subscribe(conn uint64, kind byte, number uint16, topics ...string) {
+	pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: kind, Qos: 1}, PacketID: number}
+	for _, topic := range topics {
+		pk.Filters = append(pk.Filters, packets.Subscription{Filter: topic})
+	}
+	if kind == packets.Subscribe {
+		e.send(conn, pk)
+		return
+	}
+	pk.ProtocolVersion = e.version
+	var b bytes.Buffer
+	if err := pk.UnsubscribeEncode(&b); err != nil { // which Encode does not write
+		panic(err)
+	}
+	e.server.Packet(e.now, conn, b.Bytes())
+}
+
+// answer ends the latest message, with one reading of each status.
+func (e *endpoint) answer(statuses ...intake.Status) {
+	var results []batch.Result
+	for i, status := range statuses {
+		results = append(results, batch.Result{Seq: uint64(i + 1), Status: uint8(status), Wait: uint32(7 * i)})
+	}
+	e.server.Answer(e.now, e.tokens[len(e.tokens)-1], results, true)
+}
+
+func again(pk *packets.Packet)  { pk.FixedHeader.Dup = true }
+func retain(pk *packets.Packet) { pk.FixedHeader.Retain = true }
+
+// raw hands bytes over that are no packet, or one that no client would send.
+func (e *endpoint) raw(conn uint64, packet string) { e.server.Packet(e.now, conn, []byte(packet)) }
+
+var sessions = map[string]func(*endpoint){
+	"greetings": func(e *endpoint) {
+		e.connect(1, "a", 20, 0)
+		e.connect(2, "b", 0, 0)
+		e.connect(3, "c", 60, 0)
+		e.connect(4, "d", 20, 0) // one too many
+	},
+	"keepers": func(e *endpoint) {
+		e.connect(1, "a", 20, 30)
+		e.server.Gone(e.now, 1)
+		e.pass(29999)
+		e.connect(2, "a", 20, 100000)
+		e.server.Gone(e.now, 2)
+		e.pass(30001)
+		e.connect(3, "a", 20, 30)
+		e.server.Gone(e.now, 3)
+		e.pass(60001)
+		e.connect(4, "a", 20, 30)
+		e.server.Gone(e.now, 4)
+		e.connect(5, "a", 20, 0)
+	},
+	"evicted": func(e *endpoint) {
+		for n, id := range []string{"a", "b", "c", "d", "a"} {
+			e.connect(uint64(n), id, 20, 50)
+			e.server.Gone(e.now, uint64(n))
+			e.pass(10)
+		}
+	},
+	"taken-over": func(e *endpoint) {
+		e.connect(1, "a", 20, 30)
+		e.publish(1, 1, 5, "batch")
+		e.connect(2, "a", 20, 30)
+		e.answer(intake.Recorded)
+		e.publish(1, 1, 6, "batch")
+		e.server.Gone(e.now, 1)
+		e.connect(3, "a", 20, 0)
+	},
+	"refused": func(e *endpoint) {
+		e.connect(1, "", 20, 0)
+		e.connect(2, strings.Repeat("x", 129), 20, 0)
+		e.connect(3, "c", 20, 0, func(pk *packets.Packet) { pk.ProtocolVersion = 3; pk.Connect.ProtocolName = []byte("MQIsdp") })
+		e.connect(4, "d", 20, 0, func(pk *packets.Packet) { pk.Connect.PasswordFlag = true })
+		e.server.Open(e.now, 5)
+		e.control(5, packets.Pingreq, 0)
+		e.connect(6, "f", 20, 0)
+		e.send(6, connectPacket(e.version, "f", 20, 0)) // a second one
+		e.server.Gone(e.now, 99)
+	},
+	"quality-0": func(e *endpoint) {
+		e.connect(1, "a", 20, 0)
+		e.publish(1, 0, 0, "batch")
+		e.answer(intake.Refused)
+		e.publish(1, 0, 0, "batch", again)
+	},
+	"quality-1": func(e *endpoint) {
+		e.connect(1, "a", 20, 30)
+		e.publish(1, 1, 5, "batch")
+		e.publish(1, 1, 5, "batch", again) // its answer is on its way
+		e.answer(intake.Recorded, intake.Stored)
+		e.answer(intake.Recorded) // once only
+		e.publish(1, 1, 5, "batch", again)
+		e.answer(intake.Recorded, intake.Refused, intake.Unknown)
+		e.control(1, packets.Puback, 9)
+	},
+	"quality-2": func(e *endpoint) {
+		e.connect(1, "a", 20, 30)
+		e.publish(1, 2, 5, "batch")
+		e.answer(intake.Recorded)
+		e.publish(1, 2, 5, "batch", again) // recorded already
+		e.control(1, packets.Pubrel, 5)
+		e.control(1, packets.Pubrel, 5)
+		e.publish(1, 2, 6, "batch")
+		e.server.Gone(e.now, 1)
+		e.answer(intake.Recorded)
+		e.connect(2, "a", 20, 30)
+		e.publish(2, 2, 6, "batch", again)
+		e.publish(2, 2, 6, "another batch")
+		e.answer(intake.Conflict)
+		e.control(2, packets.Pubrec, 9)
+		e.control(2, packets.Pubcomp, 9)
+	},
+	"statuses": func(e *endpoint) {
+		e.connect(1, "a", 20, 0)
+		e.subscribe(1, packets.Subscribe, 1, mqtt.AnswersTopic+"a")
+		for number, statuses := range [][]intake.Status{{}, {intake.Recorded}, {intake.Stored}, {intake.Conflict}, {intake.Refused}, {intake.Unknown}, {intake.Invalid},
+			{intake.Refused, intake.Conflict, intake.Recorded}, {intake.Invalid, intake.Refused}} {
+			e.publish(1, byte(1+number%2), uint16(100+number), "batch")
+			e.answer(statuses...)
+			e.control(1, packets.Pubrel, uint16(100+number))
+		}
+		e.publish(1, 1, 50, "no batch")
+		e.server.Answer(e.now, e.tokens[len(e.tokens)-1], nil, false)
+	},
+	"without-problem-information": func(e *endpoint) {
+		e.connect(1, "a", 20, 0, func(pk *packets.Packet) { pk.Properties.RequestProblemInfoFlag = e.version == version5 })
+		e.publish(1, 1, 5, "batch")
+		e.answer(intake.Recorded, intake.Invalid)
+	},
+	"subscriptions": func(e *endpoint) {
+		e.connect(1, "a", 20, 30)
+		e.subscribe(1, packets.Subscribe, 1, mqtt.AnswersTopic+"a", mqtt.AnswersTopic+"b", "#")
+		e.publish(1, 0, 0, "batch")
+		e.answer(intake.Recorded, intake.Refused)
+		e.subscribe(1, packets.Unsubscribe, 2, mqtt.AnswersTopic+"a", mqtt.AnswersTopic+"a", "#")
+		e.publish(1, 0, 0, "batch")
+		e.answer(intake.Recorded)
+		e.control(1, packets.Pingreq, 0)
+	},
+	"endings": func(e *endpoint) {
+		e.connect(1, "a", 20, 30)
+		e.control(1, packets.Disconnect, 0)
+		e.connect(2, "b", 20, 0)
+		e.send(2, packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Disconnect},
+			Properties: packets.Properties{SessionExpiryInterval: 9, SessionExpiryIntervalFlag: true}})
+		e.connect(3, "c", 20, 30)
+		e.send(3, packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Disconnect},
+			Properties: packets.Properties{SessionExpiryInterval: 9, SessionExpiryIntervalFlag: true}})
+		e.server.Gone(e.now, 3)
+		e.pass(9001)
+		e.connect(4, "c", 20, 30)
+	},
+	"silence": func(e *endpoint) {
+		e.connect(1, "a", 10, 0)
+		e.pass(14000)
+		e.control(1, packets.Pingreq, 0)
+		e.pass(14000)
+		e.publish(1, 0, 0, "batch")
+		e.pass(20000)
+	},
+	"violations": func(e *endpoint) {
+		for n, packet := range []string{"", "\x30", "\x30\x80\x80", "\x30\x02\x00\x09", "\x36\x02\x00\x00", "\xf0\x00", "\x20\x02\x00\x00", "\x60\x02\x00\x01", "\x82\x02\x00\x01", "\xa2\x02\x00\x01"} {
+			e.connect(uint64(n), "a", 10, 0)
+			e.raw(uint64(n), packet)
+			e.server.Gone(e.now, uint64(n))
+		}
+		e.raw(99, "\xc0\x00")
+	},
+	"broken-publications": func(e *endpoint) {
+		for n, change := range []func(*packets.Packet){retain, func(pk *packets.Packet) { pk.PacketID = 0 }, func(pk *packets.Packet) { pk.TopicName = "a/#" },
+			func(pk *packets.Packet) { pk.TopicName = "" }} {
+			e.connect(uint64(n), "a", 10, 0)
+			pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Publish, Qos: 1}, ProtocolVersion: e.version, TopicName: "readings", PacketID: 5, Payload: []byte("batch")}
+			change(&pk)
+			if pk.PacketID == 0 { // the library does not encode it
+				e.raw(uint64(n), "\x32\x06\x00\x01r\x00\x00\x00")
+			} else {
+				e.send(uint64(n), pk)
+			}
+			e.server.Gone(e.now, uint64(n))
+		}
+	},
+	"number-in-use": func(e *endpoint) {
+		e.connect(1, "a", 20, 30)
+		e.publish(1, 1, 5, "batch")
+		e.publish(1, 1, 5, "another batch")
+	},
+	"too-many-at-once": func(e *endpoint) {
+		e.connect(1, "a", 20, 30)
+		for number := range uint16(5) {
+			e.publish(1, 1+byte(number%2), number+1, "batch")
+		}
+	},
+	"stopping": func(e *endpoint) {
+		e.connect(1, "a", 20, 30)
+		e.publish(1, 1, 5, "batch")
+		e.connect(2, "b", 20, 30)
+		e.server.Stop()
+		e.answer(intake.Recorded)
+		e.connect(3, "c", 20, 30)
+	},
+}
+
+// lengths writes what is made of a packet's length.
+func lengths() (text string) {
+	for _, b := range []string{"", "\x30", "\x30\x05", "\x30\x80", "\x30\xc8\x01", "\x30\xc9\x01", "\x30\xff\xff\xff\x7f", "\x30\xff\xff\xff\xff", "\x30\xff\xff\xff\xff\x01"} {
+		n, err := mqtt.Frame([]byte(b), 200)
+		failed := 0
+		if err != nil {
+			failed = 1
+		}
+		text += fmt.Sprintf("%d:%d ", n, failed)
+	}
+	for b := range 256 {
+		if mqtt.MayBegin(byte(b)) {
+			text += fmt.Sprint(b)
+		}
+	}
+	return text
+}
