--- /dev/null
+++ b/internal/membership/wire/characterization_test.go
@@ -0,0 +1,204 @@
+package wire_test
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"maps"
+	"math"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"lotusbend/internal/membership"
+	"lotusbend/internal/membership/wire"
+)
+
+// update rewrites the expected encodings. They are what other routers read, so
+// they may change only with a deliberate change of behaviour: a new version of
+// the format.
+var update = flag.Bool("update", false, "rewrite testdata/characterization.txt, only with a deliberate change of behaviour")
+
+var goldenFile = filepath.Join("testdata", "characterization.txt")
+
+// example is a message and the name of its line in the golden file, which
+// tells kinds by their numbers.
+type example struct {
+	name    string
+	message membership.Message
+}
+
+// TestCharacterization compares the encoding of every kind of message with the
+// recorded bytes, and decodes those to the message again.
+func TestCharacterization(t *testing.T) {
+	codec := newCodec(t)
+	golden, got, all := readGolden(t), map[string]string{}, examples()
+	for _, e := range all {
+		t.Run(e.name, func(t *testing.T) {
+			encoded, err := codec.Encode(e.message)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got[e.name] = hex.EncodeToString(encoded)
+			if *update {
+				return
+			}
+			if got[e.name] != golden[e.name] {
+				t.Fatalf("encoded as %s, want %q", got[e.name], golden[e.name])
+			}
+			checkDecoded(t, codec, golden[e.name], e.message)
+		})
+	}
+	if *update {
+		writeGolden(t, got, len(all))
+		return
+	}
+	for name := range golden {
+		if !slices.ContainsFunc(all, func(e example) bool { return e.name == name }) {
+			t.Errorf("%s has bytes for %q, which is no example", goldenFile, name)
+		}
+	}
+}
+
+func checkDecoded(t *testing.T, codec *wire.Codec, golden string, want membership.Message) {
+	t.Helper()
+	encoded, err := hex.DecodeString(golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	decoded, err := codec.Decode(encoded)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(decoded, want) {
+		t.Errorf("decoded %+v, want %+v", decoded, want)
+	}
+}
+
+// examples are three messages of each kind: with no other field set, with all
+// fields set, and with the largest values.
+func examples() []example {
+	var all []example
+	for kind := membership.Ping; kind <= membership.Carried; kind++ {
+		for _, e := range []example{{"zero", membership.Message{}}, {"full", fullMessage()}, {"largest", largestMessage()}} {
+			e.message.Kind = kind
+			all = append(all, example{fmt.Sprintf("kind-%d-%s", kind, e.name), e.message})
+		}
+	}
+	return append(all, example{"zero-rumor-fields", membership.Message{Kind: membership.Ping, From: "a", Rumors: []membership.Rumor{{Name: "b"}}}},
+		example{"least-start", membership.Message{Kind: membership.Sync, Rumors: []membership.Rumor{{Name: "b", Start: math.MinInt64}, {Name: "c", Start: -1}}}})
+}
+
+func fullMessage() membership.Message {
+	m := membership.Message{Seq: 1000, From: "router-1", Target: "router-2", TargetAddr: "10.0.0.2:7000", After: "router-0",
+		Count: 300, Payload: []byte{0, 1, 2, 254, 255}}
+	for state := membership.Alive; state <= membership.Left; state++ {
+		m.Rumors = append(m.Rumors, membership.Rumor{Name: fmt.Sprint("router-", 3+int(state)), Addr: "10.0.0.3:7000", Zone: "zone-ä",
+			Start: 1_700_000_000_000, Inc: 24, State: state, By: "router-9"})
+	}
+	return m
+}
+
+func largestMessage() membership.Message {
+	text := func(length int) string { return strings.Repeat("\U0010ffff", length/4) }
+	return membership.Message{Seq: math.MaxUint64, From: text(128), Target: text(128), TargetAddr: text(64), After: text(128),
+		Count: math.MaxUint32, Payload: bytes.Repeat([]byte{255}, 256),
+		Rumors: []membership.Rumor{{Name: text(128), Addr: text(64), Zone: text(64), Start: math.MaxInt64, Inc: math.MaxUint64,
+			State: membership.Left, By: text(128)}}}
+}
+
+// TestCharacterizationOfRefusals holds which bytes and messages are refused.
+func TestCharacterizationOfRefusals(t *testing.T) {
+	codec := newCodec(t)
+	for name, packet := range map[string]string{
+		"no bytes":       "",
+		"no version":     "a20101036161",
+		"version 2":      "a300020101036161",
+		"kind 0":         "a300010100036161",
+		"kind 8":         "a300010108036161",
+		"unknown field":  "a400010101036161186301",
+		"state 4":        "a4000101010361610781a20161620604",
+		"rumor nameless": "a4000101010361610781a10160",
+		"field twice":    "a4000101010102036161",
+		"trailing byte":  "a30001010103616100",
+		"1401 bytes":     strings.Repeat("00", wire.MaxPacket+1),
+	} {
+		if encoded, err := hex.DecodeString(packet); err != nil {
+			t.Errorf("%s: %v", name, err)
+		} else if _, err := codec.Decode(encoded); err == nil {
+			t.Errorf("%s: decoded", name)
+		}
+	}
+	if _, err := codec.Encode(membership.Message{Payload: make([]byte, wire.MaxPacket)}); err == nil {
+		t.Error("a message over the largest packet was encoded")
+	}
+}
+
+// TestCharacterizationOfNegativeCount holds that a count below 0 is sent as 0.
+func TestCharacterizationOfNegativeCount(t *testing.T) {
+	codec := newCodec(t)
+	negative, err := codec.Encode(membership.Message{Kind: membership.Sync, Count: -1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	zero, err := codec.Encode(membership.Message{Kind: membership.Sync})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(negative, zero) {
+		t.Errorf("encoded as %x, want %x", negative, zero)
+	}
+}
+
+func newCodec(t *testing.T) *wire.Codec {
+	t.Helper()
+	codec, err := wire.New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return codec
+}
+
+// readGolden reads lines of an example's name and its bytes in hex.
+func readGolden(t *testing.T) map[string]string {
+	t.Helper()
+	file, err := os.Open(goldenFile)
+	if os.IsNotExist(err) && *update {
+		return nil
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	golden := map[string]string{}
+	for lines := bufio.NewScanner(file); lines.Scan(); {
+		name, value, found := strings.Cut(lines.Text(), " ")
+		if _, twice := golden[name]; !found || twice {
+			t.Fatalf("%s: line %q is malformed or repeated", goldenFile, lines.Text())
+		}
+		golden[name] = value
+	}
+	return golden
+}
+
+func writeGolden(t *testing.T, got map[string]string, want int) {
+	t.Helper()
+	if len(got) != want {
+		t.Fatalf("only %d of %d examples ran: update with all of them", len(got), want)
+	}
+	var content strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(got)) {
+		fmt.Fprintln(&content, name, got[name])
+	}
+	if err := os.MkdirAll(filepath.Dir(goldenFile), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(goldenFile, []byte(content.String()), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
