--- /dev/null
+++ b/internal/fleetstate/characterization_test.go
@@ -0,0 +1,1050 @@
+package fleetstate_test
+
+import (
+	"bufio"
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"hash"
+	"maps"
+	"math"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"lotusbend/internal/fleetstate"
+)
+
+// update rewrites the expected digests. They pin what the package does, so
+// they may change only with a deliberate change of behaviour, never to make a
+// refactoring pass.
+var update = flag.Bool("update", false, "rewrite testdata/characterization.txt, only with a deliberate change of behaviour")
+
+var goldenFile = filepath.Join("testdata", "characterization.txt")
+
+// TestCharacterization replays seeded scenarios of routers that share state
+// over bad links and compares a digest of everything the nodes emitted with
+// the recorded one. The digests cover numbers, positions and bytes alone:
+// renaming a type, a field or a kind does not move them.
+func TestCharacterization(t *testing.T) {
+	golden, got := readGolden(t), map[string]string{}
+	for _, s := range scenarios {
+		t.Run(s.name, func(t *testing.T) {
+			c := newCluster(t, s)
+			s.script(c)
+			c.recordNodes()
+			got[s.name] = c.digest.sum()
+			if !*update && got[s.name] != golden[s.name] {
+				t.Errorf("digest %s, want %q", got[s.name], golden[s.name])
+			}
+		})
+	}
+	if *update {
+		writeGolden(t, got)
+		return
+	}
+	for name := range golden {
+		if !slices.ContainsFunc(scenarios, func(s scenario) bool { return s.name == name }) {
+			t.Errorf("%s has a digest for %q, which is no scenario", goldenFile, name)
+		}
+	}
+}
+
+// readGolden reads lines of a scenario's name and its digest.
+func readGolden(t *testing.T) map[string]string {
+	t.Helper()
+	file, err := os.Open(goldenFile)
+	if os.IsNotExist(err) && *update {
+		return nil
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	golden := map[string]string{}
+	for lines := bufio.NewScanner(file); lines.Scan(); {
+		name, value, found := strings.Cut(lines.Text(), " ")
+		if _, twice := golden[name]; !found || twice {
+			t.Fatalf("%s: line %q is malformed or repeated", goldenFile, lines.Text())
+		}
+		golden[name] = value
+	}
+	return golden
+}
+
+func writeGolden(t *testing.T, got map[string]string) {
+	t.Helper()
+	if len(got) != len(scenarios) {
+		t.Fatalf("only %d of %d scenarios ran: update with all of them", len(got), len(scenarios))
+	}
+	var content strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(got)) {
+		fmt.Fprintln(&content, name, got[name])
+	}
+	if err := os.MkdirAll(filepath.Dir(goldenFile), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(goldenFile, []byte(content.String()), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// digest is a running SHA-256 of numbers and byte strings.
+type digest struct {
+	hash     hash.Hash
+	buffered *bufio.Writer
+}
+
+func newDigest() *digest {
+	h := sha256.New()
+	return &digest{hash: h, buffered: bufio.NewWriter(h)}
+}
+
+func (d *digest) numbers(values ...int64) {
+	for _, v := range values {
+		d.buffered.Write(binary.BigEndian.AppendUint64(d.buffered.AvailableBuffer(), uint64(v)))
+	}
+}
+
+// amounts writes each value in steps of 1e-9: the last bits of a sum may differ
+// between processors, where one fuses multiplication and addition.
+func (d *digest) amounts(values ...float64) {
+	for _, v := range values {
+		d.numbers(int64(math.Round(v * 1e9)))
+	}
+}
+
+func (d *digest) flag(b bool) {
+	if b {
+		d.numbers(1)
+	} else {
+		d.numbers(0)
+	}
+}
+
+// texts writes each string after its length, so that no two lists collide.
+func (d *digest) texts(values ...string) {
+	for _, v := range values {
+		d.numbers(int64(len(v)))
+		d.buffered.WriteString(v)
+	}
+}
+
+func (d *digest) sum() string {
+	d.buffered.Flush()
+	return hex.EncodeToString(d.hash.Sum(nil))
+}
+
+// The functions from here to page turn the package's types into numbers and
+// bytes; a renamed field or type is adapted here.
+
+func (d *digest) cells(cells fleetstate.Cells) {
+	d.numbers(int64(len(cells)))
+	for _, v := range cells {
+		d.numbers(int64(v))
+	}
+}
+
+func (d *digest) entries(entries []fleetstate.Entry) {
+	d.numbers(int64(len(entries)))
+	for _, e := range entries {
+		d.texts(e.Name)
+		d.numbers(e.Epoch, e.Stamp)
+		d.cells(e.Cells)
+	}
+}
+
+func (d *digest) message(m fleetstate.Message) {
+	d.numbers(int64(m.Size()))
+	d.entries(m.Counts)
+	d.numbers(int64(len(m.Claims)), int64(len(m.Asks)), int64(len(m.Grants)))
+	for _, c := range m.Claims {
+		d.texts(c.Host)
+		d.numbers(int64(c.Kind), c.AgeMs)
+	}
+	for _, a := range m.Asks {
+		d.texts(a.Key)
+		d.amounts(a.Want)
+		d.numbers(int64(a.ID), a.At)
+	}
+	for _, g := range m.Grants {
+		d.texts(g.Key)
+		d.amounts(g.Amount)
+		d.numbers(int64(g.ID), g.At, g.ForMs)
+	}
+}
+
+func (d *digest) ready(r fleetstate.Ready) {
+	d.numbers(int64(len(r.Messages)))
+	for _, out := range r.Messages {
+		d.texts(out.To)
+		d.message(out.Msg)
+	}
+	d.numbers(int64(len(r.Events)))
+	for _, e := range r.Events {
+		d.texts(e.Key, e.Peer)
+		d.numbers(int64(e.Kind), int64(e.Claim))
+		d.amounts(e.Amount)
+		d.flag(e.Why != "")
+	}
+}
+
+func (d *digest) share(s fleetstate.Share) {
+	d.amounts(s.Own, s.Held)
+	d.numbers(s.Until)
+}
+
+func (d *digest) shares(shares map[string]fleetstate.Share) {
+	d.numbers(int64(len(shares)))
+	for _, key := range slices.Sorted(maps.Keys(shares)) {
+		d.texts(key)
+		d.share(shares[key])
+	}
+}
+
+func (d *digest) judgements(judgements []fleetstate.Judgement) {
+	d.numbers(int64(len(judgements)))
+	for _, j := range judgements {
+		d.texts(j.Host)
+		d.numbers(int64(j.Kind), j.Until)
+		d.amounts(j.Support)
+		d.flag(j.Own)
+	}
+}
+
+func (d *digest) advice(a fleetstate.Advice) {
+	d.numbers(int64(a.Routers), int64(len(a.Leaders)))
+	d.shares(a.Shares)
+	d.amounts(a.Rest)
+	d.share(a.Repeats)
+	d.judgements(a.Judged)
+	for _, group := range slices.Sorted(maps.Keys(a.Leaders)) {
+		d.numbers(int64(group))
+		d.texts(a.Leaders[group])
+	}
+}
+
+func (d *digest) amountsByName(amounts map[string]float64) {
+	d.numbers(int64(len(amounts)))
+	for _, name := range slices.Sorted(maps.Keys(amounts)) {
+		d.texts(name)
+		d.amounts(amounts[name])
+	}
+}
+
+func (d *digest) hosts(hosts []fleetstate.Host) {
+	for _, h := range hosts {
+		d.texts(h.Name)
+		d.numbers(int64(h.Group), int64(h.Bad), h.LeadsAt, h.BadAt, h.GoodAt, h.FreshAt, h.TriedAt)
+		for _, b := range []bool{h.Ready, h.Leads, h.Waiting, h.Cold, h.Needed, h.Seeking} {
+			d.flag(b)
+		}
+	}
+}
+
+func (d *digest) page(p fleetstate.Page) {
+	d.numbers(int64(p.Routers), int64(p.Refused), int64(p.Dropped))
+	d.shares(p.Shares)
+	d.amounts(p.Stake)
+	d.amountsByName(p.Lent)
+	d.amountsByName(p.Held)
+	d.amountsByName(p.Standing)
+	d.share(p.Repeats)
+	d.cells(p.Totals)
+	d.entries(p.Counters)
+	d.judgements(p.Judged)
+}
+
+// settings are short leases, claims and folds, so that a scenario of half
+// a minute sees all of them end.
+func settings(change func(*fleetstate.Config)) fleetstate.Config {
+	config := fleetstate.Defaults()
+	config.LeaseMs, config.SkewMs, config.FoldMs = 600, 300, 9000
+	config.ClaimMs, config.HearsayMs = 2000, 2500
+	if change != nil {
+		change(&config)
+	}
+	return config
+}
+
+// database is a host as it is in truth.
+type database struct {
+	name      string
+	group     int
+	primary   bool
+	unlisted  bool
+	cold      bool
+	condition fleetstate.ClaimKind // fleetstate.Well where nothing is wrong with it
+}
+
+// member is one router: its node, restarted at times, and what it saw.
+type member struct {
+	name        string
+	node        *fleetstate.Node
+	running     bool
+	pausedUntil int64
+	lies        fleetstate.ClaimKind // what it says of every host, 0 for the truth
+	hosts       []fleetstate.Host
+	counted     fleetstate.Cells
+	repeats     fleetstate.RepeatBudget
+	guide       fleetstate.Guide
+}
+
+type flight struct {
+	at       int64
+	from, to int
+	message  fleetstate.Message
+}
+
+const (
+	stepMs    = 50 // the simulated clock's step
+	adviseMs  = 250
+	recordMs  = 1000
+	routers   = 7
+	databases = 9 // in three groups
+	classes   = 3
+)
+
+// cluster carries messages between routers on one simulated clock. All of its
+// randomness comes from the scenario's seed.
+type cluster struct {
+	t            *testing.T
+	random       *rand.Rand
+	digest       *digest
+	config       fleetstate.Config
+	now          int64
+	routers      []*member
+	databases    []database
+	inFlight     []flight
+	loss         float64
+	duplication  float64
+	longestDelay int64                   // ms
+	tries        float64                 // chance of an attempt by one router at one host in a step
+	cut          func(from, to int) bool // whether messages between two routers are lost
+}
+
+func newCluster(t *testing.T, s scenario) *cluster {
+	c := &cluster{t: t, random: rand.New(rand.NewPCG(s.seed, 2)), digest: newDigest(), config: settings(s.config),
+		now: 1_000_000, longestDelay: 20, tries: 0.2}
+	for i := range databases {
+		c.databases = append(c.databases, database{name: fmt.Sprint("db-", i), group: i / 3, primary: i%3 == 0, condition: fleetstate.Well})
+	}
+	for i := range routers {
+		c.routers = append(c.routers, &member{name: fmt.Sprint("router-", i)})
+	}
+	return c
+}
+
+// boot starts router i as a new instance, which knows nothing.
+func (c *cluster) boot(i int) {
+	c.t.Helper()
+	config, r := c.config, c.routers[i]
+	config.Name, config.Start, config.Seed = r.name, c.now, c.random.Uint64()
+	if err := config.Check(); err != nil {
+		c.t.Fatal(err)
+	}
+	r.node, r.running, r.pausedUntil, r.counted = fleetstate.New(config, 4, c.now), true, 0, nil
+	r.hosts = nil
+	for _, d := range c.databases {
+		r.hosts = append(r.hosts, fleetstate.Host{Name: d.name, Group: d.group})
+	}
+}
+
+func (c *cluster) bootAll() {
+	c.t.Helper()
+	for i := range c.routers {
+		c.boot(i)
+	}
+}
+
+func (c *cluster) kill(i int) { c.routers[i].running = false }
+
+func (c *cluster) pause(i int, ms int64) { c.routers[i].pausedUntil = c.now + ms }
+
+func (c *cluster) up(i int) bool {
+	return c.routers[i].running && c.now >= c.routers[i].pausedUntil
+}
+
+// isCut tells whether messages of one router to another are lost.
+func (c *cluster) isCut(from, to int) bool { return c.cut != nil && c.cut(from, to) }
+
+// peers are the running routers that router i can hear.
+func (c *cluster) peers(i int) (names []string) {
+	for j, r := range c.routers {
+		if j != i && r.running && !c.isCut(j, i) {
+			names = append(names, r.name)
+		}
+	}
+	return names
+}
+
+// try lets router i send an attempt to each host by chance.
+func (c *cluster) try(i int) {
+	r := c.routers[i]
+	for j, d := range c.databases {
+		h := &r.hosts[j]
+		h.Ready, h.Leads, h.Cold, h.Needed = !d.unlisted, d.primary, d.cold, d.cold && (i+j)%2 == 0
+		h.Seeking = !c.primaryAnswers(d.group)
+		if h.Waiting && c.now-h.TriedAt >= 800 { // no answer came to it
+			h.Waiting, h.Bad, h.BadAt = false, fleetstate.Hangs, c.now
+		}
+		if !h.Waiting && c.random.Float64() < c.tries {
+			h.TriedAt = c.now
+			see(h, d, c.now)
+		}
+		if r.lies != 0 {
+			h.Bad, h.BadAt = r.lies, c.now
+		}
+	}
+}
+
+func (c *cluster) primaryAnswers(group int) bool {
+	return slices.ContainsFunc(c.databases, func(d database) bool {
+		return d.group == group && d.primary && d.condition == fleetstate.Well
+	})
+}
+
+// see is what an attempt at d tells of it.
+func see(h *fleetstate.Host, d database, now int64) {
+	switch d.condition {
+	case fleetstate.Hangs:
+		h.Waiting = true
+		return
+	case fleetstate.Fails:
+		h.Bad, h.BadAt = d.condition, now
+		return
+	case fleetstate.Slow:
+		h.Bad, h.BadAt, h.FreshAt = d.condition, now, now
+	case fleetstate.Behind:
+		h.Bad, h.BadAt = d.condition, now
+	default:
+		h.Bad, h.FreshAt = 0, now
+	}
+	h.GoodAt = now
+	if d.primary {
+		h.LeadsAt = now
+	}
+}
+
+// observe tells node i what its router saw.
+func (c *cluster) observe(i int) {
+	r := c.routers[i]
+	c.try(i)
+	var carried fleetstate.Cells
+	for kind := range len(fleetstate.KindNames()) {
+		carried.Add(c.random.IntN(classes), fleetstate.Kind(kind), c.random.Uint64N(50))
+	}
+	for k, v := range carried {
+		r.counted.Add(k/len(fleetstate.KindNames()), fleetstate.Kind(k%len(fleetstate.KindNames())), v)
+	}
+	r.node.Observe(fleetstate.Seen{Carried: carried, Hosts: r.hosts, Repeats: r.repeats})
+}
+
+// record hashes what an event of router i asked for, and sends its messages.
+func (c *cluster) record(i int, ready fleetstate.Ready) {
+	c.digest.numbers(c.now, int64(i))
+	c.digest.ready(ready)
+	for _, out := range ready.Messages {
+		to := slices.IndexFunc(c.routers, func(r *member) bool { return r.name == out.To })
+		if to < 0 || c.isCut(i, to) || c.random.Float64() < c.loss {
+			continue
+		}
+		c.send(i, to, out.Msg)
+		if c.random.Float64() < c.duplication {
+			c.send(i, to, out.Msg)
+		}
+	}
+}
+
+func (c *cluster) send(from, to int, m fleetstate.Message) {
+	c.inFlight = append(c.inFlight, flight{c.now + 1 + c.random.Int64N(c.longestDelay), from, to, m})
+}
+
+// deliver hands over the messages that are due. A paused router gets them once
+// it goes on, a stopped one never.
+func (c *cluster) deliver() {
+	var due []flight
+	c.inFlight = slices.DeleteFunc(c.inFlight, func(f flight) bool {
+		if f.at > c.now || c.routers[f.to].running && c.now < c.routers[f.to].pausedUntil {
+			return false
+		}
+		due = append(due, f)
+		return true
+	})
+	slices.SortStableFunc(due, func(a, b flight) int { return int(a.at - b.at) })
+	for _, f := range due {
+		if c.up(f.to) {
+			c.inject(c.routers[f.from].name, f.to, f.message)
+		}
+	}
+}
+
+// inject hands router to a message of any peer at once.
+func (c *cluster) inject(from string, to int, m fleetstate.Message) {
+	c.record(to, c.routers[to].node.Receive(from, m, c.now))
+}
+
+// run moves the clock by ms: messages arrive, routers observe and tick.
+func (c *cluster) run(ms int64) {
+	for end := c.now + ms; c.now < end; {
+		c.now += stepMs
+		c.deliver()
+		for i, r := range c.routers {
+			if !c.up(i) {
+				continue
+			}
+			peers := c.peers(i)
+			r.node.Fleet(peers, len(peers)+1, c.now)
+			c.observe(i)
+			c.record(i, r.node.Tick(c.now))
+			if c.now%adviseMs == 0 {
+				c.advise(i)
+			}
+		}
+		if c.now%recordMs == 0 {
+			c.recordNodes()
+		}
+	}
+}
+
+// advise hashes the advice of router i and what its guide makes of it.
+func (c *cluster) advise(i int) {
+	r := c.routers[i]
+	advice := r.node.Advice(c.now)
+	c.digest.advice(advice)
+	r.guide.Set(advice, numberOf, c.now)
+	for _, later := range []int64{0, 400, 1100} {
+		c.digest.guide(&r.guide, c.now+later)
+	}
+}
+
+// numberOf is the number of a host's name; the last host has none.
+func numberOf(name string) (uint32, bool) {
+	var number uint32
+	if _, err := fmt.Sscanf(name, "db-%d", &number); err != nil {
+		return 0, false
+	}
+	return number + 1, number+1 < databases
+}
+
+// guide hashes what a guide answers at a time, for each host and one unknown.
+func (d *digest) guide(g *fleetstate.Guide, at int64) {
+	now := time.Duration(at) * time.Millisecond
+	d.numbers(int64(g.Routers()))
+	d.amounts(g.Repeats(now))
+	for number := range uint32(databases + 1) {
+		d.amounts(g.Cold(number, 0.75, 0.5, now))
+		d.flag(g.Last(number, now))
+		d.flag(g.Leads(number, now))
+	}
+}
+
+// recordNodes hashes the totals and the page of every router.
+func (c *cluster) recordNodes() {
+	for i, r := range c.routers {
+		if r.node != nil {
+			c.digest.numbers(int64(i))
+			c.digest.cells(r.node.Totals())
+			c.digest.page(r.node.Page(c.now))
+		}
+	}
+}
+
+// scenario is one seeded run of a cluster.
+type scenario struct {
+	name   string
+	seed   uint64
+	config func(*fleetstate.Config)
+	script func(*cluster)
+}
+
+var scenarios = []scenario{
+	{name: "calm", seed: 1, script: calm},
+	{name: "every-condition", seed: 2, script: everyCondition},
+	{name: "every-condition-bad-links", seed: 3, script: onBadLinks(everyCondition)},
+	{name: "every-condition-few-tries", seed: 4, script: withFewTries(everyCondition)},
+	{name: "liars", seed: 5, script: liars},
+	{name: "liars-few-tries", seed: 6, script: withFewTries(liars)},
+	{name: "liars-long-names", seed: 29, config: func(c *fleetstate.Config) { c.MaxBytes = 400 }, script: withLongNames(liars)},
+	{name: "liars-most", seed: 7, config: func(c *fleetstate.Config) { c.ShareMost, c.Support = 0.9, 0.8 }, script: withFewTries(liars)},
+	{name: "cold-hosts", seed: 8, script: coldHosts},
+	{name: "cold-hosts-bad-links", seed: 9, script: onBadLinks(coldHosts)},
+	{name: "cold-hosts-long-skew", seed: 10, config: longSkew, script: onBadLinks(coldHosts)},
+	{name: "restarts-and-folds", seed: 11, script: restartsAndFolds},
+	{name: "restarts-small-tables", seed: 12, config: func(c *fleetstate.Config) { c.MaxEntries, c.MaxBytes = 5, 400 }, script: onBadLinks(restartsAndFolds)},
+	{name: "splits", seed: 13, script: splits},
+	{name: "retry-budget", seed: 14, script: retryBudget},
+	{name: "odd-messages", seed: 15, script: oddMessages},
+	{name: "forged-grants", seed: 30, script: forgedGrants},
+	{name: "many-witnesses", seed: 31, script: manyWitnesses},
+	{name: "many-loans", seed: 32, config: sabotage("no-lease-wait"), script: manyLoans},
+	{name: "many-lenders", seed: 33, config: func(c *fleetstate.Config) { c.LeaseMs, c.FoldMs, c.Lenders = 60_000, 700_000, 500 }, script: manyLenders},
+	{name: "guide", seed: 16, script: guideOverTime},
+	{name: "shifted-clocks", seed: 17, script: shiftedClocks},
+	{name: "sabotage-1", seed: 18, config: sabotage("no-lease-wait"), script: coldHosts},
+	{name: "sabotage-2", seed: 19, config: sabotage("trust-one"), script: everyCondition},
+	{name: "sabotage-3", seed: 20, config: sabotage("counts-by-sum"), script: restartsAndFolds},
+	{name: "sabotage-4", seed: 21, config: sabotage("never-expire"), script: coldHosts},
+	{name: "sabotage-5", seed: 22, config: sabotage("liar"), script: calm},
+	{name: "sabotage-6", seed: 23, config: sabotage("liar-well"), script: everyCondition},
+	{name: "churn-1", seed: 24, script: churn},
+	{name: "churn-2", seed: 25, config: longSkew, script: onBadLinks(churn)},
+	{name: "churn-3", seed: 26, script: withFewTries(churn)},
+	{name: "settings", seed: 27, script: checkSettings},
+	{name: "cells-and-texts", seed: 28, script: cellsAndTexts},
+}
+
+func longSkew(c *fleetstate.Config) {
+	c.LeaseMs, c.SkewMs, c.FoldMs, c.Lendable, c.HeldMost, c.Lenders, c.FanOut = 600, 1200, 18_000, 0.8, 1, 2, 2
+}
+
+func sabotage(guard string) func(*fleetstate.Config) {
+	return func(c *fleetstate.Config) { c.Sabotage = guard }
+}
+
+func onBadLinks(script func(*cluster)) func(*cluster) {
+	return func(c *cluster) {
+		c.loss, c.duplication, c.longestDelay = 0.2, 0.1, 600
+		script(c)
+	}
+}
+
+func withFewTries(script func(*cluster)) func(*cluster) {
+	return func(c *cluster) {
+		c.tries = 0.01
+		script(c)
+	}
+}
+
+// withLongNames makes claims too long for one message to hold all of them.
+func withLongNames(script func(*cluster)) func(*cluster) {
+	return func(c *cluster) {
+		for i := range c.databases {
+			c.databases[i].name += strings.Repeat("x", 90)
+		}
+		script(c)
+	}
+}
+
+func calm(c *cluster) {
+	c.bootAll()
+	c.run(8000)
+}
+
+// everyCondition puts hosts into each condition, one after another, primaries
+// among them, and for a while all of a group.
+func everyCondition(c *cluster) {
+	c.bootAll()
+	c.run(3000)
+	for k, condition := range []fleetstate.ClaimKind{fleetstate.Hangs, fleetstate.Fails, fleetstate.Slow, fleetstate.Behind} {
+		for _, i := range []int{k, 4 + k, 1} {
+			c.databases[i].condition = condition
+		}
+		c.run(2000)
+		for i := range c.databases {
+			c.databases[i].condition = fleetstate.Well
+		}
+		c.run(1000)
+	}
+	c.wholeGroup()
+}
+
+// wholeGroup fails over in one group and loses all of another.
+func (c *cluster) wholeGroup() {
+	c.databases[0].condition = fleetstate.Fails
+	for i := 3; i < 6; i++ {
+		c.databases[i].condition = fleetstate.Hangs
+	}
+	c.run(2000)
+	c.databases[0].primary, c.databases[1].primary = false, true
+	c.databases[8].unlisted = true
+	c.databases[8].condition = fleetstate.Hangs
+	c.run(3000)
+	c.forgetLastDatabase()
+	c.run(1500)
+}
+
+// forgetLastDatabase takes it off every router's list, with what was said of it.
+func (c *cluster) forgetLastDatabase() {
+	c.databases = c.databases[:databases-1]
+	for _, r := range c.routers {
+		r.hosts = r.hosts[:databases-1]
+	}
+}
+
+// liars doubt hosts that are well, alone and in concert, and stop.
+func liars(c *cluster) {
+	c.bootAll()
+	c.run(2500)
+	for _, kind := range []fleetstate.ClaimKind{fleetstate.Hangs, fleetstate.Fails, fleetstate.Slow, fleetstate.Behind} {
+		c.routers[1].lies = kind
+		c.run(1500)
+		c.routers[2].lies, c.routers[3].lies = kind, kind
+		c.databases[2].condition = fleetstate.Hangs
+		c.run(2000)
+		c.databases[2].condition = fleetstate.Well
+		for i := range c.routers {
+			c.routers[i].lies = 0
+		}
+		c.run(1000)
+	}
+	c.run(6000)
+}
+
+// coldHosts lends and borrows shares of cold hosts, through pauses longer than
+// a lease and restarts.
+func coldHosts(c *cluster) {
+	c.bootAll()
+	c.databases[1].cold = true
+	c.run(3000)
+	c.databases[5].cold = true
+	c.run(3000)
+	c.pause(0, 2500)
+	c.pause(2, 700)
+	c.run(3500)
+	c.boot(3)
+	c.kill(4)
+	c.run(3000)
+	c.databases[1].cold = false
+	c.run(2500)
+	c.databases[8].cold = true
+	c.run(3000)
+}
+
+// restartsAndFolds lets counters of stopped routers and of earlier instances
+// get old, and silences one router for longer than half of the fold's time.
+func restartsAndFolds(c *cluster) {
+	c.bootAll()
+	c.run(2000)
+	c.kill(1)
+	c.boot(2)
+	c.run(4000)
+	c.boot(2)
+	c.boot(1)
+	c.kill(5)
+	c.run(c.config.FoldMs + 1000)
+	c.cut = func(from, to int) bool { return from == 0 || to == 0 }
+	c.run(c.config.FoldMs/2 + 2000)
+	c.cut = nil
+	c.run(3000)
+	c.pause(3, c.config.FoldMs+500)
+	c.run(c.config.FoldMs + 4000)
+}
+
+// splits cut the fleet in two, whose sizes fall late, and heal it.
+func splits(c *cluster) {
+	c.databases[4].cold = true
+	c.bootAll()
+	c.run(3000)
+	c.cut = func(from, to int) bool { return (from < 3) != (to < 3) }
+	c.databases[1].condition = fleetstate.Hangs
+	c.run(c.config.FoldMs + 2000)
+	c.cut = nil
+	c.run(4000)
+	c.cut = func(from, to int) bool { return from == 6 }
+	c.run(3000)
+}
+
+// retryBudget gives some routers repeats to spare and lets others want them.
+func retryBudget(c *cluster) {
+	c.bootAll()
+	for round := range 8 {
+		for i, r := range c.routers {
+			r.repeats = fleetstate.RepeatBudget{Earns: 0.5 * float64(i), Spare: (i+round)%3 == 0, Wanting: (i+round)%3 == 1}
+		}
+		c.run(1500)
+	}
+	c.pause(2, 4000)
+	c.run(6000)
+}
+
+// oddMessages sends what no router in order sends.
+func oddMessages(c *cluster) {
+	c.databases[1].cold = true
+	c.bootAll()
+	c.run(2500)
+	peer, host := c.routers[1].name, c.databases[1].name
+	for _, m := range []fleetstate.Message{
+		{Counts: []fleetstate.Entry{{}, {Name: "x", Cells: make(fleetstate.Cells, 1000)}, {Name: "x", Epoch: 1, Stamp: 1, Cells: fleetstate.Cells{1}}}},
+		{Counts: []fleetstate.Entry{{Name: "y", Epoch: 1, Stamp: c.now + 1_000_000, Cells: fleetstate.Cells{300, 70_000, 1 << 33, 5}}}},
+		{Counts: []fleetstate.Entry{{Name: "y", Epoch: 1, Stamp: c.now + 2_000_000, Cells: fleetstate.Cells{1, 80_000}}}},
+		{Counts: []fleetstate.Entry{{Name: c.routers[0].name, Epoch: 1_000_000, Stamp: c.now, Cells: fleetstate.Cells{1 << 40}}}},
+		{Claims: []fleetstate.Claim{{Host: "unknown", Kind: fleetstate.Hangs}, {Host: host}, {Host: host, Kind: 200}, {Host: host, Kind: fleetstate.Hangs, AgeMs: -1}, {Host: host, Kind: fleetstate.Hangs, AgeMs: 1 << 40}}},
+		{Claims: []fleetstate.Claim{{Host: host, Kind: fleetstate.Hangs, AgeMs: 10}, {Host: host, Kind: fleetstate.Hangs, AgeMs: 500}, {Host: host, Kind: fleetstate.Leads}, {Host: host, Kind: fleetstate.Well}}},
+		{Asks: []fleetstate.Ask{{Key: "unknown", ID: 1, Want: 1, At: c.now}, {Key: host, ID: 2, Want: 0, At: c.now}, {Key: host, ID: 3, Want: -1, At: c.now}, {Key: host, ID: 4, Want: math.NaN(), At: c.now}}},
+		{Asks: []fleetstate.Ask{{Key: host, ID: 5, Want: 0.01, At: c.now}, {Key: host, ID: 5, Want: 0.01, At: c.now}, {Key: host, ID: 6, Want: 100, At: c.now}, {Key: host, ID: 7, Want: 100, At: c.now}}},
+		{Grants: []fleetstate.Grant{{Key: host, ID: 1, Amount: 0.5, At: c.now, ForMs: 1000}, {Key: "unknown", ID: 1, Amount: -1, ForMs: 1 << 40}}},
+	} {
+		c.inject(peer, 0, m)
+		c.inject("stranger", 0, m)
+		c.run(300)
+	}
+	c.flood(peer)
+	c.run(5000)
+}
+
+// flood tells of many routers and asks for shares without end.
+func (c *cluster) flood(peer string) {
+	for i := range 300 {
+		m := fleetstate.Message{Counts: []fleetstate.Entry{{Name: fmt.Sprint("invented-", i), Epoch: int64(i), Stamp: c.now - int64(i), Cells: fleetstate.Cells{1, uint64(i)}}}}
+		for k := range 20 { // more answers than one message holds
+			m.Asks = append(m.Asks, fleetstate.Ask{Key: c.databases[k%databases].name, ID: uint64(1000*i + k), Want: 0.002, At: c.now})
+		}
+		c.inject(peer, 3, m)
+	}
+}
+
+// forgedGrants answers asks with grants that were not asked for so: of another
+// number, another time, another peer, and twice.
+func forgedGrants(c *cluster) {
+	c.databases[2].cold = true // router 0 needs it
+	c.bootAll()
+	for range 60 {
+		c.run(stepMs)
+		for _, f := range slices.Clone(c.inFlight) {
+			if f.from == 0 && len(f.message.Asks) > 0 {
+				c.forge(f.message.Asks[0], f.to)
+			}
+		}
+	}
+}
+
+// forge sends router 0 grants for an ask to lender, the true one last.
+func (c *cluster) forge(ask fleetstate.Ask, lender int) {
+	for k := range 7 {
+		g := fleetstate.Grant{Key: ask.Key, ID: ask.ID, Amount: ask.Want / 16, At: ask.At, ForMs: 400}
+		from := c.routers[lender].name
+		switch k {
+		case 0:
+			g.ID++
+		case 1:
+			g.At--
+		case 2:
+			from = c.routers[1+lender%(routers-1)].name
+		case 3:
+			g.Amount = 0
+		case 4:
+			g.ForMs = -1000
+		}
+		c.inject(from, 0, fleetstate.Message{Grants: []fleetstate.Grant{g}})
+		c.digest.page(c.routers[0].node.Page(c.now))
+	}
+}
+
+// manyPeers gives router 0 more peers than it keeps witnesses or loans of.
+func (c *cluster) manyPeers() (names []string) {
+	c.boot(0)
+	c.run(2000)
+	for i := range 4200 {
+		names = append(names, fmt.Sprint("peer-", i))
+	}
+	c.routers[0].node.Fleet(names, len(names)+1, c.now)
+	return names
+}
+
+// manyWitnesses lets more peers doubt a host than are kept.
+func manyWitnesses(c *cluster) {
+	for i, peer := range c.manyPeers() {
+		c.inject(peer, 0, fleetstate.Message{Claims: []fleetstate.Claim{{Host: c.databases[4].name, Kind: fleetstate.Slow, AgeMs: int64(i % 50)}}})
+	}
+	c.advise(0)
+	c.run(1000)
+}
+
+// manyLoans asks for more loans of one budget than are kept.
+func manyLoans(c *cluster) {
+	peer := c.manyPeers()[0]
+	for i := range 4200 {
+		c.inject(peer, 0, fleetstate.Message{Asks: []fleetstate.Ask{{Key: c.databases[4].name, ID: uint64(i), Want: 1, At: c.now}}})
+	}
+	c.advise(0)
+	c.run(1500)
+}
+
+// manyLenders grants more loans of one budget than are kept, each of next to
+// nothing.
+func manyLenders(c *cluster) {
+	c.databases[2].cold = true // router 0 needs it
+	c.manyPeers()
+	node := c.routers[0].node
+	for range 11 {
+		c.now += c.config.TickMs
+		ready := node.Tick(c.now)
+		c.record(0, ready)
+		for _, out := range ready.Messages {
+			for _, ask := range out.Msg.Asks {
+				c.inject(out.To, 0, fleetstate.Message{Grants: []fleetstate.Grant{{Key: ask.Key, ID: ask.ID, Amount: 1e-8, At: ask.At, ForMs: 60_000}}})
+			}
+		}
+	}
+	c.advise(0)
+	c.run(500)
+}
+
+// guideOverTime asks guides at many moments before and after what they were
+// told ends.
+func guideOverTime(c *cluster) {
+	guide := &fleetstate.Guide{}
+	c.digest.guide(guide, c.now)
+	guide.Count(12)
+	c.digest.guide(guide, c.now)
+	for range 200 {
+		guide.Set(c.randomAdvice(), numberOf, c.now)
+		for range 12 {
+			c.digest.guide(guide, c.now+c.random.Int64N(3000)-500)
+		}
+		c.now += c.random.Int64N(2000)
+	}
+	guide.Set(fleetstate.Advice{}, numberOf, c.now)
+	c.digest.guide(guide, c.now)
+	guide.Count(3)
+	c.digest.guide(guide, c.now)
+}
+
+// randomAdvice ends within three seconds of now, or not at all.
+func (c *cluster) randomAdvice() fleetstate.Advice {
+	share := func() fleetstate.Share {
+		s := fleetstate.Share{Own: c.random.Float64(), Held: c.random.Float64(), Until: c.now + c.random.Int64N(3000)}
+		if c.random.IntN(4) == 0 {
+			s.Until = math.MaxInt64
+		}
+		return s
+	}
+	a := fleetstate.Advice{Routers: c.random.IntN(9), Rest: c.random.Float64(), Repeats: share(),
+		Shares: map[string]fleetstate.Share{}, Leaders: map[int]string{}}
+	for _, d := range c.databases {
+		switch c.random.IntN(4) {
+		case 0:
+			a.Shares[d.name] = share()
+		case 1:
+			a.Judged = append(a.Judged, fleetstate.Judgement{Host: d.name, Kind: fleetstate.Hangs, Until: share().Until})
+		case 2:
+			a.Leaders[d.group] = d.name
+		}
+	}
+	return a
+}
+
+// shiftedClocks moves what was seen and advised to other clocks.
+func shiftedClocks(c *cluster) {
+	c.databases[1].cold = true
+	c.databases[2].condition = fleetstate.Hangs
+	c.bootAll()
+	c.run(4000)
+	for _, ms := range []int64{0, 1, -500_000, 1 << 40} {
+		for _, r := range c.routers {
+			advice := r.node.Advice(c.now)
+			c.digest.advice(advice.Shifted(ms))
+			c.digest.advice(advice)
+			seen := fleetstate.Seen{Hosts: r.hosts, Repeats: r.repeats, Carried: r.counted}
+			c.digest.hosts(seen.Shifted(ms).Hosts)
+			c.digest.hosts(seen.Hosts)
+			c.digest.cells(seen.Shifted(ms).Carried)
+		}
+	}
+}
+
+// churn lets the seed choose what befalls routers and hosts.
+func churn(c *cluster) {
+	c.bootAll()
+	c.run(2000)
+	for range 50 {
+		c.mishap(c.random.IntN(len(c.routers)), &c.databases[c.random.IntN(len(c.databases))])
+		c.run(100 + 50*c.random.Int64N(15))
+	}
+	c.cut = nil
+	c.run(3000)
+}
+
+func (c *cluster) mishap(i int, d *database) {
+	r := c.routers[i]
+	switch c.random.IntN(10) {
+	case 0:
+		c.kill(i)
+	case 1:
+		c.boot(i)
+	case 2:
+		c.pause(i, 200+c.random.Int64N(3000))
+	case 3:
+		c.cut = func(from, to int) bool { return (from < i) != (to < i) }
+	case 4:
+		c.cut = nil
+	case 5:
+		d.condition = fleetstate.Well + fleetstate.ClaimKind(c.random.IntN(5))
+	case 6:
+		d.condition, d.unlisted = fleetstate.Well, c.random.IntN(5) == 0
+	case 7:
+		d.cold = !d.cold
+	case 8:
+		r.lies = fleetstate.ClaimKind(max(0, c.random.IntN(10)-4))
+	case 9:
+		r.repeats = fleetstate.RepeatBudget{Earns: c.random.Float64(), Spare: c.random.IntN(2) == 0, Wanting: c.random.IntN(2) == 0}
+	}
+}
+
+// checkSettings hashes which settings are accepted.
+func checkSettings(c *cluster) {
+	for _, change := range []func(*fleetstate.Config){
+		func(c *fleetstate.Config) {},
+		func(c *fleetstate.Config) { c.Name = "" },
+		func(c *fleetstate.Config) { c.Name = strings.Repeat("a", 128) },
+		func(c *fleetstate.Config) { c.Name = strings.Repeat("a", 129) },
+		func(c *fleetstate.Config) { c.TickMs = 0 },
+		func(c *fleetstate.Config) { c.CountsMs = c.TickMs - 1 },
+		func(c *fleetstate.Config) { c.LeaseMs = 2*c.TickMs - 1 },
+		func(c *fleetstate.Config) { c.SkewMs = -1 },
+		func(c *fleetstate.Config) { c.Lendable = -0.1 },
+		func(c *fleetstate.Config) { c.Lendable = 1 },
+		func(c *fleetstate.Config) { c.HeldMost = -1 },
+		func(c *fleetstate.Config) { c.Lenders = -1 },
+		func(c *fleetstate.Config) { c.FoldMs = 10*(c.LeaseMs+c.SkewMs) - 1 },
+		func(c *fleetstate.Config) { c.MaxEntries = 0 },
+		func(c *fleetstate.Config) { c.ClaimMs = 0 },
+		func(c *fleetstate.Config) { c.HintMs = c.TickMs - 1 },
+		func(c *fleetstate.Config) { c.HearsayMs = c.HintMs - 1 },
+		func(c *fleetstate.Config) { c.FanOut = 0 },
+		func(c *fleetstate.Config) { c.ShareMost = -0.1 },
+		func(c *fleetstate.Config) { c.ShareMost = 1 },
+		func(c *fleetstate.Config) { c.Support = 0 },
+		func(c *fleetstate.Config) { c.MaxBytes = 399 },
+		func(c *fleetstate.Config) { c.Sabotage = "unknown" },
+	} {
+		config := fleetstate.Defaults()
+		config.Name = "a"
+		change(&config)
+		c.digest.flag(config.Check() == nil)
+	}
+}
+
+// cellsAndTexts reads and counts at the bounds of the cells, and reads each
+// kind of claim back from its text; the number alone is hashed.
+func cellsAndTexts(c *cluster) {
+	var cells fleetstate.Cells
+	for _, class := range []int{-1, 0, 2, 63, 64} {
+		cells.Add(class, fleetstate.Kind(1), 7)
+		c.digest.cells(cells)
+	}
+	for _, class := range []int{0, 1, 63, 64, 1000} {
+		c.digest.numbers(int64(cells.Get(class, fleetstate.Kind(1))))
+	}
+	for kind := fleetstate.Well; kind <= fleetstate.Leads; kind++ {
+		text, err := kind.MarshalText()
+		var back fleetstate.ClaimKind
+		if err == nil {
+			err = back.UnmarshalText(text)
+		}
+		c.digest.flag(err == nil)
+		c.digest.numbers(int64(back))
+	}
+	unknown := fleetstate.Well
+	c.digest.flag(unknown.UnmarshalText([]byte("no claim has this text")) == nil)
+	for event := fleetstate.LeaseLent; event <= fleetstate.ClaimWrong; event++ {
+		c.digest.flag(event.String() != "")
+	}
+}
