--- /dev/null
+++ b/internal/fleetstate/wire/characterization_test.go
@@ -0,0 +1,221 @@
+package wire_test
+
+import (
+	"bufio"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"maps"
+	"math"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"lotusbend/internal/fleetstate"
+	"lotusbend/internal/fleetstate/wire"
+)
+
+// update rewrites the expected encodings. They are what other routers read, so
+// they may change only with a deliberate change of behaviour: a new version of
+// the format.
+var update = flag.Bool("update", false, "rewrite testdata/characterization.txt, only with a deliberate change of behaviour")
+
+var goldenFile = filepath.Join("testdata", "characterization.txt")
+
+// example is a message and the name of its line in the golden file, which
+// tells a message's parts by their positions: 1 counters, 2 claims, 3 asks, 4
+// grants.
+type example struct {
+	name    string
+	message fleetstate.Message
+}
+
+// TestCharacterization compares the encoding of every part of a message with
+// the recorded bytes, and decodes those to the message again.
+func TestCharacterization(t *testing.T) {
+	codec := newCodec(t)
+	golden, got, all := readGolden(t), map[string]string{}, examples()
+	for _, e := range all {
+		t.Run(e.name, func(t *testing.T) {
+			encoded, err := codec.Encode(e.message)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got[e.name] = hex.EncodeToString(encoded)
+			if *update {
+				return
+			}
+			if got[e.name] != golden[e.name] {
+				t.Fatalf("encoded as %s, want %q", got[e.name], golden[e.name])
+			}
+			checkDecoded(t, codec, golden[e.name], e.message)
+		})
+	}
+	if *update {
+		writeGolden(t, got, len(all))
+		return
+	}
+	for name := range golden {
+		if !slices.ContainsFunc(all, func(e example) bool { return e.name == name }) {
+			t.Errorf("%s has bytes for %q, which is no example", goldenFile, name)
+		}
+	}
+}
+
+func checkDecoded(t *testing.T, codec *wire.Codec, golden string, want fleetstate.Message) {
+	t.Helper()
+	encoded, err := hex.DecodeString(golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	decoded, err := codec.Decode(encoded)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(decoded, want) {
+		t.Errorf("decoded %+v, want %+v", decoded, want)
+	}
+}
+
+// examples are each part of a message with the least values that are taken,
+// with usual ones and with the largest, then all parts in one.
+func examples() []example {
+	longest := strings.Repeat("\U0010ffff", 32) // 128 bytes
+	counts := func(entries ...fleetstate.Entry) fleetstate.Message { return fleetstate.Message{Counts: entries} }
+	asks := func(asks ...fleetstate.Ask) fleetstate.Message { return fleetstate.Message{Asks: asks} }
+	grants := func(grants ...fleetstate.Grant) fleetstate.Message { return fleetstate.Message{Grants: grants} }
+	all := []example{
+		{"empty", fleetstate.Message{}},
+		{"part-1-zero", counts(fleetstate.Entry{Name: "a"})},
+		{"part-1-no-cells", counts(fleetstate.Entry{Name: "a", Cells: fleetstate.Cells{}})},
+		{"part-1-full", counts(fleetstate.Entry{Name: "router-ä", Epoch: 1_700_000_000_000, Stamp: 1_700_000_001_000, Cells: fleetstate.Cells{0, 23, 24, 255, 256, 65_535, 65_536, 1 << 32}})},
+		{"part-1-largest", counts(fleetstate.Entry{Name: longest, Epoch: math.MaxInt64, Stamp: math.MaxInt64, Cells: slices.Repeat(fleetstate.Cells{math.MaxUint64}, 20)})},
+		{"part-1-least", counts(fleetstate.Entry{Name: "a", Epoch: math.MinInt64, Stamp: -1, Cells: fleetstate.Cells{0}})},
+		{"part-3-zero", asks(fleetstate.Ask{Key: "a", Want: math.SmallestNonzeroFloat64})},
+		{"part-3-full", asks(fleetstate.Ask{Key: "db-1", ID: 1000, Want: 1.0 / 3, At: 1_700_000_000_000}, fleetstate.Ask{Key: fleetstate.RepeatsKey, ID: 24, Want: 0.5, At: -5})},
+		{"part-3-largest", asks(fleetstate.Ask{Key: longest, ID: math.MaxUint64, Want: 1e9, At: math.MaxInt64})},
+		{"part-4-zero", grants(fleetstate.Grant{Key: "a", Amount: math.SmallestNonzeroFloat64})},
+		{"part-4-full", grants(fleetstate.Grant{Key: "db-1", ID: 1000, Amount: 1.0 / 3, At: 1_700_000_000_000, ForMs: 3000}, fleetstate.Grant{Key: fleetstate.RepeatsKey, ID: 24, Amount: 2, At: -5, ForMs: 1})},
+		{"part-4-largest", grants(fleetstate.Grant{Key: longest, ID: math.MaxUint64, Amount: 1e9, At: math.MaxInt64, ForMs: math.MaxUint32})},
+	}
+	for kind := fleetstate.Well; kind <= fleetstate.Leads; kind++ {
+		claims := func(host string, ageMs int64) fleetstate.Message {
+			return fleetstate.Message{Claims: []fleetstate.Claim{{Host: host, Kind: kind, AgeMs: ageMs}}}
+		}
+		all = append(all,
+			example{fmt.Sprintf("part-2-kind-%d-zero", kind), claims("a", 0)},
+			example{fmt.Sprintf("part-2-kind-%d-full", kind), claims("db-1", 300)},
+			example{fmt.Sprintf("part-2-kind-%d-largest", kind), claims(longest, math.MaxUint32)})
+	}
+	return append(all, example{"every-part", fleetstate.Message{
+		Counts: []fleetstate.Entry{{Name: "a", Epoch: 1, Stamp: 2, Cells: fleetstate.Cells{3}}, {Name: "b", Epoch: 4, Stamp: 5, Cells: fleetstate.Cells{6, 7}}},
+		Claims: []fleetstate.Claim{{Host: "c", Kind: fleetstate.Hangs, AgeMs: 8}, {Host: "d", Kind: fleetstate.Leads, AgeMs: 9}},
+		Asks:   []fleetstate.Ask{{Key: "e", ID: 10, Want: 0.25, At: 11}},
+		Grants: []fleetstate.Grant{{Key: "f", ID: 12, Amount: 0.125, At: 13, ForMs: 14}},
+	}})
+}
+
+// TestCharacterizationOfBounds holds that durations beyond what the format
+// has are sent as its least or its largest.
+func TestCharacterizationOfBounds(t *testing.T) {
+	codec := newCodec(t)
+	for _, bound := range []struct {
+		name       string
+		sent, want int64
+	}{{"below zero", -1, 0}, {"above the largest", math.MaxUint32 + 1, math.MaxUint32}} {
+		t.Run(bound.name, func(t *testing.T) {
+			durations := func(ms int64) fleetstate.Message {
+				return fleetstate.Message{Claims: []fleetstate.Claim{{Host: "a", Kind: fleetstate.Well, AgeMs: ms}},
+					Grants: []fleetstate.Grant{{Key: "b", Amount: 1, ForMs: ms}}}
+			}
+			encoded, err := codec.Encode(durations(bound.sent))
+			if err != nil {
+				t.Fatal(err)
+			}
+			checkDecoded(t, codec, hex.EncodeToString(encoded), durations(bound.want))
+		})
+	}
+}
+
+// TestCharacterizationOfRefusals holds which bytes are refused.
+func TestCharacterizationOfRefusals(t *testing.T) {
+	codec := newCodec(t)
+	for name, message := range map[string]string{
+		"no bytes":                "",
+		"no version":              "a0",
+		"version 2":               "a10002",
+		"unknown field":           "a200010501",
+		"field twice":             "a200010001",
+		"trailing byte":           "a1000100",
+		"1401 bytes":              strings.Repeat("00", 1401),
+		"counters without a name": "a2000101" + "8184600000" + "80",
+		"counters of long name":   "a2000101" + "81847881" + strings.Repeat("61", 129) + "000080",
+		"claim without a name":    "a2000102" + "8183600100",
+		"claim of kind 0":         "a2000102" + "818361610000",
+		"claim of kind 7":         "a2000102" + "818361610700",
+		"ask without a name":      "a2000103" + "81846000f93c0000",
+		"ask of 0":                "a2000103" + "8184616100f9000000",
+		"ask below 0":             "a2000103" + "8184616100f9bc0000",
+		"ask of no number":        "a2000103" + "8184616100f97e0000",
+		"ask of infinity":         "a2000103" + "8184616100f97c0000",
+		"grant without a name":    "a2000104" + "81856000f93c000000",
+		"grant of 0":              "a2000104" + "8185616100f900000000",
+	} {
+		if encoded, err := hex.DecodeString(message); err != nil {
+			t.Errorf("%s: %v", name, err)
+		} else if _, err := codec.Decode(encoded); err == nil {
+			t.Errorf("%s: decoded", name)
+		}
+	}
+}
+
+func newCodec(t *testing.T) *wire.Codec {
+	t.Helper()
+	codec, err := wire.New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return codec
+}
+
+// readGolden reads lines of an example's name and its bytes in hex.
+func readGolden(t *testing.T) map[string]string {
+	t.Helper()
+	file, err := os.Open(goldenFile)
+	if os.IsNotExist(err) && *update {
+		return nil
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	golden := map[string]string{}
+	for lines := bufio.NewScanner(file); lines.Scan(); {
+		name, value, found := strings.Cut(lines.Text(), " ")
+		if _, twice := golden[name]; !found || twice {
+			t.Fatalf("%s: line %q is malformed or repeated", goldenFile, lines.Text())
+		}
+		golden[name] = value
+	}
+	return golden
+}
+
+func writeGolden(t *testing.T, got map[string]string, want int) {
+	t.Helper()
+	if len(got) != want {
+		t.Fatalf("only %d of %d examples ran: update with all of them", len(got), want)
+	}
+	var content strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(got)) {
+		fmt.Fprintln(&content, name, got[name])
+	}
+	if err := os.MkdirAll(filepath.Dir(goldenFile), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(goldenFile, []byte(content.String()), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
