--- a/cmd/lotusbend/node.go
+++ b/cmd/lotusbend/node.go
@@ -99,11 +99,11 @@
 	}}
 	cfg := n.config.Settings.Config
 	w.Watch = pace.NewWatch(pace.Config{
-		Routers: cfg.Routers, MustAsk: cfg.MustAsk, AskWithin: clock.Millis(cfg.AskWithin),
+		Routers: cfg.Routers, MustAsk: cfg.PollOnly, AskWithin: clock.Millis(cfg.PollInterval),
 	}, n.config.Seed+uint64(len(n.watches)))
 	// Another address may count its lists otherwise, so only the first goes on
 	// from what the configuration holds.
-	if known := n.config.Known; cfg.MustAsk && len(n.watches) == 1 && len(known.Hosts) > 0 {
+	if known := n.config.Known; cfg.PollOnly && len(n.watches) == 1 && len(known.Hosts) > 0 {
 		w.Watch.Resume(known.Index)
 	}
 	go w.Run(ctx)
@@ -191,25 +191,25 @@
 
 // news passes a list on.
 func (n *node) news(list discovery.List) {
-	kind := decide.ListDelta
+	kind := decide.UpdateDelta
 	if list.Whole {
-		kind = decide.ListFull
+		kind = decide.UpdateSnapshot
 	}
 	n.router.Listed(kind, n.members(list))
 }
 
 // members tells the pool of the hosts and returns them in the module's terms.
-func (n *node) members(list discovery.List) []decide.Member {
-	members := make([]decide.Member, len(list.Hosts))
+func (n *node) members(list discovery.List) []decide.Endpoint {
+	members := make([]decide.Endpoint, len(list.Hosts))
 	for i, h := range list.Hosts {
 		n.pool.SetHost(h.ID, h.Address, h.State == decide.Ready)
 		if n.names != nil {
 			n.names[h.ID] = h.Name
-			if h.State == decide.Gone {
+			if h.State == decide.Removed {
 				delete(n.names, h.ID)
 			}
 		}
-		members[i] = h.Member
+		members[i] = h.Endpoint
 	}
 	return members
 }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -30,12 +30,12 @@
 type host struct {
 	reply     simwire.Reply
 	instances map[uint16]*instance
-	lists     map[uint32][]decide.Member
+	lists     map[uint32][]decide.Endpoint
 }
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	h := &host{instances: map[uint16]*instance{}, lists: map[uint32][]decide.Member{}}
+	h := &host{instances: map[uint16]*instance{}, lists: map[uint32][]decide.Endpoint{}}
 	frames := simwire.NewReader(bufio.NewReaderSize(in, 1<<16))
 	for {
 		batch, err := frames.Next()
@@ -77,27 +77,27 @@
 	}
 	switch ev.Code {
 	case simwire.EvLapsed:
-		in.router.Lapsed(now, ev.Ticket)
+		in.router.ClientCancelled(now, ev.Ticket)
 	case simwire.EvFirst:
-		in.router.Streaming(now, ev.Ticket, ev.Attempt)
+		in.router.AnswerStarted(now, ev.Ticket, ev.Attempt)
 	case simwire.EvAttemptEnd:
-		ev.Result.Note = in.settings.Note(ev.Result.Note)
-		in.router.Ended(now, ev.Result)
+		ev.Result.Status = in.settings.Note(ev.Result.Status)
+		in.router.AttemptEnded(now, ev.Result)
 	case simwire.EvElapsed:
-		in.router.Timer(now, ev.Token)
+		in.router.TimerFired(now, ev.Token)
 	case simwire.EvFleet:
 		members, ok := h.lists[ev.List]
-		if !ok && ev.Kind != decide.ListFailed {
+		if !ok && ev.Kind != decide.WatchFailed {
 			return fmt.Errorf("%w: list %d was never registered", simwire.ErrMalformed, ev.List)
 		}
-		in.router.Listed(now, ev.Kind, members)
+		in.router.EndpointsUpdated(now, ev.Kind, members)
 	case simwire.EvDemand:
-		in.router.Arrived(now, ev.Request)
+		in.router.RequestArrived(now, ev.Request)
 	case simwire.EvHalt:
 		delete(h.instances, ev.Instance)
 	case simwire.EvPingResult:
-		in.router.Probed(now, decide.ProbeResult{Member: ev.Probe.Member, Outcome: ev.Probe.Outcome,
-			Note: in.settings.Report(ev.Probe.Values)})
+		in.router.HealthChecked(now, decide.HealthCheckResult{Endpoint: ev.Probe.Member, Outcome: ev.Probe.Outcome,
+			Status: in.settings.Report(ev.Probe.Values)})
 	}
 	return nil
 }
--- a/decide/characterization_test.go
+++ b/decide/characterization_test.go
@@ -40,41 +40,41 @@
 // classes cover each consistency, each kind of effect and each scope of a key.
 func classes() []decide.Class {
 	return []decide.Class{
-		{Name: "plain write", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 4,
-			Repeat: decide.Unsafe, Consistency: decide.Write},
-		{Name: "keyed write", Aim: 400 * time.Millisecond, Deadline: 3 * time.Second, Worth: 3, LateWorth: 0.5,
-			Repeat: decide.Keyed, Scope: decide.ScopeGroup, KeyTTL: 900 * time.Millisecond, Consistency: decide.Write},
-		{Name: "zone-keyed write", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 2, LateWorth: 0.2,
-			Repeat: decide.Keyed, Scope: decide.ScopeZone, KeyTTL: 2 * time.Second, Consistency: decide.Write},
-		{Name: "everywhere-keyed write", Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1,
-			Repeat: decide.Keyed, Scope: decide.ScopeAll, KeyTTL: 5 * time.Second, Consistency: decide.Write},
-		{Name: "fresh read", Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 2,
-			Repeat: decide.Pure, Consistency: decide.Fresh},
-		{Name: "session read", Aim: 250 * time.Millisecond, Deadline: time.Second, Worth: 1, LateWorth: 0.3,
-			Repeat: decide.Pure, Consistency: decide.Session},
-		{Name: "bounded read", Aim: 150 * time.Millisecond, Deadline: 800 * time.Millisecond, Worth: 1,
-			Repeat: decide.Pure, Consistency: decide.Bounded, Bound: 400 * time.Millisecond},
-		{Name: "any read", Aim: 600 * time.Millisecond, Deadline: 3 * time.Second, Worth: 0.5, LateWorth: 1,
-			Repeat: decide.Pure, Consistency: decide.Any},
+		{Name: "plain write", LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 4,
+			Idempotency: decide.NonIdempotent, Consistency: decide.Write},
+		{Name: "keyed write", LatencyObjective: 400 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 3, LateWeight: 0.5,
+			Idempotency: decide.IdempotencyKey, IdempotencyScope: decide.ScopeGroup, IdempotencyWindow: 900 * time.Millisecond, Consistency: decide.Write},
+		{Name: "zone-keyed write", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 2, LateWeight: 0.2,
+			Idempotency: decide.IdempotencyKey, IdempotencyScope: decide.ScopeZone, IdempotencyWindow: 2 * time.Second, Consistency: decide.Write},
+		{Name: "everywhere-keyed write", LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1,
+			Idempotency: decide.IdempotencyKey, IdempotencyScope: decide.ScopeAll, IdempotencyWindow: 5 * time.Second, Consistency: decide.Write},
+		{Name: "fresh read", LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 2,
+			Idempotency: decide.Idempotent, Consistency: decide.Fresh},
+		{Name: "session read", LatencyObjective: 250 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1, LateWeight: 0.3,
+			Idempotency: decide.Idempotent, Consistency: decide.Session},
+		{Name: "bounded read", LatencyObjective: 150 * time.Millisecond, Deadline: 800 * time.Millisecond, PriorityWeight: 1,
+			Idempotency: decide.Idempotent, Consistency: decide.Bounded, MaxStaleness: 400 * time.Millisecond},
+		{Name: "any read", LatencyObjective: 600 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 0.5, LateWeight: 1,
+			Idempotency: decide.Idempotent, Consistency: decide.Any},
 	}
 }
 
 func scenarios() []scenario {
 	base := decide.Config{
-		Routers: 3, Classes: classes(), Check: decide.RefuseStale, Positions: true, ReportsRole: true,
-		MaxAttempts: 6, Parallel: true, Probes: true, Cancels: true, MaxRetryWait: time.Second,
-		AskWithin: 4 * time.Second, StartCapacity: 0.2, ColdFor: 3 * time.Second, OverloadFactor: 2,
-		OverloadFor: time.Second, RemovalBinds: true,
+		Routers: 3, Classes: classes(), StaleReadPolicy: decide.RejectStale, AnswersCarryPosition: true, HealthChecksReportRole: true,
+		MaxAttempts: 6, ParallelAttempts: true, HealthChecks: true, CancelAttempts: true, MaxRetryAfter: time.Second,
+		PollInterval: 4 * time.Second, SlowStartCapacity: 0.2, SlowStartDuration: 3 * time.Second, OverloadFactor: 2,
+		OverloadDuration: time.Second, RemovalEnforced: true,
 	}
 	unchecked := base
-	unchecked.Check, unchecked.Carried, unchecked.MustAsk = decide.Unchecked, true, true
+	unchecked.StaleReadPolicy, unchecked.SessionTokens, unchecked.PollOnly = decide.ServeStale, true, true
 	waiting := base
-	waiting.Check, waiting.Patience, waiting.Positions = decide.WaitStale, 80*time.Millisecond, false
-	waiting.Parallel, waiting.Cancels, waiting.RemovalBinds = false, false, false
+	waiting.StaleReadPolicy, waiting.StaleReadWait, waiting.AnswersCarryPosition = decide.WaitThenReject, 80*time.Millisecond, false
+	waiting.ParallelAttempts, waiting.CancelAttempts, waiting.RemovalEnforced = false, false, false
 	frugal := base
-	frugal.Probes, frugal.ReportsRole, frugal.MaxAttempts = false, false, 2
+	frugal.HealthChecks, frugal.HealthChecksReportRole, frugal.MaxAttempts = false, false, 2
 	endless := unchecked
-	endless.Carried, endless.MaxAttempts, endless.Positions, endless.MustAsk = false, 0, false, false
+	endless.SessionTokens, endless.MaxAttempts, endless.AnswersCarryPosition, endless.PollOnly = false, 0, false, false
 	minute := time.Minute
 	return []scenario{
 		{"checking", 1, 4, 200, 20, minute, false, base},
@@ -162,7 +162,7 @@
 
 // host is a simulated database host.
 type host struct {
-	line      decide.Member
+	line      decide.Endpoint
 	primary   bool
 	condition condition
 	latency   time.Duration
@@ -199,12 +199,12 @@
 	}
 	sim.router = router
 	if s.fleet {
-		router.Join(advice{})
+		router.JoinFleet(advice{})
 	}
 	sim.addHosts()
 	end := sim.now + s.length
 	router.Start(sim.now)
-	router.Listed(sim.now, decide.ListCached, sim.list())
+	router.EndpointsUpdated(sim.now, decide.UpdateCachedSnapshot, sim.list())
 	sim.after(0, sim.arrive)
 	sim.after(200*time.Millisecond, sim.disturb)
 	sim.after(time.Second, sim.observe)
@@ -221,7 +221,7 @@
 	for group := range s.groups {
 		for i := range 4 {
 			s.hosts = append(s.hosts, &host{
-				line: decide.Member{ID: uint32(len(s.hosts) + 1), Zone: (group + i) % 2, Group: group,
+				line: decide.Endpoint{ID: uint32(len(s.hosts) + 1), Zone: (group + i) % 2, Group: group,
 					State: decide.Ready, Primary: i == 0},
 				primary: i == 0,
 				latency: time.Duration(5+10*i) * time.Millisecond,
@@ -232,10 +232,10 @@
 }
 
 // list is the endpoint list as it is now.
-func (s *simulation) list() []decide.Member {
-	var lines []decide.Member
+func (s *simulation) list() []decide.Endpoint {
+	var lines []decide.Endpoint
 	for _, h := range s.hosts {
-		if h.line.State != decide.Gone {
+		if h.line.State != decide.Removed {
 			lines = append(lines, h.line)
 		}
 	}
@@ -259,13 +259,13 @@
 	s.request(class, s.config.Classes[class].Deadline)
 	switch {
 	case s.chance(0.002):
-		s.router.Arrived(s.now, decide.Request{ID: s.nextID, Class: class}) // its id is in use
+		s.router.RequestArrived(s.now, decide.Request{ID: s.nextID, Class: class}) // its id is in use
 	case s.chance(0.001):
 		s.nextID++
-		s.router.Arrived(s.now, decide.Request{ID: s.nextID, Class: len(s.config.Classes)})
+		s.router.RequestArrived(s.now, decide.Request{ID: s.nextID, Class: len(s.config.Classes)})
 	case s.chance(0.005):
 		id := s.nextID - uint64(s.rng.IntN(20))
-		s.after(s.spread(30*time.Millisecond), func() { s.router.Lapsed(s.now, id) })
+		s.after(s.spread(30*time.Millisecond), func() { s.router.ClientCancelled(s.now, id) })
 	}
 }
 
@@ -274,10 +274,10 @@
 	request := decide.Request{ID: s.nextID, Group: s.rng.IntN(s.groups), Class: class,
 		Session: uint64(s.rng.IntN(s.sessions)), TimeLeft: timeLeft}
 	if s.chance(0.5) {
-		request.SinceWrite = s.spread(200 * time.Millisecond)
+		request.SinceCommit = s.spread(200 * time.Millisecond)
 	}
 	s.class[request.ID], s.deadline[request.ID] = class, s.now+timeLeft
-	s.router.Arrived(s.now, request)
+	s.router.RequestArrived(s.now, request)
 }
 
 // disturb makes one fault, or ends one, and schedules the next.
@@ -296,10 +296,10 @@
 	case 9:
 		s.failOver(h)
 	case 10:
-		s.notify([]decide.ListKind{decide.ListFull, decide.ListCached, decide.ListFailed}[s.rng.IntN(3)], s.list())
+		s.notify([]decide.EndpointUpdateKind{decide.UpdateSnapshot, decide.UpdateCachedSnapshot, decide.WatchFailed}[s.rng.IntN(3)], s.list())
 	case 11:
-		s.router.Ended(s.now, decide.Result{Request: s.nextID + 1000, Member: h.line.ID, Outcome: decide.OK,
-			Note: decide.Note{Role: decide.RoleReplica, Position: s.now - h.lag}})
+		s.router.AttemptEnded(s.now, decide.AttemptResult{Request: s.nextID + 1000, Endpoint: h.line.ID, Outcome: decide.OK,
+			Status: decide.ReplicationStatus{Role: decide.RoleReplica, Position: s.now - h.lag}})
 	}
 }
 
@@ -310,11 +310,11 @@
 	case decide.Ready:
 		h.line.State = decide.Draining
 	case decide.Draining:
-		h.line.State = decide.Gone
-	case decide.Gone:
-		h.line.State, h.line.Started, h.condition = decide.Ready, s.now, healthy
+		h.line.State = decide.Removed
+	case decide.Removed:
+		h.line.State, h.line.StartedAt, h.condition = decide.Ready, s.now, healthy
 	}
-	s.notify(decide.ListDelta, []decide.Member{h.line})
+	s.notify(decide.UpdateDelta, []decide.Endpoint{h.line})
 }
 
 // failOver makes h its group's primary; the endpoint list follows later.
@@ -327,27 +327,27 @@
 		}
 	}
 	s.after(s.spread(400*time.Millisecond), func() {
-		var lines []decide.Member
+		var lines []decide.Endpoint
 		for _, other := range changed {
 			other.line.Primary = other.primary
 			lines = append(lines, other.line)
 		}
-		s.notify(decide.ListDelta, lines)
+		s.notify(decide.UpdateDelta, lines)
 	})
 }
 
-func (s *simulation) notify(kind decide.ListKind, lines []decide.Member) {
-	s.router.Listed(s.now, kind, lines)
+func (s *simulation) notify(kind decide.EndpointUpdateKind, lines []decide.Endpoint) {
+	s.router.EndpointsUpdated(s.now, kind, lines)
 }
 
 // observe hashes what the router tells of its endpoints.
 func (s *simulation) observe() {
 	s.after(time.Second, s.observe)
-	s.router.View(s.now, func(v decide.MemberView) {
-		s.record(7, uint64(v.ID), uint64(v.Group), flags(v.Ready, v.Primary, v.Open, v.Failing, v.Cold, v.Needed, v.Seeking),
-			uint64(v.LeadsAt), uint64(v.Latency), uint64(v.Usual), uint64(v.Lag), uint64(v.LagAt))
+	s.router.View(s.now, func(v decide.EndpointView) {
+		s.record(7, uint64(v.ID), uint64(v.Group), flags(v.Ready, v.Primary, v.CircuitOpen, v.Failing, v.WarmingUp, v.RequestsQueued, v.PrimaryUnknown),
+			uint64(v.PrimaryReportedAt), uint64(v.Latency), uint64(v.TypicalLatency), uint64(v.Lag), uint64(v.LagMeasuredAt))
 	})
-	saved, most, earned := s.router.Retries()
+	saved, most, earned := s.router.RetryBudget()
 	s.record(8, math.Float64bits(saved), math.Float64bits(most), math.Float64bits(earned))
 }
 
@@ -384,12 +384,12 @@
 			if s.attempts[request][attempt] {
 				return
 			}
-			allowed := s.router.MayLeave(s.now, request, attempt)
+			allowed := s.router.MaySend(s.now, request, attempt)
 			s.record(6, request, uint64(attempt), flags(allowed))
 			if allowed {
 				s.serve(request, attempt, h, timeout)
 			} else {
-				s.end(request, attempt, h, decide.Moot, 0)
+				s.end(request, attempt, h, decide.NotSent, 0)
 			}
 		})
 		return
@@ -413,7 +413,7 @@
 	case refusing:
 		outcome, took = decide.ConnectFailed, time.Millisecond
 	case failing:
-		outcome = []decide.Outcome{decide.Error, decide.Full, decide.Reset, decide.Spoilt}[s.rng.IntN(4)]
+		outcome = []decide.Outcome{decide.Error, decide.Overloaded, decide.Reset, decide.Malformed}[s.rng.IntN(4)]
 	case slow:
 		took *= 6
 	default:
@@ -422,7 +422,7 @@
 	if outcome == decide.OK && s.chance(0.05) {
 		s.after(took/2, func() {
 			if !s.attempts[request][attempt] {
-				s.router.Streaming(s.now, request, attempt)
+				s.router.AnswerStarted(s.now, request, attempt)
 			}
 		})
 	}
@@ -432,14 +432,14 @@
 // outcome is what a healthy host answers.
 func (s *simulation) outcome(h *host, class decide.Class) decide.Outcome {
 	needsPrimary := class.Consistency <= decide.Fresh
-	tooOld := class.Consistency == decide.Bounded && h.lag > class.Bound
+	tooOld := class.Consistency == decide.Bounded && h.lag > class.MaxStaleness
 	switch {
 	case needsPrimary && !h.primary:
-		return decide.Miss
-	case tooOld && !h.primary && s.config.Check != decide.Unchecked:
-		return decide.Miss
+		return decide.Ineligible
+	case tooOld && !h.primary && s.config.StaleReadPolicy != decide.ServeStale:
+		return decide.Ineligible
 	case s.chance(0.01):
-		return decide.Error + decide.Outcome(s.rng.IntN(int(decide.Rejected)))
+		return decide.Error + decide.Outcome(s.rng.IntN(int(decide.InvalidRequest)))
 	}
 	return decide.OK
 }
@@ -450,21 +450,21 @@
 		return
 	}
 	s.attempts[request][attempt] = true
-	s.router.Ended(s.now, decide.Result{Request: request, Attempt: attempt, Member: h.line.ID, Outcome: outcome,
-		Latency: took, Over: outcome == decide.OK, Note: s.note(h)})
+	s.router.AttemptEnded(s.now, decide.AttemptResult{Request: request, Attempt: attempt, Endpoint: h.line.ID, Outcome: outcome,
+		Latency: took, ClientAnswered: outcome == decide.OK, Status: s.note(h)})
 }
 
 // note is what an answer or a report tells of h.
-func (s *simulation) note(h *host) decide.Note {
-	note := decide.Note{Role: decide.RoleReplica, Position: s.now - h.lag}
+func (s *simulation) note(h *host) decide.ReplicationStatus {
+	note := decide.ReplicationStatus{Role: decide.RoleReplica, Position: s.now - h.lag}
 	if h.primary {
-		note = decide.Note{Role: decide.RolePrimary, Position: s.now}
+		note = decide.ReplicationStatus{Role: decide.RolePrimary, Position: s.now}
 	}
-	if !s.config.Positions && s.chance(0.7) {
+	if !s.config.AnswersCarryPosition && s.chance(0.7) {
 		note.Position = 0
 	}
 	if s.chance(0.02) {
-		note = decide.Note{}
+		note = decide.ReplicationStatus{}
 	}
 	return note
 }
@@ -475,7 +475,7 @@
 	s.after(s.spread(4*time.Millisecond), func() { s.end(request, attempt, h, decide.Cancelled, 0) })
 }
 
-func (s *simulation) Refuse(request uint64, retryAfter time.Duration) {
+func (s *simulation) Reject(request uint64, retryAfter time.Duration) {
 	s.record(2, request, uint64(retryAfter))
 	class, known := s.class[request]
 	left := s.deadline[request] - s.now - retryAfter
@@ -486,11 +486,11 @@
 
 func (s *simulation) Fail(request uint64) { s.record(3, request) }
 
-func (s *simulation) Probe(member uint32) {
+func (s *simulation) CheckHealth(member uint32) {
 	s.record(4, uint64(member))
 	h := s.host(member)
 	s.after(s.spread(8*time.Millisecond), func() {
-		result := decide.ProbeResult{Member: member, Outcome: decide.OK, Note: s.note(h)}
+		result := decide.HealthCheckResult{Endpoint: member, Outcome: decide.OK, Status: s.note(h)}
 		switch h.condition {
 		case hung:
 			result.Outcome = decide.TimedOut
@@ -502,39 +502,39 @@
 		if result.Outcome == decide.OK && s.chance(0.1) {
 			return // lost
 		}
-		s.router.Probed(s.now, result)
+		s.router.HealthChecked(s.now, result)
 	})
 }
 
 func (s *simulation) CloseIdle(member uint32) { s.record(5, uint64(member)) }
 
-func (s *simulation) Watch() {
+func (s *simulation) WatchEndpoints() {
 	s.record(5, 0)
 	s.after(s.spread(30*time.Millisecond), func() {
 		if s.chance(0.4) {
-			s.notify(decide.ListFailed, nil)
+			s.notify(decide.WatchFailed, nil)
 		} else {
-			s.notify(decide.ListFull, s.list())
+			s.notify(decide.UpdateSnapshot, s.list())
 		}
 	})
 }
 
 func (s *simulation) SetTimer(after time.Duration, token uint32) {
-	s.after(after, func() { s.router.Timer(s.now, token) })
+	s.after(after, func() { s.router.TimerFired(s.now, token) })
 }
 
 // advice is a Fleet whose answers depend on nothing but what it is asked.
 type advice struct{}
 
 func (advice) Routers() int { return 5 }
-func (advice) Cold(member uint32, own, one float64, _ time.Duration) float64 {
+func (advice) SlowStartRate(member uint32, own, one float64, _ time.Duration) float64 {
 	return own*0.7 + one*float64(member%3)
 }
-func (advice) Repeats(now time.Duration) float64 { return 0.5 * math.Sin(now.Seconds()) }
-func (advice) Last(member uint32, now time.Duration) bool {
+func (advice) RetryRate(now time.Duration) float64 { return 0.5 * math.Sin(now.Seconds()) }
+func (advice) Deprioritized(member uint32, now time.Duration) bool {
 	return (uint32(now/time.Second)+member)%7 == 0
 }
-func (advice) Leads(member uint32, now time.Duration) bool {
+func (advice) SuggestedPrimary(member uint32, now time.Duration) bool {
 	return (uint32(now/time.Second)+member)%5 == 0
 }
 
--- /dev/null
+++ b/decide/endpointlist.go
@@ -0,0 +1,181 @@
+package decide
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// initialWatchBackoff is the first wait after a failed poll of the endpoint
+	// list; it doubles, with jitter.
+	initialWatchBackoff = 200 * time.Millisecond
+	// pollBackoffDivisor bounds the wait to this part of the poll interval.
+	pollBackoffDivisor = 4
+	// neverStarted is the start time of an endpoint that was not listed before.
+	neverStarted = -1
+)
+
+// endpointWatch is the state of the watch on the endpoint list, where the
+// router polls it.
+type endpointWatch struct {
+	active     bool
+	nextPollAt time.Duration
+	backoff    time.Duration
+}
+
+// failed schedules the next poll after a failed one; jitter is in [0.5, 1.5).
+func (w *endpointWatch) failed(jitter float64, pollInterval, now time.Duration) {
+	w.active = false
+	w.nextPollAt = now + time.Duration(float64(w.backoff)*jitter)
+	w.backoff = min(2*w.backoff, max(pollInterval/pollBackoffDivisor, initialWatchBackoff))
+}
+
+// pollEndpointList polls the endpoint list if that is due.
+func (r *Router) pollEndpointList(now time.Duration) {
+	if r.cfg.PollOnly && !r.watch.active && now >= r.watch.nextPollAt {
+		r.watch.active = true
+		r.actions.WatchEndpoints()
+	}
+}
+
+// EndpointsUpdated takes an update of the endpoint list. The endpoints of a
+// WatchFailed are ignored.
+func (r *Router) EndpointsUpdated(now time.Duration, kind EndpointUpdateKind, endpoints []Endpoint) {
+	if kind == WatchFailed {
+		r.watch.failed(0.5+r.rng.Float64(), r.cfg.PollInterval, now)
+		return
+	}
+	if kind != UpdateCachedSnapshot {
+		r.watch.backoff = initialWatchBackoff
+	}
+	if kind != UpdateDelta {
+		r.removeUnlisted(endpoints, now)
+	}
+	for _, listed := range endpoints {
+		r.updateEndpoint(r.trackEndpoint(listed, now), listed, now)
+	}
+	r.forgetRemoved(now)
+	r.countReady()
+	r.drainQueues(now)
+}
+
+// removeUnlisted removes the endpoints that a snapshot does not name.
+func (r *Router) removeUnlisted(snapshot []Endpoint, now time.Duration) {
+	listed := make(map[uint32]bool, len(snapshot))
+	for _, endpoint := range snapshot {
+		listed[endpoint.ID] = true
+	}
+	for _, endpoint := range r.ordered {
+		if listed[endpoint.ID] {
+			continue
+		}
+		removed := endpoint.Endpoint
+		removed.State = Removed
+		r.updateEndpoint(endpoint, removed, now)
+	}
+}
+
+// trackEndpoint returns what is known of a listed endpoint, made on its first
+// listing.
+func (r *Router) trackEndpoint(listed Endpoint, now time.Duration) *trackedEndpoint {
+	if endpoint := r.endpoints[listed.ID]; endpoint != nil {
+		return endpoint
+	}
+	endpoint := &trackedEndpoint{
+		Endpoint:  listed,
+		group:     r.group(listed.Group),
+		limit:     concurrencyLimit{value: initialConcurrency},
+		slowStart: slowStart{refilledAt: now},
+	}
+	endpoint.StartedAt = neverStarted
+	r.endpoints[listed.ID] = endpoint
+	r.ordered = append(r.ordered, endpoint)
+	endpoint.group.endpoints = append(endpoint.group.endpoints, endpoint)
+	return endpoint
+}
+
+// updateEndpoint takes one entry of the endpoint list.
+func (r *Router) updateEndpoint(endpoint *trackedEndpoint, listed Endpoint, now time.Duration) {
+	previous := endpoint.Endpoint
+	isNew := previous.StartedAt == neverStarted
+	restarted := !isNew && listed.StartedAt > previous.StartedAt
+	if listed.State == Removed && !isNew {
+		listed.State = r.removedState(endpoint, now)
+	}
+	endpoint.Endpoint = listed
+	endpoint.local = listed.Zone == r.cfg.Zone
+	returned := previous.State == Removed && listed.State == Ready
+	if isNew || restarted || returned {
+		r.beginSlowStart(endpoint, now)
+		endpoint.awaitsHealthCheck = r.cfg.HealthChecks
+	}
+	if restarted {
+		endpoint.role = RoleUnknown
+		endpoint.breaker.reset()
+	}
+	if endpoint.isPrimary() && (restarted || listed.State != Ready) {
+		endpoint.group.primary = nil
+	}
+	if listed.Primary && listed.State == Ready {
+		endpoint.group.announce(endpoint)
+	}
+}
+
+// removedState is the state of an endpoint that the list removes. Where removal
+// is not enforced the list does not prove which endpoints run: one that was
+// ready stays so, and its backoff and circuit breaker tell.
+func (r *Router) removedState(endpoint *trackedEndpoint, now time.Duration) EndpointState {
+	if !r.cfg.RemovalEnforced && endpoint.State == Ready {
+		return Ready
+	}
+	if endpoint.State != Removed {
+		endpoint.removedAt = now
+	}
+	return Removed
+}
+
+// beginSlowStart starts the warm-up of an endpoint that started lately; one that
+// is only new to the list is warm.
+func (r *Router) beginSlowStart(endpoint *trackedEndpoint, now time.Duration) {
+	startedAt := endpoint.StartedAt
+	if startedAt > 0 && now-startedAt < r.cfg.SlowStartDuration {
+		endpoint.slowStart.begin(startedAt, r.rng.Float64(), now)
+		endpoint.limit.capAt(initialConcurrency)
+	}
+}
+
+// announce takes an endpoint that the list names as the group's primary. It is
+// believed until the endpoint itself reports otherwise.
+func (g *replicaGroup) announce(endpoint *trackedEndpoint) {
+	if g.announcedPrimary == endpoint {
+		return
+	}
+	g.announcedPrimary = endpoint
+	endpoint.discoveryAttemptAt = 0
+	if g.primary == nil && endpoint.role != RoleReplica {
+		g.primary = endpoint
+	}
+}
+
+// forgetRemoved drops the endpoints that were removed long ago.
+func (r *Router) forgetRemoved(now time.Duration) {
+	forgotten := func(endpoint *trackedEndpoint) bool {
+		return endpoint.State == Removed && endpoint.inFlight == 0 && now > endpoint.removedAt+retentionPeriod
+	}
+	for _, endpoint := range r.ordered {
+		if forgotten(endpoint) {
+			delete(r.endpoints, endpoint.ID)
+			endpoint.group.endpoints = slices.DeleteFunc(endpoint.group.endpoints, forgotten)
+		}
+	}
+	r.ordered = slices.DeleteFunc(r.ordered, forgotten)
+}
+
+func (r *Router) countReady() {
+	r.readyEndpoints = 0
+	for _, endpoint := range r.ordered {
+		if endpoint.State == Ready {
+			r.readyEndpoints++
+		}
+	}
+}
--- a/decide/report_test.go
+++ b/decide/rolereport_test.go
@@ -6,10 +6,10 @@
 )
 
 // A report may be old: of a host that hangs it is as old as the hang. Its word
-// that a member is the primary counts only where it was made after the last
+// that a endpoint is the primary counts only where it was made after the last
 // answer that told otherwise, and lately: where hosts do not check, a fresh
 // read would be answered from old data.
-func TestOldReportMakesNoPrimaryOfAReplica(t *testing.T) {
+func TestOldReportDoesNotMakeAReplicaPrimary(t *testing.T) {
 	const second = time.Second
 	for name, c := range map[string]struct {
 		told, made time.Duration // how long ago; told 0: never
@@ -22,17 +22,17 @@
 		"made after the answer, and long ago": {9 * second, 2 * second, false},
 		"made after a late answer":            {200 * ms, 100 * ms, true},
 	} {
-		cfg := testConfig()
-		cfg.Check, cfg.Probes, cfg.ReportsRole = Unchecked, true, true
-		g := newRig(t, cfg, trio())
-		m := g.r.members[2]
-		g.now += 10 * second
-		m.roleAt = 0
+		config := testConfig()
+		config.StaleReadPolicy, config.HealthChecks, config.HealthChecksReportRole = ServeStale, true, true
+		f := newFixture(t, config, oneGroup())
+		endpoint := f.router.endpoints[2]
+		f.now += 10 * second
+		endpoint.roleReportedAt = 0
 		if c.told > 0 {
-			g.r.heardRole(m, RoleReplica, g.now-c.told)
+			f.router.recordRole(endpoint, RoleReplica, f.now-c.told)
 		}
-		g.r.Probed(g.now, ProbeResult{Member: 2, Note: Note{Role: RolePrimary, Position: g.now - c.made}})
-		if leads := m.g.primary == m; leads != c.leads {
+		f.router.HealthChecked(f.now, HealthCheckResult{Endpoint: 2, Status: ReplicationStatus{Role: RolePrimary, Position: f.now - c.made}})
+		if leads := endpoint.group.primary == endpoint; leads != c.leads {
 			t.Errorf("%s: the report makes a primary: %v", name, leads)
 		}
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -38,11 +38,11 @@
 		t.Fatalf("%+v, %v", first, err)
 	}
 	h := first.Hosts[0]
-	if h.Zone != 1 || h.Group != 3 || h.State != decide.Ready || !h.Primary || h.Started.Milliseconds() != 1767225600000 {
+	if h.Zone != 1 || h.Group != 3 || h.State != decide.Ready || !h.Primary || h.StartedAt.Milliseconds() != 1767225600000 {
 		t.Errorf("%+v", h)
 	}
 	again, err := n.ParseBytes([]byte(`{"index":42,"endpoints":[{"name":"s","status":"gone"}]}`))
-	if err != nil || again.Whole || again.Hosts[0].ID != h.ID || again.Hosts[0].State != decide.Gone {
+	if err != nil || again.Whole || again.Hosts[0].ID != h.ID || again.Hosts[0].State != decide.Removed {
 		t.Errorf("%+v, %v", again, err)
 	}
 	for _, bad := range []string{"", "[]", "{}", `{"endpoints":{}}`} {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -15,8 +15,8 @@
 
 // Host is one line of the list.
 type Host struct {
-	decide.Member // its ID is this router's own number for Name
-	Name, Address string
+	decide.Endpoint // its ID is this router's own number for Name
+	Name, Address   string
 }
 
 // List is the whole list or what has changed of it.
@@ -63,7 +63,7 @@
 	case "draining":
 		h.State = decide.Draining
 	case "gone":
-		h.State = decide.Gone
+		h.State = decide.Removed
 	default:
 		return h, false
 	}
@@ -76,7 +76,7 @@
 	h.Zone = slices.Index(n.zones, string(e.GetStringBytes("zone")))
 	h.Group = e.GetInt("group")
 	h.Primary = string(e.GetStringBytes("recovery")) == "off"
-	h.Started = clock.Duration(e.GetFloat64("since_ms"))
+	h.StartedAt = clock.Duration(e.GetFloat64("since_ms"))
 	return h, true
 }
 
--- a/internal/fleetstate/characterization_test.go
+++ b/internal/fleetstate/characterization_test.go
@@ -537,11 +537,11 @@
 func (d *digest) guide(g *fleetstate.Guide, at int64) {
 	now := time.Duration(at) * time.Millisecond
 	d.numbers(int64(g.Routers()))
-	d.amounts(g.Repeats(now))
+	d.amounts(g.RetryRate(now))
 	for number := range uint32(databases + 1) {
-		d.amounts(g.Cold(number, 0.75, 0.5, now))
-		d.flag(g.Last(number, now))
-		d.flag(g.Leads(number, now))
+		d.amounts(g.SlowStartRate(number, 0.75, 0.5, now))
+		d.flag(g.Deprioritized(number, now))
+		d.flag(g.SuggestedPrimary(number, now))
 	}
 }
 
--- a/internal/fleetstate/guide.go
+++ b/internal/fleetstate/guide.go
@@ -53,7 +53,7 @@
 // rate in proportion, and what was borrowed is added as parts of a member
 // that bears one request at a time. A lender's own rate is at least its stake
 // in such a member, so what it gives up is at least what the borrower gains.
-func (g *Guide) Cold(member uint32, own, one float64, now time.Duration) float64 {
+func (g *Guide) SlowStartRate(member uint32, own, one float64, now time.Duration) float64 {
 	s, ok := g.shares[member]
 	switch {
 	case g.stake <= 0: // told nothing, or the number of routers alone
@@ -69,14 +69,14 @@
 }
 
 // Repeats implements decide.Fleet.
-func (g *Guide) Repeats(now time.Duration) float64 { return g.repeats.At(now.Milliseconds()) }
+func (g *Guide) RetryRate(now time.Duration) float64 { return g.repeats.At(now.Milliseconds()) }
 
 // Last implements decide.Fleet.
-func (g *Guide) Last(member uint32, now time.Duration) bool {
+func (g *Guide) Deprioritized(member uint32, now time.Duration) bool {
 	return now.Milliseconds() < g.last[member]
 }
 
 // Leads implements decide.Fleet.
-func (g *Guide) Leads(member uint32, now time.Duration) bool {
+func (g *Guide) SuggestedPrimary(member uint32, now time.Duration) bool {
 	return now.Milliseconds() < g.leads[member]
 }
--- a/internal/fleetstate/guide_test.go
+++ b/internal/fleetstate/guide_test.go
@@ -12,29 +12,29 @@
 // nothing that has ended, before anything new was told.
 func TestAGuideEndsByItself(t *testing.T) {
 	var g Guide
-	if g.Cold(1, 5, 2, at(0)) != 5 || g.Last(1, at(0)) || g.Leads(1, at(0)) || g.Repeats(at(0)) != 0 {
+	if g.SlowStartRate(1, 5, 2, at(0)) != 5 || g.Deprioritized(1, at(0)) || g.SuggestedPrimary(1, at(0)) || g.RetryRate(at(0)) != 0 {
 		t.Fatal("a guide that was told nothing says something")
 	}
 	id := func(name string) (uint32, bool) { return uint32(len(name)), name != "unknown" }
 	g.Set(Advice{Routers: 4, Rest: 0.5, Shares: map[string]Share{"h": {Own: 0.125, Held: 0.5, Until: 1000}, "unknown": {}},
 		Repeats: Share{Own: -0.2, Held: 1, Until: 1000}, Judged: []Judgement{{Host: "hh", Until: 700}}, Leaders: map[int]string{1: "hhh"}}, id, 100)
 	// Half of the stake of a quarter is left, and two stakes are borrowed.
-	if got := g.Cold(1, 6, 2, at(999)); got != 6*0.5+2*2 {
+	if got := g.SlowStartRate(1, 6, 2, at(999)); got != 6*0.5+2*2 {
 		t.Errorf("the rate is %g, want half of its own and two stakes", got)
 	}
-	if got := g.Cold(1, 6, 2, at(1000)); got != 3 {
+	if got := g.SlowStartRate(1, 6, 2, at(1000)); got != 3 {
 		t.Errorf("past the lease the rate is %g, want half of its own", got)
 	}
-	if got := g.Cold(9, 6, 2, at(500)); got != 3 {
+	if got := g.SlowStartRate(9, 6, 2, at(500)); got != 3 {
 		t.Errorf("of a host without a share the rate is %g, want what is left of every stake", got)
 	}
-	if a, b := g.Repeats(at(999)), g.Repeats(at(1000)); a != 0.8 || b != -0.2 {
+	if a, b := g.RetryRate(at(999)), g.RetryRate(at(1000)); a != 0.8 || b != -0.2 {
 		t.Errorf("repeats %g within the lease and %g past it, want 0.8 and -0.2", a, b)
 	}
-	if !g.Last(2, at(699)) || g.Last(2, at(700)) {
+	if !g.Deprioritized(2, at(699)) || g.Deprioritized(2, at(700)) {
 		t.Error("a judgement must hold until its end, and no longer")
 	}
-	if !g.Leads(3, at(1099)) || g.Leads(3, at(1100)) {
+	if !g.SuggestedPrimary(3, at(1099)) || g.SuggestedPrimary(3, at(1100)) {
 		t.Error("a heard leader is asked first for a while, and no longer")
 	}
 }
@@ -48,7 +48,7 @@
 			var lender, borrower Guide
 			lender.Set(Advice{Routers: 4, Shares: map[string]Share{"h": {Own: stake - lent, Until: math.MaxInt64}}}, id, 0)
 			borrower.Set(Advice{Routers: 4, Shares: map[string]Share{"h": {Own: stake, Held: lent, Until: 1000}}}, id, 0)
-			sum := lender.Cold(1, own, one, at(1)) + borrower.Cold(1, own, one, at(1))
+			sum := lender.SlowStartRate(1, own, one, at(1)) + borrower.SlowStartRate(1, own, one, at(1))
 			if sum > 2*own+1e-9 {
 				t.Errorf("own rate %g, lent %g: together %g, alone %g", own, lent, sum, 2*own)
 			}
--- a/internal/fleetstate/hang_test.go
+++ b/internal/fleetstate/hang_test.go
@@ -70,17 +70,17 @@
 	f := &hangFleet{byName: map[string]*hangRouter{}, clk: clock.Manual(1e6), rng: rand.New(rand.NewPCG(seed, 99)), work: [2]float64{15, 35},
 		from: 1e6 + hangStart, to: 1e6 + hangStart + hangFor}
 	f.loop = clock.NewLoop(f.clk)
-	var members []decide.Member
+	var members []decide.Endpoint
 	for g := range hangGroup {
 		for i := range 4 {
-			members = append(members, decide.Member{ID: uint32(4*g + i + 1), Group: g, State: decide.Ready, Primary: i == 0})
+			members = append(members, decide.Endpoint{ID: uint32(4*g + i + 1), Group: g, State: decide.Ready, Primary: i == 0})
 		}
 	}
 	f.hung = 2 + uint32(f.rng.IntN(3)) // a replica of the first group
-	cfg := decide.Config{Routers: routers, Zone: 0, Check: decide.RefuseStale, Positions: true, Carried: true, ReportsRole: true, Probes: true,
-		Cancels: true, Parallel: true, MaxAttempts: 6, MaxRetryWait: time.Second, StartCapacity: 0.21, ColdFor: 18 * time.Second,
-		OverloadFactor: 2, OverloadFor: time.Second,
-		Classes: []decide.Class{{Name: "view", Aim: aimMs * time.Millisecond, Deadline: 1200 * time.Millisecond, Worth: 2, Consistency: decide.Bounded, Bound: 800 * time.Millisecond}}}
+	cfg := decide.Config{Routers: routers, Zone: 0, StaleReadPolicy: decide.RejectStale, AnswersCarryPosition: true, SessionTokens: true, HealthChecksReportRole: true, HealthChecks: true,
+		CancelAttempts: true, ParallelAttempts: true, MaxAttempts: 6, MaxRetryAfter: time.Second, SlowStartCapacity: 0.21, SlowStartDuration: 18 * time.Second,
+		OverloadFactor: 2, OverloadDuration: time.Second,
+		Classes: []decide.Class{{Name: "view", LatencyObjective: aimMs * time.Millisecond, Deadline: 1200 * time.Millisecond, PriorityWeight: 2, Consistency: decide.Bounded, MaxStaleness: 800 * time.Millisecond}}}
 	var names []string
 	for i := range routers {
 		names = append(names, fmt.Sprint("r", i))
@@ -201,7 +201,7 @@
 		if (host-1)%4 == 0 {
 			role = decide.RolePrimary
 		}
-		h.r.Ended(a, router.Report{Outcome: decide.OK, Row: &router.Row{}, Note: decide.Note{Role: role, Position: clock.Duration(f.loop.Now() - 8)}})
+		h.r.Ended(a, router.Report{Outcome: decide.OK, Row: &router.Row{}, Note: decide.ReplicationStatus{Role: role, Position: clock.Duration(f.loop.Now() - 8)}})
 	})
 	return ref
 }
@@ -222,7 +222,7 @@
 		if (host-1)%4 == 0 {
 			role = decide.RolePrimary
 		}
-		h.r.Probed(host, router.Report{Outcome: decide.OK, Note: decide.Note{Role: role, Position: clock.Duration(h.f.loop.Now() - 8)}})
+		h.r.Probed(host, router.Report{Outcome: decide.OK, Note: decide.ReplicationStatus{Role: role, Position: clock.Duration(h.f.loop.Now() - 8)}})
 	})
 }
 
--- a/internal/postgres/back/abandon_test.go
+++ b/internal/postgres/back/abandon_test.go
@@ -105,7 +105,7 @@
 	u.cancel()
 	u.write(wire.AppendReady(wire.AppendParameter(
 		wire.AppendError(nil, "ERROR", wire.CodeTooFarBehind, "behind", ""), "recovery", "on")))
-	if rep := <-u.events.heard; rep.Outcome != decide.Miss || rep.Note.Role != decide.RoleReplica {
+	if rep := <-u.events.heard; rep.Outcome != decide.Ineligible || rep.Note.Role != decide.RoleReplica {
 		t.Errorf("heard %+v", rep)
 	}
 	u.until(func() bool { _, hosts := u.pool.budget.Open(); return hosts == 0 && u.pool.loop.Pending() == 0 })
--- a/internal/postgres/back/back_test.go
+++ b/internal/postgres/back/back_test.go
@@ -107,7 +107,7 @@
 		if c.job == nil || c.job.attempt.Number != 2 || len(h.waiting) > 0 || h.coming != 8 {
 			t.Errorf("job %+v, %d wait, %d come", c.job, len(h.waiting), h.coming)
 		}
-		if len(events.ended) != 1 || events.ended[0].Number != 1 || events.as[0] != decide.Moot {
+		if len(events.ended) != 1 || events.ended[0].Number != 1 || events.as[0] != decide.NotSent {
 			t.Errorf("ended %+v as %v", events.ended, events.as)
 		}
 	})
--- a/internal/postgres/back/connection.go
+++ b/internal/postgres/back/connection.go
@@ -141,7 +141,7 @@
 			p.write(c, j)
 			return
 		}
-		p.report(j, router.Report{Outcome: decide.Moot})
+		p.report(j, router.Report{Outcome: decide.NotSent})
 	}
 	switch {
 	case !fit, !h.usable, c.purges != h.purges:
@@ -292,7 +292,7 @@
 	p.close(c)
 	if j != nil && !given {
 		j.conn = nil
-		p.report(j, router.Report{Outcome: decide.Spoilt})
+		p.report(j, router.Report{Outcome: decide.Malformed})
 	}
 	p.refill(c.host)
 }
--- a/internal/postgres/back/cut_test.go
+++ b/internal/postgres/back/cut_test.go
@@ -37,7 +37,7 @@
 	for name, c := range map[string]struct {
 		answer []byte
 		counts decide.Outcome
-	}{"served": {served, decide.OK}, "refused": {refused, decide.Full}} {
+	}{"served": {served, decide.OK}, "refused": {refused, decide.Overloaded}} {
 		whole := wire.AppendReady(wire.AppendParameter(c.answer, "recovery", "off"))
 		for _, reset := range []bool{false, true} {
 			for cut := range len(whole) + 1 {
--- a/internal/postgres/back/reader.go
+++ b/internal/postgres/back/reader.go
@@ -194,7 +194,7 @@
 // startupOutcome is what became of a connection that ended before it was ready.
 func (r *reader) startupOutcome() decide.Outcome {
 	if string(r.code) == wire.CodeTooManyConnections {
-		return decide.Full
+		return decide.Overloaded
 	}
 	return decide.ConnectFailed
 }
@@ -221,7 +221,7 @@
 		rep.Row = &r.row
 	}
 	commit := j.stmt.Write && rep.Outcome == decide.OK
-	rep.Note = decide.Note{Role: r.role, Position: position(r.position, time.Millisecond, commit)}
+	rep.Note = decide.ReplicationStatus{Role: r.role, Position: position(r.position, time.Millisecond, commit)}
 	return rep, true
 }
 
@@ -239,28 +239,28 @@
 func outcome(code string) decide.Outcome {
 	switch code {
 	case wire.CodeReadOnly, wire.CodeTooFarBehind:
-		return decide.Miss
+		return decide.Ineligible
 	case wire.CodeTooManyConnections:
-		return decide.Full
+		return decide.Overloaded
 	case wire.CodeSyntax, wire.CodeProtocol:
-		return decide.Rejected
+		return decide.InvalidRequest
 	}
 	return decide.Error
 }
 
 // health reads a load report: names and values, such as x0=12.5,x1=1. One in
 // which any part cannot be read tells nothing.
-func health(report []byte) (n decide.Note, ok bool) {
+func health(report []byte) (n decide.ReplicationStatus, ok bool) {
 	for part := range bytes.SplitSeq(report, []byte{','}) {
 		name, value, _ := bytes.Cut(part, []byte{'='})
 		v, err := strconv.ParseFloat(string(value), 64)
 		if err != nil || len(name) == 0 {
-			return decide.Note{}, false
+			return decide.ReplicationStatus{}, false
 		}
 		switch string(name) {
 		case settings.FieldPosition:
 			if n.Position = position(value, time.Second, false); n.Position == 0 && v != 0 {
-				return decide.Note{}, false
+				return decide.ReplicationStatus{}, false
 			}
 		case settings.FieldRole:
 			switch v {
@@ -269,7 +269,7 @@
 			case 0:
 				n.Role = decide.RoleReplica
 			default:
-				return decide.Note{}, false
+				return decide.ReplicationStatus{}, false
 			}
 		}
 	}
--- a/internal/postgres/back/reader_test.go
+++ b/internal/postgres/back/reader_test.go
@@ -34,7 +34,7 @@
 // A report of which any part can't be read must tell nothing: a role read from
 // what is left would steer writes.
 func TestHealth(t *testing.T) {
-	for text, want := range map[string]decide.Note{
+	for text, want := range map[string]decide.ReplicationStatus{
 		"x0=2.5,x1=1,util=0.61,queue=3": {Role: decide.RolePrimary, Position: 2500 * time.Millisecond},
 		"x1=0,x0=2":                     {Role: decide.RoleReplica, Position: 2 * time.Second},
 	} {
@@ -52,8 +52,8 @@
 // The table of outcomes decides what may be repeated.
 func TestOutcomes(t *testing.T) {
 	for code, want := range map[string]decide.Outcome{
-		"25006": decide.Miss, "72000": decide.Miss, "XX000": decide.Error, "53300": decide.Full,
-		"42601": decide.Rejected, "08P01": decide.Rejected, "57014": decide.Error,
+		"25006": decide.Ineligible, "72000": decide.Ineligible, "XX000": decide.Error, "53300": decide.Overloaded,
+		"42601": decide.InvalidRequest, "08P01": decide.InvalidRequest, "57014": decide.Error,
 	} {
 		var r reader
 		if err := r.take(wire.ErrorResponse, wire.AppendError(nil, "ERROR", code, "", "")[wire.HeaderLen:]); err != nil {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -82,7 +82,7 @@
 // Report is how an attempt or a probe ended.
 type Report struct {
 	Outcome decide.Outcome
-	Note    decide.Note
+	Note    decide.ReplicationStatus
 	Row     *Row // of one that was served; valid during the call
 }
 
@@ -125,7 +125,7 @@
 // New returns a router that lives in loop.
 func New(loop *clock.Loop, cfg decide.Config, seed uint64) (*Router, error) {
 	// Discovery keeps its watch by itself; the module need not ask.
-	cfg.MustAsk = false
+	cfg.PollOnly = false
 	r := &Router{loop: loop, cfg: cfg}
 	var err error
 	r.module, err = decide.New(cfg, seed, (*actions)(r))
@@ -133,11 +133,11 @@
 }
 
 // Start begins the work on hosts with the list as last known.
-func (r *Router) Start(hosts Hosts, known []decide.Member) {
+func (r *Router) Start(hosts Hosts, known []decide.Endpoint) {
 	r.hosts = hosts
 	r.module.Start(r.now())
 	r.seen.listed(known)
-	r.module.Listed(r.now(), decide.ListCached, known)
+	r.module.EndpointsUpdated(r.now(), decide.UpdateCachedSnapshot, known)
 }
 
 // now is the time on the module's clock, the Unix time.
@@ -160,8 +160,8 @@
 	for i := range r.cfg.Classes {
 		if c := &r.cfg.Classes[i]; c.Name == string(name) {
 			return Class{
-				Number: i, Write: c.Consistency == decide.Write, Keyed: c.Repeat == decide.Keyed,
-				Fresh: c.Consistency == decide.Fresh, Session: c.Consistency == decide.Session, KeyTTL: clock.Millis(c.KeyTTL),
+				Number: i, Write: c.Consistency == decide.Write, Keyed: c.Idempotency == decide.IdempotencyKey,
+				Fresh: c.Consistency == decide.Fresh, Session: c.Consistency == decide.Session, KeyTTL: clock.Millis(c.IdempotencyWindow),
 			}, true
 		}
 	}
@@ -172,13 +172,13 @@
 func (r *Router) Open() int { return r.open }
 
 // Listed takes news of the list of database hosts.
-func (r *Router) Listed(kind decide.ListKind, members []decide.Member) {
+func (r *Router) Listed(kind decide.EndpointUpdateKind, members []decide.Endpoint) {
 	r.seen.listed(members)
-	r.module.Listed(r.now(), kind, members)
+	r.module.EndpointsUpdated(r.now(), kind, members)
 }
 
 // Join tells the module of its peers; without that it acts alone.
-func (r *Router) Join(f decide.Fleet) { r.module.Join(f) }
+func (r *Router) Join(f decide.Fleet) { r.module.JoinFleet(f) }
 
 // Submit takes a request. Its answer goes to from, which may name it by the
 // returned reference until then.
@@ -198,8 +198,8 @@
 	if r.cfg.Classes[req.Class].Consistency != decide.Write && r.cfg.Classes[req.Class].Consistency != decide.Session {
 		session = 0
 	}
-	r.module.Arrived(r.now(), decide.Request{
-		ID: q.id, Group: req.Group, Class: req.Class, Session: session, SinceWrite: since,
+	r.module.RequestArrived(r.now(), decide.Request{
+		ID: q.id, Group: req.Group, Class: req.Class, Session: session, SinceCommit: since,
 		TimeLeft: clock.Duration(req.Wait),
 	})
 	return ref
@@ -213,7 +213,7 @@
 	}
 	q.done = true
 	r.open--
-	r.module.Lapsed(r.now(), q.id)
+	r.module.ClientCancelled(r.now(), q.id)
 	r.endAttempts(ref, q, decide.Cancelled)
 	r.release(ref, q)
 }
@@ -232,7 +232,7 @@
 // LateAnswer takes what a host answered to an attempt that was given up: it is
 // news of the host alone.
 func (r *Router) LateAnswer(host uint32, rep Report) {
-	r.module.Ended(r.now(), decide.Result{Attempt: unknownAttempt, Member: host, Outcome: rep.Outcome, Note: rep.Note})
+	r.module.AttemptEnded(r.now(), decide.AttemptResult{Attempt: unknownAttempt, Endpoint: host, Outcome: rep.Outcome, Status: rep.Note})
 }
 
 // unknownAttempt is the number of an attempt that the module no longer knows.
@@ -243,12 +243,12 @@
 func (r *Router) MayLeave(a Attempt) bool {
 	q := r.requests.Get(a.Request)
 	return q != nil && a.Number < len(q.attempts) && q.attempts[a.Number].out &&
-		r.module.MayLeave(r.now(), q.id, a.Number)
+		r.module.MaySend(r.now(), q.id, a.Number)
 }
 
 // Probed takes the end of a probe.
 func (r *Router) Probed(host uint32, rep Report) {
-	r.module.Probed(r.now(), decide.ProbeResult{Member: host, Outcome: rep.Outcome, Note: rep.Note})
+	r.module.HealthChecked(r.now(), decide.HealthCheckResult{Endpoint: host, Outcome: rep.Outcome, Status: rep.Note})
 }
 
 // end gives an attempt's end to the client, if it serves it, and to the module.
@@ -261,9 +261,9 @@
 	if rep.Outcome == decide.OK {
 		r.answer(q, Answer{Verdict: Served, Row: rep.Row})
 	}
-	r.module.Ended(r.now(), decide.Result{
-		Request: q.id, Attempt: n, Member: at.host, Outcome: rep.Outcome,
-		Latency: clock.Duration(r.loop.Now() - at.at), Over: q.done, Note: rep.Note,
+	r.module.AttemptEnded(r.now(), decide.AttemptResult{
+		Request: q.id, Attempt: n, Endpoint: at.host, Outcome: rep.Outcome,
+		Latency: clock.Duration(r.loop.Now() - at.at), ClientAnswered: q.done, Status: rep.Note,
 	})
 }
 
@@ -297,7 +297,7 @@
 	r.endAttempts(ref, q, decide.TimedOut)
 	if !q.done {
 		r.answer(q, Answer{Verdict: Failed})
-		r.module.Lapsed(r.now(), q.id)
+		r.module.ClientCancelled(r.now(), q.id)
 	}
 	r.release(ref, q)
 }
@@ -349,7 +349,7 @@
 	q.out++
 	r.seen.sent(q.Class, n, host, now)
 	if q.done || wait <= 0 || (r.cfg.MaxAttempts > 0 && n >= r.cfg.MaxAttempts) {
-		r.loop.Post(func() { r.Ended(tag, Report{Outcome: decide.Moot}) })
+		r.loop.Post(func() { r.Ended(tag, Report{Outcome: decide.NotSent}) })
 		return
 	}
 	q.attempts[n].sent = r.hosts.Send(host, tag, q.Statement, wait)
@@ -380,7 +380,7 @@
 }
 
 // Refuse implements decide.Actions.
-func (a *actions) Refuse(id uint64, retryAfter time.Duration) {
+func (a *actions) Reject(id uint64, retryAfter time.Duration) {
 	a.final(id, Answer{Verdict: Refused, RetryAfter: clock.Millis(retryAfter)})
 }
 
@@ -396,16 +396,16 @@
 }
 
 // Probe implements decide.Actions.
-func (a *actions) Probe(host uint32) { a.hosts.Probe(host) }
+func (a *actions) CheckHealth(host uint32) { a.hosts.Probe(host) }
 
 // CloseIdle implements decide.Actions.
 func (a *actions) CloseIdle(host uint32) { a.hosts.CloseIdle(host) }
 
 // Watch implements decide.Actions. Discovery keeps its watch by itself.
-func (a *actions) Watch() {}
+func (a *actions) WatchEndpoints() {}
 
 // SetTimer implements decide.Actions.
 func (a *actions) SetTimer(after time.Duration, token uint32) {
 	r := (*Router)(a)
-	r.loop.At(r.loop.Now()+clock.Millis(after), func() { r.module.Timer(r.now(), token) })
+	r.loop.At(r.loop.Now()+clock.Millis(after), func() { r.module.TimerFired(r.now(), token) })
 }
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -41,19 +41,19 @@
 func (r *Router) Share() {
 	for _, c := range r.cfg.Classes {
 		if c.Consistency == decide.Bounded {
-			r.bound = max(r.bound, c.Bound)
+			r.bound = max(r.bound, c.MaxStaleness)
 		}
 	}
 	r.seen = &Watch{zone: r.cfg.Zone, zones: map[uint32]int{}, hosts: map[uint32]*record{}, rateAt: r.loop.Now()}
 }
 
-func (w *Watch) listed(members []decide.Member) {
+func (w *Watch) listed(members []decide.Endpoint) {
 	if w == nil {
 		return
 	}
 	for _, m := range members {
 		w.zones[m.ID] = m.Zone
-		if m.State == decide.Gone {
+		if m.State == decide.Removed {
 			delete(w.zones, m.ID)
 			delete(w.hosts, m.ID)
 		}
@@ -103,7 +103,7 @@
 	if w == nil {
 		return
 	}
-	if a.begun && o != decide.Moot && o != decide.ConnectFailed {
+	if a.begun && o != decide.NotSent && o != decide.ConnectFailed {
 		w.carried.Add(class, fleetstate.Attempts, 1)
 	}
 	h := w.hosts[a.host]
@@ -111,12 +111,12 @@
 		return
 	}
 	switch o {
-	case decide.OK, decide.Miss, decide.Full, decide.Rejected: // it answers, and knows what it says
+	case decide.OK, decide.Ineligible, decide.Overloaded, decide.InvalidRequest: // it answers, and knows what it says
 		h.good = max(h.good, a.at)
 		if h.asked <= a.at {
 			h.asked = 0
 		}
-	case decide.Error, decide.Spoilt, decide.Reset, decide.ConnectFailed, decide.TimedOut:
+	case decide.Error, decide.Malformed, decide.Reset, decide.ConnectFailed, decide.TimedOut:
 		h.bad = max(h.bad, a.at)
 	}
 }
@@ -132,12 +132,12 @@
 		w.rate += weight * (float64(w.taken-w.counted)/over*1000 - w.rate)
 		w.rateAt, w.counted = now, w.taken
 	}
-	saved, most, earned := r.module.Retries()
+	saved, most, earned := r.module.RetryBudget()
 	s.Repeats = fleetstate.RepeatBudget{Earns: w.rate * earned, Spare: saved >= most, Wanting: saved < most/2}
-	r.module.View(r.now(), func(v decide.MemberView) {
+	r.module.View(r.now(), func(v decide.EndpointView) {
 		host := fleetstate.Host{
-			Name: name(v.ID), Group: v.Group, Ready: v.Ready, Leads: v.Primary, LeadsAt: ms(v.LeadsAt),
-			Cold: v.Cold, Needed: v.Needed, Seeking: v.Seeking,
+			Name: name(v.ID), Group: v.Group, Ready: v.Ready, Leads: v.Primary, LeadsAt: ms(v.PrimaryReportedAt),
+			Cold: v.WarmingUp, Needed: v.RequestsQueued, Seeking: v.PrimaryUnknown,
 		}
 		if host.Name == "" {
 			return
@@ -145,11 +145,11 @@
 		if h := w.hosts[v.ID]; h != nil {
 			h.judge(v, now, &host)
 		}
-		if r.bound > 0 && v.LagAt > 0 { // a heard position may only ever exclude
+		if r.bound > 0 && v.LagMeasuredAt > 0 { // a heard position may only ever exclude
 			if v.Lag <= r.bound {
-				host.FreshAt = ms(v.LagAt)
+				host.FreshAt = ms(v.LagMeasuredAt)
 			} else if host.Bad == 0 {
-				host.Bad, host.BadAt = fleetstate.Behind, ms(v.LagAt)
+				host.Bad, host.BadAt = fleetstate.Behind, ms(v.LagMeasuredAt)
 			}
 		}
 		s.Hosts = append(s.Hosts, host)
@@ -158,10 +158,10 @@
 }
 
 // judge says what one host's record tells of it.
-func (h *record) judge(v decide.MemberView, now float64, to *fleetstate.Host) {
+func (h *record) judge(v decide.EndpointView, now float64, to *fleetstate.Host) {
 	silent := now - h.asked
-	to.Waiting = h.bad > h.good && now-h.bad < badFor || h.asked > 0 && silent > waitsAfter*clock.Millis(max(v.Latency, v.Usual))
-	if h.asked > 0 && silent > silentAfter*clock.Millis(max(v.Latency, v.Usual)) {
+	to.Waiting = h.bad > h.good && now-h.bad < badFor || h.asked > 0 && silent > waitsAfter*clock.Millis(max(v.Latency, v.TypicalLatency))
+	if h.asked > 0 && silent > silentAfter*clock.Millis(max(v.Latency, v.TypicalLatency)) {
 		h.bad, h.asked = max(h.bad, h.asked), 0 // the next attempt is timed anew
 	}
 	to.GoodAt, to.TriedAt, to.BadAt = int64(h.good), int64(h.tried), int64(h.bad)
@@ -170,7 +170,7 @@
 		to.Bad = fleetstate.Hangs
 	case v.Failing && h.bad > h.good:
 		to.Bad = fleetstate.Fails
-	case float64(v.Latency) > slowTimes*float64(v.Usual) && h.good > 0:
+	case float64(v.Latency) > slowTimes*float64(v.TypicalLatency) && h.good > 0:
 		to.Bad, to.BadAt = fleetstate.Slow, int64(h.good)
 	}
 }
--- a/internal/router/watch_test.go
+++ b/internal/router/watch_test.go
@@ -38,15 +38,15 @@
 	t.Helper()
 	w := &watched{script: &script{begun: true}, clk: clock.Manual(1e6)}
 	w.loop = clock.NewLoop(w.clk)
-	cfg := decide.Config{Routers: 4, Check: decide.RefuseStale, Positions: true, Carried: true, ReportsRole: true, Cancels: true, Parallel: true, MaxAttempts: 6,
-		Classes: []decide.Class{{Name: "any", Aim: 500 * time.Millisecond, Deadline: 1200 * time.Millisecond, Worth: 2, Consistency: decide.Any}}}
+	cfg := decide.Config{Routers: 4, StaleReadPolicy: decide.RejectStale, AnswersCarryPosition: true, SessionTokens: true, HealthChecksReportRole: true, CancelAttempts: true, ParallelAttempts: true, MaxAttempts: 6,
+		Classes: []decide.Class{{Name: "any", LatencyObjective: 500 * time.Millisecond, Deadline: 1200 * time.Millisecond, PriorityWeight: 2, Consistency: decide.Any}}}
 	var err error
 	if w.r, err = New(w.loop, cfg, 1); err != nil {
 		t.Fatal(err)
 	}
 	w.loop.Do(func() {
 		w.r.Share()
-		w.r.Start(w, []decide.Member{{ID: 1, State: decide.Ready, Zone: 1}, {ID: 2, State: decide.Ready, Zone: 1, Primary: true}})
+		w.r.Start(w, []decide.Endpoint{{ID: 1, State: decide.Ready, Zone: 1}, {ID: 2, State: decide.Ready, Zone: 1, Primary: true}})
 	})
 	return w
 }
@@ -62,7 +62,7 @@
 
 func (w *watched) end(n int, o decide.Outcome) {
 	w.loop.Do(func() {
-		w.r.Ended(w.sent[n], Report{Outcome: o, Row: &Row{}, Note: decide.Note{Role: decide.RoleReplica, Position: clock.Duration(w.clk.Now())}})
+		w.r.Ended(w.sent[n], Report{Outcome: o, Row: &Row{}, Note: decide.ReplicationStatus{Role: decide.RoleReplica, Position: clock.Duration(w.clk.Now())}})
 	})
 }
 
@@ -140,14 +140,14 @@
 func TestLateAnswerTellsTheRole(t *testing.T) {
 	w := newWatched(t)
 	leads := func() (leads bool) {
-		w.r.module.View(w.r.now(), func(v decide.MemberView) { leads = leads || v.ID == 2 && v.Primary })
+		w.r.module.View(w.r.now(), func(v decide.EndpointView) { leads = leads || v.ID == 2 && v.Primary })
 		return leads
 	}
 	w.loop.Do(func() {
 		if !leads() {
 			t.Fatal("the list's primary is not taken for one")
 		}
-		w.r.LateAnswer(2, Report{Outcome: decide.Miss, Note: decide.Note{Role: decide.RoleReplica}})
+		w.r.LateAnswer(2, Report{Outcome: decide.Ineligible, Note: decide.ReplicationStatus{Role: decide.RoleReplica}})
 		if leads() {
 			t.Error("a host that says it is a replica is taken for the primary")
 		}
--- a/internal/settings/cold_test.go
+++ b/internal/settings/cold_test.go
@@ -80,21 +80,21 @@
 		if member == 1 {
 			role = decide.RolePrimary
 		}
-		i.module.Ended(f.now, decide.Result{
-			Request: request, Attempt: n, Member: member, Outcome: decide.OK, Latency: work, Over: true,
-			Note: decide.Note{Role: role, Position: f.now - 10*time.Millisecond},
+		i.module.AttemptEnded(f.now, decide.AttemptResult{
+			Request: request, Attempt: n, Endpoint: member, Outcome: decide.OK, Latency: work, ClientAnswered: true,
+			Status: decide.ReplicationStatus{Role: role, Position: f.now - 10*time.Millisecond},
 		})
 		delete(i.attempts, request)
 	})
 }
 func (i *instance) Cancel(uint64, int)                     {}
-func (i *instance) Refuse(request uint64, _ time.Duration) { delete(i.attempts, request) }
+func (i *instance) Reject(request uint64, _ time.Duration) { delete(i.attempts, request) }
 func (i *instance) Fail(request uint64)                    { delete(i.attempts, request) }
-func (i *instance) Probe(uint32)                           {}
+func (i *instance) CheckHealth(uint32)                     {}
 func (i *instance) CloseIdle(uint32)                       {}
-func (i *instance) Watch()                                 {}
+func (i *instance) WatchEndpoints()                        {}
 func (i *instance) SetTimer(after time.Duration, tok uint32) {
-	i.fleet.after(after, func() { i.module.Timer(i.fleet.now, tok) })
+	i.fleet.after(after, func() { i.module.TimerFired(i.fleet.now, tok) })
 }
 
 // coldSettings is a configuration's settings for so many routers.
@@ -132,11 +132,11 @@
 	}
 	f := &fleet{}
 	rng := rand.New(rand.NewPCG(seed, 9))
-	list := func(started time.Duration) (members []decide.Member) {
+	list := func(started time.Duration) (members []decide.Endpoint) {
 		for id := range uint32(hosts) {
-			members = append(members, decide.Member{ID: id + 1, State: decide.Ready, Primary: id == 0})
+			members = append(members, decide.Endpoint{ID: id + 1, State: decide.Ready, Primary: id == 0})
 		}
-		members[1].Started = started
+		members[1].StartedAt = started
 		return members
 	}
 	request := uint64(0)
@@ -147,12 +147,12 @@
 		}
 		f.routers = append(f.routers, i)
 		i.module.Start(0)
-		i.module.Listed(0, decide.ListFull, list(0))
+		i.module.EndpointsUpdated(0, decide.UpdateSnapshot, list(0))
 		mean := float64(routers) / (0.9 * warmRate * (hosts - 1)) // seconds between one router's requests
 		var arrive func()
 		arrive = func() {
 			request++
-			i.module.Arrived(f.now, decide.Request{ID: request, TimeLeft: 1200 * time.Millisecond})
+			i.module.RequestArrived(f.now, decide.Request{ID: request, TimeLeft: 1200 * time.Millisecond})
 			f.after(time.Duration(rng.ExpFloat64()*mean*float64(time.Second)), arrive)
 		}
 		f.after(time.Duration(rng.Float64()*mean*float64(time.Second)), arrive)
@@ -161,18 +161,18 @@
 	f.run(restart)
 	f.cold = 2
 	for _, i := range f.routers {
-		i.module.Listed(f.now, decide.ListDelta, list(restart)[1:2])
+		i.module.EndpointsUpdated(f.now, decide.UpdateDelta, list(restart)[1:2])
 	}
-	f.run(restart + s.Config.ColdFor)
+	f.run(restart + s.Config.SlowStartDuration)
 	for n, from := range f.sends {
 		count := 0
 		for _, at := range f.sends[n:] {
-			if at < from+s.Config.OverloadFor {
+			if at < from+s.Config.OverloadDuration {
 				count++
 			}
 		}
-		warmth := s.Config.StartCapacity + (1-s.Config.StartCapacity)*(from-restart).Seconds()/s.Config.ColdFor.Seconds()
-		allowed := factor * warmth * warmRate * s.Config.OverloadFor.Seconds()
+		warmth := s.Config.SlowStartCapacity + (1-s.Config.SlowStartCapacity)*(from-restart).Seconds()/s.Config.SlowStartDuration.Seconds()
+		allowed := factor * warmth * warmRate * s.Config.OverloadDuration.Seconds()
 		over = max(over, float64(count)-(allowed+2*math.Sqrt(allowed)+2))
 	}
 	return over, len(f.sends)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -33,18 +33,18 @@
 	FieldRole     = "x1" // 1 from a primary
 )
 
-var semantics = map[string]decide.Repeat{
-	"pure": decide.Pure, "token": decide.Keyed, "side_effect": decide.Unsafe,
+var semantics = map[string]decide.Idempotency{
+	"pure": decide.Idempotent, "token": decide.IdempotencyKey, "side_effect": decide.NonIdempotent,
 }
-var scopes = map[string]decide.Scope{
+var scopes = map[string]decide.IdempotencyScope{
 	"cell": decide.ScopeGroup, "zone": decide.ScopeZone, "all": decide.ScopeAll,
 }
 var consistencies = map[string]decide.Consistency{
 	"write": decide.Write, "fresh": decide.Fresh, "session": decide.Session,
 	"bounded": decide.Bounded, "any": decide.Any,
 }
-var checks = map[string]decide.Check{
-	"off": decide.Unchecked, "refuse": decide.RefuseStale, "wait": decide.WaitStale,
+var checks = map[string]decide.StaleReadPolicy{
+	"off": decide.ServeStale, "refuse": decide.RejectStale, "wait": decide.WaitThenReject,
 }
 
 // Parse reads the settings from JSON.
@@ -79,46 +79,46 @@
 		positionAt: slices.Index(fields, FieldPosition), roleAt: slices.Index(fields, FieldRole),
 	}
 	s.Config = decide.Config{
-		Zone:    v.GetInt("Locality"),
-		Routers: int(max(1, min(v.GetFloat64("FleetSize"), math.MaxInt32))),
-		Check:   check, Patience: millis(info, "PatienceMs"), Positions: info.GetBool("Stamps"),
-		Carried:     text(info, "Tokens") == "carried",
-		ReportsRole: s.positionAt >= 0 && s.roleAt >= 0 && text(v.Get("Feedback"), "Via") != "off",
-		MustAsk:     text(v, "Discovery") == "ask",
-		AskWithin:   millis(rules, "AskWithinMs"),
-		MaxAttempts: limits.GetInt("MaxAttempts"),
-		Parallel:    limits.GetBool("ParallelTries"), Probes: limits.GetBool("Probes"),
-		Cancels:       limits.GetBool("Cancelling"),
-		StartCapacity: rules.GetFloat64("StartCapacity"), ColdFor: millis(rules, "ColdMs"),
-		OverloadFactor: rules.GetFloat64("OverloadFactor"), OverloadFor: millis(rules, "OverloadForMs"),
-		RemovalBinds: !rules.GetBool("RemovalNotBinding"),
+		Zone:            v.GetInt("Locality"),
+		Routers:         int(max(1, min(v.GetFloat64("FleetSize"), math.MaxInt32))),
+		StaleReadPolicy: check, StaleReadWait: millis(info, "PatienceMs"), AnswersCarryPosition: info.GetBool("Stamps"),
+		SessionTokens:          text(info, "Tokens") == "carried",
+		HealthChecksReportRole: s.positionAt >= 0 && s.roleAt >= 0 && text(v.Get("Feedback"), "Via") != "off",
+		PollOnly:               text(v, "Discovery") == "ask",
+		PollInterval:           millis(rules, "AskWithinMs"),
+		MaxAttempts:            limits.GetInt("MaxAttempts"),
+		ParallelAttempts:       limits.GetBool("ParallelTries"), HealthChecks: limits.GetBool("Probes"),
+		CancelAttempts:    limits.GetBool("Cancelling"),
+		SlowStartCapacity: rules.GetFloat64("StartCapacity"), SlowStartDuration: millis(rules, "ColdMs"),
+		OverloadFactor: rules.GetFloat64("OverloadFactor"), OverloadDuration: millis(rules, "OverloadForMs"),
+		RemovalEnforced: !rules.GetBool("RemovalNotBinding"),
 	}
 	if limits.GetBool("RetryAfter") {
-		s.Config.MaxRetryWait = millis(limits, "MaxRetryAfterMs")
+		s.Config.MaxRetryAfter = millis(limits, "MaxRetryAfterMs")
 	}
 	for i, c := range classes {
 		cl := decide.Class{
-			Name: text(c, "Name"), Aim: millis(c, "AimMs"), Deadline: millis(c, "GiveUpMs"),
-			Worth: c.GetFloat64("Importance"), LateWorth: c.GetFloat64("LateWorth"),
-			KeyTTL: millis(c, "KeyTtlMs"),
+			Name: text(c, "Name"), LatencyObjective: millis(c, "AimMs"), Deadline: millis(c, "GiveUpMs"),
+			PriorityWeight: c.GetFloat64("Importance"), LateWeight: c.GetFloat64("LateWorth"),
+			IdempotencyWindow: millis(c, "KeyTtlMs"),
 		}
 		read, _ := reads[i].StringBytes()
 		var ok1, ok2 bool
-		cl.Repeat, ok1 = semantics[text(c, "Semantics")]
+		cl.Idempotency, ok1 = semantics[text(c, "Semantics")]
 		cl.Consistency, ok2 = consistencies[string(read)]
 		if !ok1 || !ok2 {
 			return nil, fmt.Errorf("settings: class %q: unknown semantics %q or read %q",
 				cl.Name, text(c, "Semantics"), read)
 		}
-		cl.Scope, ok = scopes[text(c, "Group")]
-		if !ok && cl.Repeat == decide.Keyed {
+		cl.IdempotencyScope, ok = scopes[text(c, "Group")]
+		if !ok && cl.Idempotency == decide.IdempotencyKey {
 			return nil, fmt.Errorf("settings: class %q: unknown group %q", cl.Name, text(c, "Group"))
 		}
 		if cl.Consistency == decide.Bounded {
 			if i >= len(bounds) {
 				return nil, fmt.Errorf("settings: class %q has no OldestDataMs", cl.Name)
 			}
-			cl.Bound = clock.Duration(bounds[i].GetFloat64())
+			cl.MaxStaleness = clock.Duration(bounds[i].GetFloat64())
 		}
 		s.Config.Classes = append(s.Config.Classes, cl)
 	}
@@ -139,7 +139,7 @@
 }
 
 // Note puts the position of an answer in the simulator on the router's clock.
-func (s *Settings) Note(n decide.Note) decide.Note {
+func (s *Settings) Note(n decide.ReplicationStatus) decide.ReplicationStatus {
 	if n.Position > 0 {
 		n.Position += s.PositionZero
 	}
@@ -148,8 +148,8 @@
 
 // Report reads the values of a probe's report in the simulator, given in the
 // order of the settings.
-func (s *Settings) Report(values []float32) decide.Note {
-	var n decide.Note
+func (s *Settings) Report(values []float32) decide.ReplicationStatus {
+	var n decide.ReplicationStatus
 	if s.roleAt >= 0 && s.roleAt < len(values) {
 		switch values[s.roleAt] {
 		case 1:
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -22,8 +22,8 @@
 		t.Fatal(err)
 	}
 	c := s.Config
-	if c.Classes[0].Bound != 300*time.Millisecond || !c.MustAsk || !c.ReportsRole || c.RemovalBinds ||
-		c.Check != decide.WaitStale || !c.Carried || !c.Probes {
+	if c.Classes[0].MaxStaleness != 300*time.Millisecond || !c.PollOnly || !c.HealthChecksReportRole || c.RemovalEnforced ||
+		c.StaleReadPolicy != decide.WaitThenReject || !c.SessionTokens || !c.HealthChecks {
 		t.Errorf("config %+v", c)
 	}
 	n := s.Report([]float32{2, 1})
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -25,7 +25,7 @@
 }
 
 // Refuse implements decide.Actions.
-func (s *Sender) Refuse(request uint64, retryAfter time.Duration) {
+func (s *Sender) Reject(request uint64, retryAfter time.Duration) {
 	s.Reply.record(acPushBack, 18, s.Instance)
 	s.Reply.u64(request)
 	s.Reply.ms(retryAfter)
@@ -38,13 +38,13 @@
 }
 
 // Probe implements decide.Actions.
-func (s *Sender) Probe(member uint32) {
+func (s *Sender) CheckHealth(member uint32) {
 	s.Reply.record(acCheck, 6, s.Instance)
 	s.Reply.u32(member)
 }
 
 // Watch implements decide.Actions.
-func (s *Sender) Watch() {
+func (s *Sender) WatchEndpoints() {
 	s.Reply.record(acKeepInformed, 3, s.Instance)
 	s.Reply.buf = append(s.Reply.buf, 1)
 }
--- a/internal/simwire/characterization_test.go
+++ b/internal/simwire/characterization_test.go
@@ -73,18 +73,18 @@
 		s.Cancel(math.MaxUint64, 255)
 	},
 	"push-back": func(_ *simwire.Reply, s *simwire.Sender) {
-		s.Refuse(request, 0)
-		s.Refuse(math.MaxUint64, 2500*time.Millisecond)
+		s.Reject(request, 0)
+		s.Reject(math.MaxUint64, 2500*time.Millisecond)
 	},
 	"error": func(_ *simwire.Reply, s *simwire.Sender) {
 		s.Fail(request)
 		s.Fail(math.MaxUint64)
 	},
 	"check": func(_ *simwire.Reply, s *simwire.Sender) {
-		s.Probe(member)
-		s.Probe(math.MaxUint32)
+		s.CheckHealth(member)
+		s.CheckHealth(math.MaxUint32)
 	},
-	"keep-informed": func(_ *simwire.Reply, s *simwire.Sender) { s.Watch() },
+	"keep-informed": func(_ *simwire.Reply, s *simwire.Sender) { s.WatchEndpoints() },
 	"drop-connections": func(_ *simwire.Reply, s *simwire.Sender) {
 		s.CloseIdle(member)
 		s.CloseIdle(math.MaxUint32)
@@ -103,7 +103,7 @@
 	"several-instances": func(p *simwire.Reply, s *simwire.Sender) {
 		s.Send(request, member, time.Second)
 		s.Instance = math.MaxUint16
-		s.Watch()
+		s.WatchEndpoints()
 		p.Exception(4, "broken")
 		s.Instance = 0
 		s.SetTimer(time.Millisecond, 1)
@@ -238,15 +238,15 @@
 	n.unsigned(q.ID)
 	n.add(int64(q.Group), int64(q.Class))
 	n.unsigned(q.Session)
-	n.add(int64(q.SinceWrite), int64(q.TimeLeft))
+	n.add(int64(q.SinceCommit), int64(q.TimeLeft))
 }
 
 func (n *numbers) result(ev *simwire.Event) {
 	r := &ev.Result
 	n.unsigned(r.Request)
-	n.add(int64(r.Attempt), int64(r.Member), int64(r.Outcome), int64(r.Latency))
-	n.bool(r.Over)
-	n.add(int64(r.Note.Role), int64(r.Note.Position))
+	n.add(int64(r.Attempt), int64(r.Endpoint), int64(r.Outcome), int64(r.Latency))
+	n.bool(r.ClientAnswered)
+	n.add(int64(r.Status.Role), int64(r.Status.Position))
 }
 
 func (n *numbers) probe(ev *simwire.Event) {
@@ -262,7 +262,7 @@
 	for _, m := range ev.Members {
 		n.add(int64(m.ID), int64(m.Zone), int64(m.Group), int64(m.State))
 		n.bool(m.Primary)
-		n.add(int64(m.Started))
+		n.add(int64(m.StartedAt))
 	}
 }
 
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -119,7 +119,7 @@
 	Code     uint8
 	Instance uint16
 	Request  decide.Request
-	Result   decide.Result
+	Result   decide.AttemptResult
 	Probe    ProbeReport
 	Ticket   uint64 // Lapsed, First
 	Attempt  int    // First
@@ -127,8 +127,8 @@
 	Seed     uint64
 	Settings []byte
 	List     uint32
-	Kind     decide.ListKind
-	Members  []decide.Member
+	Kind     decide.EndpointUpdateKind
+	Members  []decide.Endpoint
 }
 
 // ProbeReport is a probe's result with the report's values as they came, in
@@ -227,11 +227,11 @@
 		f.f64()
 	case EvAttemptEnd:
 		r := &ev.Result
-		r.Request, r.Attempt, r.Member = f.u64(), int(f.u8()), f.u32()
+		r.Request, r.Attempt, r.Endpoint = f.u64(), int(f.u8()), f.u32()
 		code := f.u16()
-		r.Latency, r.Over = millis(f.f64()), f.u8() != 0
+		r.Latency, r.ClientAnswered = millis(f.f64()), f.u8() != 0
 		note := f.u32()
-		r.Note = decide.Note{Role: role(note & 3), Position: time.Duration(note/4) * time.Millisecond}
+		r.Status = decide.ReplicationStatus{Role: role(note & 3), Position: time.Duration(note/4) * time.Millisecond}
 		f.bytes(4 * int(f.u8()))
 		return f.outcome(code, &r.Outcome)
 	case EvElapsed:
@@ -251,7 +251,7 @@
 		q := &ev.Request
 		q.ID = f.u64()
 		f.f64()
-		q.SinceWrite = millis(float64(f.f32()))
+		q.SinceCommit = millis(float64(f.f32()))
 		group := f.f32()
 		q.Session = f.u64()
 		f.u8()
@@ -295,7 +295,7 @@
 	return nil
 }
 
-func entries(f *fields) []decide.Member {
+func entries(f *fields) []decide.Endpoint {
 	n := int(f.u32())
 	if f.err != nil {
 		return nil
@@ -304,15 +304,15 @@
 		f.err = malformed("%d list entries in %d bytes", n, len(f.b))
 		return nil
 	}
-	ms := make([]decide.Member, 0, n)
+	ms := make([]decide.Endpoint, 0, n)
 	for range n {
-		var m decide.Member
+		var m decide.Endpoint
 		m.ID, m.Zone = f.u32(), int(f.u8())
 		f.u8()
 		m.Group = int(f.u16())
 		switch state := f.u8(); state {
 		case 0:
-			m.State = decide.Gone
+			m.State = decide.Removed
 		case 1:
 			m.State = decide.Ready
 		case 2:
@@ -323,17 +323,17 @@
 		}
 		m.Primary = f.f32() == 1
 		f.f32() // the rating: nothing is decided by it
-		m.Started = millis(f.f64())
+		m.StartedAt = millis(f.f64())
 		ms = append(ms, m)
 	}
 	return ms
 }
 
-var listKinds = [...]decide.ListKind{decide.ListDelta, decide.ListFull, decide.ListCached, decide.ListFailed}
+var listKinds = [...]decide.EndpointUpdateKind{decide.UpdateDelta, decide.UpdateSnapshot, decide.UpdateCachedSnapshot, decide.WatchFailed}
 
 var outcomes = map[uint16]decide.Outcome{
-	0: decide.OK, 5: decide.Error, 11: decide.Full, 110: decide.TimedOut, 111: decide.ConnectFailed,
-	104: decide.Reset, 125: decide.Cancelled, 114: decide.Moot, 2: decide.Miss,
+	0: decide.OK, 5: decide.Error, 11: decide.Overloaded, 110: decide.TimedOut, 111: decide.ConnectFailed,
+	104: decide.Reset, 125: decide.Cancelled, 114: decide.NotSent, 2: decide.Ineligible,
 }
 
 func role(v uint32) decide.Role {
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	q := evs[0].Request
-	if q.Group != 11 || q.TimeLeft != 240*time.Millisecond || q.SinceWrite != 412500*time.Microsecond {
+	if q.Group != 11 || q.TimeLeft != 240*time.Millisecond || q.SinceCommit != 412500*time.Microsecond {
 		t.Errorf("request %+v", q)
 	}
 	if evs[1].Token != 77 || evs[2].Instance != 5 || evs[2].Ticket != 0x62c410e6f2b19 {
@@ -76,11 +76,11 @@
 		t.Fatal(err)
 	}
 	r := evs[0].Result
-	if !r.Over || r.Note.Role != decide.RoleReplica || r.Note.Position != 6371*time.Millisecond {
+	if !r.ClientAnswered || r.Status.Role != decide.RoleReplica || r.Status.Position != 6371*time.Millisecond {
 		t.Errorf("result %+v", r)
 	}
 	m := evs[1].Members
-	if len(m) != 2 || !m[0].Primary || m[1].Primary || m[1].Started != 6100*time.Millisecond || m[1].Group != 11 {
+	if len(m) != 2 || !m[0].Primary || m[1].Primary || m[1].StartedAt != 6100*time.Millisecond || m[1].Group != 11 {
 		t.Errorf("members %+v", m)
 	}
 }
