--- a/cmd/wirehost/main.go
+++ b/cmd/lotusbend-sim/main.go
@@ -1,4 +1,4 @@
-// Command wirehost hosts instances of the decision module on the simulator's
+// Command lotusbend-sim hosts instances of the decision module on the simulator's
 // wire: batches of events on standard input, actions on standard output.
 package main
 
@@ -9,13 +9,13 @@
 	"os"
 
 	"lotusbend/decide"
-	"lotusbend/internal/settings"
-	"lotusbend/internal/simwire"
+	"lotusbend/internal/routingconfig"
+	"lotusbend/internal/simprotocol"
 )
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "lotusbend-sim:", err)
 		os.Exit(1)
 	}
 }
@@ -23,12 +23,12 @@
 // instance is one router with what translates for it.
 type instance struct {
 	router   *decide.Router
-	settings *settings.Settings
+	settings *routingconfig.Settings
 }
 
 // host holds the instances by number and the lists that they share.
 type host struct {
-	reply     simwire.Reply
+	reply     simprotocol.Reply
 	instances map[uint16]*instance
 	lists     map[uint32][]decide.Endpoint
 }
@@ -36,7 +36,7 @@
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	h := &host{instances: map[uint16]*instance{}, lists: map[uint32][]decide.Endpoint{}}
-	frames := simwire.NewReader(bufio.NewReaderSize(in, 1<<16))
+	frames := simprotocol.NewReader(bufio.NewReaderSize(in, 1<<16))
 	for {
 		batch, err := frames.Next()
 		if err == io.EOF {
@@ -46,7 +46,7 @@
 			return err
 		}
 		h.reply.Reset(batch.Seq)
-		if err := batch.Each(func(ev *simwire.Event) error { return h.handle(batch, ev) }); err != nil {
+		if err := batch.Each(func(ev *simprotocol.Event) error { return h.handle(batch, ev) }); err != nil {
 			return err
 		}
 		if _, err := out.Write(h.reply.Bytes()); err != nil {
@@ -56,8 +56,8 @@
 }
 
 // handle passes one event to its instance. A panic of the decisions is
-// reported on the simwire.
-func (h *host) handle(batch simwire.Batch, ev *simwire.Event) (err error) {
+// reported on the wire.
+func (h *host) handle(batch simprotocol.Batch, ev *simprotocol.Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			h.reply.Exception(ev.Instance, fmt.Sprint(p))
@@ -65,37 +65,37 @@
 	}()
 	now := batch.Now
 	switch ev.Code {
-	case simwire.EvRegister:
+	case simprotocol.EvRegister:
 		h.lists[ev.List] = ev.Members
 		return nil
-	case simwire.EvConfigure:
+	case simprotocol.EvConfigure:
 		return h.configure(batch, ev)
 	}
 	in := h.instances[ev.Instance]
 	if in == nil {
-		return fmt.Errorf("%w: event %d for unknown instance %d", simwire.ErrMalformed, ev.Code, ev.Instance)
+		return fmt.Errorf("%w: event %d for unknown instance %d", simprotocol.ErrMalformed, ev.Code, ev.Instance)
 	}
 	switch ev.Code {
-	case simwire.EvLapsed:
+	case simprotocol.EvLapsed:
 		in.router.ClientCancelled(now, ev.Ticket)
-	case simwire.EvFirst:
+	case simprotocol.EvFirst:
 		in.router.AnswerStarted(now, ev.Ticket, ev.Attempt)
-	case simwire.EvAttemptEnd:
+	case simprotocol.EvAttemptEnd:
 		ev.Result.Status = in.settings.Note(ev.Result.Status)
 		in.router.AttemptEnded(now, ev.Result)
-	case simwire.EvElapsed:
+	case simprotocol.EvElapsed:
 		in.router.TimerFired(now, ev.Token)
-	case simwire.EvFleet:
+	case simprotocol.EvFleet:
 		members, ok := h.lists[ev.List]
 		if !ok && ev.Kind != decide.WatchFailed {
-			return fmt.Errorf("%w: list %d was never registered", simwire.ErrMalformed, ev.List)
+			return fmt.Errorf("%w: list %d was never registered", simprotocol.ErrMalformed, ev.List)
 		}
 		in.router.EndpointsUpdated(now, ev.Kind, members)
-	case simwire.EvDemand:
+	case simprotocol.EvDemand:
 		in.router.RequestArrived(now, ev.Request)
-	case simwire.EvHalt:
+	case simprotocol.EvHalt:
 		delete(h.instances, ev.Instance)
-	case simwire.EvPingResult:
+	case simprotocol.EvPingResult:
 		in.router.HealthChecked(now, decide.HealthCheckResult{Endpoint: ev.Probe.Member, Outcome: ev.Probe.Outcome,
 			Status: in.settings.Report(ev.Probe.Values)})
 	}
@@ -103,12 +103,12 @@
 }
 
 // configure starts an instance anew.
-func (h *host) configure(batch simwire.Batch, ev *simwire.Event) error {
-	set, err := settings.Parse(ev.Settings)
+func (h *host) configure(batch simprotocol.Batch, ev *simprotocol.Event) error {
+	set, err := routingconfig.Parse(ev.Settings)
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", ev.Instance, err)
 	}
-	actions := &simwire.Sender{Reply: &h.reply, Instance: ev.Instance}
+	actions := &simprotocol.Sender{Reply: &h.reply, Instance: ev.Instance}
 	router, err := decide.New(set.Config, ev.Seed, actions)
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", ev.Instance, err)
--- a/cmd/lotusbend/fleet.go
+++ b/cmd/lotusbend/fleet.go
@@ -13,12 +13,12 @@
 	"github.com/cespare/xxhash/v2"
 
 	"lotusbend/internal/clock"
-	"lotusbend/internal/config"
+	"lotusbend/internal/deployconfig"
 	"lotusbend/internal/fleetstate"
 	"lotusbend/internal/fleetstate/link"
 	"lotusbend/internal/membership"
 	"lotusbend/internal/membership/udp"
-	"lotusbend/internal/options"
+	"lotusbend/internal/operatorconfig"
 )
 
 // startMembership joins the fleet's view where the settings file has a
@@ -26,7 +26,7 @@
 // named, serves the view and the counters. Errors end the start: settings
 // that do not check, an address that cannot be bound.
 // The state that routers share rides on it where the file has that section.
-func startMembership(ctx context.Context, c *config.Config, opt *options.Options, clk *clock.Clock, log *slog.Logger) (*fleet, error) {
+func startMembership(ctx context.Context, c *deployconfig.Config, opt *operatorconfig.Options, clk *clock.Clock, log *slog.Logger) (*fleet, error) {
 	m := opt.Membership
 	if m == nil {
 		return nil, nil
@@ -40,9 +40,9 @@
 	cfg.Name, cfg.Addr, cfg.Zone = cmp.Or(m.Name, c.Name), cmp.Or(m.Advertise, m.Bind), m.Zone
 	cfg.Start = int64(clk.Now())
 	cfg.Seed = c.Seed ^ xxhash.Sum64String(cfg.Name) ^ uint64(cfg.Start)
-	cfg.PeriodMs, cfg.ProbeTimeoutMs = m.PeriodMs, max(1, m.PeriodMs*2/5)
-	cfg.SuspicionMult, cfg.BudgetBytesS, cfg.Sabotage = m.SuspicionMult, m.BudgetBytesS, m.Sabotage
-	var shared udp.Shared // a nil *link.Link in it would not be nil
+	cfg.ProbeIntervalMs, cfg.ProbeTimeoutMs = m.PeriodMs, max(1, m.PeriodMs*2/5)
+	cfg.SuspicionMult, cfg.GossipBytesPerSecond, cfg.Sabotage = m.SuspicionMult, m.BudgetBytesS, m.Sabotage
+	var shared udp.SharedState // a nil *link.Link in it would not be nil
 	if opt.Shared != nil {
 		rules := opt.Shared.Rules
 		rules.Name, rules.Start, rules.Seed = cfg.Name, cfg.Start, cfg.Seed
@@ -86,11 +86,11 @@
 // fleetPage is what GET /fleet tells.
 type fleetPage struct {
 	View    membership.View
-	Shared  *fleetstate.Page `json:",omitempty"`
+	Shared  *fleetstate.StatusPage `json:",omitempty"`
 	Classes []string
 }
 
-func (f *fleet) handler(c *config.Config) http.Handler {
+func (f *fleet) handler(c *deployconfig.Config) http.Handler {
 	var classes []string
 	for _, cl := range c.Settings.Config.Classes {
 		classes = append(classes, cl.Name)
--- a/cmd/lotusbend/leave_test.go
+++ b/cmd/lotusbend/leave_test.go
@@ -66,7 +66,7 @@
 	gone.query(write)
 	h := slow(t, l)
 	_ = gone.c.Close()
-	w.until(func() bool { return w.node.router.Open() == 0 })
+	w.until(func() bool { return w.node.router.PendingRequests() == 0 })
 	h.comesUp()
 	next.query(strings.Replace(write, "9b20", "9b21", 1))
 	next.want(h.serve("next", "off"), "9b21")
@@ -86,7 +86,7 @@
 		rests = due <= start+settled
 	}
 	_ = gone.c.Close()
-	w.until(func() bool { return w.node.router.Open() == 0 })
+	w.until(func() bool { return w.node.router.PendingRequests() == 0 })
 	w.pass(1000)
 	next.query(strings.Replace(write, "9b20", "9b21", 1))
 	for tries := 0; !h.hasCome(); tries++ { // the primary is looked for every 0.1 s
--- a/cmd/lotusbend/main.go
+++ b/cmd/lotusbend/main.go
@@ -19,9 +19,9 @@
 	"github.com/cloudwego/netpoll"
 
 	"lotusbend/internal/clock"
-	"lotusbend/internal/config"
+	"lotusbend/internal/deployconfig"
 	"lotusbend/internal/edge"
-	"lotusbend/internal/options"
+	"lotusbend/internal/operatorconfig"
 	"lotusbend/internal/router"
 )
 
@@ -58,11 +58,11 @@
 }
 
 // load reads the file, if there is one: without it everything in it is off.
-func (f settingsFlag) load() (*options.Options, error) {
+func (f settingsFlag) load() (*operatorconfig.Options, error) {
 	if f.Settings == "" {
-		return &options.Options{}, nil
+		return &operatorconfig.Options{}, nil
 	}
-	return options.Load(f.Settings)
+	return operatorconfig.Load(f.Settings)
 }
 
 type checkConfigCmd struct{ settingsFlag }
@@ -73,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	c, err := config.Load(os.Getenv)
+	c, err := deployconfig.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -81,12 +81,12 @@
 		return fmt.Errorf("%s: %w", cmd.Settings, err)
 	}
 	fmt.Printf("configuration of %s is in order: %d classes, %d database hosts known\n",
-		c.Name, len(c.Settings.Config.Classes), len(c.Known.Hosts))
+		c.Name, len(c.Settings.Config.Classes), len(c.Known.Endpoints))
 	return nil
 }
 
 // checkEdge checks the edge against the classes that the router is told.
-func checkEdge(c *config.Config, opt *options.Options) error {
+func checkEdge(c *deployconfig.Config, opt *operatorconfig.Options) error {
 	if opt.Edge == nil {
 		return nil
 	}
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	c, err := config.Load(os.Getenv)
+	c, err := deployconfig.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -135,7 +135,7 @@
 	n.start()
 	go func() {
 		for range again {
-			if c, err := config.Reload(os.Getenv); err != nil {
+			if c, err := deployconfig.Reload(os.Getenv); err != nil {
 				log.Error("the new configuration is not taken", "error", err)
 			} else {
 				limitMemory(c)
@@ -178,7 +178,7 @@
 const memoryShare = 0.6
 
 // limitMemory lets the collector work harder long before the platform's limit.
-func limitMemory(c *config.Config) {
+func limitMemory(c *deployconfig.Config) {
 	if c.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(c.MemoryMB * (1 << 20) * memoryShare))
 	}
--- a/cmd/lotusbend/main_test.go
+++ b/cmd/lotusbend/main_test.go
@@ -141,11 +141,11 @@
 // The page that a router serves is the one that the command reads and prints.
 func TestFleetPageReadsBack(t *testing.T) {
 	p := fleetPage{Classes: []string{"view"}, View: membership.View{Version: 3, Fleet: membership.Size{Low: 1, High: 2},
-		Members: []membership.Rumor{{Name: "a", Zone: "z", State: membership.Suspect, Start: 1}}}}
-	var totals fleetstate.Cells
-	totals.Add(0, fleetstate.Refusals, 7)
-	p.Shared = &fleetstate.Page{Routers: 4, Totals: totals, Shares: map[string]fleetstate.Share{"h1": {Own: 0.125, Held: 0.25, Until: math.MaxInt64}},
-		Judged: []fleetstate.Judgement{{Host: "h2", Kind: fleetstate.Hangs, Until: 1000, Support: 2}}, Standing: map[string]float64{"liar": 0.25}}
+		Members: []membership.Update{{Name: "a", Zone: "z", State: membership.Suspect, Start: 1}}}}
+	var totals fleetstate.Counters
+	totals.Add(0, fleetstate.Rejections, 7)
+	p.Shared = &fleetstate.StatusPage{Routers: 4, Totals: totals, SlowStart: map[string]fleetstate.Quota{"h1": {Own: 0.125, Borrowed: 0.25, Until: math.MaxInt64}},
+		Ejections: []fleetstate.Ejection{{Host: "h2", Status: fleetstate.Unresponsive, Until: 1000, Support: 2}}, Reputation: map[string]float64{"liar": 0.25}}
 	b, err := json.Marshal(p)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/lotusbend/node.go
+++ b/cmd/lotusbend/node.go
@@ -9,13 +9,13 @@
 
 	"lotusbend/decide"
 	"lotusbend/internal/clock"
-	"lotusbend/internal/config"
+	"lotusbend/internal/deployconfig"
 	"lotusbend/internal/discovery"
-	"lotusbend/internal/discovery/pace"
+	"lotusbend/internal/discovery/polling"
 	"lotusbend/internal/edge"
 	"lotusbend/internal/fleetstate"
 	"lotusbend/internal/netio"
-	"lotusbend/internal/options"
+	"lotusbend/internal/operatorconfig"
 	"lotusbend/internal/postgres/back"
 	"lotusbend/internal/postgres/front"
 	"lotusbend/internal/router"
@@ -39,20 +39,20 @@
 // node is one router put together.
 type node struct {
 	loop    *clock.Loop
-	budget  *netio.Budget
+	budget  *netio.DescriptorBudget
 	log     *slog.Logger
 	router  *router.Router
 	pool    *back.Pool
 	server  *front.Server
-	edge    *edge.Edge        // nil where it is off
-	config  *config.Config    // in force
-	watches []*watch          // under way, the newest last
-	names   map[uint32]string // of hosts, by the module's numbers; nil without shared state
+	edge    *edge.Edge           // nil where it is off
+	config  *deployconfig.Config // in force
+	watches []*watch             // under way, the newest last
+	names   map[uint32]string    // of hosts, by the module's numbers; nil without shared state
 }
 
 // newNode puts a router together; it listens, and takes clients once run.
-func newNode(c *config.Config, opt *options.Options, loop *clock.Loop, log *slog.Logger) (*node, error) {
-	budget := netio.NewBudget(cmp.Or(c.Sockets, defaultSockets))
+func newNode(c *deployconfig.Config, opt *operatorconfig.Options, loop *clock.Loop, log *slog.Logger) (*node, error) {
+	budget := netio.NewDescriptorBudget(cmp.Or(c.Sockets, defaultSockets))
 	r, err := router.New(loop, c.Settings.Config, c.Seed)
 	if err != nil {
 		return nil, err
@@ -83,13 +83,13 @@
 	self := &watch{cancel}
 	n.watches = append(n.watches, self)
 	heard := false
-	w := discovery.Watcher{Loop: n.loop, Log: n.log, Address: address, Names: n.config.Names, News: func(list discovery.List) {
+	w := discovery.Watcher{Loop: n.loop, Log: n.log, Address: address, IDs: n.config.Names, OnUpdate: func(list discovery.Update) {
 		if ctx.Err() != nil { // it waited for its turn while another took its place
 			return
 		}
 		if !heard {
 			heard = true
-			n.log.Info("discovery heard", "address", address, "index", list.Index, "hosts", len(list.Hosts))
+			n.log.Info("discovery heard", "address", address, "index", list.Index, "hosts", len(list.Endpoints))
 		}
 		for n.watches[0] != self {
 			n.watches[0].stop()
@@ -98,19 +98,19 @@
 		n.news(list)
 	}}
 	cfg := n.config.Settings.Config
-	w.Watch = pace.NewWatch(pace.Config{
-		Routers: cfg.Routers, MustAsk: cfg.PollOnly, AskWithin: clock.Millis(cfg.PollInterval),
+	w.Schedule = polling.NewSchedule(polling.Config{
+		Routers: cfg.Routers, PollOnly: cfg.PollOnly, PollInterval: clock.Millis(cfg.PollInterval),
 	}, n.config.Seed+uint64(len(n.watches)))
 	// Another address may count its lists otherwise, so only the first goes on
 	// from what the configuration holds.
-	if known := n.config.Known; cfg.PollOnly && len(n.watches) == 1 && len(known.Hosts) > 0 {
-		w.Watch.Resume(known.Index)
+	if known := n.config.Known; cfg.PollOnly && len(n.watches) == 1 && len(known.Endpoints) > 0 {
+		w.Schedule.Resume(known.Index)
 	}
 	go w.Run(ctx)
 }
 
 // reload puts a new configuration in force, as far as that goes while serving.
-func (n *node) reload(c *config.Config) {
+func (n *node) reload(c *deployconfig.Config) {
 	n.loop.Do(func() {
 		was := n.config
 		if c.Listen != was.Listen || c.Name != was.Name || !bytes.Equal(c.Settings.Text, was.Settings.Text) {
@@ -137,13 +137,13 @@
 	if f == nil {
 		return
 	}
-	guide := &fleetstate.Guide{} // owned by the loop
+	guide := &fleetstate.FleetAdapter{} // owned by the loop
 	n.loop.Do(func() {
-		n.router.Join(guide)
+		n.router.JoinFleet(guide)
 		if f.link != nil {
-			n.router.Share()
+			n.router.StartObserving()
 			n.names = map[uint32]string{}
-			guide.Set(f.link.First().Shifted(-f.ahead), n.number, int64(n.loop.Now()))
+			guide.Set(f.link.First().OnClockAhead(-f.ahead), n.number, int64(n.loop.Now()))
 		}
 	})
 	if f.link == nil {
@@ -153,7 +153,7 @@
 				case <-ctx.Done():
 					return
 				case k := <-f.view.Sizes():
-					n.loop.Do(func() { guide.Count(k) })
+					n.loop.Do(func() { guide.SetRouters(k) })
 				}
 			}
 		}()
@@ -165,7 +165,7 @@
 			case <-ctx.Done():
 				return
 			case a := <-f.link.Advice():
-				n.loop.Do(func() { guide.Set(a.Shifted(-f.ahead), n.number, int64(n.loop.Now())) })
+				n.loop.Do(func() { guide.Set(a.OnClockAhead(-f.ahead), n.number, int64(n.loop.Now())) })
 				f.link.Applied(a.Seq)
 			}
 		}
@@ -173,7 +173,9 @@
 	go func() {
 		for ctx.Err() == nil {
 			<-n.loop.After(observeEvery)
-			n.loop.Do(func() { f.link.Offer(n.router.Seen(func(id uint32) string { return n.names[id] }).Shifted(f.ahead)) })
+			n.loop.Do(func() {
+				f.link.Offer(n.router.Observe(func(id uint32) string { return n.names[id] }).OnClockAhead(f.ahead))
+			})
 		}
 	}()
 }
@@ -190,18 +192,18 @@
 }
 
 // news passes a list on.
-func (n *node) news(list discovery.List) {
+func (n *node) news(list discovery.Update) {
 	kind := decide.UpdateDelta
-	if list.Whole {
+	if list.Snapshot {
 		kind = decide.UpdateSnapshot
 	}
-	n.router.Listed(kind, n.members(list))
+	n.router.EndpointsUpdated(kind, n.members(list))
 }
 
 // members tells the pool of the hosts and returns them in the module's terms.
-func (n *node) members(list discovery.List) []decide.Endpoint {
-	members := make([]decide.Endpoint, len(list.Hosts))
-	for i, h := range list.Hosts {
+func (n *node) members(list discovery.Update) []decide.Endpoint {
+	members := make([]decide.Endpoint, len(list.Endpoints))
+	for i, h := range list.Endpoints {
 		n.pool.SetHost(h.ID, h.Address, h.State == decide.Ready)
 		if n.names != nil {
 			n.names[h.ID] = h.Name
@@ -232,7 +234,7 @@
 	})
 	failed := make(chan error, 1)
 	go func() { failed <- n.server.Serve() }()
-	n.log.Info("serving", "listen", n.server.Address(), "hosts", len(n.config.Known.Hosts))
+	n.log.Info("serving", "listen", n.server.Address(), "hosts", len(n.config.Known.Endpoints))
 	if n.edge != nil {
 		n.edge.Start()
 		coap, mqtt, frames := n.edge.Addresses()
@@ -287,7 +289,7 @@
 	}
 	clients, leaving := s.server.Open()
 	s.clients, s.unsent = clients+leaving, s.server.Unsent()
-	held := s.router.Open() > 0 || clients > 0 || s.edge != nil && s.edge.Owes() && now < s.began+settleFor
+	held := s.router.PendingRequests() > 0 || clients > 0 || s.edge != nil && s.edge.Owes() && now < s.began+settleFor
 	if held {
 		s.alone = 0
 	} else if s.alone == 0 {
--- a/cmd/lotusbend/show.go
+++ b/cmd/lotusbend/show.go
@@ -47,31 +47,31 @@
 	fmt.Fprintf(w, "%d to %d routers, version %d, unchanged for %s\n\n", p.View.Fleet.Low, p.View.Fleet.High, p.View.Version, since)
 	fmt.Fprintln(w, "ROUTER\tZONE\tSTATE\tINCARNATION\tSTARTED\tADDRESS")
 	for _, m := range p.View.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\n", m.Name, m.Zone, m.State, m.Inc, time.UnixMilli(m.Start).UTC().Format(time.RFC3339), m.Addr)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\n", m.Name, m.Zone, m.State, m.Incarnation, time.UnixMilli(m.Start).UTC().Format(time.RFC3339), m.Addr)
 	}
 	if s := p.Shared; s == nil {
 		fmt.Fprintln(w, "\nshared state is off")
 	} else {
 		fmt.Fprint(w, "\nCLASS")
-		for _, k := range fleetstate.KindNames() {
+		for _, k := range fleetstate.CounterKindNames() {
 			fmt.Fprintf(w, "\t%s", k)
 		}
 		fmt.Fprintln(w)
 		for i, class := range p.Classes {
 			fmt.Fprint(w, class)
-			for k := range fleetstate.KindNames() {
-				fmt.Fprintf(w, "\t%d", s.Totals.Get(i, fleetstate.Kind(k)))
+			for k := range fleetstate.CounterKindNames() {
+				fmt.Fprintf(w, "\t%d", s.Totals.Get(i, fleetstate.CounterKind(k)))
 			}
 			fmt.Fprintln(w)
 		}
-		fmt.Fprintf(w, "\nstake 1/%d of each cold host's allowance; repeats lent %.2f, held %.2f a second\n", s.Routers, s.Lent[fleetstate.RepeatsKey], s.Held[fleetstate.RepeatsKey])
-		for host, share := range s.Shares {
-			fmt.Fprintf(w, "cold host %s: own share %.4f, held %.4f\n", host, share.Own, share.Held)
+		fmt.Fprintf(w, "\nstake 1/%d of each cold host's allowance; repeats lent %.2f, held %.2f a second\n", s.Routers, s.Lent[fleetstate.RetryBudgetKey], s.Borrowed[fleetstate.RetryBudgetKey])
+		for host, share := range s.SlowStart {
+			fmt.Fprintf(w, "cold host %s: own share %.4f, held %.4f\n", host, share.Own, share.Borrowed)
 		}
-		for _, j := range s.Judged {
-			fmt.Fprintf(w, "host %s: %s, by a standing of %.2f, own %v, until %s\n", j.Host, j.Kind, j.Support, j.Own, time.UnixMilli(j.Until).UTC().Format(time.RFC3339))
+		for _, j := range s.Ejections {
+			fmt.Fprintf(w, "host %s: %s, by a standing of %.2f, own %v, until %s\n", j.Host, j.Status, j.Support, j.ObservedHere, time.UnixMilli(j.Until).UTC().Format(time.RFC3339))
 		}
-		for peer, st := range s.Standing {
+		for peer, st := range s.Reputation {
 			fmt.Fprintf(w, "peer %s: standing %.2f\n", peer, st)
 		}
 	}
--- a/cmd/lotusbend/stop_test.go
+++ b/cmd/lotusbend/stop_test.go
@@ -14,8 +14,8 @@
 	"testing"
 
 	"lotusbend/internal/clock"
-	"lotusbend/internal/config"
-	"lotusbend/internal/options"
+	"lotusbend/internal/deployconfig"
+	"lotusbend/internal/operatorconfig"
 )
 
 // told tells the router to stop and waits until it has heard.
@@ -35,7 +35,10 @@
 // ends waits for the router's end, once every limit on clients is over.
 func (w *world) ends() {
 	w.t.Helper()
-	w.until(func() bool { clients, _ := w.node.server.Open(); return clients == 0 && w.node.router.Open() == 0 })
+	w.until(func() bool {
+		clients, _ := w.node.server.Open()
+		return clients == 0 && w.node.router.PendingRequests() == 0
+	})
 	w.pass(turnedAwayFor + stopBeat)
 	if err := <-w.ended; err != nil {
 		w.t.Error(err)
@@ -53,7 +56,7 @@
 	h.message()
 	w.stopped()
 	h.write(row(write, "late", "off"))
-	w.until(func() bool { return w.node.router.Open() == 0 })
+	w.until(func() bool { return w.node.router.PendingRequests() == 0 })
 	w.pass(500) // half of the time that it has
 	for range 1000 {
 		runtime.Gosched()
@@ -81,7 +84,7 @@
 	w.stopped()
 	w.pass(5000 - 2*stopBeat) // of the settings' longest wait
 	w.loop.Do(func() {
-		if w.node.router.Open() != 1 {
+		if w.node.router.PendingRequests() != 1 {
 			t.Error("a request was given up before the longest wait was over")
 		}
 	})
@@ -127,14 +130,14 @@
 func TestReloadBeforeTheStart(t *testing.T) {
 	old, moved := listen(t), listen(t)
 	loop := clock.NewLoop(clock.Manual(start))
-	var configs [2]*config.Config
+	var configs [2]*deployconfig.Config
 	for i, l := range []net.Listener{old, moved} {
 		var err error
-		if configs[i], err = config.Parse(configuration(l, 100), func(string) string { return "" }); err != nil {
+		if configs[i], err = deployconfig.Parse(configuration(l, 100), func(string) string { return "" }); err != nil {
 			t.Fatal(err)
 		}
 	}
-	n, err := newNode(configs[0], &options.Options{}, loop, slog.New(slog.DiscardHandler))
+	n, err := newNode(configs[0], &operatorconfig.Options{}, loop, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/lotusbend/story_test.go
+++ b/cmd/lotusbend/story_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"lotusbend/internal/config"
+	"lotusbend/internal/deployconfig"
 	"lotusbend/internal/postgres/wire"
 )
 
@@ -83,7 +83,7 @@
 	w := newWorld(t, 100, endpoint("p", reservePort(t), "off", "ready"))
 	p := w.client()
 	p.query(write)
-	w.until(func() bool { return w.node.router.Open() == 1 })
+	w.until(func() bool { return w.node.router.PendingRequests() == 1 })
 	got := w.answerAfter(p)
 	p.want(got, "C53300")
 	p.want(got, "D1000")
@@ -212,7 +212,7 @@
 			t.Fatalf("%.40q: the connection is still open", spoilt)
 		}
 		_ = p.c.Close()
-		w.until(func() bool { return w.node.router.Open() == 0 })
+		w.until(func() bool { return w.node.router.PendingRequests() == 0 })
 		w.pass(10000) // the member's rest is over
 	}
 }
@@ -240,7 +240,7 @@
 	before := agent(t, w.discovery)
 	whole := `{"index":4,"snapshot":true,"endpoints":[` + endpoint("old", old, "off", "ready") + `]}`
 	before.tell("/v1/endpoints", whole)
-	c, err := config.Parse(configuration(moved, 200), func(string) string { return "" })
+	c, err := deployconfig.Parse(configuration(moved, 200), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/lotusbend/world_test.go
+++ b/cmd/lotusbend/world_test.go
@@ -16,8 +16,8 @@
 	"testing"
 
 	"lotusbend/internal/clock"
-	"lotusbend/internal/config"
-	"lotusbend/internal/options"
+	"lotusbend/internal/deployconfig"
+	"lotusbend/internal/operatorconfig"
 	"lotusbend/internal/postgres/wire"
 )
 
@@ -123,11 +123,11 @@
 	w := &world{t: t, clock: clock.Manual(start), discovery: listen(t), ended: make(chan error, 1),
 		logged: make(chan string, 100)}
 	w.loop = clock.NewLoop(w.clock)
-	c, err := config.Parse(configuration(w.discovery, sockets, known...), func(string) string { return "" })
+	c, err := deployconfig.Parse(configuration(w.discovery, sockets, known...), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w.node, err = newNode(c, &options.Options{}, w.loop, slog.New(slog.NewTextHandler(w, nil))); err != nil {
+	if w.node, err = newNode(c, &operatorconfig.Options{}, w.loop, slog.New(slog.NewTextHandler(w, nil))); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/config/config.go
+++ b/internal/deployconfig/config.go
@@ -1,6 +1,6 @@
-// Package config reads what a router is told at its start: the environment
+// Package deployconfig reads what a router is told at its start: the environment
 // and the JSON file that it names.
-package config
+package deployconfig
 
 import (
 	"errors"
@@ -13,7 +13,7 @@
 	"github.com/valyala/fastjson"
 
 	"lotusbend/internal/discovery"
-	"lotusbend/internal/settings"
+	"lotusbend/internal/routingconfig"
 )
 
 // Config is a router's configuration, checked.
@@ -22,9 +22,9 @@
 	Seed                    uint64
 	MemoryMB                float64
 	Sockets                 int
-	Settings                *settings.Settings
-	Names                   *discovery.Names
-	Known                   discovery.List
+	Settings                *routingconfig.Settings
+	Names                   *discovery.EndpointIDs
+	Known                   discovery.Update
 }
 
 // Load reads the file that GW_CONFIG names. GW_NAME, GW_LISTEN and
@@ -90,10 +90,10 @@
 	if set == nil {
 		return nil, errors.New("settings are missing")
 	}
-	if c.Settings, err = settings.From(set); err != nil {
+	if c.Settings, err = routingconfig.From(set); err != nil {
 		return nil, err
 	}
-	c.Names = discovery.NewNames(c.Settings.Zones)
+	c.Names = discovery.NewEndpointIDs(c.Settings.Zones)
 	if known := v.Get("known"); known != nil {
 		if c.Known, err = c.Names.Parse(known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
--- a/internal/config/config_test.go
+++ b/internal/deployconfig/config_test.go
@@ -1,4 +1,4 @@
-package config
+package deployconfig
 
 import (
 	"os"
--- a/internal/discovery/cut_test.go
+++ b/internal/discovery/cut_test.go
@@ -29,7 +29,7 @@
 // be taken for one; nor a whole one without a length before its connection's
 // end has come.
 func TestListCutAnywhereIsNone(t *testing.T) {
-	names := NewNames([]string{"a"})
+	names := NewEndpointIDs([]string{"a"})
 	const list = "{\n \"index\": 43, \"snapshot\": true,\n \"endpoints\": [{\"name\": \"s\", \"address\": \"127.0.0.1:1\", \"status\": \"draining\"}]\n}\n"
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for name, c := range map[string]struct {
@@ -44,13 +44,13 @@
 		for _, end := range []error{io.EOF, syscall.ECONNRESET} {
 			for i := range len(c.text) + 1 {
 				body, last, err := readResponse(bufio.NewReader(&ends{c.text[:i], end}))
-				var got List
+				var got Update
 				if err == nil {
 					got, err = names.ParseBytes(body)
 				}
 				whole := i == len(c.text) && (!c.ends || errors.Is(end, io.EOF)) ||
 					i == len(c.text)-1 && c.ends && errors.Is(end, io.EOF) // but for an empty line
-				if (err == nil) != whole || whole && (got.Index != 43 || len(got.Hosts) != 1 || last != c.ends) {
+				if (err == nil) != whole || whole && (got.Index != 43 || len(got.Endpoints) != 1 || last != c.ends) {
 					t.Errorf("%s, %v after %d of %d bytes: %+v, %v", name, end, i, len(c.text), got, err)
 				}
 			}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -31,18 +31,18 @@
 
 // One entry that cannot be used costs no other; a name keeps its number.
 func TestParseList(t *testing.T) {
-	n := NewNames([]string{"a", "b"})
+	n := NewEndpointIDs([]string{"a", "b"})
 	first, err := n.ParseBytes([]byte(`{"index":41,"snapshot":true,"endpoints":[{"name":"x","status":"odd"},{"status":"ready"},
 		{"name":"s","address":"127.0.0.1:1","zone":"b","group":3,"status":"ready","since_ms":1767225600000,"recovery":"off"}]}`))
-	if err != nil || first.Index != 41 || !first.Whole || len(first.Hosts) != 1 {
+	if err != nil || first.Index != 41 || !first.Snapshot || len(first.Endpoints) != 1 {
 		t.Fatalf("%+v, %v", first, err)
 	}
-	h := first.Hosts[0]
+	h := first.Endpoints[0]
 	if h.Zone != 1 || h.Group != 3 || h.State != decide.Ready || !h.Primary || h.StartedAt.Milliseconds() != 1767225600000 {
 		t.Errorf("%+v", h)
 	}
 	again, err := n.ParseBytes([]byte(`{"index":42,"endpoints":[{"name":"s","status":"gone"}]}`))
-	if err != nil || again.Whole || again.Hosts[0].ID != h.ID || again.Hosts[0].State != decide.Removed {
+	if err != nil || again.Snapshot || again.Endpoints[0].ID != h.ID || again.Endpoints[0].State != decide.Removed {
 		t.Errorf("%+v, %v", again, err)
 	}
 	for _, bad := range []string{"", "[]", "{}", `{"endpoints":{}}`} {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -14,46 +14,48 @@
 )
 
 // Host is one line of the list.
-type Host struct {
+type Endpoint struct {
 	decide.Endpoint // its ID is this router's own number for Name
 	Name, Address   string
 }
 
 // List is the whole list or what has changed of it.
-type List struct {
-	Index uint64
-	Whole bool
-	Hosts []Host
+type Update struct {
+	Index     uint64
+	Snapshot  bool
+	Endpoints []Endpoint
 }
 
 // Names gives hosts their numbers, the same as long as the program runs.
-type Names struct {
+type EndpointIDs struct {
 	zones []string
 	ids   map[string]uint32
 }
 
-// NewNames returns an empty register; zones are those of the settings.
-func NewNames(zones []string) *Names { return &Names{zones: zones, ids: map[string]uint32{}} }
+// NewEndpointIDs returns an empty register; zones are those of the settings.
+func NewEndpointIDs(zones []string) *EndpointIDs {
+	return &EndpointIDs{zones: zones, ids: map[string]uint32{}}
+}
 
 var errList = errors.New("discovery: not a list of endpoints")
 
 // Parse reads a list. An entry that cannot be used is left out of it.
-func (n *Names) Parse(v *fastjson.Value) (List, error) {
+func (n *EndpointIDs) Parse(v *fastjson.Value) (Update, error) {
 	entries := v.Get("endpoints")
 	if entries == nil || entries.Type() != fastjson.TypeArray {
-		return List{}, errList
+		return Update{}, errList
 	}
-	list := List{Index: v.GetUint64("index"), Whole: v.GetBool("snapshot")}
+	list := Update{Index: v.GetUint64("index"), Snapshot: v.GetBool("snapshot")}
 	for _, e := range entries.GetArray() {
 		if h, ok := n.host(e); ok {
-			list.Hosts = append(list.Hosts, h)
+			list.Endpoints = append(list.Endpoints, h)
 		}
 	}
 	return list, nil
 }
 
-func (n *Names) host(e *fastjson.Value) (Host, bool) {
-	h := Host{Name: string(e.GetStringBytes("name")), Address: string(e.GetStringBytes("address"))}
+func (n *EndpointIDs) host(e *fastjson.Value) (Endpoint, bool) {
+	h := Endpoint{Name: string(e.GetStringBytes("name")), Address: string(e.GetStringBytes("address"))}
 	if h.Name == "" {
 		return h, false
 	}
@@ -81,10 +83,10 @@
 }
 
 // ParseBytes reads a list from JSON.
-func (n *Names) ParseBytes(body []byte) (List, error) {
+func (n *EndpointIDs) ParseBytes(body []byte) (Update, error) {
 	v, err := fastjson.ParseBytes(body)
 	if err != nil {
-		return List{}, fmt.Errorf("discovery: %w", err)
+		return Update{}, fmt.Errorf("discovery: %w", err)
 	}
 	return n.Parse(v)
 }
--- a/internal/discovery/pace/characterization_test.go
+++ b/internal/discovery/polling/characterization_test.go
@@ -1,4 +1,4 @@
-package pace_test
+package polling_test
 
 import (
 	"crypto/sha256"
@@ -15,7 +15,7 @@
 	"strings"
 	"testing"
 
-	"lotusbend/internal/discovery/pace"
+	"lotusbend/internal/discovery/polling"
 )
 
 // update rewrites the golden file. Its values may change only together with a
@@ -35,7 +35,7 @@
 func TestCharacterization(t *testing.T) {
 	digests := map[string]string{}
 	for i, config := range characterizedConfigs() {
-		name := fmt.Sprintf("ask=%t,within=%g,routers=%d", config.MustAsk, config.AskWithin, config.Routers)
+		name := fmt.Sprintf("ask=%t,within=%g,routers=%d", config.PollOnly, config.PollInterval, config.Routers)
 		seed := uint64(i + 1)
 		digests["pace/"+name] = replayPace(config, seed)
 		digests["watch/"+name] = replayWatch(config, seed)
@@ -43,12 +43,12 @@
 	compareWithGolden(t, digests)
 }
 
-func characterizedConfigs() []pace.Config {
-	var configs []pace.Config
+func characterizedConfigs() []polling.Config {
+	var configs []polling.Config
 	for _, mustAsk := range []bool{false, true} {
 		for _, askWithin := range []float64{0, 800, 10000} {
 			for _, routers := range []int{0, 1, 3, 300} {
-				configs = append(configs, pace.Config{Routers: routers, MustAsk: mustAsk, AskWithin: askWithin})
+				configs = append(configs, polling.Config{Routers: routers, PollOnly: mustAsk, PollInterval: askWithin})
 			}
 		}
 	}
@@ -57,16 +57,16 @@
 
 // replayPace returns the digest of one router's waits. Failures come in runs,
 // so that the waits grow up to their bounds.
-func replayPace(config pace.Config, seed uint64) string {
+func replayPace(config polling.Config, seed uint64) string {
 	events := rand.New(rand.NewPCG(seed, 1))
-	p := pace.New(config, seed)
+	p := polling.NewBackoff(config, seed)
 	d := newDigest()
 	for range eventsPerStream {
 		switch n := events.IntN(16); {
 		case n == 0:
-			p.Heard()
+			p.Succeeded()
 		case n <= 2:
-			d.float(p.First(n == 1))
+			d.float(p.InitialDelay(n == 1))
 		default:
 			d.float(p.Failed(n%2 == 0))
 		}
@@ -76,28 +76,28 @@
 
 // replayWatch returns the digest of one router's calls and of the waits
 // between them.
-func replayWatch(config pace.Config, seed uint64) string {
-	failures := []pace.Failure{pace.Broken, pace.Silent, pace.Busy, pace.Refused, pace.Unreadable}
+func replayWatch(config polling.Config, seed uint64) string {
+	failures := []polling.Failure{polling.ConnectionFailed, polling.TimedOut, polling.Overloaded, polling.ErrorStatus, polling.Malformed}
 	events := rand.New(rand.NewPCG(seed, 2))
-	w := pace.NewWatch(config, seed)
+	w := polling.NewSchedule(config, seed)
 	d := newDigest()
 	for range eventsPerStream {
-		call := w.Call()
-		d.bool(call.Resumes)
+		call := w.NextPoll()
+		d.bool(call.Incremental)
 		d.uint(call.Index)
-		d.float(call.Wait)
-		d.float(call.Limit)
+		d.float(call.LongPoll)
+		d.float(call.Timeout)
 		switch n := events.IntN(16); {
 		case n == 0:
 			w.Resume(events.Uint64N(1000))
 		case n == 1:
-			d.float(w.First())
+			d.float(w.InitialDelay())
 		case n <= 7:
 			d.float(w.Failed(failures[events.IntN(len(failures))]))
 		default:
 			index := nextIndex(events, call.Index)
 			whole, news := events.IntN(4) == 0, events.IntN(2) == 0
-			d.float(w.Listed(call, index, whole, news, answerTime(events, call)))
+			d.float(w.Answered(call, index, whole, news, answerTime(events, call)))
 		}
 	}
 	return d.sum()
@@ -118,18 +118,18 @@
 
 // answerTime draws how long an answer took. Half of the time for which the
 // service may wait is the bound between an early answer and one in time.
-func answerTime(events *rand.Rand, call pace.Call) float64 {
+func answerTime(events *rand.Rand, call polling.Poll) float64 {
 	switch events.IntN(6) {
 	case 0:
 		return 0
 	case 1:
-		return call.Wait / 2
+		return call.LongPoll / 2
 	case 2:
-		return math.Nextafter(call.Wait/2, 0)
+		return math.Nextafter(call.LongPoll/2, 0)
 	case 3:
-		return call.Wait
+		return call.LongPoll
 	default:
-		return call.Limit * events.Float64()
+		return call.Timeout * events.Float64()
 	}
 }
 
--- a/internal/discovery/pace/pace.go
+++ b/internal/discovery/polling/pace.go
@@ -1,11 +1,11 @@
-// Package pace decides when a router calls discovery. Where the list must be
+// Package polling decides when a router calls discovery. Where the list must be
 // asked for, one service answers the whole fleet, calls wait there in turn,
 // and one that has waited too long fails but still takes its turn: routers
 // that all ask again at once keep it busy with calls that nobody waits for
 // any more. So each leaves room for every other's call, draws its moment, and
 // waits ever longer while calls fail. It holds rules only: times in
 // milliseconds, seeded randomness, no clock.
-package pace
+package polling
 
 import "math/rand/v2"
 
@@ -37,13 +37,13 @@
 
 // Config is what the settings tell.
 type Config struct {
-	Routers   int     // in the fleet; fewer than one counts as one
-	MustAsk   bool    // the list comes only when asked for
-	AskWithin float64 // milliseconds within which a router must ask, 0 if not told
+	Routers      int     // in the fleet; fewer than one counts as one
+	PollOnly     bool    // the list comes only when asked for
+	PollInterval float64 // milliseconds within which a router must ask, 0 if not told
 }
 
 // Pace is the pace of one router's calls.
-type Pace struct {
+type Backoff struct {
 	rng               *rand.Rand
 	ask               bool
 	first, most, next float64 // waits: at first, at most, after the next failure
@@ -51,14 +51,14 @@
 }
 
 // New returns the pace of a router that has not called yet.
-func New(c Config, seed uint64) *Pace {
-	p := &Pace{rng: rand.New(rand.NewPCG(seed, seed^0xd1b54a32d192ed03)), ask: c.MustAsk, first: aCall, most: pushMost}
+func NewBackoff(c Config, seed uint64) *Backoff {
+	p := &Backoff{rng: rand.New(rand.NewPCG(seed, seed^0xd1b54a32d192ed03)), ask: c.PollOnly, first: aCall, most: pushMost}
 	if p.ask {
 		p.first *= float64(max(c.Routers, 1))
-		if c.AskWithin > 0 {
-			p.first = min(p.first, firstShare*c.AskWithin)
+		if c.PollInterval > 0 {
+			p.first = min(p.first, firstShare*c.PollInterval)
 		}
-		p.most = max(pushMost, growShare*c.AskWithin, p.first)
+		p.most = max(pushMost, growShare*c.PollInterval, p.first)
 	}
 	p.busyMost = max(restMost, busyCalls*aCall*float64(c.Routers))
 	p.next = p.first
@@ -67,7 +67,7 @@
 
 // First returns how long to wait before the first call. A router that holds
 // no list needs not wait its turn.
-func (p *Pace) First(hasList bool) float64 {
+func (p *Backoff) InitialDelay(hasList bool) float64 {
 	if !p.ask || !hasList {
 		return 0
 	}
@@ -76,7 +76,7 @@
 
 // Failed returns how long to wait after a call that failed; busy says that the
 // service was reached and has too many calls to answer this one.
-func (p *Pace) Failed(busy bool) float64 {
+func (p *Backoff) Failed(busy bool) float64 {
 	wait := p.next * (0.5 + p.rng.Float64())
 	p.next = min(2*p.next, p.most)
 	most := float64(restMost)
@@ -87,4 +87,4 @@
 }
 
 // Heard tells that a call was answered.
-func (p *Pace) Heard() { p.next = p.first }
+func (p *Backoff) Succeeded() { p.next = p.first }
--- a/internal/discovery/pace/pace_test.go
+++ b/internal/discovery/polling/pace_test.go
@@ -1,4 +1,4 @@
-package pace
+package polling
 
 import (
 	"slices"
@@ -28,12 +28,12 @@
 	s := service{cost: cost, patience: 2000}
 	type call struct {
 		at float64
-		p  *Pace
+		p  *Backoff
 	}
 	var due []call
 	for i := range routers {
-		p := New(Config{Routers: routers, MustAsk: true, AskWithin: within}, uint64(i))
-		due = append(due, call{p.First(true), p})
+		p := NewBackoff(Config{Routers: routers, PollOnly: true, PollInterval: within}, uint64(i))
+		due = append(due, call{p.InitialDelay(true), p})
 	}
 	for len(due) > 0 && calls < 100*routers {
 		slices.SortFunc(due, func(a, b call) int {
@@ -46,7 +46,7 @@
 		due = due[1:]
 		calls++
 		if end, ok := s.call(c.at); ok {
-			c.p.Heard()
+			c.p.Succeeded()
 			last = max(last, end)
 		} else {
 			due = append(due, call{end + c.p.Failed(true), c.p})
@@ -74,20 +74,20 @@
 // heard before it counts as told, whatever the settings say.
 func TestWaitsStayWithinTheSettings(t *testing.T) {
 	for _, c := range []Config{
-		{Routers: 80, MustAsk: true, AskWithin: 10000}, {Routers: 5000, MustAsk: true, AskWithin: 10000},
-		{Routers: -3, MustAsk: true}, {Routers: 80, AskWithin: 10000}, {},
-		{Routers: 6, MustAsk: true, AskWithin: 10000}, {Routers: 15, MustAsk: true, AskWithin: 10000},
+		{Routers: 80, PollOnly: true, PollInterval: 10000}, {Routers: 5000, PollOnly: true, PollInterval: 10000},
+		{Routers: -3, PollOnly: true}, {Routers: 80, PollInterval: 10000}, {},
+		{Routers: 6, PollOnly: true, PollInterval: 10000}, {Routers: 15, PollOnly: true, PollInterval: 10000},
 	} {
-		p := New(c, 7)
-		if w := p.First(true); w < 0 || w > 3000 || (c.AskWithin > 0 && w > c.AskWithin/2) || (!c.MustAsk && w != 0) {
+		p := NewBackoff(c, 7)
+		if w := p.InitialDelay(true); w < 0 || w > 3000 || (c.PollInterval > 0 && w > c.PollInterval/2) || (!c.PollOnly && w != 0) {
 			t.Errorf("%+v: first call after %.0f ms", c, w)
 		}
-		if p.First(false) != 0 {
+		if p.InitialDelay(false) != 0 {
 			t.Errorf("%+v: a router without a list waits", c)
 		}
 		most, busyMost := 1.5*pushMost, 1.5*pushMost
-		if c.MustAsk { // 200 ms of the service for each router, or what is allowed after a failure if that is less
-			most, busyMost = 3000, max(3000, min(200*float64(c.Routers), 4*c.AskWithin))
+		if c.PollOnly { // 200 ms of the service for each router, or what is allowed after a failure if that is less
+			most, busyMost = 3000, max(3000, min(200*float64(c.Routers), 4*c.PollInterval))
 		}
 		for range 40 {
 			if w := p.Failed(true); w <= 0 || w > busyMost {
@@ -97,7 +97,7 @@
 				t.Errorf("%+v: %.0f ms after a failure", c, w)
 			}
 		}
-		p.Heard()
+		p.Succeeded()
 		if w := p.Failed(true); w > 1.5*p.first {
 			t.Errorf("%+v: %.0f ms after the first failure since an answer", c, w)
 		}
@@ -108,7 +108,7 @@
 func TestFailuresTogetherReturnApart(t *testing.T) {
 	var waits []float64
 	for i := range 50 {
-		waits = append(waits, New(Config{Routers: 50}, uint64(i)).Failed(false))
+		waits = append(waits, NewBackoff(Config{Routers: 50}, uint64(i)).Failed(false))
 	}
 	slices.Sort(waits)
 	if spread := waits[45] - waits[5]; spread < aCall/2 {
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -14,7 +14,7 @@
 	"testing"
 
 	"lotusbend/internal/clock"
-	"lotusbend/internal/discovery/pace"
+	"lotusbend/internal/discovery/polling"
 )
 
 // script is a watch of which the test makes every connection, at a clock that
@@ -23,25 +23,25 @@
 	t     *testing.T
 	at    *clock.Clock
 	loop  *clock.Loop
-	news  chan List
+	news  chan Update
 	dials chan chan net.Conn // a nil connection is a refusal
 	l     net.Listener
 	c     *net.TCPConn // discovery's end
 	in    *bufio.Reader
 }
 
-func newScript(t *testing.T, config pace.Config) *script {
+func newScript(t *testing.T, config polling.Config) *script {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	s := &script{t: t, at: clock.Manual(1e6), news: make(chan List, 9), dials: make(chan chan net.Conn), l: l}
+	s := &script{t: t, at: clock.Manual(1e6), news: make(chan Update, 9), dials: make(chan chan net.Conn), l: l}
 	s.loop = clock.NewLoop(s.at)
 	w := &Watcher{
-		Loop: s.loop, Log: slog.New(slog.DiscardHandler), Names: NewNames(nil),
-		Watch: pace.NewWatch(config, 1), News: func(n List) { s.news <- n },
+		Loop: s.loop, Log: slog.New(slog.DiscardHandler), IDs: NewEndpointIDs(nil),
+		Schedule: polling.NewSchedule(config, 1), OnUpdate: func(n Update) { s.news <- n },
 		dial: func(ctx context.Context, _ string) (net.Conn, error) {
 			to := make(chan net.Conn)
 			select {
@@ -162,7 +162,7 @@
 // A watch that falls silent, in a call that waits or in one that does not, is
 // opened anew before what it misses counts as told.
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
-	s := newScript(t, pace.Config{})
+	s := newScript(t, polling.Config{})
 	s.connect()
 	s.asked(whole)
 	for range 2 { // for the whole list, then for changes
@@ -202,13 +202,13 @@
 		"cut short": func(s *script) { s.call(); s.write("Content-Length: 9\r\n\r\n["); _ = s.c.Close() },
 	}
 	busy := func(s *script) { s.call(); s.status("503 Service Unavailable") }
-	for mode, config := range map[string]pace.Config{
-		"pushed": {Routers: 300}, "asked": {Routers: 300, MustAsk: true, AskWithin: 10000},
-		"asked by many": {Routers: 3000, MustAsk: true, AskWithin: 60000}, "asked, untold": {Routers: 300, MustAsk: true},
-		"asked by few": {Routers: 15, MustAsk: true, AskWithin: 10000},
+	for mode, config := range map[string]polling.Config{
+		"pushed": {Routers: 300}, "asked": {Routers: 300, PollOnly: true, PollInterval: 10000},
+		"asked by many": {Routers: 3000, PollOnly: true, PollInterval: 60000}, "asked, untold": {Routers: 300, PollOnly: true},
+		"asked by few": {Routers: 15, PollOnly: true, PollInterval: 10000},
 	} {
 		failures := maps.Clone(failures)
-		if !config.MustAsk || config.Routers <= 15 { // one service can answer so many in this time, however busy
+		if !config.PollOnly || config.Routers <= 15 { // one service can answer so many in this time, however busy
 			failures["busy"] = busy
 		}
 		for name, fail := range failures {
@@ -227,7 +227,7 @@
 
 // A dial that hangs is given up, and another one comes soon.
 func TestDialThatHangsIsGivenUp(t *testing.T) {
-	s := newScript(t, pace.Config{})
+	s := newScript(t, polling.Config{})
 	<-s.dials // and it hangs
 	began := s.at.Now()
 	s.step(500)
@@ -243,7 +243,7 @@
 // connection was reset. The next call comes within 200 ms, so that the watch
 // goes on.
 func TestEndOfConnectionEndsAListAndAResetDoesNot(t *testing.T) {
-	s := newScript(t, pace.Config{})
+	s := newScript(t, polling.Config{})
 	s.connect()
 	s.asked(whole)
 	s.write("\r\n%s", `{"index":42,"snapshot":true,"endpoints":[]}`)
@@ -261,7 +261,7 @@
 	if err := s.c.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if n := <-s.news; n.Index != 43 || !n.Whole {
+	if n := <-s.news; n.Index != 43 || !n.Snapshot {
 		t.Errorf("heard %+v", n)
 	}
 	s.connect() // at once: it was no failure
--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -27,8 +27,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list, err := NewNames([]string{"zone-0"}).ParseBytes(read)
-	if err != nil || len(list.Hosts) != hosts || list.Hosts[hosts-1].Group != (hosts-1)/4 {
-		t.Errorf("%d hosts of %d, %v", len(list.Hosts), hosts, err)
+	list, err := NewEndpointIDs([]string{"zone-0"}).ParseBytes(read)
+	if err != nil || len(list.Endpoints) != hosts || list.Endpoints[hosts-1].Group != (hosts-1)/4 {
+		t.Errorf("%d hosts of %d, %v", len(list.Endpoints), hosts, err)
 	}
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -14,7 +14,7 @@
 	"strconv"
 
 	"lotusbend/internal/clock"
-	"lotusbend/internal/discovery/pace"
+	"lotusbend/internal/discovery/polling"
 	"lotusbend/internal/netio"
 )
 
@@ -28,12 +28,12 @@
 // library's connections instead of netpoll's: a list may end with its
 // connection, and netpoll does not tell an end from a reset.
 type Watcher struct {
-	Loop    *clock.Loop
-	Log     *slog.Logger
-	Address string
-	Names   *Names
-	Watch   *pace.Watch
-	News    func(List) // called inside the loop's Do
+	Loop     *clock.Loop
+	Log      *slog.Logger
+	Address  string
+	IDs      *EndpointIDs
+	Schedule *polling.Schedule
+	OnUpdate func(Update) // called inside the loop's Do
 
 	dial func(ctx context.Context, address string) (net.Conn, error) // nil for the system's
 }
@@ -42,7 +42,7 @@
 // router holds one to go on from, then what changes. It waits for news in the
 // goroutine that calls it.
 func (w *Watcher) Run(ctx context.Context) {
-	rest := w.Watch.First()
+	rest := w.Schedule.InitialDelay()
 	for {
 		if rest > 0 {
 			select {
@@ -65,7 +65,7 @@
 func (w *Watcher) follow(ctx context.Context) (rest float64, err error) {
 	nc, err := w.connect(ctx)
 	if err != nil {
-		return w.Watch.Failed(pace.Broken), err
+		return w.Schedule.Failed(polling.ConnectionFailed), err
 	}
 	link := netio.NewConn(nc)
 	defer link.Close()
@@ -73,13 +73,13 @@
 	defer stop()
 	in := bufio.NewReader(nc)
 	for {
-		call := w.Watch.Call()
+		call := w.Schedule.NextPoll()
 		var since float64
 		var overdue *clock.Deadline
 		silent := false
 		w.Loop.Do(func() {
 			since = w.Loop.Now()
-			overdue = w.Loop.At(since+call.Limit, func() {
+			overdue = w.Loop.At(since+call.Timeout, func() {
 				silent = true
 				link.Close()
 			})
@@ -95,14 +95,14 @@
 			}
 		})
 		if err != nil {
-			return w.Watch.Failed(failure(err)), err
+			return w.Schedule.Failed(failure(err)), err
 		}
-		list, err := w.Names.ParseBytes(body)
+		list, err := w.IDs.ParseBytes(body)
 		if err != nil {
-			return w.Watch.Failed(pace.Unreadable), err
+			return w.Schedule.Failed(polling.Malformed), err
 		}
-		rest = w.Watch.Listed(call, list.Index, list.Whole, len(list.Hosts) > 0 || list.Index != call.Index, took)
-		w.Loop.Do(func() { w.News(list) })
+		rest = w.Schedule.Answered(call, list.Index, list.Snapshot, len(list.Endpoints) > 0 || list.Index != call.Index, took)
+		w.Loop.Do(func() { w.OnUpdate(list) })
 		if last || rest > 0 {
 			return rest, nil
 		}
@@ -122,24 +122,24 @@
 	return (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", w.Address)
 }
 
-func (w *Watcher) request(c pace.Call) []byte {
+func (w *Watcher) request(c polling.Poll) []byte {
 	b := []byte("GET /v1/endpoints")
-	if c.Resumes {
-		b = fmt.Appendf(b, "?after=%d&wait_ms=%.0f", c.Index, c.Wait)
+	if c.Incremental {
+		b = fmt.Appendf(b, "?after=%d&wait_ms=%.0f", c.Index, c.LongPoll)
 	}
 	return fmt.Appendf(b, " HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", w.Address)
 }
 
-func failure(err error) pace.Failure {
+func failure(err error) polling.Failure {
 	switch {
 	case errors.Is(err, errSilent):
-		return pace.Silent
+		return polling.TimedOut
 	case errors.Is(err, errBusy):
-		return pace.Busy
+		return polling.Overloaded
 	case errors.Is(err, errStatus):
-		return pace.Refused
+		return polling.ErrorStatus
 	}
-	return pace.Broken
+	return polling.ConnectionFailed
 }
 
 var (
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -11,7 +11,7 @@
 	"testing"
 
 	"lotusbend/internal/clock"
-	"lotusbend/internal/discovery/pace"
+	"lotusbend/internal/discovery/polling"
 )
 
 // service is the list's end of a watch, scripted.
@@ -72,12 +72,12 @@
 			runtime.Gosched()
 		}
 	}}
-	news := make(chan List, 9)
+	news := make(chan Update, 9)
 	w := &Watcher{
-		Loop: loop, Log: slog.New(slog.DiscardHandler), Address: l.Addr().String(), Names: NewNames(nil),
-		Watch: pace.NewWatch(pace.Config{}, 1), News: func(n List) { news <- n },
+		Loop: loop, Log: slog.New(slog.DiscardHandler), Address: l.Addr().String(), IDs: NewEndpointIDs(nil),
+		Schedule: polling.NewSchedule(polling.Config{}, 1), OnUpdate: func(n Update) { news <- n },
 	}
-	w.Watch.Resume(41)
+	w.Schedule.Resume(41)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go w.Run(ctx)
@@ -88,7 +88,7 @@
 	}
 	s.asked(whole + "?after=41&wait_ms=3000")
 	s.answer("200 OK", `{"index":43,"snapshot":false,"endpoints":[{"name":"a","status":"ready"}]}`)
-	if n := <-news; n.Index != 43 || n.Whole || len(n.Hosts) != 1 {
+	if n := <-news; n.Index != 43 || n.Snapshot || len(n.Endpoints) != 1 {
 		t.Errorf("heard %+v", n)
 	}
 	s.asked(whole + "?after=43&wait_ms=3000")
--- a/internal/edge/actions.go
+++ b/internal/edge/actions.go
@@ -12,7 +12,7 @@
 	"lotusbend/internal/edge/batch"
 	"lotusbend/internal/edge/intake"
 	"lotusbend/internal/router"
-	"lotusbend/internal/slots"
+	"lotusbend/internal/slotmap"
 )
 
 // actions is the Edge as the rules of intake see it. Nothing here calls back
@@ -22,7 +22,7 @@
 // Answer implements intake.Actions.
 func (a *actions) Answer(to intake.Origin, ans intake.Answer) {
 	e := (*Edge)(a)
-	ref := slots.FromID(to.Peer)
+	ref := slotmap.FromID(to.Peer)
 	m := e.messages.Get(ref)
 	if m == nil || int(to.Index) >= len(m.results) {
 		return
@@ -119,8 +119,8 @@
 	text = strconv.AppendInt(append(text, ",cluster="...), int64(group), 10)
 	text = append(text, " */"...)
 	e.requests.Submit(router.Request{
-		Statement: router.Statement{Text: text, From: from, To: to},
-		Class:     class.Number, Group: group, Wait: wait,
+		Statement: router.Statement{Text: text, WaitFrom: from, WaitTo: to},
+		Class:     class.Number, Group: group, TimeLeft: wait,
 	}, e, e.jobs.Add(j))
 }
 
@@ -132,7 +132,7 @@
 
 // Answer implements router.Client. It may come from within Submit, so that
 // the rules hear of it after the event at hand.
-func (e *Edge) Answer(ref slots.Ref, a router.Answer) {
+func (e *Edge) Answer(ref slotmap.Handle, a router.Answer) {
 	j := e.jobs.Get(ref)
 	if j == nil {
 		return
@@ -143,7 +143,7 @@
 	if served {
 		value, served = document(a.Row) // it dies after this call
 	}
-	refused, wait := a.Verdict == router.Refused, a.RetryAfter
+	refused, wait := a.Verdict == router.Rejected, a.RetryAfter
 	e.loop.Post(func() {
 		now := e.loop.Now()
 		switch {
@@ -296,7 +296,7 @@
 func (o *mqttOut) Deliver(token, id uint64, topic string, payload []byte, greeted float64, again bool) {
 	e := (*Edge)(o)
 	b, err := e.codec.DecodeBatch(payload)
-	c := e.conns.Get(slots.FromID(id))
+	c := e.conns.Get(slotmap.FromID(id))
 	if err != nil || c == nil {
 		e.loop.Post(func() { e.invalid(protoMQTT, token, false) })
 		return
@@ -320,7 +320,7 @@
 func (o *framesOut) Deliver(token, id uint64, match string, b *batch.Batch, notBefore float64) {
 	e := (*Edge)(o)
 	var peer netip.Addr
-	if c := e.conns.Get(slots.FromID(id)); c != nil {
+	if c := e.conns.Get(slotmap.FromID(id)); c != nil {
 		peer = c.peer
 	}
 	e.deliver(protoFrames, token, match, b, notBefore, false, peer)
--- a/internal/edge/coap/coap.go
+++ b/internal/edge/coap/coap.go
@@ -20,8 +20,8 @@
 	"github.com/plgd-dev/go-coap/v3/message/codes"
 	"github.com/plgd-dev/go-coap/v3/udp/coder"
 
-	"lotusbend/internal/edge/due"
 	"lotusbend/internal/edge/progress"
+	"lotusbend/internal/edge/timers"
 )
 
 // Times of RFC 7252, section 4.8, in milliseconds.
@@ -81,7 +81,7 @@
 	separate  map[exchangeID]*exchange
 	order     []*exchange // by age
 	dead      int         // in order, and removed
-	timers    due.Heap
+	timers    timers.Heap
 	transfers map[string]*transfer
 	byOwner   map[uint64]*transfer
 	ledger    *progress.Ledger
@@ -109,8 +109,8 @@
 	block    int64 // of Block1, which the response repeats; -1 for none
 	retries  int
 	mid      uint16 // of a separate response
-	timer    *due.Timer
-	expiry   *due.Timer
+	timer    *timers.Timer
+	expiry   *timers.Timer
 	gone     bool
 }
 
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -22,15 +22,15 @@
 	"lotusbend/internal/edge/progress"
 	"lotusbend/internal/edge/store"
 	"lotusbend/internal/netio"
-	"lotusbend/internal/options"
+	"lotusbend/internal/operatorconfig"
 	"lotusbend/internal/router"
-	"lotusbend/internal/slots"
+	"lotusbend/internal/slotmap"
 )
 
 // Requests is what statements go to, inside the loop's Do.
 type Requests interface {
 	Class(name []byte) (router.Class, bool)
-	Submit(r router.Request, from router.Client, client slots.Ref) slots.Ref
+	Submit(r router.Request, from router.Client, client slotmap.Handle) slotmap.Handle
 }
 
 // maxReads bounds the reads of all devices that are under way.
@@ -40,8 +40,8 @@
 type Edge struct {
 	loop     *clock.Loop
 	log      *slog.Logger
-	opt      *options.Edge
-	budget   *netio.Budget
+	opt      *operatorconfig.Edge
+	budget   *netio.DescriptorBudget
 	requests Requests
 	codec    *batch.Codec
 	routes   []route
@@ -56,10 +56,10 @@
 	tcp      []*listener
 	incoming chan chunk
 	spare    chan *[]byte // read buffers
-	conns    slots.Table[conn]
+	conns    slotmap.Table[conn]
 	open     int
-	messages slots.Table[message]
-	jobs     slots.Table[job]
+	messages slotmap.Table[message]
+	jobs     slotmap.Table[job]
 	reads    int
 	boot     uint64 // tells this process's statements from another's
 	serial   uint64
@@ -69,7 +69,7 @@
 }
 
 type route struct {
-	options.Route
+	operatorconfig.Route
 	write, check, read router.Class
 	intake             int // its number in the rules, -1 for a route of reads
 }
@@ -92,7 +92,7 @@
 
 // New puts an edge together; it takes devices once started. An error is of
 // one line.
-func New(opt *options.Edge, loop *clock.Loop, log *slog.Logger, budget *netio.Budget, requests Requests, seed uint64) (*Edge, error) {
+func New(opt *operatorconfig.Edge, loop *clock.Loop, log *slog.Logger, budget *netio.DescriptorBudget, requests Requests, seed uint64) (*Edge, error) {
 	e := &Edge{loop: loop, log: log, opt: opt, budget: budget, requests: requests, codec: batch.NewCodec(),
 		incoming: make(chan chunk), spare: make(chan *[]byte, maxSpare)}
 	rules, err := e.bindAll()
@@ -128,7 +128,7 @@
 
 // Check tells whether an edge with these settings could start, but for its
 // sockets and its store.
-func Check(opt *options.Edge, requests Requests) error {
+func Check(opt *operatorconfig.Edge, requests Requests) error {
 	e := &Edge{opt: opt, requests: requests}
 	rules, err := e.bindAll()
 	if err == nil {
@@ -154,7 +154,7 @@
 		bound.intake = -1
 		if r.Write != "" {
 			bound.intake = len(rules)
-			rules = append(rules, intake.Route{KeyTTL: bound.write.KeyTTL, Groups: r.Groups})
+			rules = append(rules, intake.Route{KeyTTL: bound.write.IdempotencyWindow, Groups: r.Groups})
 		}
 		e.byMatch[r.Match] = len(e.routes)
 		e.routes = append(e.routes, bound)
@@ -163,7 +163,7 @@
 }
 
 // bind finds a route's classes and checks that they keep the promise.
-func bind(r options.Route, requests Requests) (b route, err error) {
+func bind(r operatorconfig.Route, requests Requests) (b route, err error) {
 	b.Route = r
 	class := func(name, what string, fits func(router.Class) bool, need string) (c router.Class) {
 		c, ok := requests.Class([]byte(name))
@@ -177,7 +177,7 @@
 		return c
 	}
 	if r.Write != "" {
-		b.write = class(r.Write, "write", func(c router.Class) bool { return c.Write && c.Keyed }, "writes with a key")
+		b.write = class(r.Write, "write", func(c router.Class) bool { return c.Write && c.NeedsIdempotencyKey }, "writes with a key")
 		b.check = class(r.Check, "check", func(c router.Class) bool { return c.Fresh }, "reads that see all that was written")
 	}
 	if r.Read != "" {
@@ -260,7 +260,7 @@
 // Owes tells whether a device still waits for an answer. It runs inside Do.
 func (e *Edge) Owes() bool {
 	owes := e.reads > 0
-	e.messages.Each(func(slots.Ref, *message) { owes = true })
+	e.messages.Each(func(slotmap.Handle, *message) { owes = true })
 	return owes
 }
 
@@ -316,7 +316,7 @@
 }
 
 // finish gives a message's answers to its protocol.
-func (e *Edge) finish(ref slots.Ref) {
+func (e *Edge) finish(ref slotmap.Handle) {
 	m := e.messages.Get(ref)
 	if m == nil || m.left > 0 {
 		return
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -26,10 +26,10 @@
 	"lotusbend/internal/edge/frames"
 	"lotusbend/internal/edge/intake"
 	"lotusbend/internal/netio"
-	edgeoptions "lotusbend/internal/options"
+	edgeoptions "lotusbend/internal/operatorconfig"
 	"lotusbend/internal/postgres/wire"
 	"lotusbend/internal/router"
-	"lotusbend/internal/slots"
+	"lotusbend/internal/slotmap"
 )
 
 // rows stands in for the router and all behind it: a table in memory.
@@ -44,7 +44,7 @@
 func (r *rows) Class(name []byte) (router.Class, bool) {
 	switch string(name) {
 	case "ledger-write":
-		return router.Class{Number: 2, Write: true, Keyed: true, KeyTTL: 5000}, true
+		return router.Class{Number: 2, Write: true, NeedsIdempotencyKey: true, IdempotencyWindow: 5000}, true
 	case "invoice-check":
 		return router.Class{Number: 1, Fresh: true}, true
 	case "park-view":
@@ -53,17 +53,17 @@
 	return router.Class{}, false
 }
 
-func (r *rows) Submit(q router.Request, from router.Client, client slots.Ref) slots.Ref {
+func (r *rows) Submit(q router.Request, from router.Client, client slotmap.Handle) slotmap.Handle {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	text := string(q.Statement.Text)
 	r.texts = append(r.texts, text)
 	s, err := wire.ParseStatement(q.Statement.Text)
-	if err != nil || s.Cluster != q.Group || s.WaitAt != q.Statement.From || s.WaitTo != q.Statement.To || r.hold {
+	if err != nil || s.Cluster != q.Group || s.WaitAt != q.Statement.WaitFrom || s.WaitTo != q.Statement.WaitTo || r.hold {
 		if !r.hold {
 			from.Answer(client, router.Answer{Verdict: router.Failed})
 		}
-		return slots.Ref{}
+		return slotmap.Handle{}
 	}
 	row := string(s.Key)
 	if strings.HasPrefix(text, "INSERT") {
@@ -72,13 +72,13 @@
 		value, err := hex.DecodeString(digits)
 		if err != nil || !s.Keyed {
 			from.Answer(client, router.Answer{Verdict: router.Failed})
-			return slots.Ref{}
+			return slotmap.Handle{}
 		}
 		r.rows[row] = value
 		r.keys[text[strings.Index(text, ",k="):]]++
 	}
 	from.Answer(client, router.Answer{Verdict: router.Served, Row: &router.Row{Binary: true, Value: r.rows[row]}})
-	return slots.Ref{}
+	return slotmap.Handle{}
 }
 
 // asked returns how many statements came.
@@ -117,7 +117,7 @@
 	}
 	w := &world{t: t, clock: clock.Manual(1767225600000), rows: &rows{rows: map[string][]byte{}, keys: map[string]int{}}, codec: batch.NewCodec()}
 	w.loop = clock.NewLoop(w.clock)
-	if w.edge, err = New(o.Edge, w.loop, slog.New(slog.NewTextHandler(io.Discard, nil)), netio.NewBudget(100000), w.rows, 1); err != nil {
+	if w.edge, err = New(o.Edge, w.loop, slog.New(slog.NewTextHandler(io.Discard, nil)), netio.NewDescriptorBudget(100000), w.rows, 1); err != nil {
 		t.Fatal(err)
 	}
 	w.edge.Start()
@@ -403,7 +403,7 @@
 	}()
 	most := 0
 	w.until("its end", func() bool {
-		w.edge.conns.Each(func(_ slots.Ref, c *conn) { most = max(most, c.unread) })
+		w.edge.conns.Each(func(_ slotmap.Handle, c *conn) { most = max(most, c.unread) })
 		return w.edge.open == 0
 	})
 	if <-ended; most > maxUnread+1024 {
--- a/internal/edge/frames/frames.go
+++ b/internal/edge/frames/frames.go
@@ -16,8 +16,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"lotusbend/internal/edge/batch"
-	"lotusbend/internal/edge/due"
 	"lotusbend/internal/edge/intake"
+	"lotusbend/internal/edge/timers"
 )
 
 // Version is the one that is spoken.
@@ -166,7 +166,7 @@
 	conns    map[uint64]*conn
 	tokens   map[uint64]pending
 	next     uint64
-	timers   due.Heap
+	timers   timers.Heap
 	stopping bool
 }
 
@@ -175,7 +175,7 @@
 	greeted float64 // 0 before Hello
 	heard   float64
 	open    map[uint32]bool // frames that wait for their answer
-	timer   *due.Timer
+	timer   *timers.Timer
 }
 
 type pending struct {
--- a/internal/edge/intake/intake.go
+++ b/internal/edge/intake/intake.go
@@ -18,7 +18,7 @@
 	"slices"
 	"strconv"
 
-	"lotusbend/internal/edge/due"
+	"lotusbend/internal/edge/timers"
 )
 
 // Status is a final answer to one copy of a reading.
@@ -154,7 +154,7 @@
 	networks map[netip.Prefix]int
 	groups   map[int]*group
 	order    []*group // by first use, so that nothing hangs on a map's order
-	timers   due.Heap
+	timers   timers.Heap
 	out      map[uint64]*entry // by the number of their submission
 	next     uint64
 	open     int
--- a/internal/edge/intake/pace.go
+++ b/internal/edge/intake/pace.go
@@ -1,6 +1,6 @@
 package intake
 
-import "lotusbend/internal/edge/due"
+import "lotusbend/internal/edge/timers"
 
 // group is what goes to one group of hosts, and how fast.
 type group struct {
@@ -11,7 +11,7 @@
 	failed  int     // submissions in a row that helped nobody
 	rampAt  float64 // since when it recovers from an outage, 0 if it does not
 	holdTo  float64 // nothing new goes out before
-	hold    *due.Timer
+	hold    *timers.Timer
 	again   []*entry // whose rest is over: they go before new ones
 	urgent  []*line  // in turn
 	routine []*line
--- a/internal/edge/intake/reading.go
+++ b/internal/edge/intake/reading.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"lotusbend/internal/edge/due"
+	"lotusbend/internal/edge/timers"
 )
 
 // ID names a reading wherever and however often it is sent.
@@ -97,18 +97,18 @@
 	line    *line
 	waiters []Origin
 	phase   phase
-	stored  bool       // on the disk
-	over    bool       // off the books
-	cover   float64    // until then a write cannot run twice; 0: a read must come first
-	sent    bool       // a write of ours may have run
-	deadAt  float64    // when no attempt of ours can be running any more
-	number  uint64     // of the submission that is out
-	asked   float64    // when it went out
-	until   float64    // its deadline
-	tries   int        // without an answer that helped
-	since   float64    // when it came
-	wake    *due.Timer // of resting
-	answer  *due.Timer // of the latest time for its answer
+	stored  bool          // on the disk
+	over    bool          // off the books
+	cover   float64       // until then a write cannot run twice; 0: a read must come first
+	sent    bool          // a write of ours may have run
+	deadAt  float64       // when no attempt of ours can be running any more
+	number  uint64        // of the submission that is out
+	asked   float64       // when it went out
+	until   float64       // its deadline
+	tries   int           // without an answer that helped
+	since   float64       // when it came
+	wake    *timers.Timer // of resting
+	answer  *timers.Timer // of the latest time for its answer
 }
 
 func (e *entry) cost() int { return len(e.Value) + len(e.Device) + entryCost }
--- a/internal/edge/mqtt/mqtt.go
+++ b/internal/edge/mqtt/mqtt.go
@@ -19,7 +19,7 @@
 	"github.com/mochi-mqtt/server/v2/packets"
 
 	"lotusbend/internal/edge/batch"
-	"lotusbend/internal/edge/due"
+	"lotusbend/internal/edge/timers"
 )
 
 // AnswersTopic is followed by the client's identifier.
@@ -66,7 +66,7 @@
 	away     list.List // sessions without a connection, the longest first
 	tokens   map[uint64]pending
 	next     uint64
-	timers   due.Heap
+	timers   timers.Heap
 	stats    Stats
 	stopping bool
 }
@@ -78,7 +78,7 @@
 	answers bool              // subscribed to
 	got     map[uint16]uint64 // QoS 2 messages that are recorded and not released, with their digests
 	expiry  float64           // milliseconds that it is kept
-	end     *due.Timer
+	end     *timers.Timer
 	away    *list.Element
 }
 
@@ -89,7 +89,7 @@
 	greeted float64
 	heard   float64
 	silence float64 // that ends it, 0 for none
-	timer   *due.Timer
+	timer   *timers.Timer
 	terse   bool              // wants no reasons
 	open    map[uint16]uint64 // messages that wait for their answer, with their digests
 }
--- a/internal/edge/sockets.go
+++ b/internal/edge/sockets.go
@@ -14,7 +14,7 @@
 	"lotusbend/internal/edge/intake"
 	"lotusbend/internal/edge/mqtt"
 	"lotusbend/internal/netio"
-	"lotusbend/internal/slots"
+	"lotusbend/internal/slotmap"
 )
 
 const (
@@ -61,7 +61,7 @@
 
 // conn is one TCP connection of a device or gateway.
 type conn struct {
-	ref      slots.Ref
+	ref      slotmap.Handle
 	edge     *Edge
 	proto    protocol
 	link     *netio.Conn
@@ -378,7 +378,7 @@
 // stalled ends a connection whose message makes too little progress, or whose
 // place others need.
 func (e *Edge) stalled(owner uint64) {
-	if c := e.conns.Get(slots.FromID(owner)); c != nil {
+	if c := e.conns.Get(slotmap.FromID(owner)); c != nil {
 		e.log.Debug("a device's message has stalled", "peer", c.peer)
 		c.link.Close()
 	}
@@ -386,7 +386,7 @@
 
 // send writes to a device. One that does not read its answers is ended.
 func (e *Edge) send(id uint64, b []byte) {
-	c := e.conns.Get(slots.FromID(id))
+	c := e.conns.Get(slotmap.FromID(id))
 	if c == nil || c.leaving {
 		return
 	}
@@ -413,7 +413,7 @@
 
 // closeAfter ends a connection once what was sent to it is on its way.
 func (e *Edge) closeAfter(id uint64) {
-	c := e.conns.Get(slots.FromID(id))
+	c := e.conns.Get(slotmap.FromID(id))
 	if c == nil || c.leaving {
 		return
 	}
--- a/internal/edge/due/due.go
+++ b/internal/edge/timers/timers.go
@@ -1,6 +1,6 @@
-// Package due is a heap of deadlines for rules that have no clock: whoever
+// Package timers is a heap of deadlines for rules that have no clock: whoever
 // holds them asks for the next and tells the time. Times are Unix milliseconds.
-package due
+package timers
 
 import "container/heap"
 
--- a/internal/edge/due/due_test.go
+++ b/internal/edge/timers/timers_test.go
@@ -1,4 +1,4 @@
-package due
+package timers
 
 import (
 	"slices"
--- a/internal/fleetstate/characterization_test.go
+++ b/internal/fleetstate/characterization_test.go
@@ -144,39 +144,39 @@
 // The functions from here to page turn the package's types into numbers and
 // bytes; a renamed field or type is adapted here.
 
-func (d *digest) cells(cells fleetstate.Cells) {
+func (d *digest) cells(cells fleetstate.Counters) {
 	d.numbers(int64(len(cells)))
 	for _, v := range cells {
 		d.numbers(int64(v))
 	}
 }
 
-func (d *digest) entries(entries []fleetstate.Entry) {
+func (d *digest) entries(entries []fleetstate.CounterEntry) {
 	d.numbers(int64(len(entries)))
 	for _, e := range entries {
 		d.texts(e.Name)
 		d.numbers(e.Epoch, e.Stamp)
-		d.cells(e.Cells)
+		d.cells(e.Counters)
 	}
 }
 
 func (d *digest) message(m fleetstate.Message) {
 	d.numbers(int64(m.Size()))
-	d.entries(m.Counts)
-	d.numbers(int64(len(m.Claims)), int64(len(m.Asks)), int64(len(m.Grants)))
-	for _, c := range m.Claims {
+	d.entries(m.Counters)
+	d.numbers(int64(len(m.HealthReports)), int64(len(m.LeaseRequests)), int64(len(m.LeaseGrants)))
+	for _, c := range m.HealthReports {
 		d.texts(c.Host)
-		d.numbers(int64(c.Kind), c.AgeMs)
+		d.numbers(int64(c.Status), c.AgeMs)
 	}
-	for _, a := range m.Asks {
+	for _, a := range m.LeaseRequests {
 		d.texts(a.Key)
-		d.amounts(a.Want)
-		d.numbers(int64(a.ID), a.At)
+		d.amounts(a.Wanted)
+		d.numbers(int64(a.ID), a.RequestedAt)
 	}
-	for _, g := range m.Grants {
+	for _, g := range m.LeaseGrants {
 		d.texts(g.Key)
 		d.amounts(g.Amount)
-		d.numbers(int64(g.ID), g.At, g.ForMs)
+		d.numbers(int64(g.ID), g.RequestedAt, g.DurationMs)
 	}
 }
 
@@ -184,23 +184,23 @@
 	d.numbers(int64(len(r.Messages)))
 	for _, out := range r.Messages {
 		d.texts(out.To)
-		d.message(out.Msg)
+		d.message(out.Message)
 	}
 	d.numbers(int64(len(r.Events)))
 	for _, e := range r.Events {
 		d.texts(e.Key, e.Peer)
-		d.numbers(int64(e.Kind), int64(e.Claim))
+		d.numbers(int64(e.Kind), int64(e.Status))
 		d.amounts(e.Amount)
-		d.flag(e.Why != "")
+		d.flag(e.Reason != "")
 	}
 }
 
-func (d *digest) share(s fleetstate.Share) {
-	d.amounts(s.Own, s.Held)
+func (d *digest) share(s fleetstate.Quota) {
+	d.amounts(s.Own, s.Borrowed)
 	d.numbers(s.Until)
 }
 
-func (d *digest) shares(shares map[string]fleetstate.Share) {
+func (d *digest) shares(shares map[string]fleetstate.Quota) {
 	d.numbers(int64(len(shares)))
 	for _, key := range slices.Sorted(maps.Keys(shares)) {
 		d.texts(key)
@@ -208,25 +208,25 @@
 	}
 }
 
-func (d *digest) judgements(judgements []fleetstate.Judgement) {
+func (d *digest) judgements(judgements []fleetstate.Ejection) {
 	d.numbers(int64(len(judgements)))
 	for _, j := range judgements {
 		d.texts(j.Host)
-		d.numbers(int64(j.Kind), j.Until)
+		d.numbers(int64(j.Status), j.Until)
 		d.amounts(j.Support)
-		d.flag(j.Own)
+		d.flag(j.ObservedHere)
 	}
 }
 
 func (d *digest) advice(a fleetstate.Advice) {
-	d.numbers(int64(a.Routers), int64(len(a.Leaders)))
-	d.shares(a.Shares)
-	d.amounts(a.Rest)
-	d.share(a.Repeats)
-	d.judgements(a.Judged)
-	for _, group := range slices.Sorted(maps.Keys(a.Leaders)) {
+	d.numbers(int64(a.Routers), int64(len(a.SuggestedPrimaries)))
+	d.shares(a.SlowStart)
+	d.amounts(a.RemainingStake)
+	d.share(a.RetryQuota)
+	d.judgements(a.Ejections)
+	for _, group := range slices.Sorted(maps.Keys(a.SuggestedPrimaries)) {
 		d.numbers(int64(group))
-		d.texts(a.Leaders[group])
+		d.texts(a.SuggestedPrimaries[group])
 	}
 }
 
@@ -238,35 +238,35 @@
 	}
 }
 
-func (d *digest) hosts(hosts []fleetstate.Host) {
+func (d *digest) hosts(hosts []fleetstate.EndpointHealth) {
 	for _, h := range hosts {
 		d.texts(h.Name)
-		d.numbers(int64(h.Group), int64(h.Bad), h.LeadsAt, h.BadAt, h.GoodAt, h.FreshAt, h.TriedAt)
-		for _, b := range []bool{h.Ready, h.Leads, h.Waiting, h.Cold, h.Needed, h.Seeking} {
+		d.numbers(int64(h.Group), int64(h.Fault), h.PrimaryReportedAt, h.FaultAt, h.AnsweredSentAt, h.FreshAt, h.LastSentAt)
+		for _, b := range []bool{h.Ready, h.Primary, h.Overdue, h.WarmingUp, h.RequestsQueued, h.PrimaryUnknown} {
 			d.flag(b)
 		}
 	}
 }
 
-func (d *digest) page(p fleetstate.Page) {
-	d.numbers(int64(p.Routers), int64(p.Refused), int64(p.Dropped))
-	d.shares(p.Shares)
+func (d *digest) page(p fleetstate.StatusPage) {
+	d.numbers(int64(p.Routers), int64(p.RejectedCounters), int64(p.UnknownSenders))
+	d.shares(p.SlowStart)
 	d.amounts(p.Stake)
 	d.amountsByName(p.Lent)
-	d.amountsByName(p.Held)
-	d.amountsByName(p.Standing)
-	d.share(p.Repeats)
+	d.amountsByName(p.Borrowed)
+	d.amountsByName(p.Reputation)
+	d.share(p.RetryQuota)
 	d.cells(p.Totals)
 	d.entries(p.Counters)
-	d.judgements(p.Judged)
+	d.judgements(p.Ejections)
 }
 
 // settings are short leases, claims and folds, so that a scenario of half
 // a minute sees all of them end.
 func settings(change func(*fleetstate.Config)) fleetstate.Config {
 	config := fleetstate.Defaults()
-	config.LeaseMs, config.SkewMs, config.FoldMs = 600, 300, 9000
-	config.ClaimMs, config.HearsayMs = 2000, 2500
+	config.LeaseMs, config.SkewMs, config.CounterRetentionMs = 600, 300, 9000
+	config.ReportTTLMs, config.GossipEjectionMs = 2000, 2500
 	if change != nil {
 		change(&config)
 	}
@@ -280,7 +280,7 @@
 	primary   bool
 	unlisted  bool
 	cold      bool
-	condition fleetstate.ClaimKind // fleetstate.Well where nothing is wrong with it
+	condition fleetstate.HealthStatus // fleetstate.Healthy where nothing is wrong with it
 }
 
 // member is one router: its node, restarted at times, and what it saw.
@@ -289,11 +289,11 @@
 	node        *fleetstate.Node
 	running     bool
 	pausedUntil int64
-	lies        fleetstate.ClaimKind // what it says of every host, 0 for the truth
-	hosts       []fleetstate.Host
-	counted     fleetstate.Cells
-	repeats     fleetstate.RepeatBudget
-	guide       fleetstate.Guide
+	lies        fleetstate.HealthStatus // what it says of every host, 0 for the truth
+	hosts       []fleetstate.EndpointHealth
+	counted     fleetstate.Counters
+	repeats     fleetstate.RetryBudget
+	guide       fleetstate.FleetAdapter
 }
 
 type flight struct {
@@ -333,7 +333,7 @@
 	c := &cluster{t: t, random: rand.New(rand.NewPCG(s.seed, 2)), digest: newDigest(), config: settings(s.config),
 		now: 1_000_000, longestDelay: 20, tries: 0.2}
 	for i := range databases {
-		c.databases = append(c.databases, database{name: fmt.Sprint("db-", i), group: i / 3, primary: i%3 == 0, condition: fleetstate.Well})
+		c.databases = append(c.databases, database{name: fmt.Sprint("db-", i), group: i / 3, primary: i%3 == 0, condition: fleetstate.Healthy})
 	}
 	for i := range routers {
 		c.routers = append(c.routers, &member{name: fmt.Sprint("router-", i)})
@@ -352,7 +352,7 @@
 	r.node, r.running, r.pausedUntil, r.counted = fleetstate.New(config, 4, c.now), true, 0, nil
 	r.hosts = nil
 	for _, d := range c.databases {
-		r.hosts = append(r.hosts, fleetstate.Host{Name: d.name, Group: d.group})
+		r.hosts = append(r.hosts, fleetstate.EndpointHealth{Name: d.name, Group: d.group})
 	}
 }
 
@@ -389,46 +389,46 @@
 	r := c.routers[i]
 	for j, d := range c.databases {
 		h := &r.hosts[j]
-		h.Ready, h.Leads, h.Cold, h.Needed = !d.unlisted, d.primary, d.cold, d.cold && (i+j)%2 == 0
-		h.Seeking = !c.primaryAnswers(d.group)
-		if h.Waiting && c.now-h.TriedAt >= 800 { // no answer came to it
-			h.Waiting, h.Bad, h.BadAt = false, fleetstate.Hangs, c.now
+		h.Ready, h.Primary, h.WarmingUp, h.RequestsQueued = !d.unlisted, d.primary, d.cold, d.cold && (i+j)%2 == 0
+		h.PrimaryUnknown = !c.primaryAnswers(d.group)
+		if h.Overdue && c.now-h.LastSentAt >= 800 { // no answer came to it
+			h.Overdue, h.Fault, h.FaultAt = false, fleetstate.Unresponsive, c.now
 		}
-		if !h.Waiting && c.random.Float64() < c.tries {
-			h.TriedAt = c.now
+		if !h.Overdue && c.random.Float64() < c.tries {
+			h.LastSentAt = c.now
 			see(h, d, c.now)
 		}
 		if r.lies != 0 {
-			h.Bad, h.BadAt = r.lies, c.now
+			h.Fault, h.FaultAt = r.lies, c.now
 		}
 	}
 }
 
 func (c *cluster) primaryAnswers(group int) bool {
 	return slices.ContainsFunc(c.databases, func(d database) bool {
-		return d.group == group && d.primary && d.condition == fleetstate.Well
+		return d.group == group && d.primary && d.condition == fleetstate.Healthy
 	})
 }
 
 // see is what an attempt at d tells of it.
-func see(h *fleetstate.Host, d database, now int64) {
+func see(h *fleetstate.EndpointHealth, d database, now int64) {
 	switch d.condition {
-	case fleetstate.Hangs:
-		h.Waiting = true
+	case fleetstate.Unresponsive:
+		h.Overdue = true
 		return
-	case fleetstate.Fails:
-		h.Bad, h.BadAt = d.condition, now
+	case fleetstate.Failing:
+		h.Fault, h.FaultAt = d.condition, now
 		return
 	case fleetstate.Slow:
-		h.Bad, h.BadAt, h.FreshAt = d.condition, now, now
-	case fleetstate.Behind:
-		h.Bad, h.BadAt = d.condition, now
+		h.Fault, h.FaultAt, h.FreshAt = d.condition, now, now
+	case fleetstate.Lagging:
+		h.Fault, h.FaultAt = d.condition, now
 	default:
-		h.Bad, h.FreshAt = 0, now
+		h.Fault, h.FreshAt = 0, now
 	}
-	h.GoodAt = now
+	h.AnsweredSentAt = now
 	if d.primary {
-		h.LeadsAt = now
+		h.PrimaryReportedAt = now
 	}
 }
 
@@ -436,14 +436,14 @@
 func (c *cluster) observe(i int) {
 	r := c.routers[i]
 	c.try(i)
-	var carried fleetstate.Cells
-	for kind := range len(fleetstate.KindNames()) {
-		carried.Add(c.random.IntN(classes), fleetstate.Kind(kind), c.random.Uint64N(50))
+	var carried fleetstate.Counters
+	for kind := range len(fleetstate.CounterKindNames()) {
+		carried.Add(c.random.IntN(classes), fleetstate.CounterKind(kind), c.random.Uint64N(50))
 	}
 	for k, v := range carried {
-		r.counted.Add(k/len(fleetstate.KindNames()), fleetstate.Kind(k%len(fleetstate.KindNames())), v)
+		r.counted.Add(k/len(fleetstate.CounterKindNames()), fleetstate.CounterKind(k%len(fleetstate.CounterKindNames())), v)
 	}
-	r.node.Observe(fleetstate.Seen{Carried: carried, Hosts: r.hosts, Repeats: r.repeats})
+	r.node.Observe(fleetstate.Observation{Counters: carried, Endpoints: r.hosts, RetryBudget: r.repeats})
 }
 
 // record hashes what an event of router i asked for, and sends its messages.
@@ -455,9 +455,9 @@
 		if to < 0 || c.isCut(i, to) || c.random.Float64() < c.loss {
 			continue
 		}
-		c.send(i, to, out.Msg)
+		c.send(i, to, out.Message)
 		if c.random.Float64() < c.duplication {
-			c.send(i, to, out.Msg)
+			c.send(i, to, out.Message)
 		}
 	}
 }
@@ -534,7 +534,7 @@
 }
 
 // guide hashes what a guide answers at a time, for each host and one unknown.
-func (d *digest) guide(g *fleetstate.Guide, at int64) {
+func (d *digest) guide(g *fleetstate.FleetAdapter, at int64) {
 	now := time.Duration(at) * time.Millisecond
 	d.numbers(int64(g.Routers()))
 	d.amounts(g.RetryRate(now))
@@ -551,7 +551,7 @@
 		if r.node != nil {
 			c.digest.numbers(int64(i))
 			c.digest.cells(r.node.Totals())
-			c.digest.page(r.node.Page(c.now))
+			c.digest.page(r.node.StatusPage(c.now))
 		}
 	}
 }
@@ -571,20 +571,20 @@
 	{name: "every-condition-few-tries", seed: 4, script: withFewTries(everyCondition)},
 	{name: "liars", seed: 5, script: liars},
 	{name: "liars-few-tries", seed: 6, script: withFewTries(liars)},
-	{name: "liars-long-names", seed: 29, config: func(c *fleetstate.Config) { c.MaxBytes = 400 }, script: withLongNames(liars)},
-	{name: "liars-most", seed: 7, config: func(c *fleetstate.Config) { c.ShareMost, c.Support = 0.9, 0.8 }, script: withFewTries(liars)},
+	{name: "liars-long-names", seed: 29, config: func(c *fleetstate.Config) { c.MaxMessageBytes = 400 }, script: withLongNames(liars)},
+	{name: "liars-most", seed: 7, config: func(c *fleetstate.Config) { c.MaxEjectedFraction, c.RequiredSupport = 0.9, 0.8 }, script: withFewTries(liars)},
 	{name: "cold-hosts", seed: 8, script: coldHosts},
 	{name: "cold-hosts-bad-links", seed: 9, script: onBadLinks(coldHosts)},
 	{name: "cold-hosts-long-skew", seed: 10, config: longSkew, script: onBadLinks(coldHosts)},
 	{name: "restarts-and-folds", seed: 11, script: restartsAndFolds},
-	{name: "restarts-small-tables", seed: 12, config: func(c *fleetstate.Config) { c.MaxEntries, c.MaxBytes = 5, 400 }, script: onBadLinks(restartsAndFolds)},
+	{name: "restarts-small-tables", seed: 12, config: func(c *fleetstate.Config) { c.MaxCounterEntries, c.MaxMessageBytes = 5, 400 }, script: onBadLinks(restartsAndFolds)},
 	{name: "splits", seed: 13, script: splits},
 	{name: "retry-budget", seed: 14, script: retryBudget},
 	{name: "odd-messages", seed: 15, script: oddMessages},
 	{name: "forged-grants", seed: 30, script: forgedGrants},
 	{name: "many-witnesses", seed: 31, script: manyWitnesses},
 	{name: "many-loans", seed: 32, config: sabotage("no-lease-wait"), script: manyLoans},
-	{name: "many-lenders", seed: 33, config: func(c *fleetstate.Config) { c.LeaseMs, c.FoldMs, c.Lenders = 60_000, 700_000, 500 }, script: manyLenders},
+	{name: "many-lenders", seed: 33, config: func(c *fleetstate.Config) { c.LeaseMs, c.CounterRetentionMs, c.LendersPerTick = 60_000, 700_000, 500 }, script: manyLenders},
 	{name: "guide", seed: 16, script: guideOverTime},
 	{name: "shifted-clocks", seed: 17, script: shiftedClocks},
 	{name: "sabotage-1", seed: 18, config: sabotage("no-lease-wait"), script: coldHosts},
@@ -601,7 +601,7 @@
 }
 
 func longSkew(c *fleetstate.Config) {
-	c.LeaseMs, c.SkewMs, c.FoldMs, c.Lendable, c.HeldMost, c.Lenders, c.FanOut = 600, 1200, 18_000, 0.8, 1, 2, 2
+	c.LeaseMs, c.SkewMs, c.CounterRetentionMs, c.MaxLentFraction, c.MaxBorrowedStakes, c.LendersPerTick, c.FanOut = 600, 1200, 18_000, 0.8, 1, 2, 2
 }
 
 func sabotage(guard string) func(*fleetstate.Config) {
@@ -642,13 +642,13 @@
 func everyCondition(c *cluster) {
 	c.bootAll()
 	c.run(3000)
-	for k, condition := range []fleetstate.ClaimKind{fleetstate.Hangs, fleetstate.Fails, fleetstate.Slow, fleetstate.Behind} {
+	for k, condition := range []fleetstate.HealthStatus{fleetstate.Unresponsive, fleetstate.Failing, fleetstate.Slow, fleetstate.Lagging} {
 		for _, i := range []int{k, 4 + k, 1} {
 			c.databases[i].condition = condition
 		}
 		c.run(2000)
 		for i := range c.databases {
-			c.databases[i].condition = fleetstate.Well
+			c.databases[i].condition = fleetstate.Healthy
 		}
 		c.run(1000)
 	}
@@ -657,14 +657,14 @@
 
 // wholeGroup fails over in one group and loses all of another.
 func (c *cluster) wholeGroup() {
-	c.databases[0].condition = fleetstate.Fails
+	c.databases[0].condition = fleetstate.Failing
 	for i := 3; i < 6; i++ {
-		c.databases[i].condition = fleetstate.Hangs
+		c.databases[i].condition = fleetstate.Unresponsive
 	}
 	c.run(2000)
 	c.databases[0].primary, c.databases[1].primary = false, true
 	c.databases[8].unlisted = true
-	c.databases[8].condition = fleetstate.Hangs
+	c.databases[8].condition = fleetstate.Unresponsive
 	c.run(3000)
 	c.forgetLastDatabase()
 	c.run(1500)
@@ -682,13 +682,13 @@
 func liars(c *cluster) {
 	c.bootAll()
 	c.run(2500)
-	for _, kind := range []fleetstate.ClaimKind{fleetstate.Hangs, fleetstate.Fails, fleetstate.Slow, fleetstate.Behind} {
+	for _, kind := range []fleetstate.HealthStatus{fleetstate.Unresponsive, fleetstate.Failing, fleetstate.Slow, fleetstate.Lagging} {
 		c.routers[1].lies = kind
 		c.run(1500)
 		c.routers[2].lies, c.routers[3].lies = kind, kind
-		c.databases[2].condition = fleetstate.Hangs
+		c.databases[2].condition = fleetstate.Unresponsive
 		c.run(2000)
-		c.databases[2].condition = fleetstate.Well
+		c.databases[2].condition = fleetstate.Healthy
 		for i := range c.routers {
 			c.routers[i].lies = 0
 		}
@@ -728,13 +728,13 @@
 	c.boot(2)
 	c.boot(1)
 	c.kill(5)
-	c.run(c.config.FoldMs + 1000)
+	c.run(c.config.CounterRetentionMs + 1000)
 	c.cut = func(from, to int) bool { return from == 0 || to == 0 }
-	c.run(c.config.FoldMs/2 + 2000)
+	c.run(c.config.CounterRetentionMs/2 + 2000)
 	c.cut = nil
 	c.run(3000)
-	c.pause(3, c.config.FoldMs+500)
-	c.run(c.config.FoldMs + 4000)
+	c.pause(3, c.config.CounterRetentionMs+500)
+	c.run(c.config.CounterRetentionMs + 4000)
 }
 
 // splits cut the fleet in two, whose sizes fall late, and heal it.
@@ -743,8 +743,8 @@
 	c.bootAll()
 	c.run(3000)
 	c.cut = func(from, to int) bool { return (from < 3) != (to < 3) }
-	c.databases[1].condition = fleetstate.Hangs
-	c.run(c.config.FoldMs + 2000)
+	c.databases[1].condition = fleetstate.Unresponsive
+	c.run(c.config.CounterRetentionMs + 2000)
 	c.cut = nil
 	c.run(4000)
 	c.cut = func(from, to int) bool { return from == 6 }
@@ -756,7 +756,7 @@
 	c.bootAll()
 	for round := range 8 {
 		for i, r := range c.routers {
-			r.repeats = fleetstate.RepeatBudget{Earns: 0.5 * float64(i), Spare: (i+round)%3 == 0, Wanting: (i+round)%3 == 1}
+			r.repeats = fleetstate.RetryBudget{EarnedPerSecond: 0.5 * float64(i), Surplus: (i+round)%3 == 0, Depleted: (i+round)%3 == 1}
 		}
 		c.run(1500)
 	}
@@ -771,15 +771,15 @@
 	c.run(2500)
 	peer, host := c.routers[1].name, c.databases[1].name
 	for _, m := range []fleetstate.Message{
-		{Counts: []fleetstate.Entry{{}, {Name: "x", Cells: make(fleetstate.Cells, 1000)}, {Name: "x", Epoch: 1, Stamp: 1, Cells: fleetstate.Cells{1}}}},
-		{Counts: []fleetstate.Entry{{Name: "y", Epoch: 1, Stamp: c.now + 1_000_000, Cells: fleetstate.Cells{300, 70_000, 1 << 33, 5}}}},
-		{Counts: []fleetstate.Entry{{Name: "y", Epoch: 1, Stamp: c.now + 2_000_000, Cells: fleetstate.Cells{1, 80_000}}}},
-		{Counts: []fleetstate.Entry{{Name: c.routers[0].name, Epoch: 1_000_000, Stamp: c.now, Cells: fleetstate.Cells{1 << 40}}}},
-		{Claims: []fleetstate.Claim{{Host: "unknown", Kind: fleetstate.Hangs}, {Host: host}, {Host: host, Kind: 200}, {Host: host, Kind: fleetstate.Hangs, AgeMs: -1}, {Host: host, Kind: fleetstate.Hangs, AgeMs: 1 << 40}}},
-		{Claims: []fleetstate.Claim{{Host: host, Kind: fleetstate.Hangs, AgeMs: 10}, {Host: host, Kind: fleetstate.Hangs, AgeMs: 500}, {Host: host, Kind: fleetstate.Leads}, {Host: host, Kind: fleetstate.Well}}},
-		{Asks: []fleetstate.Ask{{Key: "unknown", ID: 1, Want: 1, At: c.now}, {Key: host, ID: 2, Want: 0, At: c.now}, {Key: host, ID: 3, Want: -1, At: c.now}, {Key: host, ID: 4, Want: math.NaN(), At: c.now}}},
-		{Asks: []fleetstate.Ask{{Key: host, ID: 5, Want: 0.01, At: c.now}, {Key: host, ID: 5, Want: 0.01, At: c.now}, {Key: host, ID: 6, Want: 100, At: c.now}, {Key: host, ID: 7, Want: 100, At: c.now}}},
-		{Grants: []fleetstate.Grant{{Key: host, ID: 1, Amount: 0.5, At: c.now, ForMs: 1000}, {Key: "unknown", ID: 1, Amount: -1, ForMs: 1 << 40}}},
+		{Counters: []fleetstate.CounterEntry{{}, {Name: "x", Counters: make(fleetstate.Counters, 1000)}, {Name: "x", Epoch: 1, Stamp: 1, Counters: fleetstate.Counters{1}}}},
+		{Counters: []fleetstate.CounterEntry{{Name: "y", Epoch: 1, Stamp: c.now + 1_000_000, Counters: fleetstate.Counters{300, 70_000, 1 << 33, 5}}}},
+		{Counters: []fleetstate.CounterEntry{{Name: "y", Epoch: 1, Stamp: c.now + 2_000_000, Counters: fleetstate.Counters{1, 80_000}}}},
+		{Counters: []fleetstate.CounterEntry{{Name: c.routers[0].name, Epoch: 1_000_000, Stamp: c.now, Counters: fleetstate.Counters{1 << 40}}}},
+		{HealthReports: []fleetstate.HealthReport{{Host: "unknown", Status: fleetstate.Unresponsive}, {Host: host}, {Host: host, Status: 200}, {Host: host, Status: fleetstate.Unresponsive, AgeMs: -1}, {Host: host, Status: fleetstate.Unresponsive, AgeMs: 1 << 40}}},
+		{HealthReports: []fleetstate.HealthReport{{Host: host, Status: fleetstate.Unresponsive, AgeMs: 10}, {Host: host, Status: fleetstate.Unresponsive, AgeMs: 500}, {Host: host, Status: fleetstate.Primary}, {Host: host, Status: fleetstate.Healthy}}},
+		{LeaseRequests: []fleetstate.LeaseRequest{{Key: "unknown", ID: 1, Wanted: 1, RequestedAt: c.now}, {Key: host, ID: 2, Wanted: 0, RequestedAt: c.now}, {Key: host, ID: 3, Wanted: -1, RequestedAt: c.now}, {Key: host, ID: 4, Wanted: math.NaN(), RequestedAt: c.now}}},
+		{LeaseRequests: []fleetstate.LeaseRequest{{Key: host, ID: 5, Wanted: 0.01, RequestedAt: c.now}, {Key: host, ID: 5, Wanted: 0.01, RequestedAt: c.now}, {Key: host, ID: 6, Wanted: 100, RequestedAt: c.now}, {Key: host, ID: 7, Wanted: 100, RequestedAt: c.now}}},
+		{LeaseGrants: []fleetstate.LeaseGrant{{Key: host, ID: 1, Amount: 0.5, RequestedAt: c.now, DurationMs: 1000}, {Key: "unknown", ID: 1, Amount: -1, DurationMs: 1 << 40}}},
 	} {
 		c.inject(peer, 0, m)
 		c.inject("stranger", 0, m)
@@ -792,9 +792,9 @@
 // flood tells of many routers and asks for shares without end.
 func (c *cluster) flood(peer string) {
 	for i := range 300 {
-		m := fleetstate.Message{Counts: []fleetstate.Entry{{Name: fmt.Sprint("invented-", i), Epoch: int64(i), Stamp: c.now - int64(i), Cells: fleetstate.Cells{1, uint64(i)}}}}
+		m := fleetstate.Message{Counters: []fleetstate.CounterEntry{{Name: fmt.Sprint("invented-", i), Epoch: int64(i), Stamp: c.now - int64(i), Counters: fleetstate.Counters{1, uint64(i)}}}}
 		for k := range 20 { // more answers than one message holds
-			m.Asks = append(m.Asks, fleetstate.Ask{Key: c.databases[k%databases].name, ID: uint64(1000*i + k), Want: 0.002, At: c.now})
+			m.LeaseRequests = append(m.LeaseRequests, fleetstate.LeaseRequest{Key: c.databases[k%databases].name, ID: uint64(1000*i + k), Wanted: 0.002, RequestedAt: c.now})
 		}
 		c.inject(peer, 3, m)
 	}
@@ -808,32 +808,32 @@
 	for range 60 {
 		c.run(stepMs)
 		for _, f := range slices.Clone(c.inFlight) {
-			if f.from == 0 && len(f.message.Asks) > 0 {
-				c.forge(f.message.Asks[0], f.to)
+			if f.from == 0 && len(f.message.LeaseRequests) > 0 {
+				c.forge(f.message.LeaseRequests[0], f.to)
 			}
 		}
 	}
 }
 
 // forge sends router 0 grants for an ask to lender, the true one last.
-func (c *cluster) forge(ask fleetstate.Ask, lender int) {
+func (c *cluster) forge(ask fleetstate.LeaseRequest, lender int) {
 	for k := range 7 {
-		g := fleetstate.Grant{Key: ask.Key, ID: ask.ID, Amount: ask.Want / 16, At: ask.At, ForMs: 400}
+		g := fleetstate.LeaseGrant{Key: ask.Key, ID: ask.ID, Amount: ask.Wanted / 16, RequestedAt: ask.RequestedAt, DurationMs: 400}
 		from := c.routers[lender].name
 		switch k {
 		case 0:
 			g.ID++
 		case 1:
-			g.At--
+			g.RequestedAt--
 		case 2:
 			from = c.routers[1+lender%(routers-1)].name
 		case 3:
 			g.Amount = 0
 		case 4:
-			g.ForMs = -1000
+			g.DurationMs = -1000
 		}
-		c.inject(from, 0, fleetstate.Message{Grants: []fleetstate.Grant{g}})
-		c.digest.page(c.routers[0].node.Page(c.now))
+		c.inject(from, 0, fleetstate.Message{LeaseGrants: []fleetstate.LeaseGrant{g}})
+		c.digest.page(c.routers[0].node.StatusPage(c.now))
 	}
 }
 
@@ -851,7 +851,7 @@
 // manyWitnesses lets more peers doubt a host than are kept.
 func manyWitnesses(c *cluster) {
 	for i, peer := range c.manyPeers() {
-		c.inject(peer, 0, fleetstate.Message{Claims: []fleetstate.Claim{{Host: c.databases[4].name, Kind: fleetstate.Slow, AgeMs: int64(i % 50)}}})
+		c.inject(peer, 0, fleetstate.Message{HealthReports: []fleetstate.HealthReport{{Host: c.databases[4].name, Status: fleetstate.Slow, AgeMs: int64(i % 50)}}})
 	}
 	c.advise(0)
 	c.run(1000)
@@ -861,7 +861,7 @@
 func manyLoans(c *cluster) {
 	peer := c.manyPeers()[0]
 	for i := range 4200 {
-		c.inject(peer, 0, fleetstate.Message{Asks: []fleetstate.Ask{{Key: c.databases[4].name, ID: uint64(i), Want: 1, At: c.now}}})
+		c.inject(peer, 0, fleetstate.Message{LeaseRequests: []fleetstate.LeaseRequest{{Key: c.databases[4].name, ID: uint64(i), Wanted: 1, RequestedAt: c.now}}})
 	}
 	c.advise(0)
 	c.run(1500)
@@ -878,8 +878,8 @@
 		ready := node.Tick(c.now)
 		c.record(0, ready)
 		for _, out := range ready.Messages {
-			for _, ask := range out.Msg.Asks {
-				c.inject(out.To, 0, fleetstate.Message{Grants: []fleetstate.Grant{{Key: ask.Key, ID: ask.ID, Amount: 1e-8, At: ask.At, ForMs: 60_000}}})
+			for _, ask := range out.Message.LeaseRequests {
+				c.inject(out.To, 0, fleetstate.Message{LeaseGrants: []fleetstate.LeaseGrant{{Key: ask.Key, ID: ask.ID, Amount: 1e-8, RequestedAt: ask.RequestedAt, DurationMs: 60_000}}})
 			}
 		}
 	}
@@ -890,9 +890,9 @@
 // guideOverTime asks guides at many moments before and after what they were
 // told ends.
 func guideOverTime(c *cluster) {
-	guide := &fleetstate.Guide{}
+	guide := &fleetstate.FleetAdapter{}
 	c.digest.guide(guide, c.now)
-	guide.Count(12)
+	guide.SetRouters(12)
 	c.digest.guide(guide, c.now)
 	for range 200 {
 		guide.Set(c.randomAdvice(), numberOf, c.now)
@@ -903,29 +903,29 @@
 	}
 	guide.Set(fleetstate.Advice{}, numberOf, c.now)
 	c.digest.guide(guide, c.now)
-	guide.Count(3)
+	guide.SetRouters(3)
 	c.digest.guide(guide, c.now)
 }
 
 // randomAdvice ends within three seconds of now, or not at all.
 func (c *cluster) randomAdvice() fleetstate.Advice {
-	share := func() fleetstate.Share {
-		s := fleetstate.Share{Own: c.random.Float64(), Held: c.random.Float64(), Until: c.now + c.random.Int64N(3000)}
+	share := func() fleetstate.Quota {
+		s := fleetstate.Quota{Own: c.random.Float64(), Borrowed: c.random.Float64(), Until: c.now + c.random.Int64N(3000)}
 		if c.random.IntN(4) == 0 {
 			s.Until = math.MaxInt64
 		}
 		return s
 	}
-	a := fleetstate.Advice{Routers: c.random.IntN(9), Rest: c.random.Float64(), Repeats: share(),
-		Shares: map[string]fleetstate.Share{}, Leaders: map[int]string{}}
+	a := fleetstate.Advice{Routers: c.random.IntN(9), RemainingStake: c.random.Float64(), RetryQuota: share(),
+		SlowStart: map[string]fleetstate.Quota{}, SuggestedPrimaries: map[int]string{}}
 	for _, d := range c.databases {
 		switch c.random.IntN(4) {
 		case 0:
-			a.Shares[d.name] = share()
+			a.SlowStart[d.name] = share()
 		case 1:
-			a.Judged = append(a.Judged, fleetstate.Judgement{Host: d.name, Kind: fleetstate.Hangs, Until: share().Until})
+			a.Ejections = append(a.Ejections, fleetstate.Ejection{Host: d.name, Status: fleetstate.Unresponsive, Until: share().Until})
 		case 2:
-			a.Leaders[d.group] = d.name
+			a.SuggestedPrimaries[d.group] = d.name
 		}
 	}
 	return a
@@ -934,18 +934,18 @@
 // shiftedClocks moves what was seen and advised to other clocks.
 func shiftedClocks(c *cluster) {
 	c.databases[1].cold = true
-	c.databases[2].condition = fleetstate.Hangs
+	c.databases[2].condition = fleetstate.Unresponsive
 	c.bootAll()
 	c.run(4000)
 	for _, ms := range []int64{0, 1, -500_000, 1 << 40} {
 		for _, r := range c.routers {
 			advice := r.node.Advice(c.now)
-			c.digest.advice(advice.Shifted(ms))
+			c.digest.advice(advice.OnClockAhead(ms))
 			c.digest.advice(advice)
-			seen := fleetstate.Seen{Hosts: r.hosts, Repeats: r.repeats, Carried: r.counted}
-			c.digest.hosts(seen.Shifted(ms).Hosts)
-			c.digest.hosts(seen.Hosts)
-			c.digest.cells(seen.Shifted(ms).Carried)
+			seen := fleetstate.Observation{Endpoints: r.hosts, RetryBudget: r.repeats, Counters: r.counted}
+			c.digest.hosts(seen.OnClockAhead(ms).Endpoints)
+			c.digest.hosts(seen.Endpoints)
+			c.digest.cells(seen.OnClockAhead(ms).Counters)
 		}
 	}
 }
@@ -976,15 +976,15 @@
 	case 4:
 		c.cut = nil
 	case 5:
-		d.condition = fleetstate.Well + fleetstate.ClaimKind(c.random.IntN(5))
+		d.condition = fleetstate.Healthy + fleetstate.HealthStatus(c.random.IntN(5))
 	case 6:
-		d.condition, d.unlisted = fleetstate.Well, c.random.IntN(5) == 0
+		d.condition, d.unlisted = fleetstate.Healthy, c.random.IntN(5) == 0
 	case 7:
 		d.cold = !d.cold
 	case 8:
-		r.lies = fleetstate.ClaimKind(max(0, c.random.IntN(10)-4))
+		r.lies = fleetstate.HealthStatus(max(0, c.random.IntN(10)-4))
 	case 9:
-		r.repeats = fleetstate.RepeatBudget{Earns: c.random.Float64(), Spare: c.random.IntN(2) == 0, Wanting: c.random.IntN(2) == 0}
+		r.repeats = fleetstate.RetryBudget{EarnedPerSecond: c.random.Float64(), Surplus: c.random.IntN(2) == 0, Depleted: c.random.IntN(2) == 0}
 	}
 }
 
@@ -996,23 +996,23 @@
 		func(c *fleetstate.Config) { c.Name = strings.Repeat("a", 128) },
 		func(c *fleetstate.Config) { c.Name = strings.Repeat("a", 129) },
 		func(c *fleetstate.Config) { c.TickMs = 0 },
-		func(c *fleetstate.Config) { c.CountsMs = c.TickMs - 1 },
+		func(c *fleetstate.Config) { c.CounterIntervalMs = c.TickMs - 1 },
 		func(c *fleetstate.Config) { c.LeaseMs = 2*c.TickMs - 1 },
 		func(c *fleetstate.Config) { c.SkewMs = -1 },
-		func(c *fleetstate.Config) { c.Lendable = -0.1 },
-		func(c *fleetstate.Config) { c.Lendable = 1 },
-		func(c *fleetstate.Config) { c.HeldMost = -1 },
-		func(c *fleetstate.Config) { c.Lenders = -1 },
-		func(c *fleetstate.Config) { c.FoldMs = 10*(c.LeaseMs+c.SkewMs) - 1 },
-		func(c *fleetstate.Config) { c.MaxEntries = 0 },
-		func(c *fleetstate.Config) { c.ClaimMs = 0 },
-		func(c *fleetstate.Config) { c.HintMs = c.TickMs - 1 },
-		func(c *fleetstate.Config) { c.HearsayMs = c.HintMs - 1 },
+		func(c *fleetstate.Config) { c.MaxLentFraction = -0.1 },
+		func(c *fleetstate.Config) { c.MaxLentFraction = 1 },
+		func(c *fleetstate.Config) { c.MaxBorrowedStakes = -1 },
+		func(c *fleetstate.Config) { c.LendersPerTick = -1 },
+		func(c *fleetstate.Config) { c.CounterRetentionMs = 10*(c.LeaseMs+c.SkewMs) - 1 },
+		func(c *fleetstate.Config) { c.MaxCounterEntries = 0 },
+		func(c *fleetstate.Config) { c.ReportTTLMs = 0 },
+		func(c *fleetstate.Config) { c.EjectionMs = c.TickMs - 1 },
+		func(c *fleetstate.Config) { c.GossipEjectionMs = c.EjectionMs - 1 },
 		func(c *fleetstate.Config) { c.FanOut = 0 },
-		func(c *fleetstate.Config) { c.ShareMost = -0.1 },
-		func(c *fleetstate.Config) { c.ShareMost = 1 },
-		func(c *fleetstate.Config) { c.Support = 0 },
-		func(c *fleetstate.Config) { c.MaxBytes = 399 },
+		func(c *fleetstate.Config) { c.MaxEjectedFraction = -0.1 },
+		func(c *fleetstate.Config) { c.MaxEjectedFraction = 1 },
+		func(c *fleetstate.Config) { c.RequiredSupport = 0 },
+		func(c *fleetstate.Config) { c.MaxMessageBytes = 399 },
 		func(c *fleetstate.Config) { c.Sabotage = "unknown" },
 	} {
 		config := fleetstate.Defaults()
@@ -1025,26 +1025,26 @@
 // cellsAndTexts reads and counts at the bounds of the cells, and reads each
 // kind of claim back from its text; the number alone is hashed.
 func cellsAndTexts(c *cluster) {
-	var cells fleetstate.Cells
+	var cells fleetstate.Counters
 	for _, class := range []int{-1, 0, 2, 63, 64} {
-		cells.Add(class, fleetstate.Kind(1), 7)
+		cells.Add(class, fleetstate.CounterKind(1), 7)
 		c.digest.cells(cells)
 	}
 	for _, class := range []int{0, 1, 63, 64, 1000} {
-		c.digest.numbers(int64(cells.Get(class, fleetstate.Kind(1))))
+		c.digest.numbers(int64(cells.Get(class, fleetstate.CounterKind(1))))
 	}
-	for kind := fleetstate.Well; kind <= fleetstate.Leads; kind++ {
+	for kind := fleetstate.Healthy; kind <= fleetstate.Primary; kind++ {
 		text, err := kind.MarshalText()
-		var back fleetstate.ClaimKind
+		var back fleetstate.HealthStatus
 		if err == nil {
 			err = back.UnmarshalText(text)
 		}
 		c.digest.flag(err == nil)
 		c.digest.numbers(int64(back))
 	}
-	unknown := fleetstate.Well
+	unknown := fleetstate.Healthy
 	c.digest.flag(unknown.UnmarshalText([]byte("no claim has this text")) == nil)
-	for event := fleetstate.LeaseLent; event <= fleetstate.ClaimWrong; event++ {
+	for event := fleetstate.LeaseGranted; event <= fleetstate.ReportRefuted; event++ {
 		c.digest.flag(event.String() != "")
 	}
 }
--- a/internal/fleetstate/counts_test.go
+++ b/internal/fleetstate/counts_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func newCounter(name string, epoch int64) *Counts {
+func newCounter(name string, epoch int64) *CounterStore {
 	cfg := Defaults()
 	cfg.Name, cfg.Start = name, epoch
 	return newCounts(cfg, epoch)
@@ -16,7 +16,7 @@
 
 // exchange tells every counter's whole knowledge to every other, twice, in
 // an order and number drawn from pick.
-func exchange(cs []*Counts, now int64, order []int) {
+func exchange(cs []*CounterStore, now int64, order []int) {
 	for range 2 {
 		for _, i := range order {
 			for _, j := range order {
@@ -39,17 +39,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "routers")
 		now := int64(1000)
-		cs := make([]*Counts, n)
+		cs := make([]*CounterStore, n)
 		for i := range cs {
 			cs[i] = newCounter(fmt.Sprint("r", i), int64(i))
 		}
 		type told struct {
 			to int
-			e  Entry
+			e  CounterEntry
 		}
 		var wire []told
 		carried, ended, restarts, known := uint64(0), uint64(0), 0, 0
-		sum := func(c *Counts) (s uint64) {
+		sum := func(c *CounterStore) (s uint64) {
 			for _, v := range c.Total() {
 				s += v
 			}
@@ -61,9 +61,9 @@
 			i := rapid.IntRange(0, n-1).Draw(t, "router")
 			switch ev := rapid.IntRange(0, 9).Draw(t, fmt.Sprint("event", step)); {
 			case ev < 4:
-				var cells Cells
+				var cells Counters
 				k := uint64(rapid.IntRange(1, 9).Draw(t, "much"))
-				cells.Add(rapid.IntRange(0, 2).Draw(t, "class"), Kind(rapid.IntRange(0, int(kinds)-1).Draw(t, "kind")), k)
+				cells.Add(rapid.IntRange(0, 2).Draw(t, "class"), CounterKind(rapid.IntRange(0, int(kinds)-1).Draw(t, "kind")), k)
 				cs[i].carried(cells)
 				carried += k
 			case ev < 6:
@@ -80,11 +80,11 @@
 			case ev == 9: // a restart: what nobody else holds of its last life is lost
 				restarts++
 				dies := cs[i].own
-				for _, v := range dies.Cells {
+				for _, v := range dies.Counters {
 					ended += v
 				}
 				for _, c := range cs {
-					if k, ok := c.find(dies.Name, dies.Epoch); ok && slices.Equal(c.entries[k].Cells, dies.Cells) {
+					if k, ok := c.find(dies.Name, dies.Epoch); ok && slices.Equal(c.entries[k].Counters, dies.Counters) {
 						known++
 						break
 					}
@@ -126,7 +126,7 @@
 	cfg := Defaults()
 	cfg.Name, cfg.Sabotage = "a", "counts-by-sum"
 	a, b := newCounts(cfg, 0), newCounter("b", 0)
-	var cells Cells
+	var cells Counters
 	cells.Add(0, Requests, 5)
 	b.carried(cells)
 	for range 2 {
@@ -141,11 +141,11 @@
 // them that come later change nothing: memory is bounded by who lives.
 func TestRoutersGoneAreFoldedOnce(t *testing.T) {
 	a := newCounter("a", 0)
-	var old []Entry
+	var old []CounterEntry
 	for i := range 100 {
 		c := newCounter(fmt.Sprint("gone", i), int64(i))
-		var cells Cells
-		cells.Add(1, Refusals, 3)
+		var cells Counters
+		cells.Add(1, Rejections, 3)
 		c.carried(cells)
 		c.tick(int64(1000 + i))
 		old = append(old, c.page(1000)...)
@@ -153,16 +153,16 @@
 	for _, e := range old {
 		a.merge(e, 2000)
 	}
-	a.heardAt = 1100 + a.cfg.FoldMs
-	a.tick(1100 + a.cfg.FoldMs)
-	if len(a.entries) != 0 || a.Total().Get(1, Refusals) != 300 {
-		t.Fatalf("%d entries kept, total %d; want 0 and 300", len(a.entries), a.Total().Get(1, Refusals))
+	a.heardAt = 1100 + a.cfg.CounterRetentionMs
+	a.tick(1100 + a.cfg.CounterRetentionMs)
+	if len(a.entries) != 0 || a.Total().Get(1, Rejections) != 300 {
+		t.Fatalf("%d entries kept, total %d; want 0 and 300", len(a.entries), a.Total().Get(1, Rejections))
 	}
 	for _, e := range old {
-		a.merge(e, 1200+a.cfg.FoldMs)
+		a.merge(e, 1200+a.cfg.CounterRetentionMs)
 	}
-	if got := a.Total().Get(1, Refusals); got != 300 || a.Refused != 100 {
-		t.Errorf("after late copies the total is %d, %d refused; want 300 and 100", got, a.Refused)
+	if got := a.Total().Get(1, Rejections); got != 300 || a.Rejected != 100 {
+		t.Errorf("after late copies the total is %d, %d refused; want 300 and 100", got, a.Rejected)
 	}
 }
 
@@ -170,17 +170,17 @@
 // in a new epoch: what they folded is never counted again.
 func TestALongCutNeverCountsTwice(t *testing.T) {
 	a, b := newCounter("a", 0), newCounter("b", 0)
-	var one Cells
+	var one Counters
 	one.Add(0, Requests, 1)
 	now := int64(0)
 	carried := uint64(0)
-	for ; now < 3*a.cfg.FoldMs; now += 10_000 {
+	for ; now < 3*a.cfg.CounterRetentionMs; now += 10_000 {
 		b.carried(one)
 		carried++
 		a.tick(now)
 		b.tick(now)
-		if now < 60_000 || now > 2*a.cfg.FoldMs {
-			exchange([]*Counts{a, b}, now, []int{0, 1})
+		if now < 60_000 || now > 2*a.cfg.CounterRetentionMs {
+			exchange([]*CounterStore{a, b}, now, []int{0, 1})
 		}
 	}
 	got := a.Total().Get(0, Requests)
--- a/internal/fleetstate/guide_test.go
+++ b/internal/fleetstate/guide_test.go
@@ -11,13 +11,13 @@
 // What a guide was told ends by itself: a router that was paused acts on
 // nothing that has ended, before anything new was told.
 func TestAGuideEndsByItself(t *testing.T) {
-	var g Guide
+	var g FleetAdapter
 	if g.SlowStartRate(1, 5, 2, at(0)) != 5 || g.Deprioritized(1, at(0)) || g.SuggestedPrimary(1, at(0)) || g.RetryRate(at(0)) != 0 {
 		t.Fatal("a guide that was told nothing says something")
 	}
 	id := func(name string) (uint32, bool) { return uint32(len(name)), name != "unknown" }
-	g.Set(Advice{Routers: 4, Rest: 0.5, Shares: map[string]Share{"h": {Own: 0.125, Held: 0.5, Until: 1000}, "unknown": {}},
-		Repeats: Share{Own: -0.2, Held: 1, Until: 1000}, Judged: []Judgement{{Host: "hh", Until: 700}}, Leaders: map[int]string{1: "hhh"}}, id, 100)
+	g.Set(Advice{Routers: 4, RemainingStake: 0.5, SlowStart: map[string]Quota{"h": {Own: 0.125, Borrowed: 0.5, Until: 1000}, "unknown": {}},
+		RetryQuota: Quota{Own: -0.2, Borrowed: 1, Until: 1000}, Ejections: []Ejection{{Host: "hh", Until: 700}}, SuggestedPrimaries: map[int]string{1: "hhh"}}, id, 100)
 	// Half of the stake of a quarter is left, and two stakes are borrowed.
 	if got := g.SlowStartRate(1, 6, 2, at(999)); got != 6*0.5+2*2 {
 		t.Errorf("the rate is %g, want half of its own and two stakes", got)
@@ -45,9 +45,9 @@
 	for _, own := range []float64{2, 3, 10, 100} { // at least the stake's rate, which is 2
 		for _, lent := range []float64{0, 0.05, 0.125, 0.25} {
 			const stake, one = 0.25, 2.0
-			var lender, borrower Guide
-			lender.Set(Advice{Routers: 4, Shares: map[string]Share{"h": {Own: stake - lent, Until: math.MaxInt64}}}, id, 0)
-			borrower.Set(Advice{Routers: 4, Shares: map[string]Share{"h": {Own: stake, Held: lent, Until: 1000}}}, id, 0)
+			var lender, borrower FleetAdapter
+			lender.Set(Advice{Routers: 4, SlowStart: map[string]Quota{"h": {Own: stake - lent, Until: math.MaxInt64}}}, id, 0)
+			borrower.Set(Advice{Routers: 4, SlowStart: map[string]Quota{"h": {Own: stake, Borrowed: lent, Until: 1000}}}, id, 0)
 			sum := lender.SlowStartRate(1, own, one, at(1)) + borrower.SlowStartRate(1, own, one, at(1))
 			if sum > 2*own+1e-9 {
 				t.Errorf("own rate %g, lent %g: together %g, alone %g", own, lent, sum, 2*own)
@@ -58,13 +58,13 @@
 
 // Advice and what was seen cross between two clocks without moving in time.
 func TestShiftedThereAndBack(t *testing.T) {
-	a := Advice{Shares: map[string]Share{"h": {Own: 1, Held: 1, Until: 500}, "i": {Own: 1, Until: math.MaxInt64}}, Repeats: Share{Until: 90}, Judged: []Judgement{{Host: "h", Until: 70}}}
-	b := a.Shifted(2000)
-	if b.Shares["h"].Until != 2500 || b.Shares["i"].Until != math.MaxInt64 || b.Repeats.Until != 2090 || b.Judged[0].Until != 2070 || a.Judged[0].Until != 70 {
+	a := Advice{SlowStart: map[string]Quota{"h": {Own: 1, Borrowed: 1, Until: 500}, "i": {Own: 1, Until: math.MaxInt64}}, RetryQuota: Quota{Until: 90}, Ejections: []Ejection{{Host: "h", Until: 70}}}
+	b := a.OnClockAhead(2000)
+	if b.SlowStart["h"].Until != 2500 || b.SlowStart["i"].Until != math.MaxInt64 || b.RetryQuota.Until != 2090 || b.Ejections[0].Until != 2070 || a.Ejections[0].Until != 70 {
 		t.Errorf("shifted %+v from %+v", b, a)
 	}
-	s := Seen{Hosts: []Host{{Name: "h", GoodAt: 10, BadAt: 0, TriedAt: 30}}}
-	if got := s.Shifted(5).Hosts[0]; got.GoodAt != 15 || got.BadAt != 0 || got.TriedAt != 35 || s.Hosts[0].GoodAt != 10 {
+	s := Observation{Endpoints: []EndpointHealth{{Name: "h", AnsweredSentAt: 10, FaultAt: 0, LastSentAt: 30}}}
+	if got := s.OnClockAhead(5).Endpoints[0]; got.AnsweredSentAt != 15 || got.FaultAt != 0 || got.LastSentAt != 35 || s.Endpoints[0].AnsweredSentAt != 10 {
 		t.Errorf("shifted %+v", got)
 	}
 }
--- a/internal/fleetstate/hang_test.go
+++ b/internal/fleetstate/hang_test.go
@@ -21,7 +21,7 @@
 	"lotusbend/internal/clock"
 	"lotusbend/internal/fleetstate"
 	"lotusbend/internal/router"
-	"lotusbend/internal/slots"
+	"lotusbend/internal/slotmap"
 )
 
 // hangFleet plays real routers (module and embedding) on one manual clock
@@ -45,8 +45,8 @@
 	name  string
 	r     *router.Router
 	node  *fleetstate.Node
-	guide fleetstate.Guide
-	sent  map[slots.Ref]*sentTo
+	guide fleetstate.FleetAdapter
+	sent  map[slotmap.Handle]*sentTo
 	next  uint32
 	liar  bool
 	come  *rand.Rand // arrivals
@@ -87,7 +87,7 @@
 	}
 	f.loop.Do(func() {
 		for i := range routers {
-			h := &hangRouter{f: f, name: names[i], liar: i < liars, sent: map[slots.Ref]*sentTo{},
+			h := &hangRouter{f: f, name: names[i], liar: i < liars, sent: map[slotmap.Handle]*sentTo{},
 				come: rand.New(rand.NewPCG(seed, uint64(2*i+1))), take: rand.New(rand.NewPCG(seed, uint64(2*i+2)))}
 			r, err := router.New(f.loop, cfg, seed*1000+uint64(i))
 			if err != nil {
@@ -108,8 +108,8 @@
 					}
 				}
 				h.node.Fleet(peers, routers, int64(f.loop.Now()))
-				r.Share()
-				r.Join(&h.guide)
+				r.StartObserving()
+				r.JoinFleet(&h.guide)
 			}
 			r.Start(h, members)
 			f.routers = append(f.routers, h)
@@ -137,14 +137,14 @@
 // arrive brings a request, 20 a second at each router, and the next one.
 func (h *hangRouter) arrive() {
 	f := h.f
-	h.r.Submit(router.Request{Class: 0, Group: h.come.IntN(hangGroup), Wait: 1200}, h, slots.Ref{})
+	h.r.Submit(router.Request{Class: 0, Group: h.come.IntN(hangGroup), TimeLeft: 1200}, h, slotmap.Handle{})
 	f.loop.At(f.loop.Now()+h.come.ExpFloat64()*50, h.arrive)
 }
 
 // observe tells the shared state what was seen, and takes its advice.
 func (h *hangRouter) observe() {
 	f, now := h.f, int64(h.f.loop.Now())
-	h.node.Observe(h.r.Seen(hostName))
+	h.node.Observe(h.r.Observe(hostName))
 	h.post(h.node.Tick(now))
 	h.advise()
 	f.loop.At(f.loop.Now()+50, h.observe)
@@ -155,9 +155,9 @@
 	a := h.node.Advice(now)
 	if !h.liar {
 		wrong := map[string]int{}
-		for _, x := range a.Judged {
+		for _, x := range a.Ejections {
 			var id uint32
-			if _, err := fmt.Sscanf(x.Host, "h%d", &id); err == nil && id != h.f.hung && !x.Own {
+			if _, err := fmt.Sscanf(x.Host, "h%d", &id); err == nil && id != h.f.hung && !x.ObservedHere {
 				k := fmt.Sprint((id - 1) / 4)
 				wrong[k]++
 				h.f.wrong = max(h.f.wrong, float64(wrong[k])/4)
@@ -174,17 +174,17 @@
 	for _, m := range r.Messages {
 		if to := h.f.byName[m.To]; to != nil {
 			h.f.loop.At(h.f.loop.Now()+1+2*h.f.rng.Float64(), func() {
-				to.post(to.node.Receive(h.name, m.Msg, int64(h.f.loop.Now())))
+				to.post(to.node.Receive(h.name, m.Message, int64(h.f.loop.Now())))
 			})
 		}
 	}
 }
 
 // Send implements router.Hosts.
-func (h *hangRouter) Send(host uint32, a router.Attempt, _ router.Statement, _ float64) slots.Ref {
+func (h *hangRouter) Send(host uint32, a router.Attempt, _ router.Statement, _ float64) slotmap.Handle {
 	f := h.f
 	h.next++
-	ref := slots.FromID(uint64(h.next))
+	ref := slotmap.FromID(uint64(h.next))
 	s := &sentTo{}
 	h.sent[ref] = s
 	now := f.loop.Now()
@@ -201,13 +201,13 @@
 		if (host-1)%4 == 0 {
 			role = decide.RolePrimary
 		}
-		h.r.Ended(a, router.Report{Outcome: decide.OK, Row: &router.Row{}, Note: decide.ReplicationStatus{Role: role, Position: clock.Duration(f.loop.Now() - 8)}})
+		h.r.AttemptEnded(a, router.AttemptReport{Outcome: decide.OK, Row: &router.Row{}, Status: decide.ReplicationStatus{Role: role, Position: clock.Duration(f.loop.Now() - 8)}})
 	})
 	return ref
 }
 
 // Cancel implements router.Hosts.
-func (h *hangRouter) Cancel(ref slots.Ref) bool {
+func (h *hangRouter) Cancel(ref slotmap.Handle) bool {
 	if s := h.sent[ref]; s != nil {
 		h.f.loop.Cancel(s.end)
 		delete(h.sent, ref)
@@ -216,13 +216,13 @@
 }
 
 // Probe implements router.Hosts: a hung host answers probes, as real ones may.
-func (h *hangRouter) Probe(host uint32) {
+func (h *hangRouter) CheckHealth(host uint32) {
 	h.f.loop.At(h.f.loop.Now()+1, func() {
 		role := decide.RoleReplica
 		if (host-1)%4 == 0 {
 			role = decide.RolePrimary
 		}
-		h.r.Probed(host, router.Report{Outcome: decide.OK, Note: decide.ReplicationStatus{Role: role, Position: clock.Duration(h.f.loop.Now() - 8)}})
+		h.r.HealthChecked(host, router.AttemptReport{Outcome: decide.OK, Status: decide.ReplicationStatus{Role: role, Position: clock.Duration(h.f.loop.Now() - 8)}})
 	})
 }
 
@@ -230,7 +230,7 @@
 func (h *hangRouter) CloseIdle(uint32) {}
 
 // Answer implements router.Client.
-func (h *hangRouter) Answer(slots.Ref, router.Answer) {}
+func (h *hangRouter) Answer(slotmap.Handle, router.Answer) {}
 
 // swallowed adds up what the hung host swallowed, liars' own requests apart.
 func (f *hangFleet) swallowed() (n int) {
@@ -306,7 +306,7 @@
 		if most := float64(row.alone) + 2*math.Sqrt(float64(row.alone)); float64(row.together) > most {
 			t.Errorf("%d routers, %d lying (%s): %d lost together, %d alone", row.routers, row.liars, row.lie, row.together, row.alone)
 		}
-		if row.wrong > fleetstate.Defaults().ShareMost {
+		if row.wrong > fleetstate.Defaults().MaxEjectedFraction {
 			t.Errorf("%d routers, %d lying (%s): %.2f of a group wrongly passed over", row.routers, row.liars, row.lie, row.wrong)
 		}
 	}
--- a/internal/fleetstate/judge.go
+++ b/internal/fleetstate/judge.go
@@ -8,30 +8,30 @@
 	"slices"
 )
 
-// ClaimKind is what a router says of a database host.
-type ClaimKind uint8
+// HealthStatus is what a router says of a database host.
+type HealthStatus uint8
 
 // The kinds of claim. All but Well and Leads are doubts.
 const (
-	Well   ClaimKind = iota + 1 // it answered me: told where others doubt it
-	Hangs                       // it takes work and answers none
-	Fails                       // its answers are errors, or it cannot be reached
-	Slow                        // its answers take several times the others'
-	Behind                      // its position is further back than any class allows
-	Leads                       // it told me that it is its group's primary
+	Healthy      HealthStatus = iota + 1 // it answered me: told where others doubt it
+	Unresponsive                         // it takes work and answers none
+	Failing                              // its answers are errors, or it cannot be reached
+	Slow                                 // its answers take several times the others'
+	Lagging                              // its position is further back than any class allows
+	Primary                              // it told me that it is its group's primary
 	claimKinds
 )
 
-func (k ClaimKind) String() string {
-	return [...]string{"", "well", "hangs", "fails", "slow", "behind", "leads"}[min(k, Leads)]
+func (k HealthStatus) String() string {
+	return [...]string{"", "well", "hangs", "fails", "slow", "behind", "leads"}[min(k, Primary)]
 }
 
 // MarshalText names the kind, for the admin page.
-func (k ClaimKind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
+func (k HealthStatus) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
 // UnmarshalText reads a kind by its name.
-func (k *ClaimKind) UnmarshalText(b []byte) error {
-	for c := ClaimKind(0); c < claimKinds; c++ {
+func (k *HealthStatus) UnmarshalText(b []byte) error {
+	for c := HealthStatus(0); c < claimKinds; c++ {
 		if c.String() == string(b) {
 			*k = c
 			return nil
@@ -42,34 +42,34 @@
 
 // Claim is first-hand evidence on one host. A router only tells of what it
 // saw itself, so the number of claimants is the number of witnesses.
-type Claim struct {
-	Host  string
-	Kind  ClaimKind
-	AgeMs int64 // of the evidence, when sent
+type HealthReport struct {
+	Host   string
+	Status HealthStatus
+	AgeMs  int64 // of the evidence, when sent
 }
 
 // Host is what this router knows of a database host by itself.
-type Host struct {
-	Name    string
-	Group   int
-	Ready   bool  // listed so
-	Leads   bool  // it is the primary as believed here
-	LeadsAt int64 // when it last said so
-	Bad     ClaimKind
-	BadAt   int64 // the newest evidence for Bad
-	GoodAt  int64 // when the last attempt that it answered was sent
-	FreshAt int64 // when its position was last seen near enough for some class
-	TriedAt int64 // when the last attempt was sent
-	Waiting bool  // an attempt is out for longer than its answers take
-	Cold    bool
-	Needed  bool // requests that may go to it are waiting
-	Seeking bool // its group has no primary that answers
+type EndpointHealth struct {
+	Name              string
+	Group             int
+	Ready             bool  // listed so
+	Primary           bool  // it is the primary as believed here
+	PrimaryReportedAt int64 // when it last said so
+	Fault             HealthStatus
+	FaultAt           int64 // the newest evidence for Bad
+	AnsweredSentAt    int64 // when the last attempt that it answered was sent
+	FreshAt           int64 // when its position was last seen near enough for some class
+	LastSentAt        int64 // when the last attempt was sent
+	Overdue           bool  // an attempt is out for longer than its answers take
+	WarmingUp         bool
+	RequestsQueued    bool // requests that may go to it are waiting
+	PrimaryUnknown    bool // its group has no primary that answers
 }
 
 // witness is one peer's latest claim on a host.
 type witness struct {
 	peer string
-	kind ClaimKind
+	kind HealthStatus
 	at   int64 // of the newest evidence, on this router's clock
 	from int64 // of the oldest, where it was renewed ever since
 	was  int64 // Host.GoodAt when the claim came
@@ -87,10 +87,10 @@
 }
 
 // Judge weighs what peers say of hosts.
-type Judge struct {
+type OutlierDetector struct {
 	cfg      Config
 	rng      *rand.Rand
-	hosts    []Host // as last observed, by name
+	hosts    []EndpointHealth // as last observed, by name
 	doubts   map[string]*doubt
 	told     map[string]bool    // hosts that this router told its own doubts of
 	standing map[string]float64 // of peers whose claims proved wrong: 1 is whole
@@ -105,21 +105,21 @@
 	heals        = 1.0 / 60000 // and back with each millisecond: a minute for all of it
 )
 
-func newJudge(cfg Config, now int64) *Judge {
-	return &Judge{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x1d9e)), doubts: map[string]*doubt{}, told: map[string]bool{}, standing: map[string]float64{}, steadied: now}
+func newJudge(cfg Config, now int64) *OutlierDetector {
+	return &OutlierDetector{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x1d9e)), doubts: map[string]*doubt{}, told: map[string]bool{}, standing: map[string]float64{}, steadied: now}
 }
 
-func (j *Judge) host(name string) *Host {
-	if i, ok := slices.BinarySearchFunc(j.hosts, name, func(h Host, n string) int { return cmp.Compare(h.Name, n) }); ok {
+func (j *OutlierDetector) host(name string) *EndpointHealth {
+	if i, ok := slices.BinarySearchFunc(j.hosts, name, func(h EndpointHealth, n string) int { return cmp.Compare(h.Name, n) }); ok {
 		return &j.hosts[i]
 	}
 	return nil
 }
 
 // urgent tells that this router has found a host bad that it did not tell of.
-func (j *Judge) urgent(now int64) bool {
+func (j *OutlierDetector) urgent(now int64) bool {
 	for _, h := range j.hosts {
-		if h.Bad != 0 && now-h.BadAt < j.cfg.ClaimMs && !j.told[h.Name] {
+		if h.Fault != 0 && now-h.FaultAt < j.cfg.ReportTTLMs && !j.told[h.Name] {
 			return true
 		}
 	}
@@ -128,9 +128,9 @@
 
 // observe takes what this router knows; hosts no longer named are forgotten,
 // with all that was said of them.
-func (j *Judge) observe(hosts []Host) {
+func (j *OutlierDetector) observe(hosts []EndpointHealth) {
 	j.hosts = slices.Clone(hosts)
-	slices.SortFunc(j.hosts, func(a, b Host) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(j.hosts, func(a, b EndpointHealth) int { return cmp.Compare(a.Name, b.Name) })
 	for name := range j.doubts {
 		if j.host(name) == nil {
 			delete(j.doubts, name)
@@ -140,25 +140,25 @@
 
 // claims are what this router has to tell: each doubt of its own while its
 // evidence is fresh, that a host is well where others doubt it, and who leads.
-func (j *Judge) claims(now int64) (out []Claim) {
+func (j *OutlierDetector) claims(now int64) (out []HealthReport) {
 	clear(j.told)
 	for _, h := range j.hosts {
 		switch j.cfg.Sabotage { // in concert: every host hangs, or every host is well
 		case "liar":
-			out = append(out, Claim{h.Name, Hangs, 0})
+			out = append(out, HealthReport{h.Name, Unresponsive, 0})
 			continue
 		case "liar-well":
-			out = append(out, Claim{h.Name, Well, 0})
+			out = append(out, HealthReport{h.Name, Healthy, 0})
 			continue
 		}
-		if h.Bad != 0 && now-h.BadAt < j.cfg.ClaimMs {
-			out = append(out, Claim{h.Name, h.Bad, max(0, now-h.BadAt)})
+		if h.Fault != 0 && now-h.FaultAt < j.cfg.ReportTTLMs {
+			out = append(out, HealthReport{h.Name, h.Fault, max(0, now-h.FaultAt)})
 			j.told[h.Name] = true
-		} else if d := j.doubts[h.Name]; d != nil && len(d.witnesses) > 0 && h.GoodAt > 0 && now-h.GoodAt < j.cfg.ClaimMs {
-			out = append(out, Claim{h.Name, Well, max(0, now-h.GoodAt)})
+		} else if d := j.doubts[h.Name]; d != nil && len(d.witnesses) > 0 && h.AnsweredSentAt > 0 && now-h.AnsweredSentAt < j.cfg.ReportTTLMs {
+			out = append(out, HealthReport{h.Name, Healthy, max(0, now-h.AnsweredSentAt)})
 		}
-		if h.LeadsAt > 0 && now-h.LeadsAt < j.cfg.ClaimMs {
-			out = append(out, Claim{h.Name, Leads, max(0, now-h.LeadsAt)})
+		if h.PrimaryReportedAt > 0 && now-h.PrimaryReportedAt < j.cfg.ReportTTLMs {
+			out = append(out, HealthReport{h.Name, Primary, max(0, now-h.PrimaryReportedAt)})
 		}
 	}
 	return out
@@ -166,20 +166,20 @@
 
 // hear takes a peer's claim. Of a host unknown here nothing is kept: a peer
 // that invents hosts holds no memory.
-func (j *Judge) hear(peer string, c Claim, now int64) {
+func (j *OutlierDetector) hear(peer string, c HealthReport, now int64) {
 	h := j.host(c.Host)
-	if h == nil || c.Kind == 0 || c.Kind >= claimKinds || c.AgeMs < 0 || c.AgeMs >= j.cfg.ClaimMs {
+	if h == nil || c.Status == 0 || c.Status >= claimKinds || c.AgeMs < 0 || c.AgeMs >= j.cfg.ReportTTLMs {
 		return
 	}
 	d := j.doubts[c.Host]
 	if d == nil {
 		// Drawn, so that not all routers try a host again at one moment once
 		// nobody has new evidence: the first to try tells the others.
-		d = &doubt{claimMs: j.cfg.ClaimMs/2 + j.rng.Int64N(j.cfg.ClaimMs/2+1)}
+		d = &doubt{claimMs: j.cfg.ReportTTLMs/2 + j.rng.Int64N(j.cfg.ReportTTLMs/2+1)}
 		j.doubts[c.Host] = d
 	}
-	w := witness{peer: peer, kind: c.Kind, at: now - c.AgeMs, from: now - c.AgeMs, was: h.GoodAt}
-	i := slices.IndexFunc(d.witnesses, func(o witness) bool { return o.peer == peer && (o.kind == Leads) == (c.Kind == Leads) })
+	w := witness{peer: peer, kind: c.Status, at: now - c.AgeMs, from: now - c.AgeMs, was: h.AnsweredSentAt}
+	i := slices.IndexFunc(d.witnesses, func(o witness) bool { return o.peer == peer && (o.kind == Primary) == (c.Status == Primary) })
 	switch {
 	case i >= 0 && w.at <= d.witnesses[i].at: // an old one, doubled or reordered
 	case i >= 0:
@@ -196,7 +196,7 @@
 }
 
 // trust is a peer's standing, 1 where nothing of it proved wrong.
-func (j *Judge) trust(peer string) float64 {
+func (j *OutlierDetector) trust(peer string) float64 {
 	if s, ok := j.standing[peer]; ok {
 		return s
 	}
@@ -207,26 +207,26 @@
 // evidence and answered makes a doubt void; where one sent shortly before it
 // was answered as well, the host was well around it and the claim was wrong.
 // A doubt that was found true here earns standing back.
-func (j *Judge) settle(w *witness, h *Host, now int64) (void bool) {
-	doubts, good := w.kind != Well && w.kind != Leads, h.GoodAt
-	if w.kind == Behind {
+func (j *OutlierDetector) settle(w *witness, h *EndpointHealth, now int64) (void bool) {
+	doubts, good := w.kind != Healthy && w.kind != Primary, h.AnsweredSentAt
+	if w.kind == Lagging {
 		good = h.FreshAt
 	}
 	switch {
 	case doubts && good >= w.at:
-		if (w.kind == Hangs || w.kind == Fails) && !w.read && w.was > 0 && w.at-w.was < j.cfg.ClaimMs && h.GoodAt-w.at < j.cfg.ClaimMs {
+		if (w.kind == Unresponsive || w.kind == Failing) && !w.read && w.was > 0 && w.at-w.was < j.cfg.ReportTTLMs && h.AnsweredSentAt-w.at < j.cfg.ReportTTLMs {
 			was := j.trust(w.peer)
 			j.standing[w.peer] = was * wrongCosts
 			if was >= 0.5 && was*wrongCosts < 0.5 { // a liar's every claim would be a line
-				j.events = append(j.events, Event{Kind: ClaimWrong, Key: h.Name, Peer: w.peer, Claim: w.kind, Amount: was * wrongCosts})
+				j.events = append(j.events, Event{Kind: ReportRefuted, Key: h.Name, Peer: w.peer, Status: w.kind, Amount: was * wrongCosts})
 			}
 		}
 		w.read = true
 		return true
-	case doubts && !w.read && h.Bad != 0 && h.BadAt >= w.at:
+	case doubts && !w.read && h.Fault != 0 && h.FaultAt >= w.at:
 		j.standing[w.peer] = min(1, j.trust(w.peer)+rightEarns)
 		w.read = true
-	case w.kind == Well && h.Bad != 0 && h.BadAt > w.at:
+	case w.kind == Healthy && h.Fault != 0 && h.FaultAt > w.at:
 		return true
 	}
 	return false
@@ -237,10 +237,10 @@
 // be said for: a host that hung just now has doubters since then and nobody
 // whom it answered later; one that is lied about has always been answering
 // others meanwhile. It also counts those doubters.
-func (j *Judge) support(d *doubt, h *Host, now int64) (most float64, count int, kind ClaimKind, newest int64) {
+func (j *OutlierDetector) support(d *doubt, h *EndpointHealth, now int64) (most float64, count int, kind HealthStatus, newest int64) {
 	var valid []*witness
 	for i := range d.witnesses {
-		if w := &d.witnesses[i]; !j.settle(w, h, now) && w.kind != Leads {
+		if w := &d.witnesses[i]; !j.settle(w, h, now) && w.kind != Primary {
 			valid = append(valid, w)
 		}
 	}
@@ -256,7 +256,7 @@
 type beginning struct {
 	support float64
 	count   int // of those who doubt the host since then
-	kind    ClaimKind
+	kind    HealthStatus
 	newest  int64 // of their evidence
 }
 
@@ -264,10 +264,10 @@
 // witnesses. It goes through the moments from the latest to the earliest, as
 // each has the doubters of every later one: with thousands of routers there may
 // be as many witnesses.
-func (j *Judge) since(valid []*witness) []beginning {
+func (j *OutlierDetector) since(valid []*witness) []beginning {
 	var doubters, well []int // indexes, the latest first
 	for i, w := range valid {
-		if w.kind == Well {
+		if w.kind == Healthy {
 			well = append(well, i)
 		} else {
 			doubters = append(doubters, i)
@@ -301,27 +301,27 @@
 }
 
 // Judgement passes over a host for a while.
-type Judgement struct {
-	Host    string
-	Kind    ClaimKind
-	Until   int64
-	Support float64
-	Own     bool // seen here as well: then only its next trial is put off
+type Ejection struct {
+	Host         string
+	Status       HealthStatus
+	Until        int64
+	Support      float64
+	ObservedHere bool // seen here as well: then only its next trial is put off
 }
 
 // judge returns the judgements in force: which hosts the router should use
 // last. Bounds that hold whatever peers say: hearsay alone passes over at
-// most ShareMost of a group's ready members, and never the last that is sound
-// by what was seen here; it does so for HearsayMs at most before the router
+// most MaxEjectedFraction of a group's ready members, and never the last that is sound
+// by what was seen here; it does so for GossipEjectionMs at most before the router
 // has tried the host itself; an answer ends it; without renewal it ends after
-// HintMs. It only ever takes a host out: nothing said by a peer lets one in,
+// EjectionMs. It only ever takes a host out: nothing said by a peer lets one in,
 // or adds to what a cold one is sent.
-func (j *Judge) judge(now int64) (in []Judgement) {
+func (j *OutlierDetector) judge(now int64) (in []Ejection) {
 	j.steady(now)
 	type candidate struct {
-		Judgement
+		Ejection
 		d *doubt
-		h *Host
+		h *EndpointHealth
 	}
 	groups := map[int][]candidate{}
 	var order []int
@@ -332,12 +332,12 @@
 			continue
 		}
 		sum, count, kind, newest := j.support(d, h, now)
-		need, least := j.cfg.Support, 2
-		own := h.Bad != 0 && h.BadAt > h.GoodAt
+		need, least := j.cfg.RequiredSupport, 2
+		own := h.Fault != 0 && h.FaultAt > h.AnsweredSentAt
 		switch {
-		case own || h.Waiting: // seen here as well: one more witness is enough
+		case own || h.Overdue: // seen here as well: one more witness is enough
 			need, least = 0.5, 1
-		case d.taken && now < d.until+j.cfg.HintMs: // judged by more: one in good standing renews it
+		case d.taken && now < d.until+j.cfg.EjectionMs: // judged by more: one in good standing renews it
 			need, least = 0.75, 1
 		}
 		if j.cfg.Sabotage == "trust-one" {
@@ -350,28 +350,28 @@
 			d.taken, d.alone = d.taken && now < d.until, 0
 			continue
 		}
-		c := candidate{Judgement{Host: h.Name, Kind: kind, Support: sum, Own: own}, d, h}
+		c := candidate{Ejection{Host: h.Name, Status: kind, Support: sum, ObservedHere: own}, d, h}
 		switch {
 		case !h.Ready:
 			continue
-		case h.Leads: // nobody takes its place for writes and fresh reads: its trials are not put off
+		case h.Primary: // nobody takes its place for writes and fresh reads: its trials are not put off
 			continue
 		case own: // its breaker is open: others' fresher evidence puts its trial off, for a while
-			c.Until = min(now+j.cfg.HintMs, h.BadAt+2*d.claimMs)
-			if newest <= h.BadAt || c.Until <= now {
+			c.Until = min(now+j.cfg.EjectionMs, h.FaultAt+2*d.claimMs)
+			if newest <= h.FaultAt || c.Until <= now {
 				continue
 			}
-		case !h.Waiting:
-			if d.alone == 0 || h.TriedAt > d.alone {
+		case !h.Overdue:
+			if d.alone == 0 || h.LastSentAt > d.alone {
 				d.alone = now
 			}
-			if now-d.alone >= j.cfg.HearsayMs && j.cfg.Sabotage == "" {
+			if now-d.alone >= j.cfg.GossipEjectionMs && j.cfg.Sabotage == "" {
 				j.refuse(d, h, "not tried here")
 				continue
 			}
 			fallthrough
 		default:
-			c.Until = now + j.cfg.HintMs
+			c.Until = now + j.cfg.EjectionMs
 		}
 		if groups[h.Group] == nil {
 			order = append(order, h.Group)
@@ -381,16 +381,16 @@
 	for _, g := range order {
 		cs := groups[g]
 		slices.SortStableFunc(cs, func(a, b candidate) int {
-			if a.Own != b.Own {
-				return cmp.Compare(b2i(b.Own), b2i(a.Own))
+			if a.ObservedHere != b.ObservedHere {
+				return cmp.Compare(b2i(b.ObservedHere), b2i(a.ObservedHere))
 			}
-			return cmp.Or(cmp.Compare(b2i(b.h.Waiting), b2i(a.h.Waiting)), cmp.Compare(b.Support, a.Support))
+			return cmp.Or(cmp.Compare(b2i(b.h.Overdue), b2i(a.h.Overdue)), cmp.Compare(b.Support, a.Support))
 		})
 		ready, sound := 0, 0
 		for _, h := range j.hosts {
 			if h.Group == g && h.Ready {
 				ready++
-				if h.Bad == 0 || h.GoodAt > h.BadAt {
+				if h.Fault == 0 || h.AnsweredSentAt > h.FaultAt {
 					sound++
 				}
 			}
@@ -398,29 +398,29 @@
 		// Where more of a group is doubted than may be passed over, peers err
 		// or lie, and which of the doubts is true cannot be told from here:
 		// then only those that something seen here speaks for are taken.
-		most, alone := int(math.Floor(j.cfg.ShareMost*float64(ready))), 0
+		most, alone := int(math.Floor(j.cfg.MaxEjectedFraction*float64(ready))), 0
 		for _, c := range cs {
-			if !c.Own && !c.h.Waiting {
+			if !c.ObservedHere && !c.h.Overdue {
 				alone++
 			}
 		}
 		for _, c := range cs {
-			if !c.Own {
-				if j.cfg.Sabotage != "trust-one" && (most < 1 || sound < 2 || !c.h.Waiting && alone > most) {
+			if !c.ObservedHere {
+				if j.cfg.Sabotage != "trust-one" && (most < 1 || sound < 2 || !c.h.Overdue && alone > most) {
 					j.refuse(c.d, c.h, "too much of the group")
 					continue
 				}
 				most--
 				sound--
-				if !c.h.Waiting {
+				if !c.h.Overdue {
 					alone--
 				}
 			}
 			if !c.d.taken || c.d.until < now {
-				j.events = append(j.events, Event{Kind: JudgementTaken, Key: c.Host, Claim: c.Kind, Amount: c.Support})
+				j.events = append(j.events, Event{Kind: EndpointEjected, Key: c.Host, Status: c.Status, Amount: c.Support})
 			}
 			c.d.taken, c.d.until, c.d.refused = true, c.Until, ""
-			in = append(in, c.Judgement)
+			in = append(in, c.Ejection)
 		}
 	}
 	return in
@@ -434,26 +434,26 @@
 }
 
 // refuse notes why a judgement was not taken, once for each reason.
-func (j *Judge) refuse(d *doubt, h *Host, why string) {
+func (j *OutlierDetector) refuse(d *doubt, h *EndpointHealth, why string) {
 	if d.refused != why {
 		d.refused = why
-		j.events = append(j.events, Event{Kind: JudgementRefused, Key: h.Name, Why: why})
+		j.events = append(j.events, Event{Kind: EjectionRejected, Key: h.Name, Reason: why})
 	}
 }
 
 // leader returns whom peers say a group's primary is, where this router seeks
 // it: the newest word, if it is newer than what was seen here. A wrong one
 // costs one try that is turned away.
-func (j *Judge) leaders() (out map[int]string) {
+func (j *OutlierDetector) leaders() (out map[int]string) {
 	best := map[int]int64{}
 	for i := range j.hosts {
 		h := &j.hosts[i]
 		d := j.doubts[h.Name]
-		if d == nil || !h.Seeking || !h.Ready {
+		if d == nil || !h.PrimaryUnknown || !h.Ready {
 			continue
 		}
 		for _, w := range d.witnesses {
-			if w.kind == Leads && w.at > best[h.Group] && w.at > h.TriedAt {
+			if w.kind == Primary && w.at > best[h.Group] && w.at > h.LastSentAt {
 				if out == nil {
 					out = map[int]string{}
 				}
@@ -465,11 +465,11 @@
 }
 
 // steady forgets claims whose evidence is too old and lets standing recover.
-func (j *Judge) steady(now int64) {
+func (j *OutlierDetector) steady(now int64) {
 	if j.cfg.Sabotage != "never-expire" {
 		for name, d := range j.doubts {
 			d.witnesses = slices.DeleteFunc(d.witnesses, func(w witness) bool { return now-w.at >= d.claimMs })
-			if len(d.witnesses) == 0 && now >= d.until && (d.alone == 0 || now-d.alone >= 4*j.cfg.HearsayMs) {
+			if len(d.witnesses) == 0 && now >= d.until && (d.alone == 0 || now-d.alone >= 4*j.cfg.GossipEjectionMs) {
 				delete(j.doubts, name)
 			}
 		}
--- a/internal/fleetstate/judge_test.go
+++ b/internal/fleetstate/judge_test.go
@@ -7,17 +7,17 @@
 	"pgregory.net/rapid"
 )
 
-func judgeOf(hosts ...Host) *Judge {
+func judgeOf(hosts ...EndpointHealth) *OutlierDetector {
 	j := newJudge(Defaults(), 0)
 	j.observe(hosts)
 	return j
 }
 
-func group3() []Host {
-	return []Host{{Name: "a", Group: 1, Ready: true}, {Name: "b", Group: 1, Ready: true}, {Name: "c", Group: 1, Ready: true}}
+func group3() []EndpointHealth {
+	return []EndpointHealth{{Name: "a", Group: 1, Ready: true}, {Name: "b", Group: 1, Ready: true}, {Name: "c", Group: 1, Ready: true}}
 }
 
-func judged(j *Judge, now int64) (names string) {
+func judged(j *OutlierDetector, now int64) (names string) {
 	for _, x := range j.judge(now) {
 		names += x.Host
 	}
@@ -26,20 +26,20 @@
 
 func TestTwoWitnessesAreNeededAndAnAnswerHereOverridesThem(t *testing.T) {
 	j := judgeOf(group3()...)
-	j.hear("p", Claim{"b", Hangs, 0}, 1000)
+	j.hear("p", HealthReport{"b", Unresponsive, 0}, 1000)
 	if got := judged(j, 1000); got != "" {
 		t.Fatalf("one witness is enough for %q", got)
 	}
-	j.hear("p", Claim{"b", Hangs, 0}, 1100) // the same one again is no second
+	j.hear("p", HealthReport{"b", Unresponsive, 0}, 1100) // the same one again is no second
 	if got := judged(j, 1100); got != "" {
 		t.Fatalf("one witness said it twice, enough for %q", got)
 	}
-	j.hear("q", Claim{"b", Hangs, 100}, 1100)
+	j.hear("q", HealthReport{"b", Unresponsive, 100}, 1100)
 	if got := judged(j, 1100); got != "b" {
 		t.Fatalf("two witnesses judge %q, want b", got)
 	}
 	hosts := group3()
-	hosts[1].GoodAt, hosts[1].TriedAt = 1150, 1150
+	hosts[1].AnsweredSentAt, hosts[1].LastSentAt = 1150, 1150
 	j.observe(hosts)
 	if got := judged(j, 1200); got != "" {
 		t.Fatalf("b answered here after the evidence, and %q is passed over", got)
@@ -50,22 +50,22 @@
 // its witness loses standing, and a third such claim in a row counts little.
 func TestClaimsThatProveWrongCostStanding(t *testing.T) {
 	hosts := group3()
-	hosts[1].GoodAt = 900
+	hosts[1].AnsweredSentAt = 900
 	j := judgeOf(hosts...)
 	for _, p := range []string{"p", "q"} {
-		j.hear(p, Claim{"b", Hangs, 0}, 1000)
+		j.hear(p, HealthReport{"b", Unresponsive, 0}, 1000)
 	}
 	if got := judged(j, 1000); got != "b" {
 		t.Fatalf("judged %q, want b", got)
 	}
-	hosts[1].GoodAt = 1100
+	hosts[1].AnsweredSentAt = 1100
 	j.observe(hosts)
 	judged(j, 1200)
 	if j.trust("p") >= 0.6 || j.trust("q") >= 0.6 {
 		t.Fatalf("standing %.2f and %.2f after a claim that proved wrong", j.trust("p"), j.trust("q"))
 	}
 	for _, p := range []string{"p", "q"} {
-		j.hear(p, Claim{"c", Hangs, 0}, 1300)
+		j.hear(p, HealthReport{"c", Unresponsive, 0}, 1300)
 	}
 	if got := judged(j, 1300); got != "" {
 		t.Errorf("two whose claims proved wrong judge %q", got)
@@ -78,14 +78,14 @@
 func TestHearsayEndsWithoutRenewalAndUntriedHere(t *testing.T) {
 	j := judgeOf(group3()...)
 	say := func(now int64) {
-		j.hear("p", Claim{"b", Hangs, 0}, now)
-		j.hear("q", Claim{"b", Hangs, 0}, now)
+		j.hear("p", HealthReport{"b", Unresponsive, 0}, now)
+		j.hear("q", HealthReport{"b", Unresponsive, 0}, now)
 	}
 	say(1000)
-	if got := j.judge(1000); len(got) != 1 || got[0].Until != 1000+j.cfg.HintMs {
-		t.Fatalf("judged %+v, want b until %d", got, 1000+j.cfg.HintMs)
+	if got := j.judge(1000); len(got) != 1 || got[0].Until != 1000+j.cfg.EjectionMs {
+		t.Fatalf("judged %+v, want b until %d", got, 1000+j.cfg.EjectionMs)
 	}
-	if got := judged(j, 1000+j.cfg.ClaimMs); got != "" {
+	if got := judged(j, 1000+j.cfg.ReportTTLMs); got != "" {
 		t.Errorf("claims without renewal still judge %q", got)
 	}
 	j = judgeOf(group3()...)
@@ -96,8 +96,8 @@
 			last = now
 		}
 	}
-	if last > 1000+j.cfg.HearsayMs {
-		t.Errorf("hearsay alone passed b over until %d, untried here, want %d at most", last, 1000+j.cfg.HearsayMs)
+	if last > 1000+j.cfg.GossipEjectionMs {
+		t.Errorf("hearsay alone passed b over until %d, untried here, want %d at most", last, 1000+j.cfg.GossipEjectionMs)
 	}
 }
 
@@ -105,22 +105,22 @@
 // here, for a stated time.
 func TestOthersEvidencePutsATrialOffForAWhile(t *testing.T) {
 	hosts := group3()
-	hosts[1].Bad, hosts[1].BadAt, hosts[1].TriedAt = Hangs, 1000, 1000
+	hosts[1].Fault, hosts[1].FaultAt, hosts[1].LastSentAt = Unresponsive, 1000, 1000
 	j := judgeOf(hosts...)
 	if got := judged(j, 1100); got != "" {
 		t.Fatalf("nobody said anything, and %q is judged", got)
 	}
 	last := int64(0)
 	for now := int64(1200); now < 20_000; now += 100 {
-		j.hear("p", Claim{"b", Hangs, 0}, now)
+		j.hear("p", HealthReport{"b", Unresponsive, 0}, now)
 		for _, x := range j.judge(now) {
-			if !x.Own {
+			if !x.ObservedHere {
 				t.Fatalf("judged %+v, which was seen here", x)
 			}
 			last = x.Until
 		}
 	}
-	if most := 1000 + 2*j.cfg.ClaimMs; last == 0 || last > most {
+	if most := 1000 + 2*j.cfg.ReportTTLMs; last == 0 || last > most {
 		t.Errorf("trials were put off until %d, want some time up to %d", last, most)
 	}
 }
@@ -128,12 +128,12 @@
 // A primary's trials are never put off, and it is never passed over: nobody
 // takes its place.
 func TestAPrimaryIsNotJudgedByHearsay(t *testing.T) {
-	for _, bad := range []ClaimKind{0, Hangs} {
+	for _, bad := range []HealthStatus{0, Unresponsive} {
 		hosts := group3()
-		hosts[1].Leads, hosts[1].Bad, hosts[1].BadAt = true, bad, 1000
+		hosts[1].Primary, hosts[1].Fault, hosts[1].FaultAt = true, bad, 1000
 		j := judgeOf(hosts...)
 		for _, p := range []string{"p", "q", "r"} {
-			j.hear(p, Claim{"b", Hangs, 0}, 1200)
+			j.hear(p, HealthReport{"b", Unresponsive, 0}, 1200)
 		}
 		if got := judged(j, 1200); got != "" {
 			t.Errorf("judged %q, the group's primary", got)
@@ -144,18 +144,18 @@
 func TestAHeardLeaderIsOnlyForWhoSeeks(t *testing.T) {
 	hosts := group3()
 	j := judgeOf(hosts...)
-	j.hear("p", Claim{"c", Leads, 10}, 1000)
+	j.hear("p", HealthReport{"c", Primary, 10}, 1000)
 	if got := j.leaders(); len(got) > 0 {
 		t.Fatalf("leaders %v though the primary is known here", got)
 	}
 	for i := range hosts {
-		hosts[i].Seeking = true
+		hosts[i].PrimaryUnknown = true
 	}
 	j.observe(hosts)
 	if got := j.leaders(); got[1] != "c" {
 		t.Fatalf("leaders %v, want c", got)
 	}
-	hosts[2].TriedAt = 1100
+	hosts[2].LastSentAt = 1100
 	j.observe(hosts)
 	if got := j.leaders(); len(got) > 0 {
 		t.Errorf("leaders %v though c was tried since", got)
@@ -165,8 +165,8 @@
 func TestPeersThatInventHostsHoldNoMemory(t *testing.T) {
 	j := judgeOf(group3()...)
 	for i := range 1000 {
-		j.hear("p", Claim{fmt.Sprint("x", i), Hangs, 0}, 1000)
-		j.hear(fmt.Sprint("p", i), Claim{"a", Hangs, 0}, 1000)
+		j.hear("p", HealthReport{fmt.Sprint("x", i), Unresponsive, 0}, 1000)
+		j.hear(fmt.Sprint("p", i), HealthReport{"a", Unresponsive, 0}, 1000)
 	}
 	if len(j.doubts) != 1 || len(j.doubts["a"].witnesses) > maxWitnesses {
 		t.Errorf("%d hosts and %d witnesses held", len(j.doubts), len(j.doubts["a"].witnesses))
@@ -189,7 +189,7 @@
 	j := newJudge(cfg, 0)
 	j.observe(group3())
 	for _, h := range []string{"a", "b", "c"} {
-		j.hear("p", Claim{h, Hangs, 0}, 1000)
+		j.hear("p", HealthReport{h, Unresponsive, 0}, 1000)
 	}
 	if got := judged(j, 1000); len(got) < 3 {
 		t.Errorf("judged %q: the sabotage takes no guard out", got)
@@ -201,10 +201,10 @@
 	cfg.Sabotage = sabotage
 	j := newJudge(cfg, 0)
 	now := int64(10_000)
-	var hosts []Host
+	var hosts []EndpointHealth
 	for g := range rapid.IntRange(1, 3).Draw(t, "groups") {
 		for i := range rapid.IntRange(1, 6).Draw(t, "members") {
-			hosts = append(hosts, Host{Name: fmt.Sprintf("g%d-%d", g, i), Group: g, Ready: rapid.IntRange(0, 4).Draw(t, "ready") > 0})
+			hosts = append(hosts, EndpointHealth{Name: fmt.Sprintf("g%d-%d", g, i), Group: g, Ready: rapid.IntRange(0, 4).Draw(t, "ready") > 0})
 		}
 	}
 	j.observe(hosts)
@@ -216,40 +216,40 @@
 			h := &hosts[rapid.IntRange(0, len(hosts)-1).Draw(t, "host")]
 			switch rapid.IntRange(0, 3).Draw(t, "saw") {
 			case 0:
-				h.GoodAt, h.TriedAt, h.Bad = now, now, 0
+				h.AnsweredSentAt, h.LastSentAt, h.Fault = now, now, 0
 			case 1:
-				h.Bad, h.BadAt, h.TriedAt = Hangs, now, now
+				h.Fault, h.FaultAt, h.LastSentAt = Unresponsive, now, now
 			case 2:
-				h.Waiting = !h.Waiting
+				h.Overdue = !h.Overdue
 			case 3:
-				h.TriedAt = now
+				h.LastSentAt = now
 			}
 			j.observe(hosts)
 		default:
 			for range rapid.IntRange(1, 12).Draw(t, "claims") {
-				j.hear(fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "peer")), Claim{
-					Host: hosts[rapid.IntRange(0, len(hosts)-1).Draw(t, "of")].Name,
-					Kind: ClaimKind(rapid.IntRange(0, 8).Draw(t, "kind")), AgeMs: rapid.Int64Range(-10, 4000).Draw(t, "age")}, now)
+				j.hear(fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "peer")), HealthReport{
+					Host:   hosts[rapid.IntRange(0, len(hosts)-1).Draw(t, "of")].Name,
+					Status: HealthStatus(rapid.IntRange(0, 8).Draw(t, "kind")), AgeMs: rapid.Int64Range(-10, 4000).Draw(t, "age")}, now)
 			}
 		}
 		byHearsay, ready, sound, soundLeft := map[int]int{}, map[int]int{}, map[int]int{}, map[int]int{}
-		in := map[string]Judgement{}
+		in := map[string]Ejection{}
 		for _, x := range j.judge(now) {
 			in[x.Host] = x
 			h := j.host(x.Host)
-			if x.Until > now+cfg.HintMs {
+			if x.Until > now+cfg.EjectionMs {
 				t.Fatalf("%+v lasts longer than stated at %d", x, now)
 			}
-			if x.Own != (h.Bad != 0 && h.BadAt > h.GoodAt) {
+			if x.ObservedHere != (h.Fault != 0 && h.FaultAt > h.AnsweredSentAt) {
 				t.Fatalf("%+v is told as seen here, which is %+v", x, h)
 			}
 			fresh := false
 			for _, w := range j.doubts[x.Host].witnesses {
-				since := h.GoodAt
-				if w.kind == Behind {
+				since := h.AnsweredSentAt
+				if w.kind == Lagging {
 					since = h.FreshAt
 				}
-				fresh = fresh || w.kind != Well && w.kind != Leads && now-w.at < cfg.ClaimMs && w.at > since
+				fresh = fresh || w.kind != Healthy && w.kind != Primary && now-w.at < cfg.ReportTTLMs && w.at > since
 			}
 			if !fresh {
 				t.Fatalf("%+v rests on no evidence newer than the last answer here", x)
@@ -261,10 +261,10 @@
 			}
 			ready[h.Group]++
 			x, is := in[h.Name]
-			if is && !x.Own {
+			if is && !x.ObservedHere {
 				byHearsay[h.Group]++
 			}
-			if h.Bad == 0 || h.GoodAt > h.BadAt {
+			if h.Fault == 0 || h.AnsweredSentAt > h.FaultAt {
 				sound[h.Group]++
 				if !is {
 					soundLeft[h.Group]++
@@ -272,7 +272,7 @@
 			}
 		}
 		for g, k := range byHearsay {
-			if float64(k) > cfg.ShareMost*float64(ready[g]) {
+			if float64(k) > cfg.MaxEjectedFraction*float64(ready[g]) {
 				t.Fatalf("hearsay passes over %d of %d ready members", k, ready[g])
 			}
 			if sound[g] > 0 && soundLeft[g] == 0 {
--- a/internal/fleetstate/lease.go
+++ b/internal/fleetstate/lease.go
@@ -22,7 +22,7 @@
 	began int64
 	lent  map[string][]loan
 	held  map[string][]loan
-	asked map[string]Ask // by peer and key: the last ask, which only its grant may answer
+	asked map[string]LeaseRequest // by peer and key: the last ask, which only its grant may answer
 	seq   uint64
 }
 
@@ -36,21 +36,21 @@
 }
 
 // Ask is a borrower's request for a share of a budget.
-type Ask struct {
-	Key  string
-	ID   uint64 // of the borrower, new with each ask
-	Want float64
-	At   int64 // the borrower's time, told back by the grant
+type LeaseRequest struct {
+	Key         string
+	ID          uint64 // of the borrower, new with each ask
+	Wanted      float64
+	RequestedAt int64 // the borrower's time, told back by the grant
 }
 
-// Grant hands over a share: the borrower may use it until Ask.At + ForMs on
+// Grant hands over a share: the borrower may use it until Ask.At + DurationMs on
 // its own clock.
-type Grant struct {
-	Key    string
-	ID     uint64
-	Amount float64
-	At     int64
-	ForMs  int64
+type LeaseGrant struct {
+	Key         string
+	ID          uint64
+	Amount      float64
+	RequestedAt int64
+	DurationMs  int64
 }
 
 // maxLoans bounds the loans of one budget on each side, one for each router of
@@ -61,38 +61,38 @@
 // instance under this name may have lent the lendable part of the stake: it
 // is left alone.
 func newLeases(cfg Config, now int64) *Leases {
-	return &Leases{cfg: cfg, began: now, lent: map[string][]loan{}, held: map[string][]loan{}, asked: map[string]Ask{}}
+	return &Leases{cfg: cfg, began: now, lent: map[string][]loan{}, held: map[string][]loan{}, asked: map[string]LeaseRequest{}}
 }
 
 // Share is what a router may use of a budget: Own for as long as it is told
 // nothing else, and Held until Until. Who acts on it later than Until has Own
 // alone, so a router that was paused past a lease does not send on it.
-type Share struct {
-	Own, Held float64
-	Until     int64
+type Quota struct {
+	Own, Borrowed float64
+	Until         int64
 }
 
 // At is the share at now.
-func (s Share) At(now int64) float64 {
+func (s Quota) At(now int64) float64 {
 	if now < s.Until {
-		return s.Own + s.Held
+		return s.Own + s.Borrowed
 	}
 	return s.Own
 }
 
 // Share is this router's part of the budget key, given its own stake: the
 // stake less what it lent, and what it borrowed.
-func (l *Leases) Share(key string, stake float64, now int64) Share {
-	s := Share{Own: stake, Until: math.MaxInt64}
+func (l *Leases) Quota(key string, stake float64, now int64) Quota {
+	s := Quota{Own: stake, Until: math.MaxInt64}
 	if now < l.began+l.cfg.LeaseMs+l.cfg.SkewMs {
-		s.Own *= 1 - l.cfg.Lendable
+		s.Own *= 1 - l.cfg.MaxLentFraction
 	}
 	if l.cfg.Sabotage != "no-lease-wait" {
 		s.Own = max(0, s.Own-sum(l.lent[key], now))
 	}
 	for _, h := range l.held[key] {
 		if now < h.ends || l.cfg.Sabotage == "never-expire" {
-			s.Held += h.amount
+			s.Borrowed += h.amount
 			if l.cfg.Sabotage != "never-expire" {
 				s.Until = min(s.Until, h.ends)
 			}
@@ -112,13 +112,13 @@
 }
 
 // want returns an ask to peer for the budget key, if more may be borrowed.
-func (l *Leases) want(key, peer string, stake float64, now int64) (Ask, bool) {
-	room := l.cfg.HeldMost*stake - sum(l.held[key], now)
+func (l *Leases) want(key, peer string, stake float64, now int64) (LeaseRequest, bool) {
+	room := l.cfg.MaxBorrowedStakes*stake - sum(l.held[key], now)
 	if room <= 0 || len(l.held[key]) >= maxLoans {
-		return Ask{}, false
+		return LeaseRequest{}, false
 	}
 	l.seq++
-	a := Ask{Key: key, ID: l.seq, Want: min(room, stake), At: now}
+	a := LeaseRequest{Key: key, ID: l.seq, Wanted: min(room, stake), RequestedAt: now}
 	l.asked[peer+"\x00"+key] = a
 	return a, true
 }
@@ -126,38 +126,38 @@
 // grant answers a peer's ask: at most the lendable part of the stake less
 // what is lent, nothing where this router needs its stake itself. The same
 // ask again gets the same grant, and no second share.
-func (l *Leases) grant(peer string, a Ask, stake float64, needed bool, now int64) (Grant, bool) {
+func (l *Leases) grant(peer string, a LeaseRequest, stake float64, needed bool, now int64) (LeaseGrant, bool) {
 	for _, o := range l.lent[a.Key] {
-		if o.peer == peer && o.id == a.ID && o.at == a.At && now < o.ends {
-			return Grant{a.Key, a.ID, o.amount, a.At, l.cfg.LeaseMs}, true
+		if o.peer == peer && o.id == a.ID && o.at == a.RequestedAt && now < o.ends {
+			return LeaseGrant{a.Key, a.ID, o.amount, a.RequestedAt, l.cfg.LeaseMs}, true
 		}
 	}
-	if needed || now < l.began+l.cfg.LeaseMs+l.cfg.SkewMs || !(a.Want > 0) || len(l.lent[a.Key]) >= maxLoans {
-		return Grant{}, false
+	if needed || now < l.began+l.cfg.LeaseMs+l.cfg.SkewMs || !(a.Wanted > 0) || len(l.lent[a.Key]) >= maxLoans {
+		return LeaseGrant{}, false
 	}
-	left := l.cfg.Lendable * stake
+	left := l.cfg.MaxLentFraction * stake
 	if l.cfg.Sabotage != "no-lease-wait" {
 		left -= sum(l.lent[a.Key], now)
 	}
-	amount := min(a.Want, left)
+	amount := min(a.Wanted, left)
 	if amount < stake/100 {
-		return Grant{}, false
+		return LeaseGrant{}, false
 	}
-	l.lent[a.Key] = append(l.lent[a.Key], loan{peer, a.ID, a.At, amount, now + l.cfg.LeaseMs + l.cfg.SkewMs})
-	return Grant{a.Key, a.ID, amount, a.At, l.cfg.LeaseMs}, true
+	l.lent[a.Key] = append(l.lent[a.Key], loan{peer, a.ID, a.RequestedAt, amount, now + l.cfg.LeaseMs + l.cfg.SkewMs})
+	return LeaseGrant{a.Key, a.ID, amount, a.RequestedAt, l.cfg.LeaseMs}, true
 }
 
 // take holds a granted share. Only the grant of the last ask to that peer
 // counts, once: one that comes doubled, late or unasked changes nothing.
-func (l *Leases) take(peer string, g Grant, stake float64, now int64) (loan, bool) {
+func (l *Leases) take(peer string, g LeaseGrant, stake float64, now int64) (loan, bool) {
 	k := peer + "\x00" + g.Key
 	a, ok := l.asked[k]
-	if !ok || a.ID != g.ID || a.At != g.At || !(g.Amount > 0) {
+	if !ok || a.ID != g.ID || a.RequestedAt != g.RequestedAt || !(g.Amount > 0) {
 		return loan{}, false
 	}
 	delete(l.asked, k)
-	h := loan{peer, g.ID, a.At, min(g.Amount, a.Want), a.At + min(g.ForMs, l.cfg.LeaseMs)}
-	if now >= h.ends || sum(l.held[g.Key], now)+h.amount > l.cfg.HeldMost*stake {
+	h := loan{peer, g.ID, a.RequestedAt, min(g.Amount, a.Wanted), a.RequestedAt + min(g.DurationMs, l.cfg.LeaseMs)}
+	if now >= h.ends || sum(l.held[g.Key], now)+h.amount > l.cfg.MaxBorrowedStakes*stake {
 		return loan{}, false
 	}
 	l.held[g.Key] = append(l.held[g.Key], h)
@@ -171,7 +171,7 @@
 			if now < h.ends || l.cfg.Sabotage == "never-expire" {
 				return false
 			}
-			ended = append(ended, Event{Kind: LeaseEnded, Key: key, Peer: h.peer, Amount: h.amount})
+			ended = append(ended, Event{Kind: LeaseExpired, Key: key, Peer: h.peer, Amount: h.amount})
 			return true
 		})
 		if len(l.held[key]) == 0 {
@@ -183,6 +183,6 @@
 			delete(l.lent, key)
 		}
 	}
-	maps.DeleteFunc(l.asked, func(_ string, a Ask) bool { return now >= a.At+l.cfg.LeaseMs })
+	maps.DeleteFunc(l.asked, func(_ string, a LeaseRequest) bool { return now >= a.RequestedAt+l.cfg.LeaseMs })
 	return ended
 }
--- a/internal/fleetstate/lease_test.go
+++ b/internal/fleetstate/lease_test.go
@@ -18,20 +18,20 @@
 	offset  []int64 // of each clock
 	step    []int64 // within a quarter of the skew either way
 	leases  []*Leases
-	advised []Share // what each router acts on, taken when it last ran
+	advised []Quota // what each router acts on, taken when it last ran
 	wire    []letter
 }
 
 type letter struct {
 	from, to int
-	ask      *Ask
-	grant    *Grant
+	ask      *LeaseRequest
+	grant    *LeaseGrant
 }
 
 const host = "h"
 
 func newFleet(cfg Config, n int) *fleet {
-	f := &fleet{cfg: cfg, offset: make([]int64, n), step: make([]int64, n), leases: make([]*Leases, n), advised: make([]Share, n)}
+	f := &fleet{cfg: cfg, offset: make([]int64, n), step: make([]int64, n), leases: make([]*Leases, n), advised: make([]Quota, n)}
 	for i := range n {
 		f.offset[i] = int64(i) * 1_000_000
 		f.boot(i)
@@ -51,7 +51,7 @@
 
 func (f *fleet) advise(i int) {
 	f.leases[i].expire(f.clock(i))
-	f.advised[i] = f.leases[i].Share(host, f.stake(), f.clock(i))
+	f.advised[i] = f.leases[i].Quota(host, f.stake(), f.clock(i))
 }
 
 func (f *fleet) ask(from, to int) {
--- a/internal/fleetstate/link/link.go
+++ b/internal/fleetstate/link/link.go
@@ -36,7 +36,7 @@
 	udp.Payload
 }
 
-// Link implements udp.Shared.
+// Link implements udp.SharedState.
 type Link struct {
 	node    *fleetstate.Node
 	codec   *wire.Codec
@@ -49,9 +49,9 @@
 	grants  []grant
 
 	mu      sync.Mutex
-	pending fleetstate.Seen
+	pending fleetstate.Observation
 	fresh   bool
-	page    fleetstate.Page
+	page    fleetstate.StatusPage
 
 	Malformed, Sent, Received, Bytes atomic.Uint64
 }
@@ -68,7 +68,7 @@
 	}
 	l := &Link{node: fleetstate.New(cfg, fleet, now), codec: codec, log: log, advice: make(chan Advice, 1)}
 	l.first = l.node.Advice(now)
-	l.page = l.node.Page(now)
+	l.page = l.node.StatusPage(now)
 	return l, nil
 }
 
@@ -78,14 +78,14 @@
 
 // Offer takes what the router saw; what was not yet taken of an earlier one is
 // added up.
-func (l *Link) Offer(s fleetstate.Seen) {
+func (l *Link) Offer(s fleetstate.Observation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for i, v := range l.pending.Carried {
-		if len(s.Carried) <= i {
-			s.Carried = append(s.Carried, make(fleetstate.Cells, i+1-len(s.Carried))...)
+	for i, v := range l.pending.Counters {
+		if len(s.Counters) <= i {
+			s.Counters = append(s.Counters, make(fleetstate.Counters, i+1-len(s.Counters))...)
 		}
-		s.Carried[i] += v
+		s.Counters[i] += v
 	}
 	l.pending, l.fresh = s, true
 }
@@ -98,20 +98,20 @@
 func (l *Link) Applied(seq uint64) { l.applied.Store(seq) }
 
 // Page is the state for people, a copy.
-func (l *Link) Page() fleetstate.Page {
+func (l *Link) Page() fleetstate.StatusPage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.page
 }
 
-// Fleet implements udp.Shared.
+// Fleet implements udp.SharedState.
 func (l *Link) Fleet(peers []string, size int, now int64) { l.node.Fleet(peers, size, now) }
 
-// Tick implements udp.Shared.
+// Tick implements udp.SharedState.
 func (l *Link) Tick(now int64) []udp.Payload {
 	l.mu.Lock()
 	s, fresh := l.pending, l.fresh
-	l.pending, l.fresh = fleetstate.Seen{}, false
+	l.pending, l.fresh = fleetstate.Observation{}, false
 	l.mu.Unlock()
 	if fresh {
 		l.node.Observe(s)
@@ -128,7 +128,7 @@
 	return out
 }
 
-// Receive implements udp.Shared: bytes that no router sends are counted.
+// Receive implements udp.SharedState: bytes that no router sends are counted.
 func (l *Link) Receive(from string, payload []byte, now int64) []udp.Payload {
 	m, err := l.codec.Decode(payload)
 	if err != nil {
@@ -150,7 +150,7 @@
 
 func (l *Link) advise(now int64) {
 	l.advised = now
-	a, p := l.node.Advice(now), l.node.Page(now)
+	a, p := l.node.Advice(now), l.node.StatusPage(now)
 	l.mu.Lock()
 	l.page = p
 	l.mu.Unlock()
@@ -165,23 +165,23 @@
 func (l *Link) carry(r fleetstate.Ready) (out []udp.Payload) {
 	for _, e := range r.Events {
 		key := e.Key
-		if key == fleetstate.RepeatsKey {
+		if key == fleetstate.RetryBudgetKey {
 			key = "repeats"
 		}
 		attrs := []any{"of", key, "amount", e.Amount}
 		if e.Peer != "" {
 			attrs = append(attrs, "peer", e.Peer)
 		}
-		if e.Claim != 0 {
-			attrs = append(attrs, "claim", e.Claim.String())
+		if e.Status != 0 {
+			attrs = append(attrs, "claim", e.Status.String())
 		}
-		if e.Why != "" {
-			attrs = append(attrs, "why", e.Why)
+		if e.Reason != "" {
+			attrs = append(attrs, "why", e.Reason)
 		}
 		l.log.Info("shared state: "+e.Kind.String(), attrs...)
 	}
 	for _, m := range r.Messages {
-		b, err := l.codec.Encode(m.Msg)
+		b, err := l.codec.Encode(m.Message)
 		if err != nil {
 			l.log.Error("shared state: a message that cannot be encoded", "error", err)
 			continue
@@ -198,13 +198,13 @@
 	p := l.Page()
 	m := map[string]uint64{
 		"shared_messages_sent": l.Sent.Load(), "shared_messages_received": l.Received.Load(), "shared_bytes_sent": l.Bytes.Load(),
-		"shared_messages_malformed": l.Malformed.Load(), "shared_strangers": p.Dropped, "shared_counters_refused": p.Refused,
-		"shared_routers_counted": uint64(len(p.Counters)), "shared_judgements": uint64(len(p.Judged)), "shared_size": uint64(p.Routers),
-		"shared_leases_lent": uint64(len(p.Lent)), "shared_leases_held": uint64(len(p.Held)),
+		"shared_messages_malformed": l.Malformed.Load(), "shared_strangers": p.UnknownSenders, "shared_counters_refused": p.RejectedCounters,
+		"shared_routers_counted": uint64(len(p.Counters)), "shared_judgements": uint64(len(p.Ejections)), "shared_size": uint64(p.Routers),
+		"shared_leases_lent": uint64(len(p.Lent)), "shared_leases_held": uint64(len(p.Borrowed)),
 	}
 	for i, c := range classes {
-		for k, name := range fleetstate.KindNames() {
-			m["fleet_"+name+"_"+c] = p.Totals.Get(i, fleetstate.Kind(k))
+		for k, name := range fleetstate.CounterKindNames() {
+			m["fleet_"+name+"_"+c] = p.Totals.Get(i, fleetstate.CounterKind(k))
 		}
 	}
 	return m
--- a/internal/fleetstate/link/link_test.go
+++ b/internal/fleetstate/link/link_test.go
@@ -20,14 +20,14 @@
 	}
 	now := cfg.LeaseMs + cfg.SkewMs
 	l.Fleet([]string{"peer"}, 2, now)
-	l.Offer(fleetstate.Seen{Hosts: []fleetstate.Host{{Name: "h", Ready: true, Cold: true}}})
+	l.Offer(fleetstate.Observation{Endpoints: []fleetstate.EndpointHealth{{Name: "h", Ready: true, WarmingUp: true}}})
 	l.Tick(now)
-	before := (<-l.Advice()).Shares["h"].At(now)
+	before := (<-l.Advice()).SlowStart["h"].At(now)
 	codec, err := wire.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask, err := codec.Encode(fleetstate.Message{Asks: []fleetstate.Ask{{Key: "h", ID: 1, Want: 1, At: 5}}})
+	ask, err := codec.Encode(fleetstate.Message{LeaseRequests: []fleetstate.LeaseRequest{{Key: "h", ID: 1, Wanted: 1, RequestedAt: 5}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 	grants := func() (n int) {
 		for _, p := range l.Tick(now) {
 			if m, err := codec.Decode(p.Bytes); err == nil {
-				n += len(m.Grants)
+				n += len(m.LeaseGrants)
 			}
 		}
 		return n
@@ -46,7 +46,7 @@
 		t.Fatal("the grant left before the router acted on the advice")
 	}
 	a := <-l.Advice()
-	if got := a.Shares["h"].At(now); got >= before {
+	if got := a.SlowStart["h"].At(now); got >= before {
 		t.Fatalf("the lender is advised %.2f after lending, %.2f before", got, before)
 	}
 	l.Applied(a.Seq)
@@ -71,9 +71,9 @@
 		t.Fatal(err)
 	}
 	for range 3 {
-		var c fleetstate.Cells
+		var c fleetstate.Counters
 		c.Add(1, fleetstate.Requests, 2)
-		l.Offer(fleetstate.Seen{Carried: c})
+		l.Offer(fleetstate.Observation{Counters: c})
 	}
 	l.Tick(1000)
 	l.Tick(2000)
--- a/internal/fleetstate/node.go
+++ b/internal/fleetstate/node.go
@@ -11,10 +11,10 @@
 
 // Message is what one router tells another.
 type Message struct {
-	Counts []Entry
-	Claims []Claim
-	Asks   []Ask
-	Grants []Grant
+	Counters      []CounterEntry
+	HealthReports []HealthReport
+	LeaseRequests []LeaseRequest
+	LeaseGrants   []LeaseGrant
 }
 
 // Sizes of a message's parts, at most, for the page's reckoning; wire's tests
@@ -26,9 +26,9 @@
 	leaseOverhead   = 60
 )
 
-func (e Entry) size() int {
+func (e CounterEntry) size() int {
 	n := entryOverhead + len(e.Name)
-	for _, v := range e.Cells { // as CBOR (RFC 8949, 3.1) writes whole numbers
+	for _, v := range e.Counters { // as CBOR (RFC 8949, 3.1) writes whole numbers
 		switch {
 		case v < 24:
 			n++
@@ -48,25 +48,25 @@
 // Size is the most bytes that m takes once encoded.
 func (m Message) Size() int {
 	n := messageOverhead
-	for _, e := range m.Counts {
+	for _, e := range m.Counters {
 		n += e.size()
 	}
-	for _, c := range m.Claims {
+	for _, c := range m.HealthReports {
 		n += claimOverhead + len(c.Host)
 	}
-	for _, a := range m.Asks {
+	for _, a := range m.LeaseRequests {
 		n += leaseOverhead + len(a.Key)
 	}
-	for _, g := range m.Grants {
+	for _, g := range m.LeaseGrants {
 		n += leaseOverhead + len(g.Key)
 	}
 	return n
 }
 
 // Out is a message to a member.
-type Out struct {
-	To  string
-	Msg Message
+type Envelope struct {
+	To      string
+	Message Message
 }
 
 // EventKind is what happened to a lease or a judgement, for the log.
@@ -74,16 +74,16 @@
 
 // The kinds of event.
 const (
-	LeaseLent EventKind = iota + 1
-	LeaseHeld
-	LeaseEnded
-	JudgementTaken
-	JudgementRefused
-	ClaimWrong
+	LeaseGranted EventKind = iota + 1
+	LeaseBorrowed
+	LeaseExpired
+	EndpointEjected
+	EjectionRejected
+	ReportRefuted
 )
 
 func (k EventKind) String() string {
-	return [...]string{"", "lease lent", "lease held", "lease ended", "judgement taken", "judgement refused", "claim proved wrong"}[min(k, ClaimWrong)]
+	return [...]string{"", "lease lent", "lease held", "lease ended", "judgement taken", "judgement refused", "claim proved wrong"}[min(k, ReportRefuted)]
 }
 
 // Event is one line for the log. Key is the budget or the host, Amount the
@@ -92,67 +92,67 @@
 	Kind   EventKind
 	Key    string
 	Peer   string
-	Claim  ClaimKind
+	Status HealthStatus
 	Amount float64
-	Why    string
+	Reason string
 }
 
 // Seen is what the router saw since the last time: what it carried, and every
 // host as it knows it now.
-type Seen struct {
-	Carried Cells
-	Hosts   []Host
-	Repeats RepeatBudget
+type Observation struct {
+	Counters    Counters
+	Endpoints   []EndpointHealth
+	RetryBudget RetryBudget
 }
 
-// RepeatBudget is the state of the router's retry budget: what it earns a second,
+// RetryBudget is the state of the router's retry budget: what it earns a second,
 // and whether it has more than it uses or less.
-type RepeatBudget struct {
-	Earns          float64
-	Spare, Wanting bool
+type RetryBudget struct {
+	EarnedPerSecond   float64
+	Surplus, Depleted bool
 }
 
-// RepeatsKey names the fleet's retry budget among the leases; every other key
+// RetryBudgetKey names the fleet's retry budget among the leases; every other key
 // is a cold host's name. Its shares are repeats a second, a cold host's are
 // parts of the whole allowance.
-const RepeatsKey = "\x00repeats"
+const RetryBudgetKey = "\x00repeats"
 
 // Advice is what the router may act on until the next.
 type Advice struct {
-	Routers int              // the larger of the setting and what was seen: 1/Routers is a stake
-	Shares  map[string]Share // of hosts' allowances while cold, as parts of the whole
-	Rest    float64          // what is left of the stake in every other host, 1 for all
-	Repeats Share            // repeats a second; Own is below 0 by what is lent
-	Judged  []Judgement
-	Leaders map[int]string // by group, where this router seeks one
+	Routers            int              // the larger of the setting and what was seen: 1/Routers is a stake
+	SlowStart          map[string]Quota // of hosts' allowances while cold, as parts of the whole
+	RemainingStake     float64          // what is left of the stake in every other host, 1 for all
+	RetryQuota         Quota            // repeats a second; Own is below 0 by what is lent
+	Ejections          []Ejection
+	SuggestedPrimaries map[int]string // by group, where this router seeks one
 }
 
 // Shifted is the advice on a clock that is ms ahead of the one it was drawn up
 // on.
-func (a Advice) Shifted(ms int64) Advice {
-	shift := func(s Share) Share {
+func (a Advice) OnClockAhead(ms int64) Advice {
+	shift := func(s Quota) Quota {
 		if s.Until < math.MaxInt64-ms {
 			s.Until += ms
 		}
 		return s
 	}
-	shares := make(map[string]Share, len(a.Shares))
-	for k, s := range a.Shares {
+	shares := make(map[string]Quota, len(a.SlowStart))
+	for k, s := range a.SlowStart {
 		shares[k] = shift(s)
 	}
-	a.Shares, a.Repeats, a.Judged = shares, shift(a.Repeats), slices.Clone(a.Judged)
-	for i := range a.Judged {
-		a.Judged[i].Until += ms
+	a.SlowStart, a.RetryQuota, a.Ejections = shares, shift(a.RetryQuota), slices.Clone(a.Ejections)
+	for i := range a.Ejections {
+		a.Ejections[i].Until += ms
 	}
 	return a
 }
 
 // Shifted is what was seen on a clock that is ms ahead of the router's.
-func (s Seen) Shifted(ms int64) Seen {
-	s.Hosts = slices.Clone(s.Hosts)
-	for i := range s.Hosts {
-		h := &s.Hosts[i]
-		for _, t := range []*int64{&h.LeadsAt, &h.BadAt, &h.GoodAt, &h.FreshAt, &h.TriedAt} {
+func (s Observation) OnClockAhead(ms int64) Observation {
+	s.Endpoints = slices.Clone(s.Endpoints)
+	for i := range s.Endpoints {
+		h := &s.Endpoints[i]
+		for _, t := range []*int64{&h.PrimaryReportedAt, &h.FaultAt, &h.AnsweredSentAt, &h.FreshAt, &h.LastSentAt} {
 			if *t > 0 { // 0 is never
 				*t += ms
 			}
@@ -163,7 +163,7 @@
 
 // Ready is what an event asks of the caller.
 type Ready struct {
-	Messages []Out
+	Messages []Envelope
 	Events   []Event
 }
 
@@ -172,19 +172,19 @@
 	cfg    Config
 	rng    *rand.Rand
 	leases *Leases
-	counts *Counts
-	judge  *Judge
-
-	fleet      int // the setting
-	size       int // the larger of it and the largest view seen lately
-	sizeAt     int64
-	peers      []string
-	repeats    RepeatBudget
-	next       int64
-	nextCounts int64
-	told       int // ticks, for the rounds of peers
-	advice     Advice
-	Dropped    uint64 // messages of strangers
+	counts *CounterStore
+	judge  *OutlierDetector
+
+	fleet          int // the setting
+	size           int // the larger of it and the largest view seen lately
+	sizeAt         int64
+	peers          []string
+	repeats        RetryBudget
+	next           int64
+	nextCounts     int64
+	told           int // ticks, for the rounds of peers
+	advice         Advice
+	UnknownSenders uint64 // messages of strangers
 }
 
 // New makes a node from checked settings; fleet is the configured number of
@@ -198,31 +198,31 @@
 
 // Fleet takes the view: the live peers' names, and how many routers there may
 // be, this one included (alive, suspect or dead, but not left). The size that
-// shares are cut by rises at once and falls only after FoldMs without the
+// shares are cut by rises at once and falls only after CounterRetentionMs without the
 // larger number: who cannot be heard may be cut off and sending.
 func (n *Node) Fleet(peers []string, size int, now int64) {
 	n.peers = peers
 	if size = max(size, n.fleet); size >= n.size {
 		n.size, n.sizeAt = size, now
-	} else if now-n.sizeAt >= n.cfg.FoldMs {
+	} else if now-n.sizeAt >= n.cfg.CounterRetentionMs {
 		n.size, n.sizeAt = size, now
 	}
 }
 
 // Observe takes what the router saw.
-func (n *Node) Observe(s Seen) {
-	n.counts.carried(s.Carried)
-	n.judge.observe(s.Hosts)
-	n.repeats = s.Repeats
+func (n *Node) Observe(s Observation) {
+	n.counts.carried(s.Counters)
+	n.judge.observe(s.Endpoints)
+	n.repeats = s.RetryBudget
 }
 
 // stake is this router's own part of a budget, and whether it needs it itself.
 func (n *Node) stake(key string) (stake float64, needed bool) {
-	if key == RepeatsKey {
-		return n.repeats.Earns, !n.repeats.Spare
+	if key == RetryBudgetKey {
+		return n.repeats.EarnedPerSecond, !n.repeats.Surplus
 	}
 	if h := n.judge.host(key); h != nil {
-		return 1 / float64(n.size), h.Needed
+		return 1 / float64(n.size), h.RequestsQueued
 	}
 	return 1 / float64(n.size), false
 }
@@ -247,7 +247,7 @@
 
 // speak makes this tick's messages: counters to one peer, claims to FanOut,
 // asks to Lenders for each budget that this router wants more of.
-func (n *Node) speak(now int64, urgent bool) (out []Out) {
+func (n *Node) speak(now int64, urgent bool) (out []Envelope) {
 	if len(n.peers) == 0 {
 		return nil
 	}
@@ -279,33 +279,33 @@
 			m := to(p)
 			for i := range claims { // each peer from another place on, so that a long list gets round
 				c := claims[(i+n.told)%len(claims)]
-				if m.Size()+claimOverhead+len(c.Host) > n.cfg.MaxBytes {
+				if m.Size()+claimOverhead+len(c.Host) > n.cfg.MaxMessageBytes {
 					break
 				}
-				m.Claims = append(m.Claims, c)
+				m.HealthReports = append(m.HealthReports, c)
 			}
 		}
 	}
 	for _, key := range n.wanted() {
 		stake, _ := n.stake(key)
-		for _, p := range draw(n.cfg.Lenders) {
-			if m := to(p); m.Size()+leaseOverhead+len(key) <= n.cfg.MaxBytes {
+		for _, p := range draw(n.cfg.LendersPerTick) {
+			if m := to(p); m.Size()+leaseOverhead+len(key) <= n.cfg.MaxMessageBytes {
 				if a, ok := n.leases.want(key, p, stake, now); ok {
-					m.Asks = append(m.Asks, a)
+					m.LeaseRequests = append(m.LeaseRequests, a)
 				}
 			}
 		}
 	}
 	if now >= n.nextCounts {
-		n.nextCounts = now + n.cfg.CountsMs
+		n.nextCounts = now + n.cfg.CounterIntervalMs
 		for _, p := range draw(1) {
 			m := to(p)
-			m.Counts = n.counts.page(n.cfg.MaxBytes - m.Size())
+			m.Counters = n.counts.page(n.cfg.MaxMessageBytes - m.Size())
 		}
 	}
 	for _, p := range order {
-		if m := msgs[p]; len(m.Counts)+len(m.Claims)+len(m.Asks) > 0 {
-			out = append(out, Out{p, *m})
+		if m := msgs[p]; len(m.Counters)+len(m.HealthReports)+len(m.LeaseRequests) > 0 {
+			out = append(out, Envelope{p, *m})
 		}
 	}
 	return out
@@ -314,12 +314,12 @@
 // wanted are the budgets that this router would use more of.
 func (n *Node) wanted() (keys []string) {
 	for _, h := range n.judge.hosts {
-		if h.Cold && h.Needed {
+		if h.WarmingUp && h.RequestsQueued {
 			keys = append(keys, h.Name)
 		}
 	}
-	if n.repeats.Wanting {
-		keys = append(keys, RepeatsKey)
+	if n.repeats.Depleted {
+		keys = append(keys, RetryBudgetKey)
 	}
 	return keys
 }
@@ -329,35 +329,35 @@
 func (n *Node) Receive(peer string, m Message, now int64) Ready {
 	var r Ready
 	if !slices.Contains(n.peers, peer) {
-		n.Dropped++
+		n.UnknownSenders++
 		return r
 	}
 	n.counts.heardAt = now
-	for _, e := range m.Counts {
+	for _, e := range m.Counters {
 		n.counts.merge(e, now)
 	}
-	for _, c := range m.Claims {
+	for _, c := range m.HealthReports {
 		n.judge.hear(peer, c, now)
 	}
 	var answer Message
-	for _, a := range m.Asks {
+	for _, a := range m.LeaseRequests {
 		stake, needed := n.stake(a.Key)
-		if a.Key != RepeatsKey && n.judge.host(a.Key) == nil {
+		if a.Key != RetryBudgetKey && n.judge.host(a.Key) == nil {
 			continue // of a host that this router does not know it gives nothing
 		}
-		if g, ok := n.leases.grant(peer, a, stake, needed, now); ok && answer.Size()+leaseOverhead+len(g.Key) <= n.cfg.MaxBytes {
-			answer.Grants = append(answer.Grants, g)
-			r.Events = append(r.Events, Event{Kind: LeaseLent, Key: g.Key, Peer: peer, Amount: g.Amount})
+		if g, ok := n.leases.grant(peer, a, stake, needed, now); ok && answer.Size()+leaseOverhead+len(g.Key) <= n.cfg.MaxMessageBytes {
+			answer.LeaseGrants = append(answer.LeaseGrants, g)
+			r.Events = append(r.Events, Event{Kind: LeaseGranted, Key: g.Key, Peer: peer, Amount: g.Amount})
 		}
 	}
-	for _, g := range m.Grants {
+	for _, g := range m.LeaseGrants {
 		stake, _ := n.stake(g.Key)
 		if h, ok := n.leases.take(peer, g, stake, now); ok {
-			r.Events = append(r.Events, Event{Kind: LeaseHeld, Key: g.Key, Peer: peer, Amount: h.amount})
+			r.Events = append(r.Events, Event{Kind: LeaseBorrowed, Key: g.Key, Peer: peer, Amount: h.amount})
 		}
 	}
-	if len(answer.Grants) > 0 {
-		r.Messages = append(r.Messages, Out{peer, answer})
+	if len(answer.LeaseGrants) > 0 {
+		r.Messages = append(r.Messages, Envelope{peer, answer})
 	}
 	return r
 }
@@ -367,53 +367,53 @@
 // changed a lease. A lease that has ended is not in it: a router that was
 // paused must ask again before it sends.
 func (n *Node) Advice(now int64) Advice {
-	a := Advice{Routers: n.size, Judged: n.judge.judge(now), Leaders: n.judge.leaders(), Shares: map[string]Share{}}
+	a := Advice{Routers: n.size, Ejections: n.judge.judge(now), SuggestedPrimaries: n.judge.leaders(), SlowStart: map[string]Quota{}}
 	stake := 1 / float64(n.size)
 	// A host may be told to be cold here later than to who borrowed the share.
 	for _, h := range n.judge.hosts {
-		if h.Cold || len(n.leases.lent[h.Name])+len(n.leases.held[h.Name]) > 0 {
-			a.Shares[h.Name] = n.leases.Share(h.Name, stake, now)
+		if h.WarmingUp || len(n.leases.lent[h.Name])+len(n.leases.held[h.Name]) > 0 {
+			a.SlowStart[h.Name] = n.leases.Quota(h.Name, stake, now)
 		}
 	}
-	a.Rest = n.leases.Share("", 1, now).Own
-	a.Repeats = n.leases.Share(RepeatsKey, n.repeats.Earns, now)
-	a.Repeats.Own -= n.repeats.Earns
+	a.RemainingStake = n.leases.Quota("", 1, now).Own
+	a.RetryQuota = n.leases.Quota(RetryBudgetKey, n.repeats.EarnedPerSecond, now)
+	a.RetryQuota.Own -= n.repeats.EarnedPerSecond
 	n.advice = a
 	return a
 }
 
 // Totals adds up what the fleet carried, as far as this router has heard.
-func (n *Node) Totals() Cells { return n.counts.Total() }
+func (n *Node) Totals() Counters { return n.counts.Total() }
 
 // Page is this node's state for people.
-type Page struct {
-	Routers  int              // that stakes are cut by
-	Shares   map[string]Share // of cold hosts' allowances, as parts of the whole
-	Stake    float64
-	Lent     map[string]float64
-	Held     map[string]float64
-	Repeats  Share
-	Totals   Cells   // class*5 + kind
-	Counters []Entry // of each router and life kept apart, this one first
-	Judged   []Judgement
-	Standing map[string]float64 // of peers whose claims proved wrong
-	Refused  uint64             // counters not taken
-	Dropped  uint64             // messages of strangers
+type StatusPage struct {
+	Routers          int              // that stakes are cut by
+	SlowStart        map[string]Quota // of cold hosts' allowances, as parts of the whole
+	Stake            float64
+	Lent             map[string]float64
+	Borrowed         map[string]float64
+	RetryQuota       Quota
+	Totals           Counters       // class*5 + kind
+	Counters         []CounterEntry // of each router and life kept apart, this one first
+	Ejections        []Ejection
+	Reputation       map[string]float64 // of peers whose claims proved wrong
+	RejectedCounters uint64             // counters not taken
+	UnknownSenders   uint64             // messages of strangers
 }
 
 // Page copies the node's state at now, with the last advice.
-func (n *Node) Page(now int64) Page {
+func (n *Node) StatusPage(now int64) StatusPage {
 	a := n.advice
-	p := Page{Routers: n.size, Shares: a.Shares, Stake: 1 / float64(n.size), Lent: map[string]float64{}, Held: map[string]float64{}, Repeats: a.Repeats,
-		Totals: n.Totals(), Counters: n.counts.all(), Judged: a.Judged, Standing: map[string]float64{}, Refused: n.counts.Refused, Dropped: n.Dropped}
+	p := StatusPage{Routers: n.size, SlowStart: a.SlowStart, Stake: 1 / float64(n.size), Lent: map[string]float64{}, Borrowed: map[string]float64{}, RetryQuota: a.RetryQuota,
+		Totals: n.Totals(), Counters: n.counts.all(), Ejections: a.Ejections, Reputation: map[string]float64{}, RejectedCounters: n.counts.Rejected, UnknownSenders: n.UnknownSenders}
 	for k, l := range n.leases.lent {
 		p.Lent[k] = sum(l, now)
 	}
 	for k, l := range n.leases.held {
-		p.Held[k] = sum(l, now)
+		p.Borrowed[k] = sum(l, now)
 	}
 	for k, s := range n.judge.standing {
-		p.Standing[k] = s
+		p.Reputation[k] = s
 	}
 	return p
 }
--- a/internal/fleetstate/node_test.go
+++ b/internal/fleetstate/node_test.go
@@ -18,7 +18,7 @@
 	for _, step := range []struct {
 		at         int64
 		size, want int
-	}{{0, 2, 4}, {1000, 9, 9}, {2000, 5, 9}, {1000 + n.cfg.FoldMs - 1, 5, 9}, {1000 + n.cfg.FoldMs, 5, 5}, {2000 + 3*n.cfg.FoldMs, 1, 4}} {
+	}{{0, 2, 4}, {1000, 9, 9}, {2000, 5, 9}, {1000 + n.cfg.CounterRetentionMs - 1, 5, 9}, {1000 + n.cfg.CounterRetentionMs, 5, 5}, {2000 + 3*n.cfg.CounterRetentionMs, 1, 4}} {
 		n.Fleet([]string{"b"}, step.size, step.at)
 		if got := n.Advice(step.at).Routers; got != step.want {
 			t.Errorf("at %d, with %d seen, shares are cut by %d, want %d", step.at, step.size, got, step.want)
@@ -32,30 +32,30 @@
 	n := newTestNode("a", 4, 0)
 	now := n.cfg.LeaseMs + n.cfg.SkewMs
 	n.Fleet([]string{"b", "c"}, 4, now)
-	n.Observe(Seen{Hosts: []Host{{Name: "h", Ready: true, Cold: true, Needed: true}, {Name: "i", Group: 1, Ready: true}, {Name: "j", Group: 1, Ready: true}}})
-	var asked *Ask
+	n.Observe(Observation{Endpoints: []EndpointHealth{{Name: "h", Ready: true, WarmingUp: true, RequestsQueued: true}, {Name: "i", Group: 1, Ready: true}, {Name: "j", Group: 1, Ready: true}}})
+	var asked *LeaseRequest
 	for _, m := range n.Tick(now).Messages {
-		if m.To == "b" && len(m.Msg.Asks) > 0 {
-			asked = &m.Msg.Asks[0]
+		if m.To == "b" && len(m.Message.LeaseRequests) > 0 {
+			asked = &m.Message.LeaseRequests[0]
 		}
 	}
 	if asked == nil {
 		t.Fatal("a cold host that is needed is not asked for")
 	}
-	n.Receive("b", Message{Grants: []Grant{{Key: "h", ID: asked.ID, Amount: 0.125, At: asked.At, ForMs: n.cfg.LeaseMs}}}, now+1)
-	if early := newTestNode("a", 4, 0).Advice(1); early.Rest != 0.5 {
-		t.Errorf("right after a start %g of each stake is used, want half", early.Rest)
+	n.Receive("b", Message{LeaseGrants: []LeaseGrant{{Key: "h", ID: asked.ID, Amount: 0.125, RequestedAt: asked.RequestedAt, DurationMs: n.cfg.LeaseMs}}}, now+1)
+	if early := newTestNode("a", 4, 0).Advice(1); early.RemainingStake != 0.5 {
+		t.Errorf("right after a start %g of each stake is used, want half", early.RemainingStake)
 	}
 	for _, p := range []string{"b", "c"} {
-		n.Receive(p, Message{Claims: []Claim{{"i", Hangs, 0}}}, now+1)
+		n.Receive(p, Message{HealthReports: []HealthReport{{"i", Unresponsive, 0}}}, now+1)
 	}
-	if a := n.Advice(now + 1); a.Shares["h"].At(now+1) != 0.375 || len(a.Judged) != 1 {
+	if a := n.Advice(now + 1); a.SlowStart["h"].At(now+1) != 0.375 || len(a.Ejections) != 1 {
 		t.Fatalf("advice %+v, want a share of 0.375 and one judgement", a)
 	}
 	n.Fleet(nil, 4, now+2) // it hears nobody any more
-	later := now + n.cfg.ClaimMs + n.cfg.LeaseMs
+	later := now + n.cfg.ReportTTLMs + n.cfg.LeaseMs
 	n.Tick(later)
-	if a := n.Advice(later); a.Shares["h"].At(later) != 0.25 || len(a.Judged) > 0 {
+	if a := n.Advice(later); a.SlowStart["h"].At(later) != 0.25 || len(a.Ejections) > 0 {
 		t.Errorf("after silence advice %+v, want its stake and no judgement", a)
 	}
 }
@@ -65,16 +65,16 @@
 func TestAPeersFloodIsBounded(t *testing.T) {
 	n := newTestNode("a", 4, 0)
 	n.Fleet([]string{"b"}, 2, 0)
-	n.Observe(Seen{Hosts: []Host{{Name: "h", Ready: true, Cold: true}}})
+	n.Observe(Observation{Endpoints: []EndpointHealth{{Name: "h", Ready: true, WarmingUp: true}}})
 	now := n.cfg.LeaseMs + n.cfg.SkewMs
-	if n.Receive("x", Message{Claims: []Claim{{"h", Hangs, 0}}}, now); n.Dropped != 1 || len(n.judge.doubts) > 0 {
+	if n.Receive("x", Message{HealthReports: []HealthReport{{"h", Unresponsive, 0}}}, now); n.UnknownSenders != 1 || len(n.judge.doubts) > 0 {
 		t.Error("a stranger was heard")
 	}
-	for i := range 3 * n.cfg.MaxEntries {
-		n.Receive("b", Message{Counts: []Entry{{Name: fmt.Sprint("x", i), Epoch: 1, Stamp: now, Cells: Cells{1}}},
-			Asks: []Ask{{Key: "h", ID: uint64(i), Want: 1e-9, At: now}, {Key: fmt.Sprint("k", i), ID: 1, Want: 1, At: now}}}, now)
+	for i := range 3 * n.cfg.MaxCounterEntries {
+		n.Receive("b", Message{Counters: []CounterEntry{{Name: fmt.Sprint("x", i), Epoch: 1, Stamp: now, Counters: Counters{1}}},
+			LeaseRequests: []LeaseRequest{{Key: "h", ID: uint64(i), Wanted: 1e-9, RequestedAt: now}, {Key: fmt.Sprint("k", i), ID: 1, Wanted: 1, RequestedAt: now}}}, now)
 	}
-	if e, l := len(n.counts.entries), len(n.leases.lent["h"]); e > n.cfg.MaxEntries || l > maxLoans || len(n.leases.lent) > 1 {
+	if e, l := len(n.counts.entries), len(n.leases.lent["h"]); e > n.cfg.MaxCounterEntries || l > maxLoans || len(n.leases.lent) > 1 {
 		t.Errorf("%d entries, %d loans of h, %d budgets held", e, l, len(n.leases.lent))
 	}
 }
@@ -83,21 +83,21 @@
 func TestMessagesKeepTheirSize(t *testing.T) {
 	n := newTestNode("a", 300, 0)
 	var peers []string
-	var hosts []Host
+	var hosts []EndpointHealth
 	for i := range 300 {
 		peers = append(peers, fmt.Sprint("router-of-a-long-name-", i))
-		hosts = append(hosts, Host{Name: fmt.Sprint("host-of-a-long-name-", i), Group: i / 3, Ready: true, Bad: Hangs, BadAt: 1, Cold: true, Needed: true})
+		hosts = append(hosts, EndpointHealth{Name: fmt.Sprint("host-of-a-long-name-", i), Group: i / 3, Ready: true, Fault: Unresponsive, FaultAt: 1, WarmingUp: true, RequestsQueued: true})
 	}
 	n.Fleet(peers, 301, 0)
-	n.Observe(Seen{Hosts: hosts})
+	n.Observe(Observation{Endpoints: hosts})
 	for i := range 300 {
-		n.counts.merge(Entry{Name: peers[i], Epoch: 5, Cells: make(Cells, 20)}, 0)
+		n.counts.merge(CounterEntry{Name: peers[i], Epoch: 5, Counters: make(Counters, 20)}, 0)
 	}
 	count := 0
 	for now := int64(0); now < 5000; now += n.cfg.TickMs {
 		for _, m := range n.Tick(now).Messages {
 			count++
-			if s := m.Msg.Size(); s > n.cfg.MaxBytes {
+			if s := m.Message.Size(); s > n.cfg.MaxMessageBytes {
 				t.Fatalf("a message of %d bytes", s)
 			}
 		}
@@ -115,18 +115,18 @@
 	for _, n := range []*Node{rich, poor} {
 		n.Fleet([]string{map[*Node]string{rich: "poor", poor: "rich"}[n]}, 2, now)
 	}
-	rich.Observe(Seen{Repeats: RepeatBudget{Earns: 2, Spare: true}})
-	poor.Observe(Seen{Repeats: RepeatBudget{Earns: 1, Wanting: true}})
+	rich.Observe(Observation{RetryBudget: RetryBudget{EarnedPerSecond: 2, Surplus: true}})
+	poor.Observe(Observation{RetryBudget: RetryBudget{EarnedPerSecond: 1, Depleted: true}})
 	for _, m := range poor.Tick(now).Messages {
-		for _, g := range rich.Receive("poor", m.Msg, now).Messages {
-			poor.Receive("rich", g.Msg, now)
+		for _, g := range rich.Receive("poor", m.Message, now).Messages {
+			poor.Receive("rich", g.Message, now)
 		}
 	}
-	a, b := rich.Advice(now).Repeats.At(now), poor.Advice(now).Repeats.At(now)
+	a, b := rich.Advice(now).RetryQuota.At(now), poor.Advice(now).RetryQuota.At(now)
 	if a != -1 || b != 1 {
 		t.Errorf("repeats a second beside their own: %g and %g, want -1 lent and 1 borrowed", a, b)
 	}
-	if got := poor.Advice(now + rich.cfg.LeaseMs).Repeats.At(now + rich.cfg.LeaseMs); got != 0 {
+	if got := poor.Advice(now + rich.cfg.LeaseMs).RetryQuota.At(now + rich.cfg.LeaseMs); got != 0 {
 		t.Errorf("after the lease %g is left", got)
 	}
 }
--- a/internal/fleetstate/scale_test.go
+++ b/internal/fleetstate/scale_test.go
@@ -8,17 +8,17 @@
 )
 
 // sinceByPairs is since, by its definition: each moment against each witness.
-func (j *Judge) sinceByPairs(valid []*witness) (out []beginning) {
+func (j *OutlierDetector) sinceByPairs(valid []*witness) (out []beginning) {
 	for _, began := range valid {
-		if began.kind == Well {
+		if began.kind == Healthy {
 			continue
 		}
 		var b beginning
 		for _, w := range valid {
 			switch {
-			case w.kind == Well && w.at > began.from:
+			case w.kind == Healthy && w.at > began.from:
 				b.support -= j.trust(w.peer)
-			case w.kind != Well && w.from >= began.from:
+			case w.kind != Healthy && w.from >= began.from:
 				b.support += j.trust(w.peer)
 				b.count++
 				if w.at > b.newest {
@@ -37,7 +37,7 @@
 		j := newJudge(Defaults(), 0)
 		var valid []*witness
 		for n := range rng.IntN(40) {
-			w := &witness{peer: fmt.Sprint(n), kind: []ClaimKind{Hangs, Fails, Slow, Well, Behind}[rng.IntN(5)], from: 1 + rng.Int64N(12)}
+			w := &witness{peer: fmt.Sprint(n), kind: []HealthStatus{Unresponsive, Failing, Slow, Healthy, Lagging}[rng.IntN(5)], from: 1 + rng.Int64N(12)}
 			w.at = w.from + rng.Int64N(6)
 			j.standing[w.peer] = rng.Float64()
 			valid = append(valid, w)
@@ -60,10 +60,10 @@
 	const routers = 3000
 	cfg := Defaults()
 	j := newJudge(cfg, 0)
-	now := cfg.ClaimMs
-	j.observe([]Host{{Name: "h", Group: 1, Ready: true}, {Name: "i", Group: 1, Ready: true}})
+	now := cfg.ReportTTLMs
+	j.observe([]EndpointHealth{{Name: "h", Group: 1, Ready: true}, {Name: "i", Group: 1, Ready: true}})
 	for n := range routers {
-		j.hear(fmt.Sprint("router-", n), Claim{"h", Hangs, 0}, now)
+		j.hear(fmt.Sprint("router-", n), HealthReport{"h", Unresponsive, 0}, now)
 	}
 	if _, count, _, _ := j.support(j.doubts["h"], j.host("h"), now); count != routers {
 		t.Errorf("%d of %d routers are heard", count, routers)
@@ -73,11 +73,11 @@
 func BenchmarkSupportOfThousands(b *testing.B) {
 	cfg := Defaults()
 	j := newJudge(cfg, 0)
-	j.observe([]Host{{Name: "h", Group: 1, Ready: true}})
+	j.observe([]EndpointHealth{{Name: "h", Group: 1, Ready: true}})
 	for n := range 3000 {
-		j.hear(fmt.Sprint("router-", n), Claim{"h", Hangs, int64(n % 100)}, cfg.ClaimMs)
+		j.hear(fmt.Sprint("router-", n), HealthReport{"h", Unresponsive, int64(n % 100)}, cfg.ReportTTLMs)
 	}
 	for b.Loop() {
-		j.support(j.doubts["h"], j.host("h"), cfg.ClaimMs)
+		j.support(j.doubts["h"], j.host("h"), cfg.ReportTTLMs)
 	}
 }
--- a/internal/fleetstate/wire/characterization_test.go
+++ b/internal/fleetstate/wire/characterization_test.go
@@ -84,26 +84,32 @@
 // with usual ones and with the largest, then all parts in one.
 func examples() []example {
 	longest := strings.Repeat("\U0010ffff", 32) // 128 bytes
-	counts := func(entries ...fleetstate.Entry) fleetstate.Message { return fleetstate.Message{Counts: entries} }
-	asks := func(asks ...fleetstate.Ask) fleetstate.Message { return fleetstate.Message{Asks: asks} }
-	grants := func(grants ...fleetstate.Grant) fleetstate.Message { return fleetstate.Message{Grants: grants} }
+	counts := func(entries ...fleetstate.CounterEntry) fleetstate.Message {
+		return fleetstate.Message{Counters: entries}
+	}
+	asks := func(asks ...fleetstate.LeaseRequest) fleetstate.Message {
+		return fleetstate.Message{LeaseRequests: asks}
+	}
+	grants := func(grants ...fleetstate.LeaseGrant) fleetstate.Message {
+		return fleetstate.Message{LeaseGrants: grants}
+	}
 	all := []example{
 		{"empty", fleetstate.Message{}},
-		{"part-1-zero", counts(fleetstate.Entry{Name: "a"})},
-		{"part-1-no-cells", counts(fleetstate.Entry{Name: "a", Cells: fleetstate.Cells{}})},
-		{"part-1-full", counts(fleetstate.Entry{Name: "router-ä", Epoch: 1_700_000_000_000, Stamp: 1_700_000_001_000, Cells: fleetstate.Cells{0, 23, 24, 255, 256, 65_535, 65_536, 1 << 32}})},
-		{"part-1-largest", counts(fleetstate.Entry{Name: longest, Epoch: math.MaxInt64, Stamp: math.MaxInt64, Cells: slices.Repeat(fleetstate.Cells{math.MaxUint64}, 20)})},
-		{"part-1-least", counts(fleetstate.Entry{Name: "a", Epoch: math.MinInt64, Stamp: -1, Cells: fleetstate.Cells{0}})},
-		{"part-3-zero", asks(fleetstate.Ask{Key: "a", Want: math.SmallestNonzeroFloat64})},
-		{"part-3-full", asks(fleetstate.Ask{Key: "db-1", ID: 1000, Want: 1.0 / 3, At: 1_700_000_000_000}, fleetstate.Ask{Key: fleetstate.RepeatsKey, ID: 24, Want: 0.5, At: -5})},
-		{"part-3-largest", asks(fleetstate.Ask{Key: longest, ID: math.MaxUint64, Want: 1e9, At: math.MaxInt64})},
-		{"part-4-zero", grants(fleetstate.Grant{Key: "a", Amount: math.SmallestNonzeroFloat64})},
-		{"part-4-full", grants(fleetstate.Grant{Key: "db-1", ID: 1000, Amount: 1.0 / 3, At: 1_700_000_000_000, ForMs: 3000}, fleetstate.Grant{Key: fleetstate.RepeatsKey, ID: 24, Amount: 2, At: -5, ForMs: 1})},
-		{"part-4-largest", grants(fleetstate.Grant{Key: longest, ID: math.MaxUint64, Amount: 1e9, At: math.MaxInt64, ForMs: math.MaxUint32})},
-	}
-	for kind := fleetstate.Well; kind <= fleetstate.Leads; kind++ {
+		{"part-1-zero", counts(fleetstate.CounterEntry{Name: "a"})},
+		{"part-1-no-cells", counts(fleetstate.CounterEntry{Name: "a", Counters: fleetstate.Counters{}})},
+		{"part-1-full", counts(fleetstate.CounterEntry{Name: "router-ä", Epoch: 1_700_000_000_000, Stamp: 1_700_000_001_000, Counters: fleetstate.Counters{0, 23, 24, 255, 256, 65_535, 65_536, 1 << 32}})},
+		{"part-1-largest", counts(fleetstate.CounterEntry{Name: longest, Epoch: math.MaxInt64, Stamp: math.MaxInt64, Counters: slices.Repeat(fleetstate.Counters{math.MaxUint64}, 20)})},
+		{"part-1-least", counts(fleetstate.CounterEntry{Name: "a", Epoch: math.MinInt64, Stamp: -1, Counters: fleetstate.Counters{0}})},
+		{"part-3-zero", asks(fleetstate.LeaseRequest{Key: "a", Wanted: math.SmallestNonzeroFloat64})},
+		{"part-3-full", asks(fleetstate.LeaseRequest{Key: "db-1", ID: 1000, Wanted: 1.0 / 3, RequestedAt: 1_700_000_000_000}, fleetstate.LeaseRequest{Key: fleetstate.RetryBudgetKey, ID: 24, Wanted: 0.5, RequestedAt: -5})},
+		{"part-3-largest", asks(fleetstate.LeaseRequest{Key: longest, ID: math.MaxUint64, Wanted: 1e9, RequestedAt: math.MaxInt64})},
+		{"part-4-zero", grants(fleetstate.LeaseGrant{Key: "a", Amount: math.SmallestNonzeroFloat64})},
+		{"part-4-full", grants(fleetstate.LeaseGrant{Key: "db-1", ID: 1000, Amount: 1.0 / 3, RequestedAt: 1_700_000_000_000, DurationMs: 3000}, fleetstate.LeaseGrant{Key: fleetstate.RetryBudgetKey, ID: 24, Amount: 2, RequestedAt: -5, DurationMs: 1})},
+		{"part-4-largest", grants(fleetstate.LeaseGrant{Key: longest, ID: math.MaxUint64, Amount: 1e9, RequestedAt: math.MaxInt64, DurationMs: math.MaxUint32})},
+	}
+	for kind := fleetstate.Healthy; kind <= fleetstate.Primary; kind++ {
 		claims := func(host string, ageMs int64) fleetstate.Message {
-			return fleetstate.Message{Claims: []fleetstate.Claim{{Host: host, Kind: kind, AgeMs: ageMs}}}
+			return fleetstate.Message{HealthReports: []fleetstate.HealthReport{{Host: host, Status: kind, AgeMs: ageMs}}}
 		}
 		all = append(all,
 			example{fmt.Sprintf("part-2-kind-%d-zero", kind), claims("a", 0)},
@@ -111,10 +117,10 @@
 			example{fmt.Sprintf("part-2-kind-%d-largest", kind), claims(longest, math.MaxUint32)})
 	}
 	return append(all, example{"every-part", fleetstate.Message{
-		Counts: []fleetstate.Entry{{Name: "a", Epoch: 1, Stamp: 2, Cells: fleetstate.Cells{3}}, {Name: "b", Epoch: 4, Stamp: 5, Cells: fleetstate.Cells{6, 7}}},
-		Claims: []fleetstate.Claim{{Host: "c", Kind: fleetstate.Hangs, AgeMs: 8}, {Host: "d", Kind: fleetstate.Leads, AgeMs: 9}},
-		Asks:   []fleetstate.Ask{{Key: "e", ID: 10, Want: 0.25, At: 11}},
-		Grants: []fleetstate.Grant{{Key: "f", ID: 12, Amount: 0.125, At: 13, ForMs: 14}},
+		Counters:      []fleetstate.CounterEntry{{Name: "a", Epoch: 1, Stamp: 2, Counters: fleetstate.Counters{3}}, {Name: "b", Epoch: 4, Stamp: 5, Counters: fleetstate.Counters{6, 7}}},
+		HealthReports: []fleetstate.HealthReport{{Host: "c", Status: fleetstate.Unresponsive, AgeMs: 8}, {Host: "d", Status: fleetstate.Primary, AgeMs: 9}},
+		LeaseRequests: []fleetstate.LeaseRequest{{Key: "e", ID: 10, Wanted: 0.25, RequestedAt: 11}},
+		LeaseGrants:   []fleetstate.LeaseGrant{{Key: "f", ID: 12, Amount: 0.125, RequestedAt: 13, DurationMs: 14}},
 	}})
 }
 
@@ -128,8 +134,8 @@
 	}{{"below zero", -1, 0}, {"above the largest", math.MaxUint32 + 1, math.MaxUint32}} {
 		t.Run(bound.name, func(t *testing.T) {
 			durations := func(ms int64) fleetstate.Message {
-				return fleetstate.Message{Claims: []fleetstate.Claim{{Host: "a", Kind: fleetstate.Well, AgeMs: ms}},
-					Grants: []fleetstate.Grant{{Key: "b", Amount: 1, ForMs: ms}}}
+				return fleetstate.Message{HealthReports: []fleetstate.HealthReport{{Host: "a", Status: fleetstate.Healthy, AgeMs: ms}},
+					LeaseGrants: []fleetstate.LeaseGrant{{Key: "b", Amount: 1, DurationMs: ms}}}
 			}
 			encoded, err := codec.Encode(durations(bound.sent))
 			if err != nil {
--- a/internal/fleetstate/wire/wire.go
+++ b/internal/fleetstate/wire/wire.go
@@ -84,17 +84,17 @@
 // Encode turns m into bytes.
 func (c *Codec) Encode(m fleetstate.Message) ([]byte, error) {
 	w := message{V: version}
-	for _, e := range m.Counts {
-		w.Counts = append(w.Counts, entry{Name: e.Name, Epoch: e.Epoch, Stamp: e.Stamp, Cells: e.Cells})
+	for _, e := range m.Counters {
+		w.Counts = append(w.Counts, entry{Name: e.Name, Epoch: e.Epoch, Stamp: e.Stamp, Cells: e.Counters})
 	}
-	for _, x := range m.Claims {
-		w.Claims = append(w.Claims, claim{Host: x.Host, Kind: uint8(x.Kind), AgeMs: uint32(min(max(x.AgeMs, 0), math.MaxUint32))})
+	for _, x := range m.HealthReports {
+		w.Claims = append(w.Claims, claim{Host: x.Host, Kind: uint8(x.Status), AgeMs: uint32(min(max(x.AgeMs, 0), math.MaxUint32))})
 	}
-	for _, a := range m.Asks {
-		w.Asks = append(w.Asks, ask{Key: a.Key, ID: a.ID, Want: a.Want, At: a.At})
+	for _, a := range m.LeaseRequests {
+		w.Asks = append(w.Asks, ask{Key: a.Key, ID: a.ID, Want: a.Wanted, At: a.RequestedAt})
 	}
-	for _, g := range m.Grants {
-		w.Grants = append(w.Grants, grant{Key: g.Key, ID: g.ID, Amount: g.Amount, At: g.At, ForMs: uint32(min(max(g.ForMs, 0), math.MaxUint32))})
+	for _, g := range m.LeaseGrants {
+		w.Grants = append(w.Grants, grant{Key: g.Key, ID: g.ID, Amount: g.Amount, At: g.RequestedAt, ForMs: uint32(min(max(g.DurationMs, 0), math.MaxUint32))})
 	}
 	return c.enc.Marshal(w)
 }
@@ -124,24 +124,24 @@
 	}
 	for i, e := range w.Counts {
 		name("counters", i, e.Name)
-		m.Counts = append(m.Counts, fleetstate.Entry{Name: e.Name, Epoch: e.Epoch, Stamp: e.Stamp, Cells: e.Cells})
+		m.Counters = append(m.Counters, fleetstate.CounterEntry{Name: e.Name, Epoch: e.Epoch, Stamp: e.Stamp, Counters: e.Cells})
 	}
 	for i, x := range w.Claims {
 		name("claim", i, x.Host)
-		if err == nil && (x.Kind < uint8(fleetstate.Well) || x.Kind > uint8(fleetstate.Leads)) {
-			err = fmt.Errorf("shared state: claim %d: kind %d, want %d to %d", i, x.Kind, fleetstate.Well, fleetstate.Leads)
+		if err == nil && (x.Kind < uint8(fleetstate.Healthy) || x.Kind > uint8(fleetstate.Primary)) {
+			err = fmt.Errorf("shared state: claim %d: kind %d, want %d to %d", i, x.Kind, fleetstate.Healthy, fleetstate.Primary)
 		}
-		m.Claims = append(m.Claims, fleetstate.Claim{Host: x.Host, Kind: fleetstate.ClaimKind(x.Kind), AgeMs: int64(x.AgeMs)})
+		m.HealthReports = append(m.HealthReports, fleetstate.HealthReport{Host: x.Host, Status: fleetstate.HealthStatus(x.Kind), AgeMs: int64(x.AgeMs)})
 	}
 	for i, a := range w.Asks {
 		name("ask", i, a.Key)
 		amount("ask", i, a.Want)
-		m.Asks = append(m.Asks, fleetstate.Ask{Key: a.Key, ID: a.ID, Want: a.Want, At: a.At})
+		m.LeaseRequests = append(m.LeaseRequests, fleetstate.LeaseRequest{Key: a.Key, ID: a.ID, Wanted: a.Want, RequestedAt: a.At})
 	}
 	for i, g := range w.Grants {
 		name("grant", i, g.Key)
 		amount("grant", i, g.Amount)
-		m.Grants = append(m.Grants, fleetstate.Grant{Key: g.Key, ID: g.ID, Amount: g.Amount, At: g.At, ForMs: int64(g.ForMs)})
+		m.LeaseGrants = append(m.LeaseGrants, fleetstate.LeaseGrant{Key: g.Key, ID: g.ID, Amount: g.Amount, RequestedAt: g.At, DurationMs: int64(g.ForMs)})
 	}
 	if err != nil {
 		return fleetstate.Message{}, err
--- a/internal/fleetstate/wire/wire_test.go
+++ b/internal/fleetstate/wire/wire_test.go
@@ -22,17 +22,17 @@
 		n := func(what string) int { return rapid.IntRange(0, 3).Draw(t, what) }
 		var m fleetstate.Message
 		for range n("entries") {
-			m.Counts = append(m.Counts, fleetstate.Entry{Name: name.Draw(t, "name"), Epoch: rapid.Int64().Draw(t, "epoch"),
-				Stamp: rapid.Int64().Draw(t, "stamp"), Cells: rapid.SliceOfN(rapid.Uint64(), 1, 10).Draw(t, "cells")})
+			m.Counters = append(m.Counters, fleetstate.CounterEntry{Name: name.Draw(t, "name"), Epoch: rapid.Int64().Draw(t, "epoch"),
+				Stamp: rapid.Int64().Draw(t, "stamp"), Counters: rapid.SliceOfN(rapid.Uint64(), 1, 10).Draw(t, "cells")})
 		}
 		for range n("claims") {
-			m.Claims = append(m.Claims, fleetstate.Claim{Host: name.Draw(t, "host"), Kind: fleetstate.ClaimKind(rapid.IntRange(1, 6).Draw(t, "kind")), AgeMs: int64(rapid.Uint32().Draw(t, "age"))})
+			m.HealthReports = append(m.HealthReports, fleetstate.HealthReport{Host: name.Draw(t, "host"), Status: fleetstate.HealthStatus(rapid.IntRange(1, 6).Draw(t, "kind")), AgeMs: int64(rapid.Uint32().Draw(t, "age"))})
 		}
 		for range n("asks") {
-			m.Asks = append(m.Asks, fleetstate.Ask{Key: name.Draw(t, "key"), ID: rapid.Uint64().Draw(t, "id"), Want: amount.Draw(t, "want"), At: rapid.Int64().Draw(t, "at")})
+			m.LeaseRequests = append(m.LeaseRequests, fleetstate.LeaseRequest{Key: name.Draw(t, "key"), ID: rapid.Uint64().Draw(t, "id"), Wanted: amount.Draw(t, "want"), RequestedAt: rapid.Int64().Draw(t, "at")})
 		}
 		for range n("grants") {
-			m.Grants = append(m.Grants, fleetstate.Grant{Key: name.Draw(t, "key"), ID: rapid.Uint64().Draw(t, "id"), Amount: amount.Draw(t, "amount"), At: rapid.Int64().Draw(t, "at"), ForMs: int64(rapid.Uint32().Draw(t, "for"))})
+			m.LeaseGrants = append(m.LeaseGrants, fleetstate.LeaseGrant{Key: name.Draw(t, "key"), ID: rapid.Uint64().Draw(t, "id"), Amount: amount.Draw(t, "amount"), RequestedAt: rapid.Int64().Draw(t, "at"), DurationMs: int64(rapid.Uint32().Draw(t, "for"))})
 		}
 		b, err := c.Encode(m)
 		if err != nil {
@@ -60,8 +60,8 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	seed, err := c.Encode(fleetstate.Message{Counts: []fleetstate.Entry{{Name: "a", Epoch: 1, Stamp: 2, Cells: fleetstate.Cells{1, 2}}},
-		Claims: []fleetstate.Claim{{Host: "h", Kind: fleetstate.Hangs, AgeMs: 5}}, Asks: []fleetstate.Ask{{Key: "h", ID: 1, Want: 0.5, At: 9}}})
+	seed, err := c.Encode(fleetstate.Message{Counters: []fleetstate.CounterEntry{{Name: "a", Epoch: 1, Stamp: 2, Counters: fleetstate.Counters{1, 2}}},
+		HealthReports: []fleetstate.HealthReport{{Host: "h", Status: fleetstate.Unresponsive, AgeMs: 5}}, LeaseRequests: []fleetstate.LeaseRequest{{Key: "h", ID: 1, Wanted: 0.5, RequestedAt: 9}}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -72,19 +72,19 @@
 		if err != nil {
 			return
 		}
-		for _, a := range m.Asks {
-			if !(a.Want > 0) || a.Key == "" {
-				t.Fatalf("an ask of %g for %q", a.Want, a.Key)
+		for _, a := range m.LeaseRequests {
+			if !(a.Wanted > 0) || a.Key == "" {
+				t.Fatalf("an ask of %g for %q", a.Wanted, a.Key)
 			}
 		}
-		for _, x := range m.Claims {
-			if x.Kind < fleetstate.Well || x.Kind > fleetstate.Leads || x.Host == "" {
-				t.Fatalf("a claim of kind %d", x.Kind)
+		for _, x := range m.HealthReports {
+			if x.Status < fleetstate.Healthy || x.Status > fleetstate.Primary || x.Host == "" {
+				t.Fatalf("a claim of kind %d", x.Status)
 			}
 		}
 		n := fleetstate.New(func() fleetstate.Config { c := fleetstate.Defaults(); c.Name = "me"; return c }(), 3, 0)
 		n.Fleet([]string{"p"}, 2, 0)
-		n.Observe(fleetstate.Seen{Hosts: []fleetstate.Host{{Name: "h", Ready: true}}})
+		n.Observe(fleetstate.Observation{Endpoints: []fleetstate.EndpointHealth{{Name: "h", Ready: true}}})
 		n.Receive("p", m, 10)
 		n.Tick(20)
 	})
