--- a/internal/lab/shared.go
+++ b/internal/lab/shared.go
@@ -104,7 +104,7 @@
 // Run plays the drill; it ends every process it started.
 func (o SharedDrill) Run(ctx context.Context) (res SharedResult, err error) {
 	began := time.Now()
-	res = SharedResult{Drill: "shared", Seed: o.Seed, Procs: o.Procs, ExcludedBound: fleetstate.Defaults().ShareMost}
+	res = SharedResult{Drill: "shared", Seed: o.Seed, Procs: o.Procs, ExcludedBound: fleetstate.Defaults().MaxEjectedFraction}
 	o.Progress = cmp.Or[io.Writer](o.Progress, io.Discard)
 	alone, err := o.start(&res, nil)
 	if err == nil {
@@ -285,7 +285,7 @@
 	}
 	sleep(ctx, outliveMs-time.Since(hung).Milliseconds())
 	for i := range r.f.ms {
-		if p, err := r.page(i); err == nil && !r.o.liar(i) && slices.ContainsFunc(p.Shared.Judged, func(j fleetstate.Judgement) bool { return !j.Own && j.Host == r.hung }) {
+		if p, err := r.page(i); err == nil && !r.o.liar(i) && slices.ContainsFunc(p.Shared.Ejections, func(j fleetstate.Ejection) bool { return !j.ObservedHere && j.Host == r.hung }) {
 			r.res.Outlived++
 		}
 	}
@@ -423,8 +423,8 @@
 		want := own.Shared.Counters[0]
 		for k := range r.f.ms {
 			p, err := r.page(k)
-			if k != i && err == nil && slices.ContainsFunc(p.Shared.Counters, func(e fleetstate.Entry) bool {
-				return e.Name == want.Name && e.Epoch == want.Epoch && slices.Equal(e.Cells, want.Cells)
+			if k != i && err == nil && slices.ContainsFunc(p.Shared.Counters, func(e fleetstate.CounterEntry) bool {
+				return e.Name == want.Name && e.Epoch == want.Epoch && slices.Equal(e.Counters, want.Counters)
 			}) {
 				return true
 			}
--- a/internal/lab/shared_audit.go
+++ b/internal/lab/shared_audit.go
@@ -40,7 +40,7 @@
 // sharedPage is what the admin page tells.
 type sharedPage struct {
 	View    membership.View
-	Shared  fleetstate.Page
+	Shared  fleetstate.StatusPage
 	Classes []string
 }
 
@@ -82,13 +82,13 @@
 		if err != nil {
 			continue
 		}
-		for k, v := range p.Shared.Held {
+		for k, v := range p.Shared.Borrowed {
 			borrowed[k] += v
 		}
 		wrong := map[int]int{}
 		r.mu.Lock()
-		for _, j := range p.Shared.Judged {
-			if !j.Own && !r.excuse[j.Host] {
+		for _, j := range p.Shared.Ejections {
+			if !j.ObservedHere && !r.excuse[j.Host] {
 				wrong[groups[j.Host]]++
 			}
 		}
@@ -98,7 +98,7 @@
 		}
 	}
 	for k, v := range borrowed {
-		if k != fleetstate.RepeatsKey {
+		if k != fleetstate.RetryBudgetKey {
 			r.res.BorrowedMost = max(r.res.BorrowedMost, v)
 		}
 	}
--- a/internal/lab/watch.go
+++ b/internal/lab/watch.go
@@ -77,10 +77,10 @@
 			switch {
 			case r.State == membership.Dead && s.running && !s.paused() && r.Start == s.start &&
 				now.After(s.calm) && now.After(w.ms[vi].calm) && (w.cut == nil || !w.cut(vi, si) && !w.cut(si, vi)):
-				if k := fmt.Sprint("dead ", key, " ", r.Inc); !w.seen[k] {
+				if k := fmt.Sprint("dead ", key, " ", r.Incarnation); !w.seen[k] {
 					w.seen[k] = true
 					w.res.FalseDead++
-					w.res.Faults = append(w.res.Faults, fmt.Sprintf("m%d held %s dead while it ran (%s, incarnation %d)", vi+1, r.Name, w.now, r.Inc))
+					w.res.Faults = append(w.res.Faults, fmt.Sprintf("m%d held %s dead while it ran (%s, incarnation %d)", vi+1, r.Name, w.now, r.Incarnation))
 				}
 			case r.State >= membership.Dead && (!s.running || r.Start != s.start):
 				w.deadSeen[key] = true // held dead after its end: it may never be alive again
@@ -111,7 +111,7 @@
 		return false
 	}
 	for vi, v := range w.views {
-		held := map[string]membership.Rumor{}
+		held := map[string]membership.Update{}
 		for _, r := range v.Members {
 			held[r.Name] = r
 		}
@@ -269,7 +269,7 @@
 		return
 	}
 	defer conn.Close()
-	b := make([]byte, membership.Defaults().MaxPacket+200)
+	b := make([]byte, membership.Defaults().MaxPacketBytes+200)
 	pace := time.NewTicker(10 * time.Millisecond)
 	defer pace.Stop()
 	for sent, ticks := 0, 0; sent < n && ctx.Err() == nil; ticks++ {
--- a/internal/membership/characterization_test.go
+++ b/internal/membership/characterization_test.go
@@ -140,16 +140,16 @@
 // The functions from here to view turn the package's types into numbers and
 // bytes; a renamed field or type is adapted here.
 
-func (d *digest) rumor(r membership.Rumor) {
-	d.texts(r.Name, r.Addr, r.Zone, r.By)
-	d.numbers(r.Start, int64(r.Inc), int64(r.State))
+func (d *digest) rumor(r membership.Update) {
+	d.texts(r.Name, r.Addr, r.Zone, r.Suspector)
+	d.numbers(r.Start, int64(r.Incarnation), int64(r.State))
 }
 
 func (d *digest) message(m membership.Message) {
 	d.numbers(int64(m.Kind), int64(m.Seq), int64(m.Count), int64(membership.PacketSize(m)))
 	d.texts(m.From, m.Target, m.TargetAddr, m.After, string(m.Payload))
-	d.numbers(int64(len(m.Rumors)))
-	for _, r := range m.Rumors {
+	d.numbers(int64(len(m.Updates)))
+	for _, r := range m.Updates {
 		d.rumor(r)
 	}
 }
@@ -158,22 +158,22 @@
 	d.numbers(int64(len(r.Packets)))
 	for _, p := range r.Packets {
 		d.texts(p.To)
-		d.message(p.Msg)
+		d.message(p.Message)
 	}
 	d.numbers(int64(len(r.Changes)))
 	for _, c := range r.Changes {
-		d.numbers(int64(c.Kind), int64(c.Was), c.At)
+		d.numbers(int64(c.Kind), int64(c.Previous), c.At)
 		d.rumor(c.Member)
 	}
-	d.flag(r.State != nil)
-	d.texts(string(r.State), r.From)
+	d.flag(r.UserData != nil)
+	d.texts(string(r.UserData), r.From)
 }
 
 func (d *digest) size(s membership.Size) { d.numbers(int64(s.Low), int64(s.High)) }
 
 func (d *digest) stats(s membership.Stats) {
 	d.counters(s.PacketsIn, s.PacketsOut, s.BytesOut, s.Malformed, s.Misdirected, s.Stale, s.Dropped,
-		s.Strangers, s.HeldBack, s.Suspected, s.Declared, s.Refuted, s.Conflicts)
+		s.UnknownSenders, s.Throttled, s.Suspected, s.DeclaredDead, s.Refuted, s.Conflicts)
 }
 
 func (d *digest) view(v membership.View) {
@@ -292,7 +292,7 @@
 	for i := range payload {
 		payload[i] = byte(n.random.Uint32())
 	}
-	r, sent := n.processes[from].node.Carry(to, payload, n.now)
+	r, sent := n.processes[from].node.SendUserData(to, payload, n.now)
 	n.digest.flag(sent)
 	n.record(from, r)
 }
@@ -311,9 +311,9 @@
 		if to < 0 || n.cut != nil && n.cut(i, to) || n.random.Float64() < n.loss {
 			continue
 		}
-		n.send(n.processes[i].address, to, p.Msg)
+		n.send(n.processes[i].address, to, p.Message)
 		if n.random.Float64() < n.duplication {
-			n.send(n.processes[i].address, to, p.Msg)
+			n.send(n.processes[i].address, to, p.Message)
 		}
 	}
 }
@@ -402,7 +402,7 @@
 	{name: "accusations", seed: 13, processes: 16, script: accusations},
 	{name: "small-budget", seed: 14, processes: 16, config: smallBudget, script: badLinks},
 	{name: "fast-periods", seed: 15, config: fastPeriods, script: badLinks},
-	{name: "no-relays", seed: 16, config: func(c *membership.Config) { c.IndirectK = 0 }, script: oneWayCuts},
+	{name: "no-relays", seed: 16, config: func(c *membership.Config) { c.IndirectProbes = 0 }, script: oneWayCuts},
 	{name: "sabotage-1", seed: 17, config: sabotage("no-refute"), script: pauses},
 	{name: "sabotage-2", seed: 18, config: sabotage("no-pushpull"), script: splitAndHeal},
 	{name: "sabotage-3", seed: 19, config: sabotage("no-suspicion"), script: pauses},
@@ -416,11 +416,11 @@
 
 func quickForget(c *membership.Config) { c.ReclaimMs, c.ReconnectEvery = 4000, 2 }
 
-func smallBudget(c *membership.Config) { c.MaxPacket, c.BudgetBytesS = 512, 700 }
+func smallBudget(c *membership.Config) { c.MaxPacketBytes, c.GossipBytesPerSecond = 512, 700 }
 
 func fastPeriods(c *membership.Config) {
-	c.PeriodMs, c.ProbeTimeoutMs, c.SyncMs, c.RetransmitMult = 100, 40, 300, 2
-	c.SuspicionMult, c.SuspicionMaxMult, c.AwarenessMax, c.MaxPacket = 5, 2, 3, 900
+	c.ProbeIntervalMs, c.ProbeTimeoutMs, c.PushPullIntervalMs, c.RetransmitMult = 100, 40, 300, 2
+	c.SuspicionMult, c.SuspicionMaxMult, c.MaxAwareness, c.MaxPacketBytes = 5, 2, 3, 900
 }
 
 func sabotage(guard string) func(*membership.Config) {
@@ -437,7 +437,7 @@
 	for range 20 { // until half of a second's budget is spent
 		n.share(3, n.processes[4].name, 1000)
 	}
-	n.share(3, n.processes[4].name, n.config.MaxPacket)
+	n.share(3, n.processes[4].name, n.config.MaxPacketBytes)
 	n.share(3, "member-unknown", 10)
 	n.run(2000)
 }
@@ -551,8 +551,8 @@
 			m.Kind, m.Count = membership.Sync, 500
 		}
 		for j := range 8 {
-			m.Rumors = append(m.Rumors, membership.Rumor{Name: fmt.Sprintf("invented-%03d", 8*k+j), Addr: "10.9.9.9:1",
-				Zone: "zone-x", Start: int64(k), Inc: uint64(j), State: membership.State(j % 4), By: "member-stranger"})
+			m.Updates = append(m.Updates, membership.Update{Name: fmt.Sprintf("invented-%03d", 8*k+j), Addr: "10.9.9.9:1",
+				Zone: "zone-x", Start: int64(k), Incarnation: uint64(j), State: membership.State(j % 4), Suspector: "member-stranger"})
 		}
 		n.inject("10.9.9.8:1", k%len(n.processes), m)
 		n.run(100)
@@ -586,19 +586,19 @@
 		{Kind: 200, From: peer.name},
 		{Kind: membership.Ping, Seq: 9, Target: "member-other"},
 		{Kind: membership.Ping, Seq: 10},
-		{Kind: membership.Ping, Seq: 11, Target: self.name, Rumors: []membership.Rumor{{}, {Name: "x", State: 9}, {Name: "y", State: 2}}},
+		{Kind: membership.Ping, Seq: 11, Target: self.name, Updates: []membership.Update{{}, {Name: "x", State: 9}, {Name: "y", State: 2}}},
 		{Kind: membership.PingReq, Seq: 12, Target: peer.name},
 		{Kind: membership.Ack, Seq: 1 << 60, Target: peer.name},
 		{Kind: membership.Nack, Seq: 1 << 60, Target: peer.name},
-		{Kind: membership.SyncReply, From: peer.name, After: "z", Count: 3, Rumors: []membership.Rumor{{Name: "m", Addr: "10.9.9.9:2"}}},
+		{Kind: membership.SyncReply, From: peer.name, After: "z", Count: 3, Updates: []membership.Update{{Name: "m", Addr: "10.9.9.9:2"}}},
 		{Kind: membership.Sync, From: "member-other"},
 		{Kind: membership.Sync, From: "member-other", After: peer.name, Count: 1},
-		{Kind: membership.Carried, From: peer.name, Payload: []byte("from the wrong address")},
-		{Kind: membership.Carried, From: "member-other", Payload: []byte("from a stranger")},
+		{Kind: membership.UserData, From: peer.name, Payload: []byte("from the wrong address")},
+		{Kind: membership.UserData, From: "member-other", Payload: []byte("from a stranger")},
 	} {
 		n.inject("10.9.9.7:1", 1, m)
 	}
-	n.inject(peer.address, 1, membership.Message{Kind: membership.Carried, From: peer.name, Payload: []byte{}})
+	n.inject(peer.address, 1, membership.Message{Kind: membership.UserData, From: peer.name, Payload: []byte{}})
 	for k := range 40 { // more relays than there are members
 		n.inject(peer.address, 1, membership.Message{Kind: membership.PingReq, Seq: uint64(k), Target: "t", TargetAddr: n.processes[3+k%3].address})
 	}
@@ -623,7 +623,7 @@
 	accused := n.processes[2].node.View().Self
 	for k := range 40 {
 		r := accused
-		r.Inc, r.State, r.By = uint64(k/3), membership.State(1+k%3), n.processes[3+k%12].name
+		r.Incarnation, r.State, r.Suspector = uint64(k/3), membership.State(1+k%3), n.processes[3+k%12].name
 		switch {
 		case k%11 == 0:
 			r.Start--
@@ -632,7 +632,7 @@
 		}
 		to := []int{2, 2, 4, 7}[k%4]
 		kind := []membership.Kind{membership.Ping, membership.Ack, membership.SyncReply}[k%3]
-		n.inject(n.processes[5].address, to, membership.Message{Kind: kind, From: n.processes[5].name, Rumors: []membership.Rumor{r}})
+		n.inject(n.processes[5].address, to, membership.Message{Kind: kind, From: n.processes[5].name, Updates: []membership.Update{r}})
 		n.run(int64(40 * (k % 5)))
 	}
 	n.run(3000)
@@ -646,8 +646,8 @@
 	r := n.processes[9].node.View().Self
 	r.State = membership.Suspect
 	for k := range 6 {
-		r.By = n.processes[10+k].name
-		m := membership.Message{Kind: membership.Ack, Seq: 1 << 50, Rumors: []membership.Rumor{r, r}}
+		r.Suspector = n.processes[10+k].name
+		m := membership.Message{Kind: membership.Ack, Seq: 1 << 50, Updates: []membership.Update{r, r}}
 		n.inject(n.processes[10+k].address, 1, m)
 		n.run(200)
 	}
@@ -697,23 +697,23 @@
 	for _, change := range []func(*membership.Config){
 		func(c *membership.Config) {},
 		func(c *membership.Config) { c.Name = "" },
-		func(c *membership.Config) { c.PeriodMs = 0 },
+		func(c *membership.Config) { c.ProbeIntervalMs = 0 },
 		func(c *membership.Config) { c.ProbeTimeoutMs = 0 },
-		func(c *membership.Config) { c.ProbeTimeoutMs = c.PeriodMs },
-		func(c *membership.Config) { c.IndirectK = -1 },
-		func(c *membership.Config) { c.IndirectK = 16 },
-		func(c *membership.Config) { c.IndirectK = 17 },
+		func(c *membership.Config) { c.ProbeTimeoutMs = c.ProbeIntervalMs },
+		func(c *membership.Config) { c.IndirectProbes = -1 },
+		func(c *membership.Config) { c.IndirectProbes = 16 },
+		func(c *membership.Config) { c.IndirectProbes = 17 },
 		func(c *membership.Config) { c.SuspicionMult = 0.9 },
 		func(c *membership.Config) { c.SuspicionMaxMult = 0.9 },
 		func(c *membership.Config) { c.RetransmitMult = 0 },
-		func(c *membership.Config) { c.AwarenessMax = -1 },
+		func(c *membership.Config) { c.MaxAwareness = -1 },
 		func(c *membership.Config) { c.ReconnectEvery = 0 },
 		func(c *membership.Config) { c.MaxMembers = 0 },
-		func(c *membership.Config) { c.SyncMs = 0 },
+		func(c *membership.Config) { c.PushPullIntervalMs = 0 },
 		func(c *membership.Config) { c.ReclaimMs = 0 },
-		func(c *membership.Config) { c.MaxPacket = 511 },
-		func(c *membership.Config) { c.MaxPacket = 1401 },
-		func(c *membership.Config) { c.BudgetBytesS = c.MaxPacket - 1 },
+		func(c *membership.Config) { c.MaxPacketBytes = 511 },
+		func(c *membership.Config) { c.MaxPacketBytes = 1401 },
+		func(c *membership.Config) { c.GossipBytesPerSecond = c.MaxPacketBytes - 1 },
 		func(c *membership.Config) { c.Sabotage = "unknown" },
 		func(c *membership.Config) { c.Addr = strings.Repeat("a", 261) },
 		func(c *membership.Config) { c.Addr = strings.Repeat("a", 262) },
--- a/internal/membership/exhaustive_test.go
+++ b/internal/membership/exhaustive_test.go
@@ -70,7 +70,7 @@
 	w.cfg.Sabotage, w.quiet = x.sabotage, true
 	w.start()
 	w.settle(bound(w.cfg, 3), nil)
-	w.run(2 * w.cfg.PeriodMs) // a settled view, with the join's gossip spent
+	w.run(2 * w.cfg.ProbeIntervalMs) // a settled view, with the join's gossip spent
 	return w
 }
 
@@ -85,7 +85,7 @@
 }
 
 // play makes choice c, checking the rules on what it brings.
-func (x *explorer) play(w *net, c int, held []map[string]Rumor) error {
+func (x *explorer) play(w *net, c int, held []map[string]Update) error {
 	n := min(len(w.flights), x.window)
 	switch {
 	case c == 0:
@@ -117,14 +117,14 @@
 			return fmt.Errorf("%s holds %d others", p.name, len(p.node.members))
 		}
 		for name, e := range p.node.members {
-			if old, ok := held[i][name]; ok && old != e.Rumor && !supersedes(e.Rumor, old) {
-				return fmt.Errorf("%s went back on %s: %+v after %+v", p.name, name, e.Rumor, old)
+			if old, ok := held[i][name]; ok && old != e.Update && !supersedes(e.Update, old) {
+				return fmt.Errorf("%s went back on %s: %+v after %+v", p.name, name, e.Update, old)
 			}
-			held[i][name] = e.Rumor
+			held[i][name] = e.Update
 		}
 	}
 	for _, f := range w.flights {
-		if f.msg.size() > w.cfg.MaxPacket {
+		if f.msg.size() > w.cfg.MaxPacketBytes {
 			return fmt.Errorf("a packet of %d bytes", f.msg.size())
 		}
 	}
@@ -138,9 +138,9 @@
 		return
 	}
 	w := x.met()
-	held := make([]map[string]Rumor, len(w.procs))
+	held := make([]map[string]Update, len(w.procs))
 	for i := range held {
-		held[i] = map[string]Rumor{}
+		held[i] = map[string]Update{}
 	}
 	for step, c := range path {
 		x.paths++
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -13,12 +13,12 @@
 }
 
 type broadcast struct {
-	r    Rumor
+	r    Update
 	sent int
 }
 
 // add queues r in place of anything said of the same name.
-func (q *broadcasts) add(r Rumor) {
+func (q *broadcasts) add(r Update) {
 	q.drop(r.Name)
 	q.items = append(q.items, broadcast{r: r})
 }
@@ -36,7 +36,7 @@
 // fill refills the budget: BudgetBytesS a second, one second's worth at most.
 func (n *Node) fill(now int64) {
 	if now > n.filled {
-		n.tokens = math.Min(float64(n.cfg.BudgetBytesS), n.tokens+float64(n.cfg.BudgetBytesS)*float64(now-n.filled)/1000)
+		n.tokens = math.Min(float64(n.cfg.GossipBytesPerSecond), n.tokens+float64(n.cfg.GossipBytesPerSecond)*float64(now-n.filled)/1000)
 		n.filled = now
 	}
 }
@@ -45,14 +45,14 @@
 // top of it, within the byte budget; half of a second's budget is left to
 // gossip and pages, which the view itself needs. It reports whether the
 // payload went.
-func (n *Node) Carry(to string, payload []byte, now int64) (Ready, bool) {
+func (n *Node) SendUserData(to string, payload []byte, now int64) (Ready, bool) {
 	n.fill(now)
-	e, m := n.members[to], Message{Kind: Carried, Payload: payload}
+	e, m := n.members[to], Message{Kind: UserData, Payload: payload}
 	if e == nil || e.State > Suspect || n.leaving {
 		return n.take(), false
 	}
-	if m.From = n.self.Name; m.size() > n.cfg.MaxPacket || n.tokens-float64(m.size()) < float64(n.cfg.BudgetBytesS)/2 {
-		n.stats.HeldBack++
+	if m.From = n.self.Name; m.size() > n.cfg.MaxPacketBytes || n.tokens-float64(m.size()) < float64(n.cfg.GossipBytesPerSecond)/2 {
+		n.stats.Throttled++
 		return n.take(), false
 	}
 	n.send(e.Addr, m, now, false)
@@ -88,15 +88,15 @@
 	m.From = n.self.Name
 	size := m.size()
 	if !protocol && float64(size) > n.tokens {
-		n.stats.HeldBack++
+		n.stats.Throttled++
 		return
 	}
 	free := 0 // bytes not charged: a probe's own
 	if protocol {
 		free = size
 	}
-	if m.Kind != Sync && m.Kind != SyncReply && m.Kind != Carried && len(n.queue.items) > 0 {
-		room := min(n.cfg.MaxPacket-size, int(n.tokens)-size+free)
+	if m.Kind != Sync && m.Kind != SyncReply && m.Kind != UserData && len(n.queue.items) > 0 {
+		room := min(n.cfg.MaxPacketBytes-size, int(n.tokens)-size+free)
 		slices.SortStableFunc(n.queue.items, func(a, b broadcast) int { return a.sent - b.sent })
 		limit := n.limit()
 		for i := range n.queue.items {
@@ -105,11 +105,11 @@
 			// Joins leave one page's worth of the budget to pages: when many
 			// join at once they would take all of it, and hold back the pages
 			// that make them needless. Suspicions and refutations may use all.
-			if b.r.State == Alive && b.r.Inc == 0 && int(n.tokens)-size+free-s < n.cfg.MaxPacket {
+			if b.r.State == Alive && b.r.Incarnation == 0 && int(n.tokens)-size+free-s < n.cfg.MaxPacketBytes {
 				continue
 			}
 			if s <= room {
-				m.Rumors = append(m.Rumors, b.r)
+				m.Updates = append(m.Updates, b.r)
 				room -= s
 				size += s
 				b.sent++
@@ -120,5 +120,5 @@
 	n.tokens -= float64(size - free)
 	n.stats.PacketsOut++
 	n.stats.BytesOut += uint64(size)
-	n.out.Packets = append(n.out.Packets, Packet{To: to, Msg: m})
+	n.out.Packets = append(n.out.Packets, Packet{To: to, Message: m})
 }
--- a/internal/membership/lastcall_test.go
+++ b/internal/membership/lastcall_test.go
@@ -12,22 +12,22 @@
 		cfg := Defaults()
 		cfg.Name, cfg.Addr = "me", "127.0.0.1:1"
 		n := New(cfg, 0)
-		n.Receive("at a", Message{Kind: Ack, Rumors: []Rumor{{Name: "a", Addr: "at a", Start: 1}, {Name: "b", Addr: "at b", Start: 1}}}, 0)
-		n.Receive("at b", Message{Kind: Ack, Rumors: []Rumor{{Name: "a", Addr: "at a", Start: 1, State: Suspect, By: "b"}}}, 0)
+		n.Receive("at a", Message{Kind: Ack, Updates: []Update{{Name: "a", Addr: "at a", Start: 1}, {Name: "b", Addr: "at b", Start: 1}}}, 0)
+		n.Receive("at b", Message{Kind: Ack, Updates: []Update{{Name: "a", Addr: "at a", Start: 1, State: Suspect, Suspector: "b"}}}, 0)
 		ends, calls := n.members["a"].susp.ends(), 0
 		for now := int64(20); now < ends+4*cfg.ProbeTimeoutMs; now += 20 {
 			for _, p := range n.Tick(now).Packets {
-				if p.To != "at a" || p.Msg.Kind != Ping || now < ends || len(p.Msg.Rumors) == 0 || p.Msg.Rumors[0].State != Suspect {
+				if p.To != "at a" || p.Message.Kind != Ping || now < ends || len(p.Message.Updates) == 0 || p.Message.Updates[0].State != Suspect {
 					continue
 				}
 				if calls++; answers { // as a member answers a ping that doubts it
-					n.Receive("at a", Message{Kind: Ack, Seq: p.Msg.Seq, Target: "a", Rumors: []Rumor{{Name: "a", Addr: "at a", Start: 1, Inc: 1}}}, now+1)
+					n.Receive("at a", Message{Kind: Ack, Seq: p.Message.Seq, Target: "a", Updates: []Update{{Name: "a", Addr: "at a", Start: 1, Incarnation: 1}}}, now+1)
 				}
 			}
 		}
 		e := n.members["a"] // it may be suspected anew: its other probes go unanswered here
-		if died := e.State == Dead; calls == 0 || died == answers || answers && e.Inc != 1 {
-			t.Errorf("answers %v: the suspect is %v at incarnation %d after %d last calls", answers, e.State, e.Inc, calls)
+		if died := e.State == Dead; calls == 0 || died == answers || answers && e.Incarnation != 1 {
+			t.Errorf("answers %v: the suspect is %v at incarnation %d after %d last calls", answers, e.State, e.Incarnation, calls)
 		}
 	}
 }
@@ -39,9 +39,9 @@
 	n := New(cfg, 0)
 	for i := range 50 { // long after gossip has stopped carrying it
 		word := false
-		r := n.Receive("at x", Message{Kind: Ping, Seq: 7, Target: "me", From: "x", Rumors: []Rumor{{Name: "me", Addr: cfg.Addr, Start: 1, State: Suspect, By: "y"}}}, 0)
+		r := n.Receive("at x", Message{Kind: Ping, Seq: 7, Target: "me", From: "x", Updates: []Update{{Name: "me", Addr: cfg.Addr, Start: 1, State: Suspect, Suspector: "y"}}}, 0)
 		for _, p := range r.Packets {
-			word = word || p.To == "at x" && p.Msg.Kind == Ack && len(p.Msg.Rumors) > 0 && p.Msg.Rumors[0].Name == "me" && p.Msg.Rumors[0].Inc == 1
+			word = word || p.To == "at x" && p.Message.Kind == Ack && len(p.Message.Updates) > 0 && p.Message.Updates[0].Name == "me" && p.Message.Updates[0].Incarnation == 1
 		}
 		if !word {
 			t.Fatalf("ping %d: no refutation with the answer: %+v", i+1, r.Packets)
@@ -57,14 +57,14 @@
 	n := New(cfg, 0)
 	page := Message{Kind: SyncReply, From: "m00", Count: 40}
 	for i := range 10 {
-		page.Rumors = append(page.Rumors, Rumor{Name: fmt.Sprintf("m%02d", i), Addr: fmt.Sprint("at ", i), Start: 1})
+		page.Updates = append(page.Updates, Update{Name: fmt.Sprintf("m%02d", i), Addr: fmt.Sprint("at ", i), Start: 1})
 	}
 	n.Receive("at 0", page, 0)
 	asked := func(from, to int64) (n0 int, after string) {
 		for now := from; now < to; now += 20 {
 			for _, p := range n.Tick(now).Packets {
-				if p.Msg.Kind == Sync {
-					n0, after = n0+1, p.Msg.After
+				if p.Message.Kind == Sync {
+					n0, after = n0+1, p.Message.After
 				}
 			}
 		}
@@ -73,8 +73,8 @@
 	if k, after := asked(20, 1020); k < 4 || after != "m09" {
 		t.Errorf("behind it asked %d times in a second, after %q; want each period, after m09", k, after)
 	}
-	asked(1020, 4*cfg.SyncMs)
-	if k, _ := asked(4*cfg.SyncMs, 8*cfg.SyncMs); k > 5 {
+	asked(1020, 4*cfg.PushPullIntervalMs)
+	if k, _ := asked(4*cfg.PushPullIntervalMs, 8*cfg.PushPullIntervalMs); k > 5 {
 		t.Errorf("with nobody who knows more it asked %d times in 4 s, want one a second", k)
 	}
 }
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -11,7 +11,7 @@
 	Nack                      // I asked Target for you and heard nothing: my links work
 	Sync                      // a page of my view, after the name After
 	SyncReply                 // a page of mine for the same names
-	Carried                   // Payload, of those who share state on top of the view
+	UserData                  // Payload, of those who share state on top of the view
 )
 
 // Message is one packet's content, whatever the codec. Rumors are the
@@ -24,7 +24,7 @@
 	TargetAddr string // PingReq: where the probed is
 	After      string // Sync: the page holds names after this one
 	Count      int    // Sync and SyncReply: members that the sender's view holds
-	Rumors     []Rumor
+	Updates    []Update
 	Payload    []byte // Carried: opaque to the rules
 }
 
@@ -33,7 +33,7 @@
 
 func (m *Message) size() int {
 	n := messageOverhead + len(m.From) + len(m.Target) + len(m.TargetAddr) + len(m.After) + len(m.Payload)
-	for _, r := range m.Rumors {
+	for _, r := range m.Updates {
 		n += r.size()
 	}
 	return n
@@ -41,8 +41,8 @@
 
 // Packet is a message to send to an address.
 type Packet struct {
-	To  string
-	Msg Message
+	To      string
+	Message Message
 }
 
 // ChangeKind is what happened to a member in this view.
@@ -58,10 +58,10 @@
 
 // Change is one step of the view, for the log.
 type Change struct {
-	Kind   ChangeKind
-	Member Rumor
-	Was    State
-	At     int64
+	Kind     ChangeKind
+	Member   Update
+	Previous State
+	At       int64
 }
 
 // Ready is what an event asks the caller to do: send the packets, log the
@@ -71,8 +71,8 @@
 	Changes []Change
 	// State is the payload of a Carried packet that came from the member From,
 	// from its own address; nil for any other event.
-	State []byte
-	From  string
+	UserData []byte
+	From     string
 }
 
 // PacketSize is the most bytes that m takes in a packet, as the rules reckon it.
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -28,11 +28,11 @@
 		for i := 1; i < count; i++ {
 			wire = append(wire, nodes[i].Join([]string{addr(0)}, 0).Packets...)
 		}
-		held := func() map[string]Rumor {
-			m := map[string]Rumor{}
+		held := func() map[string]Update {
+			m := map[string]Update{}
 			for i, n := range nodes {
 				for name, e := range n.members {
-					m[fmt.Sprint(i, name)] = e.Rumor
+					m[fmt.Sprint(i, name)] = e.Update
 				}
 			}
 			return m
@@ -50,7 +50,7 @@
 				var to int
 				fmt.Sscanf(p.To, "127.0.0.1:%d", &to)
 				if to -= 7000; to >= 0 && to < count {
-					wire = append(wire, nodes[to].Receive(addr(to), p.Msg, now).Packets...)
+					wire = append(wire, nodes[to].Receive(addr(to), p.Message, now).Packets...)
 				}
 			case ev < 7 && len(wire) > 0: // lose one
 				k := rapid.IntRange(0, len(wire)-1).Draw(t, "lost")
@@ -64,10 +64,10 @@
 				wire = wire[len(wire)-2000:]
 			}
 			for i, n := range nodes {
-				if n.self.Inc < said[i] {
-					t.Fatalf("m%d's incarnation fell from %d to %d", i, said[i], n.self.Inc)
+				if n.self.Incarnation < said[i] {
+					t.Fatalf("m%d's incarnation fell from %d to %d", i, said[i], n.self.Incarnation)
 				}
-				said[i] = n.self.Inc
+				said[i] = n.self.Incarnation
 			}
 			after := held()
 			for k, old := range before {
@@ -78,8 +78,8 @@
 			for k, r := range after {
 				var i int
 				fmt.Sscanf(r.Name, "m%d", &i)
-				if r.Inc > nodes[i].self.Inc {
-					t.Fatalf("%s holds m%d at incarnation %d, which it never said (%d)", k, i, r.Inc, nodes[i].self.Inc)
+				if r.Incarnation > nodes[i].self.Incarnation {
+					t.Fatalf("%s holds m%d at incarnation %d, which it never said (%d)", k, i, r.Incarnation, nodes[i].self.Incarnation)
 				}
 			}
 		}
--- a/internal/membership/net_test.go
+++ b/internal/membership/net_test.go
@@ -79,13 +79,13 @@
 		w.judge(p, c)
 	}
 	for _, pk := range r.Packets {
-		w.bytes += uint64(pk.Msg.size())
+		w.bytes += uint64(pk.Message.size())
 		to := w.byAddr[pk.To]
 		if to == nil || w.rng.Float64() < w.loss || w.cut != nil && w.cut(p, to) {
 			continue
 		}
 		d := w.delay[0] + w.rng.Int64N(w.delay[1]-w.delay[0]+1) + w.late[p.name]
-		w.flights = append(w.flights, flight{at: w.now + d, from: p.addr, to: pk.To, msg: pk.Msg})
+		w.flights = append(w.flights, flight{at: w.now + d, from: p.addr, to: pk.To, msg: pk.Message})
 	}
 }
 
@@ -102,7 +102,7 @@
 		w.falseDead++
 		w.logf("%d ms: %s took %s for dead while it ran", w.now, p.name, c.Member.Name)
 	}
-	if c.Member.State == Alive && c.Was >= Dead && subject != nil && (!subject.running || subject.node.self.Start != c.Member.Start) {
+	if c.Member.State == Alive && c.Previous >= Dead && subject != nil && (!subject.running || subject.node.self.Start != c.Member.Start) {
 		w.ghosts++
 		w.logf("%d ms: %s took %s for alive again, which does not run", w.now, p.name, c.Member.Name)
 	}
@@ -158,9 +158,9 @@
 		if !w.up(v) {
 			continue
 		}
-		held := map[string]Rumor{}
+		held := map[string]Update{}
 		for _, e := range v.node.members {
-			held[e.Name] = e.Rumor
+			held[e.Name] = e.Update
 		}
 		for _, s := range w.procs {
 			if s == v {
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -7,7 +7,7 @@
 
 // entry is what this member holds of another.
 type entry struct {
-	Rumor
+	Update
 	since int64      // when its state was set here
 	susp  *suspicion // while State is Suspect
 }
@@ -16,7 +16,7 @@
 // one loop owns a Node.
 type Node struct {
 	cfg     Config
-	self    Rumor
+	self    Update
 	members map[string]*entry
 	seeds   []string
 	rng     *rand.Rand
@@ -54,11 +54,11 @@
 func New(cfg Config, now int64) *Node {
 	n := &Node{
 		cfg:     cfg,
-		self:    Rumor{Name: cfg.Name, Addr: cfg.Addr, Zone: cfg.Zone, Start: cfg.Start},
+		self:    Update{Name: cfg.Name, Addr: cfg.Addr, Zone: cfg.Zone, Start: cfg.Start},
 		members: map[string]*entry{},
 		rng:     rand.New(rand.NewPCG(cfg.Seed, cfg.Seed^0x9e3779b97f4a7c15)),
 		relay:   map[uint64]*relayed{},
-		tokens:  float64(cfg.BudgetBytesS),
+		tokens:  float64(cfg.GossipBytesPerSecond),
 		filled:  now,
 		next:    now,
 	}
@@ -73,7 +73,7 @@
 	for _, s := range n.seeds {
 		n.sendSync(s, "", now)
 	}
-	n.nextSync = now + n.cfg.SyncMs
+	n.nextSync = now + n.cfg.PushPullIntervalMs
 	return n.take()
 }
 
@@ -85,11 +85,11 @@
 		return n.take()
 	}
 	n.leaving = true
-	n.self.Inc++
+	n.self.Incarnation++
 	n.self.State = Left
 	n.queue.add(n.self)
-	for _, name := range n.pick(n.cfg.IndirectK+1, "", false) {
-		n.send(n.members[name].Addr, Message{Kind: Sync, After: "\xff", Rumors: []Rumor{n.self}}, now, false)
+	for _, name := range n.pick(n.cfg.IndirectProbes+1, "", false) {
+		n.send(n.members[name].Addr, Message{Kind: Sync, After: "\xff", Updates: []Update{n.self}}, now, false)
 	}
 	return n.take()
 }
@@ -98,7 +98,7 @@
 func (n *Node) Receive(from string, m Message, now int64) Ready {
 	n.stats.PacketsIn++
 	if m.Kind != Sync && m.Kind != SyncReply {
-		n.merge(m.Rumors, now)
+		n.merge(m.Updates, now)
 	}
 	if len(n.members) == 0 && !slices.Contains(n.seeds, from) && len(n.seeds) < accusers {
 		n.seeds = append(n.seeds, from) // who has heard of us already is as good a seed as a busy one
@@ -110,8 +110,8 @@
 			break
 		}
 		ack := Message{Kind: Ack, Seq: m.Seq, Target: n.self.Name}
-		if slices.ContainsFunc(m.Rumors, func(r Rumor) bool { return r.Name == n.self.Name && r.State != Alive }) && n.cfg.Sabotage != "no-refute" {
-			ack.Rumors = append(ack.Rumors, n.self) // it doubts us: our word goes with the answer
+		if slices.ContainsFunc(m.Updates, func(r Update) bool { return r.Name == n.self.Name && r.State != Alive }) && n.cfg.Sabotage != "no-refute" {
+			ack.Updates = append(ack.Updates, n.self) // it doubts us: our word goes with the answer
 		}
 		n.send(from, ack, now, true)
 	case PingReq:
@@ -129,12 +129,12 @@
 	case SyncReply:
 		n.mergePage(m, now)
 		n.compared(m, now)
-	case Carried:
+	case UserData:
 		// Only a member of the view speaks, and only from its own address.
 		if e := n.members[m.From]; e != nil && e.Addr == from && e.State <= Suspect {
-			n.out.State, n.out.From = m.Payload, m.From
+			n.out.UserData, n.out.From = m.Payload, m.From
 		} else {
-			n.stats.Strangers++
+			n.stats.UnknownSenders++
 		}
 	default:
 		n.stats.Malformed++
@@ -143,7 +143,7 @@
 }
 
 // merge takes rumors in the order they came.
-func (n *Node) merge(rs []Rumor, now int64) {
+func (n *Node) merge(rs []Update, now int64) {
 	for _, r := range rs {
 		n.apply(r, now)
 	}
@@ -154,9 +154,9 @@
 // side of a healed partition, and the member said dead gets its suspicion's
 // time to refute instead of being declared dead by its own side at once.
 func (n *Node) mergePage(m Message, now int64) {
-	for _, r := range m.Rumors {
+	for _, r := range m.Updates {
 		if r.State == Dead && r.Name != n.self.Name {
-			r.State, r.By = Suspect, m.From
+			r.State, r.Suspector = Suspect, m.From
 		}
 		// A newcomer that a page of another tells of is no news: that other
 		// has it, and pages carry it on. The sender itself may be.
@@ -165,10 +165,10 @@
 }
 
 // apply takes one rumor about a member.
-func (n *Node) apply(r Rumor, now int64) { n.learn(r, false, now) }
+func (n *Node) apply(r Update, now int64) { n.learn(r, false, now) }
 
 // learn takes a rumor; paged says that it came in another member's page.
-func (n *Node) learn(r Rumor, paged bool, now int64) {
+func (n *Node) learn(r Update, paged bool, now int64) {
 	if r.Name == "" || r.State > Left {
 		n.stats.Malformed++
 		return
@@ -186,7 +186,7 @@
 			n.stats.Dropped++ // a peer that invents names must not grow the view without end
 			return
 		}
-		e = &entry{Rumor: r, since: now}
+		e = &entry{Update: r, since: now}
 		n.members[r.Name] = e
 		i, _ := slices.BinarySearch(n.names, r.Name)
 		n.names = slices.Insert(n.names, i, r.Name)
@@ -196,29 +196,29 @@
 			n.order[i], n.order[len(n.order)-1] = n.order[len(n.order)-1], n.order[i]
 		}
 		if r.State == Suspect {
-			e.susp = n.newSuspicion(r.By, now)
+			e.susp = n.newSuspicion(r.Suspector, now)
 			n.watch = append(n.watch, r.Name)
 		}
-		n.changed(Change{Kind: Joined, Member: r, Was: r.State, At: now})
+		n.changed(Change{Kind: Joined, Member: r, Previous: r.State, At: now})
 		if !paged || r.State != Alive {
 			n.queue.add(r)
 		}
 		return
 	}
-	if r.State == Suspect && e.State == Suspect && r.Start == e.Start && r.Inc == e.Inc {
-		if e.susp != nil && e.susp.confirm(r.By) {
+	if r.State == Suspect && e.State == Suspect && r.Start == e.Start && r.Incarnation == e.Incarnation {
+		if e.susp != nil && e.susp.confirm(r.Suspector) {
 			n.queue.add(r) // a new confirmation travels on, as Lifeguard's do
 		}
 		return
 	}
-	if !supersedes(r, e.Rumor) {
+	if !supersedes(r, e.Update) {
 		n.stats.Stale++
 		return
 	}
 	was, restarted := e.State, r.Start != e.Start
-	e.Rumor, e.since, e.susp = r, now, nil
+	e.Update, e.since, e.susp = r, now, nil
 	if r.State == Suspect {
-		e.susp = n.newSuspicion(r.By, now)
+		e.susp = n.newSuspicion(r.Suspector, now)
 	}
 	if r.State != Alive && !slices.Contains(n.watch, r.Name) {
 		n.watch = append(n.watch, r.Name)
@@ -227,32 +227,32 @@
 	if restarted {
 		kind = Joined
 	}
-	n.changed(Change{Kind: kind, Member: r, Was: was, At: now})
+	n.changed(Change{Kind: kind, Member: r, Previous: was, At: now})
 	n.queue.add(r)
 }
 
 // aboutSelf refutes what is said of this instance, and tells another
 // instance under the same name.
-func (n *Node) aboutSelf(r Rumor, now int64) {
+func (n *Node) aboutSelf(r Update, now int64) {
 	other := r.Start != n.self.Start || r.Addr != n.self.Addr
 	switch {
 	case other && (r.Start < n.self.Start || r.State >= Dead):
 		n.queue.add(n.self) // an earlier instance's record: ours overrides it
 	case other:
 		n.stats.Conflicts++
-		n.out.Changes = append(n.out.Changes, Change{Kind: Conflict, Member: r, Was: n.self.State, At: now})
+		n.out.Changes = append(n.out.Changes, Change{Kind: Conflict, Member: r, Previous: n.self.State, At: now})
 		if r.Start > n.self.Start || r.Addr > n.self.Addr {
 			n.yielded = true // the newer one keeps the name; we stop refuting
 		}
 	case n.leaving || n.yielded || n.cfg.Sabotage == "no-refute":
 	case r.State != Alive:
-		if r.Inc >= n.self.Inc {
-			n.self.Inc = r.Inc + 1
+		if r.Incarnation >= n.self.Incarnation {
+			n.self.Incarnation = r.Incarnation + 1
 			n.stats.Refuted++
 			n.queue.add(n.self)
 			n.doubt(+1) // Lifeguard: a member that others suspect may be the slow one
 		}
-		n.answer(r.By, now)
+		n.answer(r.Suspector, now)
 	}
 }
 
@@ -288,7 +288,7 @@
 	for ; i < len(n.tell); i++ {
 		a := &n.tell[i]
 		if e := n.members[a.name]; e != nil {
-			n.send(e.Addr, Message{Kind: Ping, Target: e.Name, Rumors: []Rumor{n.self}}, now, true)
+			n.send(e.Addr, Message{Kind: Ping, Target: e.Name, Updates: []Update{n.self}}, now, true)
 		}
 		a.left--
 	}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -61,13 +61,13 @@
 func (n *Node) scale(ms int64) int64 { return ms * int64(n.aware+1) }
 
 func (n *Node) doubt(by int) {
-	n.aware = max(0, min(n.cfg.AwarenessMax, n.aware+by))
+	n.aware = max(0, min(n.cfg.MaxAwareness, n.aware+by))
 }
 
 // start probes the next member in the shuffled order; the order is drawn
 // anew once used up, so each member is probed within 2n periods.
 func (n *Node) start(now int64) {
-	n.next = now + n.scale(n.cfg.PeriodMs)
+	n.next = now + n.scale(n.cfg.ProbeIntervalMs)
 	n.tell = slices.DeleteFunc(n.tell, func(a accuser) bool { return a.left <= 0 })
 	n.retell(0, now)
 	for range 2 {
@@ -83,7 +83,7 @@
 				deadline: now + n.scale(n.cfg.ProbeTimeoutMs), end: n.next}
 			m := Message{Kind: Ping, Seq: n.seq, Target: name}
 			if e.State == Suspect { // Lifeguard's buddy: tell it first, so it refutes at once
-				m.Rumors = append(m.Rumors, e.Rumor)
+				m.Updates = append(m.Updates, e.Update)
 			}
 			n.send(e.Addr, m, now, true)
 			return
@@ -110,7 +110,7 @@
 	if e == nil {
 		return
 	}
-	for _, name := range n.pick(n.cfg.IndirectK, p.target, false) {
+	for _, name := range n.pick(n.cfg.IndirectProbes, p.target, false) {
 		n.send(n.members[name].Addr, Message{Kind: PingReq, Seq: p.seq, Target: p.target, TargetAddr: e.Addr}, now, true)
 		p.asked++
 	}
@@ -133,7 +133,7 @@
 		return
 	}
 	n.stats.Suspected++
-	r := Rumor{Name: e.Name, Addr: e.Addr, Zone: e.Zone, Start: e.Start, Inc: e.Inc, State: Suspect, By: n.self.Name}
+	r := Update{Name: e.Name, Addr: e.Addr, Zone: e.Zone, Start: e.Start, Incarnation: e.Incarnation, State: Suspect, Suspector: n.self.Name}
 	if n.cfg.Sabotage == "no-suspicion" {
 		r.State = Dead
 	}
--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -35,23 +35,23 @@
 // milliseconds on its own clock, so a restart has a later one and overrides
 // whatever was said of the earlier instance, whatever its incarnation. Only
 // the member itself raises Inc, to refute a suspicion or a death.
-type Rumor struct {
-	Name  string
-	Addr  string // where its packets go, opaque to the rules
-	Zone  string
-	Start int64
-	Inc   uint64
-	State State
-	By    string // who suspected it, for Suspect: confirmations count by name
+type Update struct {
+	Name        string
+	Addr        string // where its packets go, opaque to the rules
+	Zone        string
+	Start       int64
+	Incarnation uint64
+	State       State
+	Suspector   string // who suspected it, for Suspect: confirmations count by name
 }
 
 // supersedes reports whether r is newer than old, both of one name.
-func supersedes(r, old Rumor) bool {
+func supersedes(r, old Update) bool {
 	if r.Start != old.Start {
 		return r.Start > old.Start
 	}
-	if r.Inc != old.Inc {
-		return r.Inc > old.Inc
+	if r.Incarnation != old.Incarnation {
+		return r.Incarnation > old.Incarnation
 	}
 	return r.State > old.State
 }
@@ -62,8 +62,8 @@
 const rumorOverhead = 48
 
 // size is the most bytes that r takes in a packet.
-func (r Rumor) size() int {
-	return rumorOverhead + len(r.Name) + len(r.Addr) + len(r.Zone) + len(r.By)
+func (r Update) size() int {
+	return rumorOverhead + len(r.Name) + len(r.Addr) + len(r.Zone) + len(r.Suspector)
 }
 
 // MarshalText names the state, for the admin page and the log.
--- a/internal/membership/scale_test.go
+++ b/internal/membership/scale_test.go
@@ -50,7 +50,7 @@
 		rows = append(rows, scaleRow{p, join, kill, bound(w.cfg, p), calm, busy})
 		// probes: a ping and an ack a period, each under 200 bytes, besides
 		// the budget for gossip and pages
-		if most := float64(w.cfg.BudgetBytesS) + 2*200*1000/float64(w.cfg.PeriodMs)*2; calm > most {
+		if most := float64(w.cfg.GossipBytesPerSecond) + 2*200*1000/float64(w.cfg.ProbeIntervalMs)*2; calm > most {
 			t.Errorf("%d members: %.0f bytes a member a second, over %.0f", p, calm, most)
 		}
 		if w.falseDead > 0 {
@@ -94,12 +94,12 @@
 		err = plotutil.AddLinePoints(bytes,
 			"calm", line(func(r scaleRow) float64 { return r.calm }),
 			"while settling", line(func(r scaleRow) float64 { return r.busy }),
-			"budget of gossip and pages", line(func(scaleRow) float64 { return float64(Defaults().BudgetBytesS) }))
+			"budget of gossip and pages", line(func(scaleRow) float64 { return float64(Defaults().GossipBytesPerSecond) }))
 	}
 	for _, p := range []*plot.Plot{settle, bytes} {
 		p.Legend.Top, p.Legend.Left, p.Y.Min = true, true, 0
 	}
-	bytes.Y.Max = float64(Defaults().BudgetBytesS) * 1.25
+	bytes.Y.Max = float64(Defaults().GossipBytesPerSecond) * 1.25
 	for _, ext := range []string{"svg", "png"} {
 		if err != nil {
 			break
--- a/internal/membership/settle_test.go
+++ b/internal/membership/settle_test.go
@@ -13,16 +13,16 @@
 // periods more.
 func bound(cfg Config, p int) int64 {
 	logs := math.Max(1, math.Log10(float64(p)))
-	susp := cfg.SuspicionMaxMult * cfg.SuspicionMult * logs * float64(cfg.PeriodMs)
-	spread := (math.Log2(float64(p)) + 4) * float64(cfg.PeriodMs)
-	return int64(susp+4*float64(cfg.PeriodMs)+spread) + 2*cfg.ProbeTimeoutMs
+	susp := cfg.SuspicionMaxMult * cfg.SuspicionMult * logs * float64(cfg.ProbeIntervalMs)
+	spread := (math.Log2(float64(p)) + 4) * float64(cfg.ProbeIntervalMs)
+	return int64(susp+4*float64(cfg.ProbeIntervalMs)+spread) + 2*cfg.ProbeTimeoutMs
 }
 
 // splitBound is the bound after a split: half of all probes go unanswered, and
 // nacks with them, so members doubt themselves and probe at half the pace or
 // less (8 periods more; over 100 seeds of 12 members splits settled in 7.0 s at
 // the median and 9.0 s at most, against 9.3 s).
-func splitBound(cfg Config, p int) int64 { return bound(cfg, p) + 8*cfg.PeriodMs }
+func splitBound(cfg Config, p int) int64 { return bound(cfg, p) + 8*cfg.ProbeIntervalMs }
 
 func TestTenJoinThroughOneSeed(t *testing.T) {
 	for seed := range uint64(5) {
@@ -68,15 +68,15 @@
 	w.start()
 	w.settle(bound(w.cfg, 8), nil)
 	p := w.procs[5]
-	inc := p.node.self.Inc
+	inc := p.node.self.Incarnation
 	p.paused = w.now + 2*bound(w.cfg, 8)
 	w.run(2 * bound(w.cfg, 8))
 	if _, ok := w.deadAt[p.name]; !ok {
 		t.Fatal("a member paused past its suspicion was not taken for dead")
 	}
 	w.settle(bound(w.cfg, 8), nil)
-	if p.node.self.Inc <= inc {
-		t.Fatalf("the paused member came back at incarnation %d, not above %d", p.node.self.Inc, inc)
+	if p.node.self.Incarnation <= inc {
+		t.Fatalf("the paused member came back at incarnation %d, not above %d", p.node.self.Incarnation, inc)
 	}
 	if w.ghosts > 0 || w.falseDead > 0 {
 		t.Fatalf("ghosts %d, false dead %d", w.ghosts, w.falseDead)
@@ -221,7 +221,7 @@
 	cfg.Name, cfg.Addr, cfg.MaxMembers = "m0", "127.0.0.1:7000", 50
 	n := New(cfg, 0)
 	for i := range 500 {
-		n.Receive("127.0.0.1:9", Message{Kind: Ack, Rumors: []Rumor{{Name: fmt.Sprint("x", i), Addr: "127.0.0.1:9"}}}, 0)
+		n.Receive("127.0.0.1:9", Message{Kind: Ack, Updates: []Update{{Name: fmt.Sprint("x", i), Addr: "127.0.0.1:9"}}}, 0)
 	}
 	if len(n.members) != 50 || n.stats.Dropped != 450 {
 		t.Fatalf("%d members held, %d dropped; want 50 and 450", len(n.members), n.stats.Dropped)
@@ -237,7 +237,7 @@
 	for seed := range uint64(20) {
 		w := newNet(t, seed, 12, 2)
 		w.quiet = true
-		w.cfg.PeriodMs, w.cfg.ProbeTimeoutMs, w.loss = 100, 40, 0.2
+		w.cfg.ProbeIntervalMs, w.cfg.ProbeTimeoutMs, w.loss = 100, 40, 0.2
 		w.start()
 		w.run(30_000)
 		total += w.falseDead
@@ -255,26 +255,26 @@
 	cfg.Name, cfg.Addr, cfg.Start = "me", "127.0.0.1:1", 1
 	n := New(cfg, 0)
 	for _, name := range []string{"a", "b"} {
-		n.Receive(name, Message{Kind: Ack, From: name, Rumors: []Rumor{{Name: name, Addr: "at " + name, Start: 1}}}, 0)
+		n.Receive(name, Message{Kind: Ack, From: name, Updates: []Update{{Name: name, Addr: "at " + name, Start: 1}}}, 0)
 	}
 	told := map[string]int{}
 	count := func(r Ready) {
 		for _, p := range r.Packets {
-			for _, x := range p.Msg.Rumors {
-				if p.Msg.Kind == Ping && x.Name == "me" && x.Inc == 1 {
+			for _, x := range p.Message.Updates {
+				if p.Message.Kind == Ping && x.Name == "me" && x.Incarnation == 1 {
 					told[p.To]++
 				}
 			}
 		}
 	}
 	for _, by := range []string{"a", "b", "a"} {
-		count(n.Receive(by, Message{Kind: Ack, From: by, Rumors: []Rumor{{Name: "me", Addr: cfg.Addr, Start: 1, State: Suspect, By: by}}}, 0))
+		count(n.Receive(by, Message{Kind: Ack, From: by, Updates: []Update{{Name: "me", Addr: cfg.Addr, Start: 1, State: Suspect, Suspector: by}}}, 0))
 	}
-	for now := int64(0); now < 30*cfg.PeriodMs; now += 20 {
+	for now := int64(0); now < 30*cfg.ProbeIntervalMs; now += 20 {
 		count(n.Tick(now))
 	}
-	if n.self.Inc != 1 || told["at a"] < refuteTimes || told["at b"] < refuteTimes {
-		t.Fatalf("incarnation %d, told %v; want 1 and at least %d each", n.self.Inc, told, refuteTimes)
+	if n.self.Incarnation != 1 || told["at a"] < refuteTimes || told["at b"] < refuteTimes {
+		t.Fatalf("incarnation %d, told %v; want 1 and at least %d each", n.self.Incarnation, told, refuteTimes)
 	}
 	if len(n.tell) > 0 {
 		t.Errorf("%d accusers are still told", len(n.tell))
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -20,7 +20,7 @@
 // has reached most of the fleet before a death is declared.
 func (n *Node) newSuspicion(by string, now int64) *suspicion {
 	size := float64(len(n.members) + 1)
-	least := int64(n.cfg.SuspicionMult * math.Max(1, math.Log10(size)) * float64(n.cfg.PeriodMs))
+	least := int64(n.cfg.SuspicionMult * math.Max(1, math.Log10(size)) * float64(n.cfg.ProbeIntervalMs))
 	k := int(n.cfg.SuspicionMult) - 2
 	k = max(0, min(k, len(n.members)-1))
 	return &suspicion{from: now, min: least, max: int64(n.cfg.SuspicionMaxMult * float64(least)), k: k,
@@ -63,11 +63,11 @@
 			// itself once more, so that a refutation that got lost on the way
 			// here, or came by gossip's chance alone, still arrives.
 			e.susp.called = now
-			n.send(e.Addr, Message{Kind: Ping, Target: name, Rumors: []Rumor{e.Rumor}}, now, true)
+			n.send(e.Addr, Message{Kind: Ping, Target: name, Updates: []Update{e.Update}}, now, true)
 		case e.State == Suspect && e.susp != nil && now >= e.susp.ends() && now >= e.susp.called+2*n.cfg.ProbeTimeoutMs:
-			n.stats.Declared++
-			r := e.Rumor
-			r.State, r.By = Dead, n.self.Name
+			n.stats.DeclaredDead++
+			r := e.Update
+			r.State, r.Suspector = Dead, n.self.Name
 			n.apply(r, now)
 		case e.State >= Dead && now-e.since >= n.cfg.ReclaimMs:
 			delete(n.members, name)
@@ -75,7 +75,7 @@
 				n.names = slices.Delete(n.names, i, i+1)
 			}
 			n.queue.drop(name)
-			n.changed(Change{Kind: Forgotten, Member: e.Rumor, Was: e.State, At: now})
+			n.changed(Change{Kind: Forgotten, Member: e.Update, Previous: e.State, At: now})
 			continue
 		}
 		if !slices.Contains(n.watch, name) {
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -13,9 +13,9 @@
 // ReconnectEvery-th time to a dead one (so that the two sides of a healed
 // partition find each other), and to a seed while nobody is known.
 func (n *Node) pushPull(now int64) {
-	n.nextSync = now + n.cfg.SyncMs
+	n.nextSync = now + n.cfg.PushPullIntervalMs
 	if now < n.behind {
-		n.nextSync = now + n.cfg.PeriodMs
+		n.nextSync = now + n.cfg.ProbeIntervalMs
 	}
 	n.syncs++
 	to := ""
@@ -41,7 +41,7 @@
 		return
 	}
 	if now < n.behind { // it asks, and has little to tell: its answers go on where the last ended
-		n.send(to, Message{Kind: Sync, After: n.pull, Count: len(n.members), Rumors: []Rumor{n.self}}, now, false)
+		n.send(to, Message{Kind: Sync, After: n.pull, Count: len(n.members), Updates: []Update{n.self}}, now, false)
 		return
 	}
 	n.cursor = n.sendSync(to, n.cursor, now)
@@ -52,14 +52,14 @@
 // SyncMs, until for a while it has met nobody who knows more.
 func (n *Node) compared(m Message, now int64) {
 	if m.Count > len(n.members) {
-		n.behind = now + 3*n.cfg.SyncMs
+		n.behind = now + 3*n.cfg.PushPullIntervalMs
 	}
 	if m.Kind != SyncReply {
 		return
 	}
 	n.pull = ""
-	if k := len(m.Rumors); k > 0 && m.Rumors[k-1].Name > m.After {
-		n.pull = m.Rumors[k-1].Name
+	if k := len(m.Updates); k > 0 && m.Updates[k-1].Name > m.After {
+		n.pull = m.Updates[k-1].Name
 	}
 }
 
@@ -67,7 +67,7 @@
 // page starts ("" once the names came round).
 func (n *Node) sendSync(to, after string, now int64) string {
 	m := Message{Kind: Sync, After: after, Count: len(n.members)}
-	last := n.page(&m, to, after, n.cfg.MaxPacket)
+	last := n.page(&m, to, after, n.cfg.MaxPacketBytes)
 	n.send(to, m, now, false)
 	return last
 }
@@ -83,7 +83,7 @@
 	// What the budget leaves makes a shorter page rather than none: of many
 	// that join through one seed each hears of a few members, and asks those.
 	n.fill(now)
-	n.page(&m, from, m.After, min(n.cfg.MaxPacket, max(n.cfg.MaxPacket/3, int(n.tokens)/2)))
+	n.page(&m, from, m.After, min(n.cfg.MaxPacketBytes, max(n.cfg.MaxPacketBytes/3, int(n.tokens)/2)))
 	n.send(from, m, now, false)
 }
 
@@ -91,12 +91,12 @@
 // addr, and the names after after, as many as fit; it returns the last name
 // put in, or "" if the page reached the end.
 func (n *Node) page(m *Message, addr, after string, most int) string {
-	m.Rumors = append(m.Rumors, n.self)
+	m.Updates = append(m.Updates, n.self)
 	room := most - m.size()
 	for _, name := range n.order {
-		if e := n.members[name]; e != nil && e.Addr == addr && e.Rumor.size() <= room {
-			m.Rumors = append(m.Rumors, e.Rumor)
-			room -= e.Rumor.size()
+		if e := n.members[name]; e != nil && e.Addr == addr && e.Update.size() <= room {
+			m.Updates = append(m.Updates, e.Update)
+			room -= e.Update.size()
 		}
 	}
 	i, found := slices.BinarySearch(n.names, after)
@@ -105,11 +105,11 @@
 	}
 	last := after
 	for _, name := range n.names[i:] {
-		r := n.members[name].Rumor
+		r := n.members[name].Update
 		if r.size() > room {
 			return last
 		}
-		m.Rumors = append(m.Rumors, r)
+		m.Updates = append(m.Updates, r)
 		room -= r.size()
 		last = name
 	}
--- a/internal/membership/udp/admin.go
+++ b/internal/membership/udp/admin.go
@@ -24,9 +24,9 @@
 			"membership_version": v.Version, "membership_alive": uint64(v.Fleet.Low), "membership_alive_or_suspect": uint64(v.Fleet.High),
 			"membership_awareness": uint64(v.Awareness), "membership_packets_in": st.PacketsIn, "membership_packets_out": st.PacketsOut,
 			"membership_bytes_out": st.BytesOut, "membership_stale": st.Stale, "membership_misdirected": st.Misdirected,
-			"membership_relays_dropped": st.Dropped, "membership_held_back": st.HeldBack, "membership_suspected": st.Suspected,
-			"membership_declared_dead": st.Declared, "membership_refuted": st.Refuted, "membership_conflicts": st.Conflicts,
-			"membership_rumors_malformed": st.Malformed, "membership_strangers": st.Strangers,
+			"membership_relays_dropped": st.Dropped, "membership_held_back": st.Throttled, "membership_suspected": st.Suspected,
+			"membership_declared_dead": st.DeclaredDead, "membership_refuted": st.Refuted, "membership_conflicts": st.Conflicts,
+			"membership_rumors_malformed": st.Malformed, "membership_strangers": st.UnknownSenders,
 		}
 		for k, n := range t.Dropped() {
 			lines["membership_dropped_"+k] = n
--- a/internal/membership/udp/udp.go
+++ b/internal/membership/udp/udp.go
@@ -57,13 +57,13 @@
 	sizes chan int // the latest count of members alive or suspect, if not yet taken
 	size  int      // the count last offered; owned by run
 
-	shared Shared // nil for none; owned by run
-	known  uint64 // the view's version that shared was told
+	shared SharedState // nil for none; owned by run
+	known  uint64      // the view's version that shared was told
 }
 
 // Shared is state that routers share on top of the view. Its methods are
 // called by the transport's goroutine alone and must not wait.
-type Shared interface {
+type SharedState interface {
 	// Fleet tells the names of the peers, and how many routers there may be.
 	Fleet(peers []string, size int, now int64)
 	Tick(now int64) []Payload
@@ -86,7 +86,7 @@
 // the others are told, which may be a relay's in front of bind. shared, nil
 // for none, rides on its packets within its byte budget. Errors: the settings
 // do not check, the address cannot be bound.
-func Start(ctx context.Context, cfg membership.Config, bind string, seeds []string, shared Shared, clk *clock.Clock, log *slog.Logger) (*Transport, error) {
+func Start(ctx context.Context, cfg membership.Config, bind string, seeds []string, shared SharedState, clk *clock.Clock, log *slog.Logger) (*Transport, error) {
 	advertised := bind != "" && bind != cfg.Addr
 	ap, err := netip.ParseAddrPort(cmp.Or(bind, cfg.Addr))
 	if err != nil {
@@ -190,8 +190,8 @@
 			now := int64(t.clk.Now())
 			r := t.node.Receive(d.from.String(), m, now)
 			t.carry(r, false)
-			if r.State != nil && t.shared != nil {
-				t.payloads(t.shared.Receive(r.From, r.State, now), now)
+			if r.UserData != nil && t.shared != nil {
+				t.payloads(t.shared.Receive(r.From, r.UserData, now), now)
 			}
 		case <-tick.C:
 			now := int64(t.clk.Now())
@@ -218,7 +218,7 @@
 // datagram may be.
 func (t *Transport) payloads(ps []Payload, now int64) {
 	for _, p := range ps {
-		r, _ := t.node.Carry(p.To, p.Bytes, now)
+		r, _ := t.node.SendUserData(p.To, p.Bytes, now)
 		t.carry(r, false)
 	}
 }
@@ -239,7 +239,7 @@
 // the packet.
 func (t *Transport) carry(r membership.Ready, refresh bool) {
 	for _, p := range r.Packets {
-		b, err := t.codec.Encode(p.Msg)
+		b, err := t.codec.Encode(p.Message)
 		if err == nil {
 			var to netip.AddrPort
 			if to, err = netip.ParseAddrPort(p.To); err == nil {
@@ -256,7 +256,7 @@
 			t.log.Error("membership: another live instance has this name", "addr", c.Member.Addr, "start", c.Member.Start)
 		default:
 			t.log.Info("membership: view changed", "member", c.Member.Name, "addr", c.Member.Addr, "zone", c.Member.Zone,
-				"state", c.Member.State.String(), "was", c.Was.String(), "incarnation", c.Member.Inc, "change", changeName(c.Kind))
+				"state", c.Member.State.String(), "was", c.Previous.String(), "incarnation", c.Member.Incarnation, "change", changeName(c.Kind))
 		}
 	}
 	if len(r.Changes) > 0 || refresh {
--- a/internal/membership/udp/udp_test.go
+++ b/internal/membership/udp/udp_test.go
@@ -23,7 +23,7 @@
 	var ts []*Transport
 	for i := range 3 {
 		cfg := membership.Defaults()
-		cfg.Name, cfg.Addr, cfg.Start, cfg.Seed, cfg.PeriodMs, cfg.ProbeTimeoutMs = fmt.Sprintf("m%d", i), "127.0.0.1:0", int64(i), uint64(i), 50, 20
+		cfg.Name, cfg.Addr, cfg.Start, cfg.Seed, cfg.ProbeIntervalMs, cfg.ProbeTimeoutMs = fmt.Sprintf("m%d", i), "127.0.0.1:0", int64(i), uint64(i), 50, 20
 		var seeds []string
 		if i > 0 {
 			seeds = []string{ts[0].Addr()}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -9,10 +9,10 @@
 	Misdirected                     uint64 // pings for another name at our address
 	Stale                           uint64 // rumors older than what we hold
 	Dropped                         uint64 // relays beyond the bound
-	Strangers                       uint64 // state packets of no member, or from another address
-	HeldBack                        uint64 // gossip or pages the budget did not allow
+	UnknownSenders                  uint64 // state packets of no member, or from another address
+	Throttled                       uint64 // gossip or pages the budget did not allow
 	Suspected                       uint64 // probes that failed, by us
-	Declared                        uint64 // suspicions of ours that became deaths
+	DeclaredDead                    uint64 // suspicions of ours that became deaths
 	Refuted                         uint64 // suspicions or deaths of us, refuted
 	Conflicts                       uint64 // other live instances under our name
 }
@@ -27,8 +27,8 @@
 type View struct {
 	Version   uint64 // moves with every change
 	ChangedAt int64  // ms, the last change
-	Self      Rumor
-	Members   []Rumor // by name
+	Self      Update
+	Members   []Update // by name
 	Fleet     Size
 	Zones     map[string]Size
 	Awareness int // Lifeguard's local health: 0 is healthy
@@ -39,7 +39,7 @@
 func (n *Node) View() View {
 	v := View{Version: n.version, ChangedAt: n.changedAt, Self: n.self, Zones: map[string]Size{},
 		Awareness: n.aware, Stats: n.stats}
-	count := func(r Rumor) {
+	count := func(r Update) {
 		z := v.Zones[r.Zone]
 		switch r.State {
 		case Alive:
@@ -56,10 +56,10 @@
 	count(n.self)
 	v.Members = append(v.Members, n.self)
 	for _, e := range n.members {
-		v.Members = append(v.Members, e.Rumor)
-		count(e.Rumor)
+		v.Members = append(v.Members, e.Update)
+		count(e.Update)
 	}
-	slices.SortFunc(v.Members, func(a, b Rumor) int {
+	slices.SortFunc(v.Members, func(a, b Update) int {
 		if a.Name < b.Name {
 			return -1
 		}
--- a/internal/membership/wire/characterization_test.go
+++ b/internal/membership/wire/characterization_test.go
@@ -84,22 +84,22 @@
 // fields set, and with the largest values.
 func examples() []example {
 	var all []example
-	for kind := membership.Ping; kind <= membership.Carried; kind++ {
+	for kind := membership.Ping; kind <= membership.UserData; kind++ {
 		for _, e := range []example{{"zero", membership.Message{}}, {"full", fullMessage()}, {"largest", largestMessage()}} {
 			e.message.Kind = kind
 			all = append(all, example{fmt.Sprintf("kind-%d-%s", kind, e.name), e.message})
 		}
 	}
-	return append(all, example{"zero-rumor-fields", membership.Message{Kind: membership.Ping, From: "a", Rumors: []membership.Rumor{{Name: "b"}}}},
-		example{"least-start", membership.Message{Kind: membership.Sync, Rumors: []membership.Rumor{{Name: "b", Start: math.MinInt64}, {Name: "c", Start: -1}}}})
+	return append(all, example{"zero-rumor-fields", membership.Message{Kind: membership.Ping, From: "a", Updates: []membership.Update{{Name: "b"}}}},
+		example{"least-start", membership.Message{Kind: membership.Sync, Updates: []membership.Update{{Name: "b", Start: math.MinInt64}, {Name: "c", Start: -1}}}})
 }
 
 func fullMessage() membership.Message {
 	m := membership.Message{Seq: 1000, From: "router-1", Target: "router-2", TargetAddr: "10.0.0.2:7000", After: "router-0",
 		Count: 300, Payload: []byte{0, 1, 2, 254, 255}}
 	for state := membership.Alive; state <= membership.Left; state++ {
-		m.Rumors = append(m.Rumors, membership.Rumor{Name: fmt.Sprint("router-", 3+int(state)), Addr: "10.0.0.3:7000", Zone: "zone-ä",
-			Start: 1_700_000_000_000, Inc: 24, State: state, By: "router-9"})
+		m.Updates = append(m.Updates, membership.Update{Name: fmt.Sprint("router-", 3+int(state)), Addr: "10.0.0.3:7000", Zone: "zone-ä",
+			Start: 1_700_000_000_000, Incarnation: 24, State: state, Suspector: "router-9"})
 	}
 	return m
 }
@@ -108,8 +108,8 @@
 	text := func(length int) string { return strings.Repeat("\U0010ffff", length/4) }
 	return membership.Message{Seq: math.MaxUint64, From: text(128), Target: text(128), TargetAddr: text(64), After: text(128),
 		Count: math.MaxUint32, Payload: bytes.Repeat([]byte{255}, 256),
-		Rumors: []membership.Rumor{{Name: text(128), Addr: text(64), Zone: text(64), Start: math.MaxInt64, Inc: math.MaxUint64,
-			State: membership.Left, By: text(128)}}}
+		Updates: []membership.Update{{Name: text(128), Addr: text(64), Zone: text(64), Start: math.MaxInt64, Incarnation: math.MaxUint64,
+			State: membership.Left, Suspector: text(128)}}}
 }
 
 // TestCharacterizationOfRefusals holds which bytes and messages are refused.
--- a/internal/membership/wire/wire.go
+++ b/internal/membership/wire/wire.go
@@ -75,8 +75,8 @@
 // Encode turns m into a packet.
 func (c *Codec) Encode(m membership.Message) ([]byte, error) {
 	p := packet{V: version, Kind: uint8(m.Kind), Seq: m.Seq, From: m.From, Target: m.Target, TargetAddr: m.TargetAddr, After: m.After, Payload: m.Payload, Count: uint32(max(0, m.Count))}
-	for _, r := range m.Rumors {
-		p.Rumors = append(p.Rumors, rumor{r.Name, r.Addr, r.Zone, r.Start, r.Inc, uint8(r.State), r.By})
+	for _, r := range m.Updates {
+		p.Rumors = append(p.Rumors, rumor{r.Name, r.Addr, r.Zone, r.Start, r.Incarnation, uint8(r.State), r.Suspector})
 	}
 	b, err := c.enc.Marshal(p)
 	if err == nil && len(b) > MaxPacket {
@@ -98,15 +98,15 @@
 	if p.V != version {
 		return membership.Message{}, fmt.Errorf("membership packet: version %d, want %d", p.V, version)
 	}
-	if p.Kind < uint8(membership.Ping) || p.Kind > uint8(membership.Carried) {
-		return membership.Message{}, fmt.Errorf("membership packet: kind %d, want 1 to %d", p.Kind, membership.Carried)
+	if p.Kind < uint8(membership.Ping) || p.Kind > uint8(membership.UserData) {
+		return membership.Message{}, fmt.Errorf("membership packet: kind %d, want 1 to %d", p.Kind, membership.UserData)
 	}
 	m := membership.Message{Kind: membership.Kind(p.Kind), Seq: p.Seq, From: p.From, Target: p.Target, TargetAddr: p.TargetAddr, After: p.After, Payload: p.Payload, Count: int(p.Count)}
 	for i, r := range p.Rumors {
 		if r.State > uint8(membership.Left) || r.Name == "" {
 			return membership.Message{}, fmt.Errorf("membership packet: rumor %d: state %d or name %q", i, r.State, r.Name)
 		}
-		m.Rumors = append(m.Rumors, membership.Rumor{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Start: r.Start, Inc: r.Inc, State: membership.State(r.State), By: r.By})
+		m.Updates = append(m.Updates, membership.Update{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Start: r.Start, Incarnation: r.Inc, State: membership.State(r.State), Suspector: r.By})
 	}
 	return m, nil
 }
--- a/internal/membership/wire/wire_test.go
+++ b/internal/membership/wire/wire_test.go
@@ -10,12 +10,12 @@
 	"lotusbend/internal/membership"
 )
 
-func genRumor() *rapid.Generator[membership.Rumor] {
-	return rapid.Custom(func(t *rapid.T) membership.Rumor {
+func genRumor() *rapid.Generator[membership.Update] {
+	return rapid.Custom(func(t *rapid.T) membership.Update {
 		s := rapid.StringMatching(`[a-z0-9.:]{0,24}`)
-		return membership.Rumor{Name: rapid.StringMatching(`[a-z0-9]{1,24}`).Draw(t, "name"), Addr: s.Draw(t, "addr"),
-			Zone: s.Draw(t, "zone"), Start: rapid.Int64().Draw(t, "start"), Inc: rapid.Uint64().Draw(t, "inc"),
-			State: membership.State(rapid.IntRange(0, 3).Draw(t, "state")), By: s.Draw(t, "by")}
+		return membership.Update{Name: rapid.StringMatching(`[a-z0-9]{1,24}`).Draw(t, "name"), Addr: s.Draw(t, "addr"),
+			Zone: s.Draw(t, "zone"), Start: rapid.Int64().Draw(t, "start"), Incarnation: rapid.Uint64().Draw(t, "inc"),
+			State: membership.State(rapid.IntRange(0, 3).Draw(t, "state")), Suspector: s.Draw(t, "by")}
 	})
 }
 
@@ -28,7 +28,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		m := membership.Message{Kind: membership.Kind(rapid.IntRange(1, 6).Draw(t, "kind")), Seq: rapid.Uint64().Draw(t, "seq"),
-			From: rapid.StringMatching(`[a-z0-9]{1,24}`).Draw(t, "from"), Rumors: rapid.SliceOfN(genRumor(), 0, 12).Draw(t, "rumors")}
+			From: rapid.StringMatching(`[a-z0-9]{1,24}`).Draw(t, "from"), Updates: rapid.SliceOfN(genRumor(), 0, 12).Draw(t, "rumors")}
 		b, err := c.Encode(m)
 		if err != nil {
 			t.Fatal(err)
@@ -40,8 +40,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(m.Rumors) == 0 {
-			m.Rumors = nil
+		if len(m.Updates) == 0 {
+			m.Updates = nil
 		}
 		if !reflect.DeepEqual(back, m) {
 			t.Fatalf("decoded %+v, sent %+v", back, m)
@@ -67,7 +67,7 @@
 
 func FuzzDecode(f *testing.F) {
 	c, _ := New()
-	good, _ := c.Encode(membership.Message{Kind: membership.Sync, From: "r1", Rumors: []membership.Rumor{{Name: "r2", Addr: "127.0.0.1:7000"}}})
+	good, _ := c.Encode(membership.Message{Kind: membership.Sync, From: "r1", Updates: []membership.Update{{Name: "r2", Addr: "127.0.0.1:7000"}}})
 	f.Add(good)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := c.Decode(b)
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -202,7 +202,7 @@
 
 // Budget shares the process's descriptors among clients and database hosts.
 // It is part of the owner's state.
-type Budget struct {
+type DescriptorBudget struct {
 	Total   int // sockets that may be open
 	Clients int // of these, the most that clients may hold
 	Asking  int // of these, the most that clients hold for requests by themselves
@@ -214,24 +214,24 @@
 const reserve = 24
 
 // NewBudget divides a limit on descriptors.
-func NewBudget(descriptors int) *Budget {
-	b := &Budget{}
+func NewDescriptorBudget(descriptors int) *DescriptorBudget {
+	b := &DescriptorBudget{}
 	b.Resize(descriptors)
 	return b
 }
 
 // Resize divides another limit. What is booked beyond it stays so.
-func (b *Budget) Resize(descriptors int) {
+func (b *DescriptorBudget) Resize(descriptors int) {
 	b.Total = max(descriptors-reserve, 2)
 	b.Clients = max(b.Total*2/3, 1)
 	b.Asking = max(descriptors/3, 1)
 }
 
 // Open returns how many sockets are booked.
-func (b *Budget) Open() (clients, hosts int) { return b.clients, b.hosts }
+func (b *DescriptorBudget) Open() (clients, hosts int) { return b.clients, b.hosts }
 
 // TakeClient books a client's socket, if one is left.
-func (b *Budget) TakeClient() bool {
+func (b *DescriptorBudget) TakeClient() bool {
 	if b.clients >= b.Clients || b.clients+b.hosts >= b.Total {
 		return false
 	}
@@ -240,17 +240,17 @@
 }
 
 // GiveClient returns it.
-func (b *Budget) GiveClient() { b.clients-- }
+func (b *DescriptorBudget) GiveClient() { b.clients-- }
 
 // Spare returns how many more sockets may be open.
-func (b *Budget) Spare() int { return max(b.Total-b.clients-b.hosts, 0) }
+func (b *DescriptorBudget) Spare() int { return max(b.Total-b.clients-b.hosts, 0) }
 
 // ClientsShort tells whether clients hold more than half of what they may: the
 // rest is for those yet to come.
-func (b *Budget) ClientsShort() bool { return b.clients > b.Clients/2 }
+func (b *DescriptorBudget) ClientsShort() bool { return b.clients > b.Clients/2 }
 
 // TakeHost books a socket to a database host, if one is left.
-func (b *Budget) TakeHost() bool {
+func (b *DescriptorBudget) TakeHost() bool {
 	if b.clients+b.hosts >= b.Total {
 		return false
 	}
@@ -259,4 +259,4 @@
 }
 
 // GiveHost returns it.
-func (b *Budget) GiveHost() { b.hosts-- }
+func (b *DescriptorBudget) GiveHost() { b.hosts-- }
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -52,7 +52,7 @@
 
 // Clients may not take the sockets that hosts need, nor the reverse.
 func TestBudget(t *testing.T) {
-	b := NewBudget(reserve + 9)
+	b := NewDescriptorBudget(reserve + 9)
 	for range 6 {
 		if !b.TakeClient() {
 			t.Fatal("a client is turned away too early")
--- a/internal/options/options.go
+++ b/internal/operatorconfig/options.go
@@ -1,8 +1,8 @@
-// Package options reads the operators' own settings file: JSON with comments
+// Package operatorconfig reads the operators' own settings file: JSON with comments
 // and trailing commas (JWCC). Everything in it is off where the file does not
 // name it. It is strict: what it does not know, or cannot take, is an error of
 // one line with file, line and path, and the caller keeps what it had.
-package options
+package operatorconfig
 
 import (
 	"fmt"
@@ -84,7 +84,7 @@
 			o.Edge = edge(v)
 		case "membership":
 			d := rules.Defaults()
-			o.Membership = membership(v, d.PeriodMs, d.SuspicionMult, d.BudgetBytesS)
+			o.Membership = membership(v, d.ProbeIntervalMs, d.SuspicionMult, d.GossipBytesPerSecond)
 		case "shared":
 			o.Shared = shared(v)
 		}
--- a/internal/options/shared.go
+++ b/internal/operatorconfig/shared.go
@@ -1,4 +1,4 @@
-package options
+package operatorconfig
 
 import (
 	"slices"
@@ -23,15 +23,15 @@
 	}
 	fields := map[string]func(*tree){
 		"tick_ms":         ms(&c.TickMs, 20, 10_000),
-		"counts_ms":       ms(&c.CountsMs, 20, 60_000),
+		"counts_ms":       ms(&c.CounterIntervalMs, 20, 60_000),
 		"lease_ms":        ms(&c.LeaseMs, 100, 600_000),
 		"skew_ms":         ms(&c.SkewMs, 0, 600_000),
-		"fold_ms":         ms(&c.FoldMs, 10_000, 86_400_000),
-		"claim_ms":        ms(&c.ClaimMs, 100, 60_000),
-		"hint_ms":         ms(&c.HintMs, 20, 60_000),
-		"hearsay_ms":      ms(&c.HearsayMs, 20, 60_000),
-		"share_most":      func(v *tree) { c.ShareMost = v.number(0, 0.9, false) },
-		"lendable":        func(v *tree) { c.Lendable = v.number(0, 0.9, false) },
+		"fold_ms":         ms(&c.CounterRetentionMs, 10_000, 86_400_000),
+		"claim_ms":        ms(&c.ReportTTLMs, 100, 60_000),
+		"hint_ms":         ms(&c.EjectionMs, 20, 60_000),
+		"hearsay_ms":      ms(&c.GossipEjectionMs, 20, 60_000),
+		"share_most":      func(v *tree) { c.MaxEjectedFraction = v.number(0, 0.9, false) },
+		"lendable":        func(v *tree) { c.MaxLentFraction = v.number(0, 0.9, false) },
 		"clock_offset_ms": func(v *tree) { s.ClockOffsetMs = v.number(0, 3600e3, true) },
 		"sabotage": func(v *tree) {
 			c.Sabotage = v.choice("no-lease-wait", "trust-one", "counts-by-sum", "never-expire", "liar", "liar-well")
--- a/internal/options/tree.go
+++ b/internal/operatorconfig/tree.go
@@ -1,4 +1,4 @@
-package options
+package operatorconfig
 
 import (
 	"bytes"
--- a/internal/pooling/lease.go
+++ b/internal/pooling/lease.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"lotusbend/internal/edge/due"
+	"lotusbend/internal/edge/timers"
 )
 
 // Place is what connections are alike in: one is never given to another's.
@@ -60,13 +60,13 @@
 	idleAt *list.Element
 	born   float64
 	ends   float64 // when it is too old
-	timer  *due.Timer
+	timer  *timers.Timer
 }
 
 type waiter struct {
 	Want
 	seq     uint64
-	timer   *due.Timer
+	timer   *timers.Timer
 	element *list.Element
 }
 
@@ -103,7 +103,7 @@
 	users  map[string]int
 	dbs    map[string]int
 	wants  map[uint64]*waiter
-	timers due.Heap
+	timers timers.Heap
 	next   uint64
 }
 
--- a/internal/postgres/back/abandon_test.go
+++ b/internal/postgres/back/abandon_test.go
@@ -11,19 +11,19 @@
 	"lotusbend/internal/netio"
 	"lotusbend/internal/postgres/wire"
 	"lotusbend/internal/router"
-	"lotusbend/internal/slots"
+	"lotusbend/internal/slotmap"
 )
 
 // listener notes what hosts answer to attempts that were given up.
 type listener struct {
 	noEvents
-	heard chan router.Report
-	ended chan router.Report
+	heard chan router.AttemptReport
+	ended chan router.AttemptReport
 }
 
-func (l listener) Ended(_ router.Attempt, rep router.Report) { l.ended <- rep }
+func (l listener) AttemptEnded(_ router.Attempt, rep router.AttemptReport) { l.ended <- rep }
 
-func (l listener) LateAnswer(host uint32, rep router.Report) {
+func (l listener) LateAnswer(host uint32, rep router.AttemptReport) {
 	rep.Row = nil // valid during the call only
 	if host == 1 {
 		l.heard <- rep
@@ -36,7 +36,7 @@
 	clock  *clock.Clock
 	pool   *Pool
 	events listener
-	sent   slots.Ref
+	sent   slotmap.Handle
 	host   *net.TCPConn
 }
 
@@ -46,11 +46,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &under{t: t, clock: clock.Manual(1000), events: listener{heard: make(chan router.Report, 9), ended: make(chan router.Report, 9)}}
-	u.pool = New(clock.NewLoop(u.clock), Options{}, netio.NewBudget(100), u.events)
+	u := &under{t: t, clock: clock.Manual(1000), events: listener{heard: make(chan router.AttemptReport, 9), ended: make(chan router.AttemptReport, 9)}}
+	u.pool = New(clock.NewLoop(u.clock), Options{}, netio.NewDescriptorBudget(100), u.events)
 	u.pool.loop.Do(func() {
 		u.pool.SetHost(1, l.Addr().String(), true)
-		u.sent = u.pool.Send(1, router.Attempt{}, router.Statement{Text: []byte("SELECT 1"), To: 1, Write: write}, 100)
+		u.sent = u.pool.Send(1, router.Attempt{}, router.Statement{Text: []byte("SELECT 1"), WaitTo: 1, Write: write}, 100)
 	})
 	c, err := l.Accept()
 	if err != nil {
@@ -105,7 +105,7 @@
 	u.cancel()
 	u.write(wire.AppendReady(wire.AppendParameter(
 		wire.AppendError(nil, "ERROR", wire.CodeTooFarBehind, "behind", ""), "recovery", "on")))
-	if rep := <-u.events.heard; rep.Outcome != decide.Ineligible || rep.Note.Role != decide.RoleReplica {
+	if rep := <-u.events.heard; rep.Outcome != decide.Ineligible || rep.Status.Role != decide.RoleReplica {
 		t.Errorf("heard %+v", rep)
 	}
 	u.until(func() bool { _, hosts := u.pool.budget.Open(); return hosts == 0 && u.pool.loop.Pending() == 0 })
@@ -117,7 +117,7 @@
 	u.cancel()
 	u.write(wire.AppendParameter(wire.AppendError(nil, "ERROR", wire.CodeTooFarBehind, "behind", ""), "recovery", "on"))
 	_ = u.host.Close()
-	if rep := <-u.events.heard; rep.Note.Role != decide.RoleReplica {
+	if rep := <-u.events.heard; rep.Status.Role != decide.RoleReplica {
 		t.Errorf("heard %+v", rep)
 	}
 }
@@ -173,9 +173,9 @@
 	u.pool.loop.Do(func() {
 		for u.pool.budget.TakeHost() {
 		}
-		u.pool.Send(1, router.Attempt{}, router.Statement{Text: []byte("SELECT 1"), To: 1}, 100)
+		u.pool.Send(1, router.Attempt{}, router.Statement{Text: []byte("SELECT 1"), WaitTo: 1}, 100)
 		coming := 0
-		u.pool.conns.Each(func(_ slots.Ref, c *conn) {
+		u.pool.conns.Each(func(_ slotmap.Handle, c *conn) {
 			if c.phase == opening {
 				coming++
 			}
--- a/internal/postgres/back/back.go
+++ b/internal/postgres/back/back.go
@@ -12,7 +12,7 @@
 	"lotusbend/internal/clock"
 	"lotusbend/internal/netio"
 	"lotusbend/internal/router"
-	"lotusbend/internal/slots"
+	"lotusbend/internal/slotmap"
 )
 
 // Whom a database host welcomes.
@@ -25,11 +25,11 @@
 type Events interface {
 	// MayLeave tells whether an attempt that waited for its connection may be
 	// written now: its right to be sent may have ended meanwhile.
-	MayLeave(router.Attempt) bool
-	Ended(router.Attempt, router.Report)
+	MaySend(router.Attempt) bool
+	AttemptEnded(router.Attempt, router.AttemptReport)
 	// LateAnswer brings what a host answered to an attempt that was given up.
-	LateAnswer(host uint32, rep router.Report)
-	Probed(host uint32, rep router.Report)
+	LateAnswer(host uint32, rep router.AttemptReport)
+	HealthChecked(host uint32, rep router.AttemptReport)
 }
 
 // Options are the limits that the settings give, in milliseconds.
@@ -59,11 +59,11 @@
 type Pool struct {
 	loop   *clock.Loop
 	opt    Options
-	budget *netio.Budget
+	budget *netio.DescriptorBudget
 	events Events
 	hosts  map[uint32]*host
-	conns  slots.Table[conn]
-	jobs   slots.Table[job]
+	conns  slotmap.Table[conn]
+	jobs   slotmap.Table[job]
 }
 
 type host struct {
@@ -78,7 +78,7 @@
 
 // job is one attempt or probe.
 type job struct {
-	ref     slots.Ref
+	ref     slotmap.Handle
 	host    *host
 	probe   bool
 	attempt router.Attempt
@@ -90,7 +90,7 @@
 }
 
 // New returns a pool without hosts.
-func New(loop *clock.Loop, opt Options, budget *netio.Budget, events Events) *Pool {
+func New(loop *clock.Loop, opt Options, budget *netio.DescriptorBudget, events Events) *Pool {
 	if opt.ConnectTimeout <= 0 {
 		opt.ConnectTimeout = defaultConnectTimeout
 	}
@@ -118,12 +118,12 @@
 }
 
 // Send implements router.Hosts.
-func (p *Pool) Send(id uint32, a router.Attempt, s router.Statement, wait float64) slots.Ref {
+func (p *Pool) Send(id uint32, a router.Attempt, s router.Statement, wait float64) slotmap.Handle {
 	return p.start(&job{attempt: a, stmt: s, until: p.loop.Now() + wait}, id)
 }
 
 // Probe implements router.Hosts.
-func (p *Pool) Probe(id uint32) {
+func (p *Pool) CheckHealth(id uint32) {
 	j := &job{probe: true, until: p.loop.Now() + p.opt.ConnectTimeout}
 	p.start(j, id)
 	p.loop.Cancel(j.end)
@@ -131,7 +131,7 @@
 }
 
 // start gives j a connection, now or when one is ready.
-func (p *Pool) start(j *job, id uint32) slots.Ref {
+func (p *Pool) start(j *job, id uint32) slotmap.Handle {
 	j.host = p.hosts[id]
 	j.ref = p.jobs.Add(j)
 	h := j.host
@@ -164,7 +164,7 @@
 
 // Cancel implements router.Hosts: an attempt is given up by closing its
 // connection.
-func (p *Pool) Cancel(sent slots.Ref) (begun bool) {
+func (p *Pool) Cancel(sent slotmap.Handle) (begun bool) {
 	j := p.jobs.Get(sent)
 	if j == nil {
 		return true
@@ -210,17 +210,17 @@
 func (p *Pool) fail(j *job, o decide.Outcome) {
 	if p.jobs.Get(j.ref) == j {
 		p.abandon(j)
-		p.report(j, router.Report{Outcome: o})
+		p.report(j, router.AttemptReport{Outcome: o})
 	}
 }
 
 // report ends j.
-func (p *Pool) report(j *job, rep router.Report) {
+func (p *Pool) report(j *job, rep router.AttemptReport) {
 	p.remove(j)
 	if j.probe {
-		p.events.Probed(j.host.id, rep)
+		p.events.HealthChecked(j.host.id, rep)
 	} else {
-		p.events.Ended(j.attempt, rep)
+		p.events.AttemptEnded(j.attempt, rep)
 	}
 }
 
--- a/internal/postgres/back/back_test.go
+++ b/internal/postgres/back/back_test.go
@@ -28,10 +28,10 @@
 // noEvents hears of nothing.
 type noEvents struct{}
 
-func (noEvents) MayLeave(router.Attempt) bool        { return true }
-func (noEvents) Ended(router.Attempt, router.Report) {}
-func (noEvents) LateAnswer(uint32, router.Report)    {}
-func (noEvents) Probed(uint32, router.Report)        {}
+func (noEvents) MaySend(router.Attempt) bool                       { return true }
+func (noEvents) AttemptEnded(router.Attempt, router.AttemptReport) {}
+func (noEvents) LateAnswer(uint32, router.AttemptReport)           {}
+func (noEvents) HealthChecked(uint32, router.AttemptReport)        {}
 
 // A statement is not written where the host has spoken unasked or hung up: it
 // would get another's answer, or be lost to a reset.
@@ -46,7 +46,7 @@
 			t.Fatal(err)
 		}
 		l := &link{fd: pair[0], in: netpoll.NewLinkBuffer()}
-		p := New(clock.NewLoop(clock.Manual(1000)), Options{}, netio.NewBudget(100), noEvents{})
+		p := New(clock.NewLoop(clock.Manual(1000)), Options{}, netio.NewDescriptorBudget(100), noEvents{})
 		p.SetHost(1, "127.0.0.1:1", true)
 		h := p.hosts[1]
 		c := &conn{pool: p, host: h, phase: idle, link: netio.NewConn(l)}
@@ -78,8 +78,8 @@
 	as    []decide.Outcome
 }
 
-func (c *recorder) MayLeave(a router.Attempt) bool { return a.Number != c.stays }
-func (c *recorder) Ended(a router.Attempt, rep router.Report) {
+func (c *recorder) MaySend(a router.Attempt) bool { return a.Number != c.stays }
+func (c *recorder) AttemptEnded(a router.Attempt, rep router.AttemptReport) {
 	c.ended, c.as = append(c.ended, a), append(c.as, rep.Outcome)
 }
 
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	events := &recorder{stays: 1}
-	p := New(clock.NewLoop(clock.Manual(1000)), Options{}, netio.NewBudget(100), events)
+	p := New(clock.NewLoop(clock.Manual(1000)), Options{}, netio.NewDescriptorBudget(100), events)
 	p.SetHost(1, "127.0.0.1:1", true)
 	h := p.hosts[1]
 	c := &conn{pool: p, host: h, address: h.address, phase: opening}
@@ -101,7 +101,7 @@
 		h.coming = 9 // nothing is dialled for those that wait
 		for n := 1; n <= 2; n++ {
 			text := []byte{'a' + byte(n)}
-			p.Send(1, router.Attempt{Number: n}, router.Statement{Text: text, To: 1}, 100)
+			p.Send(1, router.Attempt{Number: n}, router.Statement{Text: text, WaitTo: 1}, 100)
 		}
 		p.ready(c)
 		if c.job == nil || c.job.attempt.Number != 2 || len(h.waiting) > 0 || h.coming != 8 {
--- a/internal/postgres/back/characterization_test.go
+++ b/internal/postgres/back/characterization_test.go
@@ -19,7 +19,7 @@
 	"lotusbend/internal/postgres/back"
 	"lotusbend/internal/postgres/wire"
 	"lotusbend/internal/router"
-	"lotusbend/internal/slots"
+	"lotusbend/internal/slotmap"
 )
 
 // update rewrites the expected values. They may change only with a deliberate
@@ -183,7 +183,7 @@
 	clock    *clock.Clock
 	loop     *clock.Loop
 	pool     *back.Pool
-	budget   *netio.Budget
+	budget   *netio.DescriptorBudget
 	events   *events
 	listener net.Listener
 }
@@ -194,25 +194,25 @@
 	reports chan string
 }
 
-func (e *events) MayLeave(router.Attempt) bool { return !e.stays }
+func (e *events) MaySend(router.Attempt) bool { return !e.stays }
 
-func (e *events) Ended(a router.Attempt, rep router.Report) {
+func (e *events) AttemptEnded(a router.Attempt, rep router.AttemptReport) {
 	e.reports <- reportText(1, uint64(a.Number), rep)
 }
 
-func (e *events) LateAnswer(host uint32, rep router.Report) {
+func (e *events) LateAnswer(host uint32, rep router.AttemptReport) {
 	e.reports <- reportText(2, uint64(host), rep)
 }
 
-func (e *events) Probed(host uint32, rep router.Report) {
+func (e *events) HealthChecked(host uint32, rep router.AttemptReport) {
 	e.reports <- reportText(3, uint64(host), rep)
 }
 
 // reportText writes a report as hex digits.
-func reportText(kind byte, of uint64, rep router.Report) string {
+func reportText(kind byte, of uint64, rep router.AttemptReport) string {
 	b := binary.BigEndian.AppendUint64([]byte{kind}, of)
-	b = append(b, byte(rep.Outcome), byte(rep.Note.Role))
-	b = binary.BigEndian.AppendUint64(b, uint64(rep.Note.Position))
+	b = append(b, byte(rep.Outcome), byte(rep.Status.Role))
+	b = binary.BigEndian.AppendUint64(b, uint64(rep.Status.Position))
 	if r := rep.Row; r != nil {
 		b = binary.BigEndian.AppendUint32(b, r.Type)
 		b = binary.BigEndian.AppendUint16(b, uint16(r.Size))
@@ -233,7 +233,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	w := &world{t: t, clock: clock.Manual(1000), budget: netio.NewBudget(100), events: &events{reports: make(chan string, 9)}, listener: l}
+	w := &world{t: t, clock: clock.Manual(1000), budget: netio.NewDescriptorBudget(100), events: &events{reports: make(chan string, 9)}, listener: l}
 	w.loop = clock.NewLoop(w.clock)
 	w.pool = back.New(w.loop, back.Options{}, w.budget, w.events)
 	w.loop.Do(func() { w.pool.SetHost(1, l.Addr().String(), true) })
@@ -241,7 +241,7 @@
 }
 
 // start hands the pool a statement or a probe.
-func (w *world) start(e exchange) (sent slots.Ref) {
+func (w *world) start(e exchange) (sent slotmap.Handle) {
 	w.t.Helper()
 	if e.text == "" {
 		e.text = readStatement
@@ -252,10 +252,10 @@
 	}
 	w.loop.Do(func() {
 		if e.probe {
-			w.pool.Probe(1)
+			w.pool.CheckHealth(1)
 			return
 		}
-		s := router.Statement{Text: []byte(e.text), From: parsed.WaitAt, To: parsed.WaitTo, Write: e.write}
+		s := router.Statement{Text: []byte(e.text), WaitFrom: parsed.WaitAt, WaitTo: parsed.WaitTo, Write: e.write}
 		sent = w.pool.Send(1, router.Attempt{Number: 7}, s, 480.7)
 	})
 	return sent
@@ -401,7 +401,7 @@
 		defer other.Close()
 		w.loop.Do(func() {
 			w.pool.SetHost(2, other.Addr().String(), true)
-			w.pool.Probe(2)
+			w.pool.CheckHealth(2)
 		})
 		w.hearsEnd(c)
 		w.listener = other
@@ -436,7 +436,7 @@
 }
 
 // cancelled gives an attempt up and writes whether it had begun.
-func (w *world) cancelled(sent slots.Ref) (begun string) {
+func (w *world) cancelled(sent slotmap.Handle) (begun string) {
 	w.loop.Do(func() {
 		begun = "00"
 		if w.pool.Cancel(sent) {
--- a/internal/postgres/back/connection.go
+++ b/internal/postgres/back/connection.go
@@ -12,7 +12,7 @@
 	"lotusbend/internal/netio"
 	"lotusbend/internal/postgres/wire"
 	"lotusbend/internal/router"
-	"lotusbend/internal/slots"
+	"lotusbend/internal/slotmap"
 )
 
 type phase uint8
@@ -27,7 +27,7 @@
 )
 
 type conn struct {
-	ref     slots.Ref
+	ref     slotmap.Handle
 	pool    *Pool
 	host    *host
 	address string
@@ -60,7 +60,7 @@
 // closeAbandoned frees the socket of a connection whose attempt was given up.
 func (p *Pool) closeAbandoned() bool {
 	var found *conn
-	p.conns.Each(func(_ slots.Ref, c *conn) {
+	p.conns.Each(func(_ slotmap.Handle, c *conn) {
 		if c.phase == abandoned {
 			found = c
 		}
@@ -136,12 +136,12 @@
 	for fit && len(h.waiting) > 0 {
 		j := h.waiting[0]
 		h.waiting = h.waiting[1:]
-		if j.probe || p.events.MayLeave(j.attempt) {
+		if j.probe || p.events.MaySend(j.attempt) {
 			h.coming--
 			p.write(c, j)
 			return
 		}
-		p.report(j, router.Report{Outcome: decide.NotSent})
+		p.report(j, router.AttemptReport{Outcome: decide.NotSent})
 	}
 	switch {
 	case !fit, !h.usable, c.purges != h.purges:
@@ -171,7 +171,7 @@
 		left := max(j.until-p.loop.Now(), 1)
 		s := j.stmt
 		wait := strconv.AppendInt(nil, int64(left), 10)
-		b = wire.AppendQuery(make([]byte, 0, len(s.Text)+32), s.Text[:s.From], wait, s.Text[s.To:])
+		b = wire.AppendQuery(make([]byte, 0, len(s.Text)+32), s.Text[:s.WaitFrom], wait, s.Text[s.WaitTo:])
 	}
 	ref := j.ref
 	c.link.Send(b, func(err error) { p.loop.Do(func() { p.written(ref, c, err) }) })
@@ -180,7 +180,7 @@
 // written learns whether a job's last byte is with the system. A connection
 // that broke meanwhile has waited for this: only what was not written whole
 // has surely never run.
-func (p *Pool) written(ref slots.Ref, c *conn, err error) {
+func (p *Pool) written(ref slotmap.Handle, c *conn, err error) {
 	j := p.jobs.Get(ref)
 	if j == nil || j.conn != c {
 		return
@@ -292,7 +292,7 @@
 	p.close(c)
 	if j != nil && !given {
 		j.conn = nil
-		p.report(j, router.Report{Outcome: decide.Malformed})
+		p.report(j, router.AttemptReport{Outcome: decide.Malformed})
 	}
 	p.refill(c.host)
 }
--- a/internal/postgres/back/cut_test.go
+++ b/internal/postgres/back/cut_test.go
@@ -16,10 +16,10 @@
 // outcomes takes what becomes of attempts.
 type outcomes chan decide.Outcome
 
-func (outcomes) MayLeave(router.Attempt) bool              { return true }
-func (outcomes) LateAnswer(uint32, router.Report)          {}
-func (outcomes) Probed(uint32, router.Report)              {}
-func (o outcomes) Ended(_ router.Attempt, r router.Report) { o <- r.Outcome }
+func (outcomes) MaySend(router.Attempt) bool                             { return true }
+func (outcomes) LateAnswer(uint32, router.AttemptReport)                 {}
+func (outcomes) HealthChecked(uint32, router.AttemptReport)              {}
+func (o outcomes) AttemptEnded(_ router.Attempt, r router.AttemptReport) { o <- r.Outcome }
 
 // An answer may be cut after any of its bytes, by an end or a reset. It counts
 // once its last message but ReadyForQuery is whole; before that the attempt may
@@ -42,10 +42,10 @@
 		for _, reset := range []bool{false, true} {
 			for cut := range len(whole) + 1 {
 				ended := make(outcomes, 1)
-				p := New(clock.NewLoop(clock.Manual(1000)), Options{}, netio.NewBudget(100), ended)
+				p := New(clock.NewLoop(clock.Manual(1000)), Options{}, netio.NewDescriptorBudget(100), ended)
 				p.loop.Do(func() {
 					p.SetHost(1, l.Addr().String(), true)
-					p.Send(1, router.Attempt{}, router.Statement{Text: []byte("SELECT 1"), To: 1}, 100)
+					p.Send(1, router.Attempt{}, router.Statement{Text: []byte("SELECT 1"), WaitTo: 1}, 100)
 				})
 				host, err := l.Accept()
 				if err != nil {
--- a/internal/postgres/back/reader.go
+++ b/internal/postgres/back/reader.go
@@ -13,7 +13,7 @@
 	"lotusbend/decide"
 	"lotusbend/internal/postgres/wire"
 	"lotusbend/internal/router"
-	"lotusbend/internal/settings"
+	"lotusbend/internal/routingconfig"
 )
 
 // The parameters that tell of a database host.
@@ -201,7 +201,7 @@
 
 // report tells how a job ended, if the answer came so far. An answer to some
 // other statement is none to this one.
-func (r *reader) report(j *job) (rep router.Report, whole bool) {
+func (r *reader) report(j *job) (rep router.AttemptReport, whole bool) {
 	switch {
 	case r.stage == refused:
 		rep.Outcome = outcome(string(r.code))
@@ -209,7 +209,7 @@
 		return rep, false
 	case j.probe:
 		var ok bool
-		if rep.Note, ok = health(r.row.Value); !ok {
+		if rep.Status, ok = health(r.row.Value); !ok {
 			rep.Outcome = decide.Error
 		}
 		return rep, true
@@ -221,7 +221,7 @@
 		rep.Row = &r.row
 	}
 	commit := j.stmt.Write && rep.Outcome == decide.OK
-	rep.Note = decide.ReplicationStatus{Role: r.role, Position: position(r.position, time.Millisecond, commit)}
+	rep.Status = decide.ReplicationStatus{Role: r.role, Position: position(r.position, time.Millisecond, commit)}
 	return rep, true
 }
 
@@ -258,11 +258,11 @@
 			return decide.ReplicationStatus{}, false
 		}
 		switch string(name) {
-		case settings.FieldPosition:
+		case routingconfig.FieldPosition:
 			if n.Position = position(value, time.Second, false); n.Position == 0 && v != 0 {
 				return decide.ReplicationStatus{}, false
 			}
-		case settings.FieldRole:
+		case routingconfig.FieldRole:
 			switch v {
 			case 1:
 				n.Role = decide.RolePrimary
--- a/internal/postgres/front/characterization_test.go
+++ b/internal/postgres/front/characterization_test.go
@@ -23,7 +23,7 @@
 	"lotusbend/internal/postgres/front"
 	"lotusbend/internal/postgres/wire"
 	"lotusbend/internal/router"
-	"lotusbend/internal/slots"
+	"lotusbend/internal/slotmap"
 )
 
 // update rewrites the expected values. They may change only with a deliberate
@@ -192,7 +192,7 @@
 	t      *testing.T
 	clock  *clock.Clock
 	loop   *clock.Loop
-	budget *netio.Budget
+	budget *netio.DescriptorBudget
 	front  *front.Server
 	marked chan struct{} // a statement of the class "marker" was read
 	log    bytes.Buffer  // of requests
@@ -200,7 +200,7 @@
 
 func newServer(t *testing.T, memoryMB float64) *server {
 	t.Helper()
-	s := &server{t: t, clock: clock.Manual(1.7e12), budget: netio.NewBudget(100), marked: make(chan struct{}, 1)}
+	s := &server{t: t, clock: clock.Manual(1.7e12), budget: netio.NewDescriptorBudget(100), marked: make(chan struct{}, 1)}
 	s.loop = clock.NewLoop(s.clock)
 	var err error
 	if s.front, err = front.Listen("127.0.0.1:0", s.loop, s.budget, memoryMB, s); err != nil {
@@ -244,7 +244,7 @@
 	case "read":
 		return router.Class{Number: 1}, true
 	case "write":
-		return router.Class{Number: 2, Write: true, Keyed: true}, true
+		return router.Class{Number: 2, Write: true, NeedsIdempotencyKey: true}, true
 	case "session":
 		return router.Class{Number: 3, Session: true}, true
 	case "fresh":
@@ -257,19 +257,19 @@
 }
 
 // Submit logs the request and has it answered behind the event at hand.
-func (s *server) Submit(r router.Request, from router.Client, client slots.Ref) slots.Ref {
+func (s *server) Submit(r router.Request, from router.Client, client slotmap.Handle) slotmap.Handle {
 	s.number(0, uint64(len(r.Statement.Text)))
 	s.log.Write(r.Statement.Text)
-	s.number(uint64(r.Statement.From), uint64(r.Statement.To), uint64(r.Class), uint64(r.Group), r.Session)
-	s.number(math.Float64bits(r.After), math.Float64bits(r.Wait))
+	s.number(uint64(r.Statement.WaitFrom), uint64(r.Statement.WaitTo), uint64(r.Class), uint64(r.Group), r.Session)
+	s.number(math.Float64bits(r.SessionCommitAt), math.Float64bits(r.TimeLeft))
 	if r.Group != groupSilent {
 		s.loop.Post(func() { from.Answer(client, answerOf(r.Group)) })
 	}
-	return slots.Ref{Slot: 7, Gen: 7}
+	return slotmap.Handle{Slot: 7, Gen: 7}
 }
 
 // Lapse logs that a request is given up.
-func (s *server) Lapse(request slots.Ref) { s.number(1, uint64(request.Slot)) }
+func (s *server) ClientCancelled(request slotmap.Handle) { s.number(1, uint64(request.Slot)) }
 
 func (s *server) number(values ...uint64) {
 	for _, v := range values {
@@ -290,9 +290,9 @@
 	case groupBinary:
 		return router.Answer{Verdict: router.Served, Row: &router.Row{Column: []byte("n"), Type: 23, Size: 4, Binary: true, Value: []byte{0, 0, 0, 9}, Tag: []byte("UPDATE 1")}}
 	case groupRefused:
-		return router.Answer{Verdict: router.Refused, RetryAfter: 250.9}
+		return router.Answer{Verdict: router.Rejected, RetryAfter: 250.9}
 	case groupRefusedWithoutAdvice:
-		return router.Answer{Verdict: router.Refused}
+		return router.Answer{Verdict: router.Rejected}
 	}
 	return router.Answer{Verdict: router.Failed}
 }
--- a/internal/postgres/front/closing.go
+++ b/internal/postgres/front/closing.go
@@ -4,7 +4,7 @@
 	"errors"
 
 	"lotusbend/internal/postgres/wire"
-	"lotusbend/internal/slots"
+	"lotusbend/internal/slotmap"
 )
 
 // Times are in milliseconds.
@@ -51,7 +51,7 @@
 		s.evict(c)
 		return true
 	}
-	s.clients.Each(func(_ slots.Ref, told *client) { // it takes its time to go
+	s.clients.Each(func(_ slotmap.Handle, told *client) { // it takes its time to go
 		if told.closing && !told.sending && (c == nil || told.idleSince < c.idleSince) {
 			c = told
 		}
@@ -93,7 +93,7 @@
 // longestIdle returns the client that has been idle longest of those that may
 // be ended, nil if there is none.
 func (s *Server) longestIdle(may func(*client) bool) (found *client) {
-	s.clients.Each(func(_ slots.Ref, c *client) {
+	s.clients.Each(func(_ slotmap.Handle, c *client) {
 		if !c.busy() && !c.closing && (found == nil || c.idleSince < found.idleSince) && may(c) {
 			found = c
 		}
@@ -238,7 +238,7 @@
 // so are statements that come later. It runs inside Do.
 func (s *Server) Drain() {
 	s.draining, s.drainBegan = true, s.loop.Now()
-	each := func() { s.clients.Each(func(_ slots.Ref, c *client) { c.drainIfIdle() }) }
+	each := func() { s.clients.Each(func(_ slotmap.Handle, c *client) { c.drainIfIdle() }) }
 	s.loop.At(s.drainBegan+drainDelay, each)
 	s.loop.At(s.drainBegan+drainGrace, each)
 }
--- a/internal/postgres/front/closing_test.go
+++ b/internal/postgres/front/closing_test.go
@@ -16,7 +16,7 @@
 	"lotusbend/internal/netio"
 	"lotusbend/internal/postgres/wire"
 	"lotusbend/internal/router"
-	"lotusbend/internal/slots"
+	"lotusbend/internal/slotmap"
 )
 
 // stubRouter takes every statement and answers when the test says.
@@ -32,7 +32,7 @@
 type taken struct {
 	text string
 	from router.Client
-	ref  slots.Ref
+	ref  slotmap.Handle
 	wait float64
 }
 
@@ -42,10 +42,10 @@
 	class := string(name)
 	return router.Class{Write: class == "w", Fresh: class == "f", Session: class == "s"}, true
 }
-func (d *stubRouter) Lapse(slots.Ref) { d.lapsed++ }
-func (d *stubRouter) Submit(r router.Request, from router.Client, ref slots.Ref) slots.Ref {
-	d.taken = append(d.taken, taken{string(r.Statement.Text), from, ref, r.Wait})
-	return slots.Ref{Slot: uint32(len(d.taken)), Gen: 1}
+func (d *stubRouter) ClientCancelled(slotmap.Handle) { d.lapsed++ }
+func (d *stubRouter) Submit(r router.Request, from router.Client, ref slotmap.Handle) slotmap.Handle {
+	d.taken = append(d.taken, taken{string(r.Statement.Text), from, ref, r.TimeLeft})
+	return slotmap.Handle{Slot: uint32(len(d.taken)), Gen: 1}
 }
 
 func newStub(t *testing.T, sockets int) *stubRouter {
@@ -53,7 +53,7 @@
 	d := &stubRouter{t: t, clock: clock.Manual(1000)}
 	d.loop = clock.NewLoop(d.clock)
 	var err error
-	if d.server, err = Listen("127.0.0.1:0", d.loop, netio.NewBudget(sockets), testMemoryMB, d); err != nil {
+	if d.server, err = Listen("127.0.0.1:0", d.loop, netio.NewDescriptorBudget(sockets), testMemoryMB, d); err != nil {
 		t.Fatal(err)
 	}
 	go func() { _ = d.server.Serve() }()
@@ -97,7 +97,7 @@
 
 // only returns the one client there is.
 func (d *stubRouter) only() (c *client) {
-	d.server.clients.Each(func(_ slots.Ref, one *client) { c = one })
+	d.server.clients.Each(func(_ slotmap.Handle, one *client) { c = one })
 	return c
 }
 
@@ -400,7 +400,7 @@
 	u.write(read(1))
 	d.submitted(1)
 	d.loop.Do(func() { // the write is noted inside the loop, after this
-		d.taken[0].from.Answer(d.taken[0].ref, router.Answer{Verdict: router.Refused})
+		d.taken[0].from.Answer(d.taken[0].ref, router.Answer{Verdict: router.Rejected})
 		if n := d.server.Unsent(); n != 1 {
 			t.Errorf("%d clients have answers on their way, want 1", n)
 		}
--- a/internal/postgres/front/commands.go
+++ b/internal/postgres/front/commands.go
@@ -10,7 +10,7 @@
 	"lotusbend/internal/postgres/pipeline"
 	"lotusbend/internal/postgres/wire"
 	"lotusbend/internal/router"
-	"lotusbend/internal/slots"
+	"lotusbend/internal/slotmap"
 )
 
 const (
@@ -58,8 +58,8 @@
 	came    float64         // when its last byte was read
 	expires *clock.Deadline // of its client's wait, while it waits to start
 	booked  int             // bytes of memory
-	running slots.Ref       // its place among those that run
-	submit  slots.Ref       // as the router calls it
+	running slotmap.Handle  // its place among those that run
+	submit  slotmap.Handle  // as the router calls it
 }
 
 // busy tells whether c has a command that is not answered, or an answer that
@@ -178,7 +178,7 @@
 		return nil
 	}
 	// Past its time it needs no text and no attempt, only its answer in its turn.
-	s.expires = c.server.loop.At(s.came+s.request.Wait, func() { c.start(s, 0) })
+	s.expires = c.server.loop.At(s.came+s.request.TimeLeft, func() { c.start(s, 0) })
 	return nil
 }
 
@@ -196,13 +196,13 @@
 	if read := bytes.EqualFold(wire.Verb(text), []byte("SELECT")); read == class.Write {
 		return nil, access, "the statement is not of its class " + strconv.Quote(string(parsed.Class))
 	}
-	if class.Keyed && !parsed.Keyed {
+	if class.NeedsIdempotencyKey && !parsed.Keyed {
 		return nil, access, "a statement without its idempotency key"
 	}
 	s = &statement{client: c, id: string(parsed.ID), request: router.Request{
-		Statement: router.Statement{Text: text, From: parsed.WaitAt, To: parsed.WaitTo},
-		Class:     class.Number, Group: parsed.Cluster, Session: session(parsed.Key), After: parsed.After,
-		Wait: min(parsed.Wait, maxWait),
+		Statement: router.Statement{Text: text, WaitFrom: parsed.WaitAt, WaitTo: parsed.WaitTo},
+		Class:     class.Number, Group: parsed.Cluster, Session: session(parsed.Key), SessionCommitAt: parsed.After,
+		TimeLeft: min(parsed.Wait, maxWait),
 	}}
 	access = pipeline.Access{Group: parsed.Cluster, Write: class.Write, Fresh: class.Fresh}
 	if class.Write || class.Session {
@@ -240,7 +240,7 @@
 			}
 			s.rebook(s.booked + answerReserve)
 		}
-		c.start(s, s.request.Wait-(c.server.loop.Now()-s.came))
+		c.start(s, s.request.TimeLeft-(c.server.loop.Now()-s.came))
 	}
 }
 
@@ -257,7 +257,7 @@
 	server.ids[s.id] = struct{}{}
 	s.command.Start()
 	s.running = server.running.Add(s)
-	s.request.Wait = max(wait, 0)
+	s.request.TimeLeft = max(wait, 0)
 	submitted := server.requests.Submit(s.request, server, s.running)
 	if s.command.Running() { // else it has been answered already
 		s.submit = submitted
@@ -265,7 +265,7 @@
 }
 
 // Answer implements router.Client; the reference names a statement that runs.
-func (s *Server) Answer(ref slots.Ref, a router.Answer) {
+func (s *Server) Answer(ref slotmap.Handle, a router.Answer) {
 	if st := s.running.Get(ref); st != nil {
 		st.stop()
 		st.answer(wire.AppendReady(appendAnswer(nil, a)))
@@ -342,7 +342,7 @@
 // cancel ends the oldest statement that runs on the connection that a
 // CancelRequest names: no attempt for it begins any more.
 func (s *Server) cancel(process, secret uint32) {
-	c := s.clients.At(process)
+	c := s.clients.AtSlot(process)
 	if c == nil || c.secret != secret {
 		return
 	}
@@ -352,7 +352,7 @@
 	}
 	st := command.Value
 	st.stop()
-	s.requests.Lapse(st.submit)
+	s.requests.ClientCancelled(st.submit)
 	st.answer(cancelledAnswer)
 	c.advance()
 }
@@ -365,7 +365,7 @@
 		c.server.loop.Cancel(s.expires)
 		if command.Running() {
 			s.stop()
-			c.server.requests.Lapse(s.submit)
+			c.server.requests.ClientCancelled(s.submit)
 		}
 	})
 	c.queue.Clear()
@@ -379,7 +379,7 @@
 		})
 		b = wire.AppendDataRow(b, a.Row.Value)
 		return wire.AppendComplete(b, a.Row.Tag)
-	case router.Refused:
+	case router.Rejected:
 		detail := ""
 		if a.RetryAfter > 0 {
 			detail = strconv.Itoa(int(math.Floor(a.RetryAfter)))
--- a/internal/postgres/front/commands_test.go
+++ b/internal/postgres/front/commands_test.go
@@ -113,7 +113,7 @@
 		if d.taken[1].wait != 0 {
 			t.Errorf("it is handed over with %v ms left", d.taken[1].wait)
 		}
-		d.server.Answer(d.taken[1].ref, router.Answer{Verdict: router.Refused})
+		d.server.Answer(d.taken[1].ref, router.Answer{Verdict: router.Rejected})
 		d.only().queue.Each(func(c *pipeline.Command[*statement]) {
 			if !c.Running() && len(c.Value.request.Statement.Text)+len(c.Value.id) > 0 {
 				t.Error("its text or id is kept")
@@ -143,7 +143,7 @@
 	d.until(func() bool {
 		read := 0
 		for n := range clients {
-			if c := d.server.clients.At(uint32(n)); c != nil {
+			if c := d.server.clients.AtSlot(uint32(n)); c != nil {
 				read += c.queue.Commands()
 			}
 		}
@@ -155,7 +155,7 @@
 			t.Errorf("%d statements run, want %d at most", n, most)
 		}
 		for n := range clients {
-			if d.server.clients.At(uint32(n)).queue.FirstRunning() == nil {
+			if d.server.clients.AtSlot(uint32(n)).queue.FirstRunning() == nil {
 				t.Errorf("client %d waits", n)
 			}
 		}
@@ -204,7 +204,7 @@
 		}
 		read := 0
 		for n := range clients {
-			if c := d.server.clients.At(uint32(n)); c != nil && c.unread == 0 && c.queue.Commands() == each {
+			if c := d.server.clients.AtSlot(uint32(n)); c != nil && c.unread == 0 && c.queue.Commands() == each {
 				read++
 			}
 		}
@@ -321,7 +321,7 @@
 		d.until(func() bool { // each after the one before
 			n := 0
 			for i := range users {
-				if c := d.server.clients.At(uint32(i)); c != nil && (c.partial && c.unread >= wire.MaxMessage || c.closing) {
+				if c := d.server.clients.AtSlot(uint32(i)); c != nil && (c.partial && c.unread >= wire.MaxMessage || c.closing) {
 					n++
 				}
 			}
--- a/internal/postgres/front/front.go
+++ b/internal/postgres/front/front.go
@@ -23,7 +23,7 @@
 	"lotusbend/internal/postgres/pipeline"
 	"lotusbend/internal/postgres/wire"
 	"lotusbend/internal/router"
-	"lotusbend/internal/slots"
+	"lotusbend/internal/slotmap"
 )
 
 const (
@@ -43,20 +43,20 @@
 // Requests is what clients' statements go to, inside the loop's Do.
 type Requests interface {
 	Class(name []byte) (router.Class, bool)
-	Submit(r router.Request, from router.Client, client slots.Ref) slots.Ref
-	Lapse(request slots.Ref)
+	Submit(r router.Request, from router.Client, client slotmap.Handle) slotmap.Handle
+	ClientCancelled(request slotmap.Handle)
 }
 
 // Server holds the clients' connections.
 type Server struct {
 	loop       *clock.Loop
-	budget     *netio.Budget
+	budget     *netio.DescriptorBudget
 	queued     netio.Memory // statements sent ahead, and answers that wait for their turn
 	unread     netio.Memory // bytes that were read and not looked at
 	requests   Requests
-	clients    slots.Table[client]
-	running    slots.Table[statement] // those that the router has
-	ids        map[string]struct{}    // of these, as their clients named them
+	clients    slotmap.Table[client]
+	running    slotmap.Table[statement] // those that the router has
+	ids        map[string]struct{}      // of these, as their clients named them
 	events     netpoll.EventLoop
 	listener   net.Listener
 	draining   bool
@@ -68,7 +68,7 @@
 // client is one connection. What the owner's lock guards stands first; the
 // rest belongs to the connection's own callbacks.
 type client struct {
-	ref       slots.Ref
+	ref       slotmap.Handle
 	secret    uint32 // that a CancelRequest has to show
 	server    *Server
 	conn      *netio.Conn
@@ -94,7 +94,7 @@
 
 // Listen opens the socket for clients; it takes none before Serve. memoryMB is
 // the process's limit, 0 for none.
-func Listen(address string, loop *clock.Loop, budget *netio.Budget, memoryMB float64, requests Requests) (*Server, error) {
+func Listen(address string, loop *clock.Loop, budget *netio.DescriptorBudget, memoryMB float64, requests Requests) (*Server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
@@ -178,14 +178,14 @@
 // Open returns how many clients have a slot, and how many others were told to
 // go and have not gone. It runs inside Do.
 func (s *Server) Open() (clients, closing int) {
-	s.clients.Each(func(slots.Ref, *client) { clients++ })
+	s.clients.Each(func(slotmap.Handle, *client) { clients++ })
 	return clients, s.onReserve
 }
 
 // Unsent returns how many clients have answers that are not all with the
 // system. It runs inside Do.
 func (s *Server) Unsent() (clients int) {
-	s.clients.Each(func(_ slots.Ref, c *client) {
+	s.clients.Each(func(_ slotmap.Handle, c *client) {
 		if c.sending {
 			clients++
 		}
--- a/internal/postgres/front/front_test.go
+++ b/internal/postgres/front/front_test.go
@@ -11,22 +11,22 @@
 	"lotusbend/internal/netio"
 	"lotusbend/internal/postgres/wire"
 	"lotusbend/internal/router"
-	"lotusbend/internal/slots"
+	"lotusbend/internal/slotmap"
 )
 
 // nothing knows no class.
 type nothing struct{}
 
-func (nothing) Class([]byte) (router.Class, bool)                             { return router.Class{}, false }
-func (nothing) Submit(router.Request, router.Client, slots.Ref) (r slots.Ref) { return r }
-func (nothing) Lapse(slots.Ref)                                               {}
+func (nothing) Class([]byte) (router.Class, bool)                                       { return router.Class{}, false }
+func (nothing) Submit(router.Request, router.Client, slotmap.Handle) (r slotmap.Handle) { return r }
+func (nothing) ClientCancelled(slotmap.Handle)                                          {}
 
 // A message of which a part never comes must hold its connection no longer
 // than the limit, at a startup and after it; the time counts from that part.
 func TestPartOfAMessageIsGivenUp(t *testing.T) {
 	now := clock.Manual(1000)
 	loop := clock.NewLoop(now)
-	s, err := Listen("127.0.0.1:0", loop, netio.NewBudget(100), testMemoryMB, nothing{})
+	s, err := Listen("127.0.0.1:0", loop, netio.NewDescriptorBudget(100), testMemoryMB, nothing{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		for half := false; !half; runtime.Gosched() {
-			loop.Do(func() { s.clients.Each(func(_ slots.Ref, c *client) { half = half || c.partial && !c.busy() }) })
+			loop.Do(func() { s.clients.Each(func(_ slotmap.Handle, c *client) { half = half || c.partial && !c.busy() }) })
 		}
 		now.Set(now.Now() + partialTimeout)
 		loop.Fire()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -8,26 +8,26 @@
 
 	"lotusbend/decide"
 	"lotusbend/internal/clock"
-	"lotusbend/internal/slots"
+	"lotusbend/internal/slotmap"
 )
 
 // Statement is what a database host is sent: the client's text, in which the
 // digits From to To tell how long the sender waits, in milliseconds.
 type Statement struct {
-	Text     []byte
-	From, To int
-	Write    bool // its answer's position is a commit
+	Text             []byte
+	WaitFrom, WaitTo int
+	Write            bool // its answer's position is a commit
 }
 
 // Request is a client's request in no protocol's terms. Its Statement must
 // stay as it is until the request has no attempt left.
 type Request struct {
-	Statement Statement
-	Class     int
-	Group     int
-	Session   uint64  // 0 if none
-	After     float64 // Unix milliseconds of the session's last commit, 0 if none
-	Wait      float64 // milliseconds until the client gives up
+	Statement       Statement
+	Class           int
+	Group           int
+	Session         uint64  // 0 if none
+	SessionCommitAt float64 // Unix milliseconds of the session's last commit, 0 if none
+	TimeLeft        float64 // milliseconds until the client gives up
 }
 
 // Row is a database host's answer: one value of one column.
@@ -45,9 +45,9 @@
 
 // The final answers.
 const (
-	Served  Verdict = iota
-	Refused         // trying again is harmless
-	Failed          // no promise about the effect
+	Served   Verdict = iota
+	Rejected         // trying again is harmless
+	Failed           // no promise about the effect
 )
 
 // Answer is the one final answer to a request. What Row refers to is valid
@@ -60,12 +60,12 @@
 
 // Client takes final answers, each once.
 type Client interface {
-	Answer(client slots.Ref, a Answer)
+	Answer(client slotmap.Handle, a Answer)
 }
 
 // Attempt names one attempt at a request.
 type Attempt struct {
-	Request slots.Ref
+	Request slotmap.Handle
 	Number  int
 }
 
@@ -73,22 +73,22 @@
 // call back before they have returned; each attempt that was not cancelled
 // and each probe is reported once.
 type Hosts interface {
-	Send(host uint32, a Attempt, s Statement, wait float64) slots.Ref
-	Cancel(sent slots.Ref) (begun bool) // false: surely not a byte was written
-	Probe(host uint32)
+	Send(host uint32, a Attempt, s Statement, wait float64) slotmap.Handle
+	Cancel(sent slotmap.Handle) (begun bool) // false: surely not a byte was written
+	CheckHealth(host uint32)
 	CloseIdle(host uint32)
 }
 
 // Report is how an attempt or a probe ended.
-type Report struct {
+type AttemptReport struct {
 	Outcome decide.Outcome
-	Note    decide.ReplicationStatus
+	Status  decide.ReplicationStatus
 	Row     *Row // of one that was served; valid during the call
 }
 
 type attempt struct {
 	host uint32
-	sent slots.Ref // what the hosts call it
+	sent slotmap.Handle // what the hosts call it
 	at   float64
 	end  *clock.Deadline // if it comes before the request's
 	out  bool
@@ -101,7 +101,7 @@
 	Request
 	id       uint64
 	from     Client
-	client   slots.Ref
+	client   slotmap.Handle
 	deadline float64
 	end      *clock.Deadline
 	attempts []attempt
@@ -116,9 +116,9 @@
 	cfg      decide.Config
 	module   *decide.Router
 	hosts    Hosts
-	requests slots.Table[request]
+	requests slotmap.Table[request]
 	open     int           // requests without their final answer
-	seen     *Watch        // nil where nothing is shared with other routers
+	seen     *Observer     // nil where nothing is shared with other routers
 	bound    time.Duration // the oldest data that any bounded class takes
 }
 
@@ -145,14 +145,14 @@
 
 // Class is what a client's statement must fit.
 type Class struct {
-	Number int
-	Write  bool // only a primary takes it
-	Keyed  bool // it needs an idempotency key
-	Fresh  bool // it sees all that was written before it came
+	Number              int
+	Write               bool // only a primary takes it
+	NeedsIdempotencyKey bool // it needs an idempotency key
+	Fresh               bool // it sees all that was written before it came
 	// Session is true of a read that sees its session's own writes.
 	Session bool
 	// KeyTTL is for how many milliseconds a shard drops a repeat of a key.
-	KeyTTL float64
+	IdempotencyWindow float64
 }
 
 // Class returns a class by its name.
@@ -160,8 +160,8 @@
 	for i := range r.cfg.Classes {
 		if c := &r.cfg.Classes[i]; c.Name == string(name) {
 			return Class{
-				Number: i, Write: c.Consistency == decide.Write, Keyed: c.Idempotency == decide.IdempotencyKey,
-				Fresh: c.Consistency == decide.Fresh, Session: c.Consistency == decide.Session, KeyTTL: clock.Millis(c.IdempotencyWindow),
+				Number: i, Write: c.Consistency == decide.Write, NeedsIdempotencyKey: c.Idempotency == decide.IdempotencyKey,
+				Fresh: c.Consistency == decide.Fresh, Session: c.Consistency == decide.Session, IdempotencyWindow: clock.Millis(c.IdempotencyWindow),
 			}, true
 		}
 	}
@@ -169,30 +169,30 @@
 }
 
 // Open returns how many requests wait for their final answer.
-func (r *Router) Open() int { return r.open }
+func (r *Router) PendingRequests() int { return r.open }
 
 // Listed takes news of the list of database hosts.
-func (r *Router) Listed(kind decide.EndpointUpdateKind, members []decide.Endpoint) {
+func (r *Router) EndpointsUpdated(kind decide.EndpointUpdateKind, members []decide.Endpoint) {
 	r.seen.listed(members)
 	r.module.EndpointsUpdated(r.now(), kind, members)
 }
 
 // Join tells the module of its peers; without that it acts alone.
-func (r *Router) Join(f decide.Fleet) { r.module.JoinFleet(f) }
+func (r *Router) JoinFleet(f decide.Fleet) { r.module.JoinFleet(f) }
 
 // Submit takes a request. Its answer goes to from, which may name it by the
 // returned reference until then.
-func (r *Router) Submit(req Request, from Client, client slots.Ref) slots.Ref {
+func (r *Router) Submit(req Request, from Client, client slotmap.Handle) slotmap.Handle {
 	req.Statement.Write = r.cfg.Classes[req.Class].Consistency == decide.Write
-	q := &request{Request: req, from: from, client: client, deadline: r.loop.Now() + req.Wait}
+	q := &request{Request: req, from: from, client: client, deadline: r.loop.Now() + req.TimeLeft}
 	ref := r.requests.Add(q)
 	q.id = ref.ID()
 	r.open++
 	r.seen.arrived(req.Class)
 	q.end = r.loop.At(q.deadline, func() { r.expire(ref) })
 	var since time.Duration
-	if req.After > 0 {
-		since = max(r.now()-clock.Duration(req.After), 1)
+	if req.SessionCommitAt > 0 {
+		since = max(r.now()-clock.Duration(req.SessionCommitAt), 1)
 	}
 	session := req.Session
 	if r.cfg.Classes[req.Class].Consistency != decide.Write && r.cfg.Classes[req.Class].Consistency != decide.Session {
@@ -200,13 +200,13 @@
 	}
 	r.module.RequestArrived(r.now(), decide.Request{
 		ID: q.id, Group: req.Group, Class: req.Class, Session: session, SinceCommit: since,
-		TimeLeft: clock.Duration(req.Wait),
+		TimeLeft: clock.Duration(req.TimeLeft),
 	})
 	return ref
 }
 
 // Lapse says that the client of a request has gone.
-func (r *Router) Lapse(ref slots.Ref) {
+func (r *Router) ClientCancelled(ref slotmap.Handle) {
 	q := r.requests.Get(ref)
 	if q == nil || q.done {
 		return
@@ -220,7 +220,7 @@
 
 // Ended takes the end of an attempt. A late one, of an attempt that was ended
 // otherwise, is passed over.
-func (r *Router) Ended(a Attempt, rep Report) {
+func (r *Router) AttemptEnded(a Attempt, rep AttemptReport) {
 	q := r.requests.Get(a.Request)
 	if q == nil || a.Number >= len(q.attempts) || !q.attempts[a.Number].out {
 		return
@@ -231,8 +231,8 @@
 
 // LateAnswer takes what a host answered to an attempt that was given up: it is
 // news of the host alone.
-func (r *Router) LateAnswer(host uint32, rep Report) {
-	r.module.AttemptEnded(r.now(), decide.AttemptResult{Attempt: unknownAttempt, Endpoint: host, Outcome: rep.Outcome, Status: rep.Note})
+func (r *Router) LateAnswer(host uint32, rep AttemptReport) {
+	r.module.AttemptEnded(r.now(), decide.AttemptResult{Attempt: unknownAttempt, Endpoint: host, Outcome: rep.Outcome, Status: rep.Status})
 }
 
 // unknownAttempt is the number of an attempt that the module no longer knows.
@@ -240,19 +240,19 @@
 
 // MayLeave tells whether an attempt that waited for its connection may still be
 // written. What is reported instead goes back to the module.
-func (r *Router) MayLeave(a Attempt) bool {
+func (r *Router) MaySend(a Attempt) bool {
 	q := r.requests.Get(a.Request)
 	return q != nil && a.Number < len(q.attempts) && q.attempts[a.Number].out &&
 		r.module.MaySend(r.now(), q.id, a.Number)
 }
 
 // Probed takes the end of a probe.
-func (r *Router) Probed(host uint32, rep Report) {
-	r.module.HealthChecked(r.now(), decide.HealthCheckResult{Endpoint: host, Outcome: rep.Outcome, Status: rep.Note})
+func (r *Router) HealthChecked(host uint32, rep AttemptReport) {
+	r.module.HealthChecked(r.now(), decide.HealthCheckResult{Endpoint: host, Outcome: rep.Outcome, Status: rep.Status})
 }
 
 // end gives an attempt's end to the client, if it serves it, and to the module.
-func (r *Router) end(ref slots.Ref, q *request, n int, rep Report) {
+func (r *Router) end(ref slotmap.Handle, q *request, n int, rep AttemptReport) {
 	at := &q.attempts[n]
 	at.out = false
 	r.loop.Cancel(at.end)
@@ -263,7 +263,7 @@
 	}
 	r.module.AttemptEnded(r.now(), decide.AttemptResult{
 		Request: q.id, Attempt: n, Endpoint: at.host, Outcome: rep.Outcome,
-		Latency: clock.Duration(r.loop.Now() - at.at), ClientAnswered: q.done, Status: rep.Note,
+		Latency: clock.Duration(r.loop.Now() - at.at), ClientAnswered: q.done, Status: rep.Status,
 	})
 }
 
@@ -278,10 +278,10 @@
 }
 
 // endAttempts ends whatever of q is out.
-func (r *Router) endAttempts(ref slots.Ref, q *request, o decide.Outcome) {
+func (r *Router) endAttempts(ref slotmap.Handle, q *request, o decide.Outcome) {
 	for n := range q.attempts {
 		if q.attempts[n].out {
-			r.end(ref, q, n, Report{Outcome: r.cancel(q, n, o)})
+			r.end(ref, q, n, AttemptReport{Outcome: r.cancel(q, n, o)})
 		}
 	}
 }
@@ -289,7 +289,7 @@
 // expire is the client's deadline: what is out has timed out, and the module
 // answers. The module's own look at its requests comes a little later, so a
 // request that it still holds is failed here.
-func (r *Router) expire(ref slots.Ref) {
+func (r *Router) expire(ref slotmap.Handle) {
 	q := r.requests.Get(ref)
 	if q == nil {
 		return
@@ -304,7 +304,7 @@
 
 // Expire ends every request as its deadline would.
 func (r *Router) Expire() {
-	r.requests.Each(func(ref slots.Ref, _ *request) { r.expire(ref) })
+	r.requests.Each(func(ref slotmap.Handle, _ *request) { r.expire(ref) })
 }
 
 // answer gives q its final answer, once.
@@ -314,14 +314,14 @@
 	}
 	q.done = true
 	r.open--
-	if a.Verdict == Refused {
+	if a.Verdict == Rejected {
 		r.seen.refused(q.Class)
 	}
 	q.from.Answer(q.client, a)
 }
 
 // release frees the slot of a request of which nothing is left.
-func (r *Router) release(ref slots.Ref, q *request) {
+func (r *Router) release(ref slotmap.Handle, q *request) {
 	if q.done && q.out == 0 {
 		r.loop.Cancel(q.end)
 		r.requests.Remove(ref)
@@ -334,7 +334,7 @@
 
 // Send implements decide.Actions.
 func (a *actions) Send(id uint64, host uint32, timeout time.Duration) {
-	r, ref := (*Router)(a), slots.FromID(id)
+	r, ref := (*Router)(a), slotmap.FromID(id)
 	q := r.requests.Get(ref)
 	if q == nil {
 		return
@@ -349,7 +349,7 @@
 	q.out++
 	r.seen.sent(q.Class, n, host, now)
 	if q.done || wait <= 0 || (r.cfg.MaxAttempts > 0 && n >= r.cfg.MaxAttempts) {
-		r.loop.Post(func() { r.Ended(tag, Report{Outcome: decide.NotSent}) })
+		r.loop.Post(func() { r.AttemptEnded(tag, AttemptReport{Outcome: decide.NotSent}) })
 		return
 	}
 	q.attempts[n].sent = r.hosts.Send(host, tag, q.Statement, wait)
@@ -364,31 +364,31 @@
 	if q == nil || !q.attempts[a.Number].out {
 		return
 	}
-	r.end(a.Request, q, a.Number, Report{Outcome: r.cancel(q, a.Number, decide.TimedOut)})
+	r.end(a.Request, q, a.Number, AttemptReport{Outcome: r.cancel(q, a.Number, decide.TimedOut)})
 	r.release(a.Request, q)
 }
 
 // Cancel implements decide.Actions.
 func (a *actions) Cancel(id uint64, n int) {
-	r, ref := (*Router)(a), slots.FromID(id)
+	r, ref := (*Router)(a), slotmap.FromID(id)
 	q := r.requests.Get(ref)
 	if q == nil || n >= len(q.attempts) || !q.attempts[n].out {
 		return
 	}
 	q.attempts[n].begun = r.hosts.Cancel(q.attempts[n].sent)
-	r.loop.Post(func() { r.Ended(Attempt{ref, n}, Report{Outcome: decide.Cancelled}) })
+	r.loop.Post(func() { r.AttemptEnded(Attempt{ref, n}, AttemptReport{Outcome: decide.Cancelled}) })
 }
 
 // Refuse implements decide.Actions.
 func (a *actions) Reject(id uint64, retryAfter time.Duration) {
-	a.final(id, Answer{Verdict: Refused, RetryAfter: clock.Millis(retryAfter)})
+	a.final(id, Answer{Verdict: Rejected, RetryAfter: clock.Millis(retryAfter)})
 }
 
 // Fail implements decide.Actions.
 func (a *actions) Fail(id uint64) { a.final(id, Answer{Verdict: Failed}) }
 
 func (a *actions) final(id uint64, ans Answer) {
-	r, ref := (*Router)(a), slots.FromID(id)
+	r, ref := (*Router)(a), slotmap.FromID(id)
 	if q := r.requests.Get(ref); q != nil {
 		r.answer(q, ans)
 		r.loop.Post(func() { r.release(ref, q) })
@@ -396,7 +396,7 @@
 }
 
 // Probe implements decide.Actions.
-func (a *actions) CheckHealth(host uint32) { a.hosts.Probe(host) }
+func (a *actions) CheckHealth(host uint32) { a.hosts.CheckHealth(host) }
 
 // CloseIdle implements decide.Actions.
 func (a *actions) CloseIdle(host uint32) { a.hosts.CloseIdle(host) }
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -11,11 +11,11 @@
 // Watch notes what this router carries and how hosts answer it, to be shared
 // with other routers. It changes nothing of what the router does. Its methods
 // are called inside the loop's Do; a nil Watch notes nothing.
-type Watch struct {
+type Observer struct {
 	zone    int
 	zones   map[uint32]int
 	hosts   map[uint32]*record
-	carried fleetstate.Cells
+	carried fleetstate.Counters
 	taken   uint64  // requests, since the start
 	rate    float64 // first tries a second, smoothed
 	rateAt  float64
@@ -38,16 +38,16 @@
 )
 
 // Share has the router note what it sees, from now on.
-func (r *Router) Share() {
+func (r *Router) StartObserving() {
 	for _, c := range r.cfg.Classes {
 		if c.Consistency == decide.Bounded {
 			r.bound = max(r.bound, c.MaxStaleness)
 		}
 	}
-	r.seen = &Watch{zone: r.cfg.Zone, zones: map[uint32]int{}, hosts: map[uint32]*record{}, rateAt: r.loop.Now()}
+	r.seen = &Observer{zone: r.cfg.Zone, zones: map[uint32]int{}, hosts: map[uint32]*record{}, rateAt: r.loop.Now()}
 }
 
-func (w *Watch) listed(members []decide.Endpoint) {
+func (w *Observer) listed(members []decide.Endpoint) {
 	if w == nil {
 		return
 	}
@@ -60,29 +60,29 @@
 	}
 }
 
-func (w *Watch) arrived(class int) {
+func (w *Observer) arrived(class int) {
 	if w != nil {
 		w.taken++
 		w.carried.Add(class, fleetstate.Requests, 1)
 	}
 }
 
-func (w *Watch) refused(class int) {
+func (w *Observer) refused(class int) {
 	if w != nil {
-		w.carried.Add(class, fleetstate.Refusals, 1)
+		w.carried.Add(class, fleetstate.Rejections, 1)
 	}
 }
 
-func (w *Watch) sent(class, n int, host uint32, now float64) {
+func (w *Observer) sent(class, n int, host uint32, now float64) {
 	if w == nil {
 		return
 	}
 	if n > 0 {
-		w.carried.Add(class, fleetstate.Repeats, 1)
+		w.carried.Add(class, fleetstate.Retries, 1)
 	}
 	zone, listed := w.zones[host]
 	if listed && zone != w.zone {
-		w.carried.Add(class, fleetstate.Crossings, 1)
+		w.carried.Add(class, fleetstate.CrossZoneAttempts, 1)
 	}
 	h := w.hosts[host]
 	if h == nil {
@@ -99,7 +99,7 @@
 
 // ended counts an attempt of which a host got something, and what it told of
 // the host. Whatever was never written told nothing.
-func (w *Watch) ended(class int, a *attempt, o decide.Outcome, now float64) {
+func (w *Observer) ended(class int, a *attempt, o decide.Outcome, now float64) {
 	if w == nil {
 		return
 	}
@@ -123,9 +123,9 @@
 
 // Seen is what was seen since the last call; name names a host, "" for one
 // that is not to be told of.
-func (r *Router) Seen(name func(uint32) string) fleetstate.Seen {
+func (r *Router) Observe(name func(uint32) string) fleetstate.Observation {
 	w, now := r.seen, r.loop.Now()
-	s := fleetstate.Seen{Carried: w.carried}
+	s := fleetstate.Observation{Counters: w.carried}
 	w.carried = nil
 	if over := now - w.rateAt; over > 0 {
 		weight := min(1, over/rateOver)
@@ -133,11 +133,11 @@
 		w.rateAt, w.counted = now, w.taken
 	}
 	saved, most, earned := r.module.RetryBudget()
-	s.Repeats = fleetstate.RepeatBudget{Earns: w.rate * earned, Spare: saved >= most, Wanting: saved < most/2}
+	s.RetryBudget = fleetstate.RetryBudget{EarnedPerSecond: w.rate * earned, Surplus: saved >= most, Depleted: saved < most/2}
 	r.module.View(r.now(), func(v decide.EndpointView) {
-		host := fleetstate.Host{
-			Name: name(v.ID), Group: v.Group, Ready: v.Ready, Leads: v.Primary, LeadsAt: ms(v.PrimaryReportedAt),
-			Cold: v.WarmingUp, Needed: v.RequestsQueued, Seeking: v.PrimaryUnknown,
+		host := fleetstate.EndpointHealth{
+			Name: name(v.ID), Group: v.Group, Ready: v.Ready, Primary: v.Primary, PrimaryReportedAt: ms(v.PrimaryReportedAt),
+			WarmingUp: v.WarmingUp, RequestsQueued: v.RequestsQueued, PrimaryUnknown: v.PrimaryUnknown,
 		}
 		if host.Name == "" {
 			return
@@ -148,30 +148,30 @@
 		if r.bound > 0 && v.LagMeasuredAt > 0 { // a heard position may only ever exclude
 			if v.Lag <= r.bound {
 				host.FreshAt = ms(v.LagMeasuredAt)
-			} else if host.Bad == 0 {
-				host.Bad, host.BadAt = fleetstate.Behind, ms(v.LagMeasuredAt)
+			} else if host.Fault == 0 {
+				host.Fault, host.FaultAt = fleetstate.Lagging, ms(v.LagMeasuredAt)
 			}
 		}
-		s.Hosts = append(s.Hosts, host)
+		s.Endpoints = append(s.Endpoints, host)
 	})
 	return s
 }
 
 // judge says what one host's record tells of it.
-func (h *record) judge(v decide.EndpointView, now float64, to *fleetstate.Host) {
+func (h *record) judge(v decide.EndpointView, now float64, to *fleetstate.EndpointHealth) {
 	silent := now - h.asked
-	to.Waiting = h.bad > h.good && now-h.bad < badFor || h.asked > 0 && silent > waitsAfter*clock.Millis(max(v.Latency, v.TypicalLatency))
+	to.Overdue = h.bad > h.good && now-h.bad < badFor || h.asked > 0 && silent > waitsAfter*clock.Millis(max(v.Latency, v.TypicalLatency))
 	if h.asked > 0 && silent > silentAfter*clock.Millis(max(v.Latency, v.TypicalLatency)) {
 		h.bad, h.asked = max(h.bad, h.asked), 0 // the next attempt is timed anew
 	}
-	to.GoodAt, to.TriedAt, to.BadAt = int64(h.good), int64(h.tried), int64(h.bad)
+	to.AnsweredSentAt, to.LastSentAt, to.FaultAt = int64(h.good), int64(h.tried), int64(h.bad)
 	switch {
 	case h.bad > h.good && !v.Failing:
-		to.Bad = fleetstate.Hangs
+		to.Fault = fleetstate.Unresponsive
 	case v.Failing && h.bad > h.good:
-		to.Bad = fleetstate.Fails
+		to.Fault = fleetstate.Failing
 	case float64(v.Latency) > slowTimes*float64(v.TypicalLatency) && h.good > 0:
-		to.Bad, to.BadAt = fleetstate.Slow, int64(h.good)
+		to.Fault, to.FaultAt = fleetstate.Slow, int64(h.good)
 	}
 }
 
--- a/internal/router/watch_test.go
+++ b/internal/router/watch_test.go
@@ -8,7 +8,7 @@
 	"lotusbend/decide"
 	"lotusbend/internal/clock"
 	"lotusbend/internal/fleetstate"
-	"lotusbend/internal/slots"
+	"lotusbend/internal/slotmap"
 )
 
 // script is hosts that end each attempt as a test says.
@@ -18,14 +18,14 @@
 	begun bool
 }
 
-func (s *script) Send(host uint32, a Attempt, _ Statement, _ float64) slots.Ref {
+func (s *script) Send(host uint32, a Attempt, _ Statement, _ float64) slotmap.Handle {
 	s.sent, s.hosts = append(s.sent, a), append(s.hosts, host)
-	return slots.FromID(uint64(len(s.sent)))
+	return slotmap.FromID(uint64(len(s.sent)))
 }
-func (s *script) Cancel(slots.Ref) bool    { return s.begun }
-func (s *script) Probe(uint32)             {}
-func (s *script) CloseIdle(uint32)         {}
-func (s *script) Answer(slots.Ref, Answer) {}
+func (s *script) Cancel(slotmap.Handle) bool    { return s.begun }
+func (s *script) CheckHealth(uint32)            {}
+func (s *script) CloseIdle(uint32)              {}
+func (s *script) Answer(slotmap.Handle, Answer) {}
 
 type watched struct {
 	*script
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	w.loop.Do(func() {
-		w.r.Share()
+		w.r.StartObserving()
 		w.r.Start(w, []decide.Endpoint{{ID: 1, State: decide.Ready, Zone: 1}, {ID: 2, State: decide.Ready, Zone: 1, Primary: true}})
 	})
 	return w
@@ -58,16 +58,18 @@
 	}
 }
 
-func (w *watched) submit() { w.loop.Do(func() { w.r.Submit(Request{Wait: 1200}, w, slots.Ref{}) }) }
+func (w *watched) submit() {
+	w.loop.Do(func() { w.r.Submit(Request{TimeLeft: 1200}, w, slotmap.Handle{}) })
+}
 
 func (w *watched) end(n int, o decide.Outcome) {
 	w.loop.Do(func() {
-		w.r.Ended(w.sent[n], Report{Outcome: o, Row: &Row{}, Note: decide.ReplicationStatus{Role: decide.RoleReplica, Position: clock.Duration(w.clk.Now())}})
+		w.r.AttemptEnded(w.sent[n], AttemptReport{Outcome: o, Row: &Row{}, Status: decide.ReplicationStatus{Role: decide.RoleReplica, Position: clock.Duration(w.clk.Now())}})
 	})
 }
 
-func (w *watched) seen() (s fleetstate.Seen) {
-	w.loop.Do(func() { s = w.r.Seen(func(id uint32) string { return fmt.Sprint("h", id) }) })
+func (w *watched) seen() (s fleetstate.Observation) {
+	w.loop.Do(func() { s = w.r.Observe(func(id uint32) string { return fmt.Sprint("h", id) }) })
 	return s
 }
 
@@ -82,19 +84,19 @@
 		t.Fatalf("%d attempts, want a repeat", len(w.sent))
 	}
 	w.end(1, decide.OK)
-	got := w.seen().Carried
-	for kind, want := range map[fleetstate.Kind]uint64{fleetstate.Requests: 1, fleetstate.Refusals: 0, fleetstate.Repeats: 1, fleetstate.Crossings: 2, fleetstate.Attempts: 2} {
+	got := w.seen().Counters
+	for kind, want := range map[fleetstate.CounterKind]uint64{fleetstate.Requests: 1, fleetstate.Rejections: 0, fleetstate.Retries: 1, fleetstate.CrossZoneAttempts: 2, fleetstate.Attempts: 2} {
 		if n := got.Get(0, kind); n != want {
-			t.Errorf("%s: %d, want %d", fleetstate.KindNames()[kind], n, want)
+			t.Errorf("%s: %d, want %d", fleetstate.CounterKindNames()[kind], n, want)
 		}
 	}
-	if again := w.seen().Carried; len(again) > 0 {
+	if again := w.seen().Counters; len(again) > 0 {
 		t.Errorf("told again: %v", again)
 	}
 	w.begun = false // nothing of the next leaves
 	w.submit()
 	w.pass(1300) // its client gives up
-	if n := w.seen().Carried.Get(0, fleetstate.Attempts); n != 0 {
+	if n := w.seen().Counters.Get(0, fleetstate.Attempts); n != 0 {
 		t.Errorf("%d attempts counted of which no byte left", n)
 	}
 }
@@ -103,8 +105,8 @@
 // told to hang, from that attempt's sending on, until it answers a later one.
 func TestSilenceIsEvidenceUntilAnAnswer(t *testing.T) {
 	w := newWatched(t)
-	find := func() (h fleetstate.Host) {
-		for _, x := range w.seen().Hosts {
+	find := func() (h fleetstate.EndpointHealth) {
+		for _, x := range w.seen().Endpoints {
 			if x.Name == "h1" {
 				h = x
 			}
@@ -117,21 +119,21 @@
 		w.end(len(w.sent)-1, decide.OK)
 		w.pass(30)
 	}
-	if h := find(); h.Bad != 0 || h.Waiting || h.GoodAt == 0 {
+	if h := find(); h.Fault != 0 || h.Overdue || h.AnsweredSentAt == 0 {
 		t.Fatalf("a host that answers is told as %+v", h)
 	}
 	w.submit()
 	sent := int64(w.clk.Now())
 	w.pass(60)
-	if h := find(); !h.Waiting {
+	if h := find(); !h.Overdue {
 		t.Fatalf("an attempt out for 60 ms is not waited for: %+v", h)
 	}
 	w.pass(300)
-	if h := find(); h.Bad != fleetstate.Hangs || h.BadAt != sent {
+	if h := find(); h.Fault != fleetstate.Unresponsive || h.FaultAt != sent {
 		t.Fatalf("told as %+v, want hanging since %d", h, sent)
 	}
 	w.end(len(w.sent)-1, decide.OK) // late, but an answer
-	if h := find(); h.Bad != 0 {
+	if h := find(); h.Fault != 0 {
 		t.Errorf("it answered, and is told as %+v", h)
 	}
 }
@@ -147,7 +149,7 @@
 		if !leads() {
 			t.Fatal("the list's primary is not taken for one")
 		}
-		w.r.LateAnswer(2, Report{Outcome: decide.Ineligible, Note: decide.ReplicationStatus{Role: decide.RoleReplica}})
+		w.r.LateAnswer(2, AttemptReport{Outcome: decide.Ineligible, Status: decide.ReplicationStatus{Role: decide.RoleReplica}})
 		if leads() {
 			t.Error("a host that says it is a replica is taken for the primary")
 		}
--- a/internal/settings/settings.go
+++ b/internal/routingconfig/routingconfig.go
@@ -1,7 +1,7 @@
-// Package settings reads the settings object, which the simulator sends and
+// Package routingconfig reads the settings object, which the simulator sends and
 // a router's configuration file holds in the same form, into the decisions'
 // configuration.
-package settings
+package routingconfig
 
 import (
 	"fmt"
--- a/internal/settings/settings_test.go
+++ b/internal/routingconfig/settings_test.go
@@ -1,4 +1,4 @@
-package settings
+package routingconfig
 
 import (
 	"math"
--- a/internal/simwire/characterization_test.go
+++ b/internal/simprotocol/characterization_test.go
@@ -1,4 +1,4 @@
-package simwire_test
+package simprotocol_test
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"lotusbend/internal/simwire"
+	"lotusbend/internal/simprotocol"
 )
 
 // update rewrites the golden file. Its values may change only together with a
@@ -61,46 +61,46 @@
 
 // replies fills one reply for each scenario. The names are those of the
 // simulator's actions.
-var replies = map[string]func(*simwire.Reply, *simwire.Sender){
-	"no-action": func(*simwire.Reply, *simwire.Sender) {},
-	"place": func(_ *simwire.Reply, s *simwire.Sender) {
+var replies = map[string]func(*simprotocol.Reply, *simprotocol.Sender){
+	"no-action": func(*simprotocol.Reply, *simprotocol.Sender) {},
+	"place": func(_ *simprotocol.Reply, s *simprotocol.Sender) {
 		s.Send(request, member, 80*time.Millisecond)
 		s.Send(math.MaxUint64, math.MaxUint32, 0)
 		s.Send(0, 0, 1234567*time.Nanosecond)
 	},
-	"cancel": func(_ *simwire.Reply, s *simwire.Sender) {
+	"cancel": func(_ *simprotocol.Reply, s *simprotocol.Sender) {
 		s.Cancel(request, 0)
 		s.Cancel(math.MaxUint64, 255)
 	},
-	"push-back": func(_ *simwire.Reply, s *simwire.Sender) {
+	"push-back": func(_ *simprotocol.Reply, s *simprotocol.Sender) {
 		s.Reject(request, 0)
 		s.Reject(math.MaxUint64, 2500*time.Millisecond)
 	},
-	"error": func(_ *simwire.Reply, s *simwire.Sender) {
+	"error": func(_ *simprotocol.Reply, s *simprotocol.Sender) {
 		s.Fail(request)
 		s.Fail(math.MaxUint64)
 	},
-	"check": func(_ *simwire.Reply, s *simwire.Sender) {
+	"check": func(_ *simprotocol.Reply, s *simprotocol.Sender) {
 		s.CheckHealth(member)
 		s.CheckHealth(math.MaxUint32)
 	},
-	"keep-informed": func(_ *simwire.Reply, s *simwire.Sender) { s.WatchEndpoints() },
-	"drop-connections": func(_ *simwire.Reply, s *simwire.Sender) {
+	"keep-informed": func(_ *simprotocol.Reply, s *simprotocol.Sender) { s.WatchEndpoints() },
+	"drop-connections": func(_ *simprotocol.Reply, s *simprotocol.Sender) {
 		s.CloseIdle(member)
 		s.CloseIdle(math.MaxUint32)
 	},
-	"schedule": func(_ *simwire.Reply, s *simwire.Sender) {
+	"schedule": func(_ *simprotocol.Reply, s *simprotocol.Sender) {
 		s.SetTimer(500*time.Millisecond, 77)
 		s.SetTimer(0, math.MaxUint32)
 		s.SetTimer(-time.Microsecond, 0)
 	},
-	"exception": func(p *simwire.Reply, _ *simwire.Sender) {
+	"exception": func(p *simprotocol.Reply, _ *simprotocol.Sender) {
 		p.Exception(3, "")
 		p.Exception(math.MaxUint16, "broken: \x00\xff")
 	},
-	"exception-at-bound":   func(p *simwire.Reply, _ *simwire.Sender) { p.Exception(3, strings.Repeat("x", 65535)) },
-	"exception-over-bound": func(p *simwire.Reply, _ *simwire.Sender) { p.Exception(3, strings.Repeat("y", 65536)) },
-	"several-instances": func(p *simwire.Reply, s *simwire.Sender) {
+	"exception-at-bound":   func(p *simprotocol.Reply, _ *simprotocol.Sender) { p.Exception(3, strings.Repeat("x", 65535)) },
+	"exception-over-bound": func(p *simprotocol.Reply, _ *simprotocol.Sender) { p.Exception(3, strings.Repeat("y", 65536)) },
+	"several-instances": func(p *simprotocol.Reply, s *simprotocol.Sender) {
 		s.Send(request, member, time.Second)
 		s.Instance = math.MaxUint16
 		s.WatchEndpoints()
@@ -108,7 +108,7 @@
 		s.Instance = 0
 		s.SetTimer(time.Millisecond, 1)
 	},
-	"reset-midway": func(p *simwire.Reply, s *simwire.Sender) {
+	"reset-midway": func(p *simprotocol.Reply, s *simprotocol.Sender) {
 		s.Send(request, member, time.Second)
 		p.Reset(math.MaxUint32)
 		s.Fail(request)
@@ -116,12 +116,12 @@
 }
 
 // encodeReply returns a reply's bytes, after another reply used its memory.
-func encodeReply(fill func(*simwire.Reply, *simwire.Sender)) string {
-	var reply simwire.Reply
+func encodeReply(fill func(*simprotocol.Reply, *simprotocol.Sender)) string {
+	var reply simprotocol.Reply
 	reply.Reset(11)
 	reply.Exception(9, "of an earlier batch")
 	reply.Reset(12)
-	fill(&reply, &simwire.Sender{Reply: &reply, Instance: 3})
+	fill(&reply, &simprotocol.Sender{Reply: &reply, Instance: 3})
 	return abbreviate(hex.EncodeToString(reply.Bytes()))
 }
 
@@ -153,12 +153,12 @@
 // stream ended. Events before a malformed one count.
 func decodeStream(stream io.Reader) string {
 	var n numbers
-	reader := simwire.NewReader(stream)
+	reader := simprotocol.NewReader(stream)
 	for {
 		batch, err := reader.Next()
 		if err == nil {
 			n.add(int64(batch.Now), int64(batch.Seq))
-			err = batch.Each(func(ev *simwire.Event) error {
+			err = batch.Each(func(ev *simprotocol.Event) error {
 				n.event(ev)
 				return nil
 			})
@@ -174,7 +174,7 @@
 	switch {
 	case err == io.EOF:
 		return cleanEnd
-	case errors.Is(err, simwire.ErrMalformed):
+	case errors.Is(err, simprotocol.ErrMalformed):
 		return malformedFrame
 	case err == errStopped:
 		return stoppedByCaller
@@ -220,7 +220,7 @@
 }
 
 // event adds every field of an event, whether or not its code sets it.
-func (n *numbers) event(ev *simwire.Event) {
+func (n *numbers) event(ev *simprotocol.Event) {
 	n.add(int64(ev.Code), int64(ev.Instance))
 	n.unsigned(ev.Ticket)
 	n.add(int64(ev.Attempt), int64(ev.Token))
@@ -233,7 +233,7 @@
 	n.members(ev)
 }
 
-func (n *numbers) request(ev *simwire.Event) {
+func (n *numbers) request(ev *simprotocol.Event) {
 	q := &ev.Request
 	n.unsigned(q.ID)
 	n.add(int64(q.Group), int64(q.Class))
@@ -241,7 +241,7 @@
 	n.add(int64(q.SinceCommit), int64(q.TimeLeft))
 }
 
-func (n *numbers) result(ev *simwire.Event) {
+func (n *numbers) result(ev *simprotocol.Event) {
 	r := &ev.Result
 	n.unsigned(r.Request)
 	n.add(int64(r.Attempt), int64(r.Endpoint), int64(r.Outcome), int64(r.Latency))
@@ -249,7 +249,7 @@
 	n.add(int64(r.Status.Role), int64(r.Status.Position))
 }
 
-func (n *numbers) probe(ev *simwire.Event) {
+func (n *numbers) probe(ev *simprotocol.Event) {
 	p := &ev.Probe
 	n.add(int64(p.Member), int64(p.Outcome), int64(len(p.Values)))
 	for _, v := range p.Values {
@@ -257,7 +257,7 @@
 	}
 }
 
-func (n *numbers) members(ev *simwire.Event) {
+func (n *numbers) members(ev *simprotocol.Event) {
 	n.add(int64(len(ev.Members)))
 	for _, m := range ev.Members {
 		n.add(int64(m.ID), int64(m.Zone), int64(m.Group), int64(m.State))
@@ -270,13 +270,13 @@
 // stops.
 func decodeUntilStopped(t *testing.T) string {
 	t.Helper()
-	timer := []byte{simwire.EvElapsed, 6, 0, 0, 0, 3, 0, 77, 0, 0, 0}
-	batch, err := simwire.NewReader(bytes.NewReader(encodeFrame(2, append(timer, timer...)))).Next()
+	timer := []byte{simprotocol.EvElapsed, 6, 0, 0, 0, 3, 0, 77, 0, 0, 0}
+	batch, err := simprotocol.NewReader(bytes.NewReader(encodeFrame(2, append(timer, timer...)))).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var n numbers
-	err = batch.Each(func(ev *simwire.Event) error {
+	err = batch.Each(func(ev *simprotocol.Event) error {
 		n.event(ev)
 		return errStopped
 	})
@@ -291,7 +291,7 @@
 	fields := []byte{3, 0, 1, 2, 3, 4, 5, 6, 7, 8}
 	fields = binary.LittleEndian.AppendUint32(fields, uint32(len(settings)))
 	fields = append(fields, settings...)
-	body := binary.LittleEndian.AppendUint32([]byte{simwire.EvConfigure}, uint32(len(fields)))
+	body := binary.LittleEndian.AppendUint32([]byte{simprotocol.EvConfigure}, uint32(len(fields)))
 	body = append(body, fields...)
 	return abbreviate(decodeStream(&pieces{encodeFrame(1, body)}))
 }
--- a/internal/simwire/frame.go
+++ b/internal/simprotocol/frame.go
@@ -1,6 +1,6 @@
-// Package simwire translates between the simulator's binary frames and the
+// Package simprotocol translates between the simulator's binary frames and the
 // types of package decide. It holds no decision.
-package simwire
+package simprotocol
 
 import (
 	"encoding/binary"
--- a/internal/simwire/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -1,4 +1,4 @@
-package simwire
+package simprotocol
 
 import (
 	"bytes"
--- a/internal/slots/slots_test.go
+++ b/internal/slotmap/slotmap_test.go
@@ -1,4 +1,4 @@
-package slots
+package slotmap
 
 import "testing"
 
