--- a/decide/admission.go
+++ b/decide/admission.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// maxQueueShare is the part of its time left for which a request may be
+	// maxQueuedFraction is the part of its time left for which a request may be
 	// queued before its first attempt.
-	maxQueueShare = 0.5
+	maxQueuedFraction = 0.5
 	// queueAnswerMargin is taken off that, for the way of the answer.
 	queueAnswerMargin = 2 * tickInterval
 	// objectiveDivisor: work is taken to need at most this part of a latency
 	// objective, so that a wrong estimate cannot reject everything.
 	objectiveDivisor = 4
-	// replicaReadShare is the part of a primary's concurrency limit that is open
+	// replicaReadFraction is the part of a primary's concurrency limit that is open
 	// to reads which a replica could serve.
-	replicaReadShare = 0.75
-	// admissionDecrease and admissionIncrease adapt the share of reads that are
+	replicaReadFraction = 0.75
+	// admissionDecrease and admissionIncrease adapt the fraction of reads that are
 	// admitted, by an Overloaded answer and by each served one (and each second).
 	admissionDecrease = 0.8
 	admissionIncrease = 0.02
-	// primaryReadDecrease and primaryReadIncrease adapt the share of reads that
+	// primaryReadDecrease and primaryReadIncrease adapt the fraction of reads that
 	// may go to a primary, by its late answers and by the others (and each
 	// second). In balance a third of the answers are late.
 	primaryReadDecrease = 0.9
@@ -30,38 +30,38 @@
 )
 
 // admissionControl sheds load: each read draws a number once, and only those
-// below the shares pass.
+// below the fractions pass.
 type admissionControl struct {
-	readShare        float64 // of the reads that need no primary, admitted at all
-	primaryReadShare float64 // of them, admitted at a primary
+	readFraction        float64 // of the reads that need no primary, admitted at all
+	primaryReadFraction float64 // of them, admitted at a primary
 }
 
 // overloaded notes that an endpoint's queue was full, so longer than most
 // objectives.
 func (c *admissionControl) overloaded() {
-	c.readShare *= admissionDecrease
-	c.primaryReadShare *= admissionDecrease
+	c.readFraction *= admissionDecrease
+	c.primaryReadFraction *= admissionDecrease
 }
 
 // served notes a served request.
 func (c *admissionControl) served() {
-	c.readShare = min(1, c.readShare+admissionIncrease)
+	c.readFraction = min(1, c.readFraction+admissionIncrease)
 }
 
 // primaryAnswered notes an answer of a primary.
 func (c *admissionControl) primaryAnswered(inTime bool) {
 	if inTime {
-		c.primaryReadShare = min(1, c.primaryReadShare*(1+primaryReadIncrease))
+		c.primaryReadFraction = min(1, c.primaryReadFraction*(1+primaryReadIncrease))
 		return
 	}
-	c.primaryReadShare *= primaryReadDecrease
+	c.primaryReadFraction *= primaryReadDecrease
 }
 
-// recover raises the shares with time, also where nothing is sent that could
+// recover raises the fractions with time, also where nothing is sent that could
 // raise them.
 func (c *admissionControl) recover(elapsed time.Duration) {
-	c.readShare = min(1, c.readShare+admissionIncrease*elapsed.Seconds())
-	c.primaryReadShare = min(1, c.primaryReadShare+primaryReadIncrease*elapsed.Seconds())
+	c.readFraction = min(1, c.readFraction+admissionIncrease*elapsed.Seconds())
+	c.primaryReadFraction = min(1, c.primaryReadFraction+primaryReadIncrease*elapsed.Seconds())
 }
 
 // cannotFinishInTime reports whether the request would earn nothing if it were
--- a/decide/characterization_test.go
+++ b/decide/characterization_test.go
@@ -374,11 +374,11 @@
 // The simulation is the router's Actions. What they bring about is scheduled,
 // never called from within them.
 
-func (s *simulation) Send(request uint64, member uint32, timeout time.Duration) {
-	s.record(0, request, uint64(member), uint64(timeout))
+func (s *simulation) Send(request uint64, endpoint uint32, timeout time.Duration) {
+	s.record(0, request, uint64(endpoint), uint64(timeout))
 	attempt := len(s.attempts[request])
 	s.attempts[request] = append(s.attempts[request], false)
-	h := s.host(member)
+	h := s.host(endpoint)
 	if s.chance(0.1) { // it waits for its connection, and may no longer leave after that
 		s.after(s.spread(20*time.Millisecond), func() {
 			if s.attempts[request][attempt] {
@@ -486,11 +486,11 @@
 
 func (s *simulation) Fail(request uint64) { s.record(3, request) }
 
-func (s *simulation) CheckHealth(member uint32) {
-	s.record(4, uint64(member))
-	h := s.host(member)
+func (s *simulation) CheckHealth(endpoint uint32) {
+	s.record(4, uint64(endpoint))
+	h := s.host(endpoint)
 	s.after(s.spread(8*time.Millisecond), func() {
-		result := decide.HealthCheckResult{Endpoint: member, Outcome: decide.OK, Status: s.note(h)}
+		result := decide.HealthCheckResult{Endpoint: endpoint, Outcome: decide.OK, Status: s.note(h)}
 		switch h.condition {
 		case hung:
 			result.Outcome = decide.TimedOut
@@ -506,7 +506,7 @@
 	})
 }
 
-func (s *simulation) CloseIdle(member uint32) { s.record(5, uint64(member)) }
+func (s *simulation) CloseIdle(endpoint uint32) { s.record(5, uint64(endpoint)) }
 
 func (s *simulation) WatchEndpoints() {
 	s.record(5, 0)
@@ -527,15 +527,15 @@
 type advice struct{}
 
 func (advice) Routers() int { return 5 }
-func (advice) SlowStartRate(member uint32, own, one float64, _ time.Duration) float64 {
-	return own*0.7 + one*float64(member%3)
+func (advice) SlowStartRate(endpoint uint32, own, one float64, _ time.Duration) float64 {
+	return own*0.7 + one*float64(endpoint%3)
 }
 func (advice) RetryRate(now time.Duration) float64 { return 0.5 * math.Sin(now.Seconds()) }
-func (advice) Deprioritized(member uint32, now time.Duration) bool {
-	return (uint32(now/time.Second)+member)%7 == 0
+func (advice) Deprioritized(endpoint uint32, now time.Duration) bool {
+	return (uint32(now/time.Second)+endpoint)%7 == 0
 }
-func (advice) SuggestedPrimary(member uint32, now time.Duration) bool {
-	return (uint32(now/time.Second)+member)%5 == 0
+func (advice) SuggestedPrimary(endpoint uint32, now time.Duration) bool {
+	return (uint32(now/time.Second)+endpoint)%5 == 0
 }
 
 // event is something that happens at a time.
--- a/decide/concurrency.go
+++ b/decide/concurrency.go
@@ -7,10 +7,10 @@
 	initialConcurrency = 4.0
 	// recoveryConcurrency is the limit after its circuit breaker was open.
 	recoveryConcurrency = 2.0
-	// increaseBelow is the share of a latency objective below which an answer
+	// increaseBelow is the fraction of a latency objective below which an answer
 	// raises the limit.
 	increaseBelow = 0.25
-	// decreaseAbove is the share above which an answer lowers it: queues must
+	// decreaseAbove is the fraction above which an answer lowers it: queues must
 	// end well before objectives do.
 	decreaseAbove = 0.35
 	// concurrencyDecrease is the factor of one reduction; the load of a lost
@@ -26,7 +26,7 @@
 	reducedAt time.Duration
 }
 
-// observe adapts the limit to an answer that used a share of its latency
+// observe adapts the limit to an answer that used a fraction of its latency
 // objective.
 func (l *concurrencyLimit) observe(objectiveUsed float64, inFlight int, sentAt, now time.Duration) {
 	if objectiveUsed <= increaseBelow && float64(inFlight) >= l.value/2 {
@@ -42,9 +42,9 @@
 // capAt lowers the limit to at most the given one.
 func (l *concurrencyLimit) capAt(limit float64) { l.value = min(l.value, limit) }
 
-// adaptConcurrency adapts the limits to an attempt that used a share of its
+// adaptConcurrency adapts the limits to an attempt that used a fraction of its
 // latency objective. What primaries answer later than the tightest objective of
-// the classes that only they serve also lowers the share of reads that may go
+// the classes that only they serve also lowers the fraction of reads that may go
 // to primaries, as many routers' limits add up.
 func (r *Router) adaptConcurrency(attempt *attempt, objectiveUsed float64, now time.Duration) {
 	endpoint := attempt.endpoint
@@ -55,8 +55,8 @@
 }
 
 // hasCapacity reports whether the endpoint may hold one more attempt, using at
-// most the given share of its limit.
-func (r *Router) hasCapacity(endpoint *trackedEndpoint, share float64, now time.Duration) bool {
+// most the given fraction of its limit.
+func (r *Router) hasCapacity(endpoint *trackedEndpoint, limitFraction float64, now time.Duration) bool {
 	fraction := r.slowStartFraction(endpoint, now)
 	if endpoint.slowStart.active {
 		endpoint.slowStart.refill(r.slowStartRate(endpoint, fraction, now), now)
@@ -64,5 +64,5 @@
 			return false
 		}
 	}
-	return float64(endpoint.inFlight) < max(1, endpoint.limit.value*share*fraction)
+	return float64(endpoint.inFlight) < max(1, endpoint.limit.value*limitFraction*fraction)
 }
--- a/decide/config.go
+++ b/decide/config.go
@@ -68,7 +68,7 @@
 	return fmt.Sprintf("decide: class %d (%s) has no latency objective or priority weight", e.Index, e.Name)
 }
 
-// normalized returns a checked copy of c that shares no memory with it.
+// normalized returns a checked copy of c that is independent of it.
 func (c Config) normalized() (Config, error) {
 	if len(c.Classes) == 0 {
 		return Config{}, ErrIncomplete
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -10,9 +10,9 @@
 // all randomness comes from the seed given to [New]. Equal configurations,
 // seeds and events give equal actions.
 //
-// The files follow the life of a request: request.go (arrival), admission.go
+// The files follow a request: request.go (arrival), admission.go
 // (queueing and load shedding), selection.go (choice of an endpoint),
-// routing.go (attempts and retries), outcome.go (what an attempt's end tells)
+// routing.go (attempts and retries), outcome.go (evidence from an attempt's end)
 // and deadline.go. The state of an endpoint stands in endpoint.go, breaker.go,
 // concurrency.go, slowstart.go and freshness.go.
 package decide
--- a/decide/endpoint.go
+++ b/decide/endpoint.go
@@ -4,7 +4,7 @@
 
 // trackedEndpoint is what this router knows of one endpoint.
 type trackedEndpoint struct {
-	Endpoint // as listed
+	Endpoint // its entry in the endpoint list
 	group    *replicaGroup
 	local    bool // in the router's own zone
 
--- a/decide/endpointlist.go
+++ b/decide/endpointlist.go
@@ -11,7 +11,7 @@
 	initialWatchBackoff = 200 * time.Millisecond
 	// pollBackoffDivisor bounds the wait to this part of the poll interval.
 	pollBackoffDivisor = 4
-	// neverStarted is the start time of an endpoint that was not listed before.
+	// neverStarted is the start time of an endpoint that is new to the list.
 	neverStarted = -1
 )
 
@@ -51,8 +51,8 @@
 	if kind != UpdateDelta {
 		r.removeUnlisted(endpoints, now)
 	}
-	for _, listed := range endpoints {
-		r.updateEndpoint(r.trackEndpoint(listed, now), listed, now)
+	for _, entry := range endpoints {
+		r.updateEndpoint(r.trackEndpoint(entry, now), entry, now)
 	}
 	r.forgetRemoved(now)
 	r.countReady()
@@ -61,12 +61,12 @@
 
 // removeUnlisted removes the endpoints that a snapshot does not name.
 func (r *Router) removeUnlisted(snapshot []Endpoint, now time.Duration) {
-	listed := make(map[uint32]bool, len(snapshot))
+	named := make(map[uint32]bool, len(snapshot))
 	for _, endpoint := range snapshot {
-		listed[endpoint.ID] = true
+		named[endpoint.ID] = true
 	}
 	for _, endpoint := range r.ordered {
-		if listed[endpoint.ID] {
+		if named[endpoint.ID] {
 			continue
 		}
 		removed := endpoint.Endpoint
@@ -75,36 +75,36 @@
 	}
 }
 
-// trackEndpoint returns what is known of a listed endpoint, made on its first
-// listing.
-func (r *Router) trackEndpoint(listed Endpoint, now time.Duration) *trackedEndpoint {
-	if endpoint := r.endpoints[listed.ID]; endpoint != nil {
+// trackEndpoint returns the state kept for an entry's endpoint, made for its first
+// entry.
+func (r *Router) trackEndpoint(entry Endpoint, now time.Duration) *trackedEndpoint {
+	if endpoint := r.endpoints[entry.ID]; endpoint != nil {
 		return endpoint
 	}
 	endpoint := &trackedEndpoint{
-		Endpoint:  listed,
-		group:     r.group(listed.Group),
+		Endpoint:  entry,
+		group:     r.group(entry.Group),
 		limit:     concurrencyLimit{value: initialConcurrency},
 		slowStart: slowStart{refilledAt: now},
 	}
 	endpoint.StartedAt = neverStarted
-	r.endpoints[listed.ID] = endpoint
+	r.endpoints[entry.ID] = endpoint
 	r.ordered = append(r.ordered, endpoint)
 	endpoint.group.endpoints = append(endpoint.group.endpoints, endpoint)
 	return endpoint
 }
 
 // updateEndpoint takes one entry of the endpoint list.
-func (r *Router) updateEndpoint(endpoint *trackedEndpoint, listed Endpoint, now time.Duration) {
+func (r *Router) updateEndpoint(endpoint *trackedEndpoint, entry Endpoint, now time.Duration) {
 	previous := endpoint.Endpoint
 	isNew := previous.StartedAt == neverStarted
-	restarted := !isNew && listed.StartedAt > previous.StartedAt
-	if listed.State == Removed && !isNew {
-		listed.State = r.removedState(endpoint, now)
+	restarted := !isNew && entry.StartedAt > previous.StartedAt
+	if entry.State == Removed && !isNew {
+		entry.State = r.removedState(endpoint, now)
 	}
-	endpoint.Endpoint = listed
-	endpoint.local = listed.Zone == r.cfg.Zone
-	returned := previous.State == Removed && listed.State == Ready
+	endpoint.Endpoint = entry
+	endpoint.local = entry.Zone == r.cfg.Zone
+	returned := previous.State == Removed && entry.State == Ready
 	if isNew || restarted || returned {
 		r.beginSlowStart(endpoint, now)
 		endpoint.awaitsHealthCheck = r.cfg.HealthChecks
@@ -113,10 +113,10 @@
 		endpoint.role = RoleUnknown
 		endpoint.breaker.reset()
 	}
-	if endpoint.isPrimary() && (restarted || listed.State != Ready) {
+	if endpoint.isPrimary() && (restarted || entry.State != Ready) {
 		endpoint.group.primary = nil
 	}
-	if listed.Primary && listed.State == Ready {
+	if entry.Primary && entry.State == Ready {
 		endpoint.group.announce(endpoint)
 	}
 }
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -11,16 +11,16 @@
 // timers; here it prints.
 type printer struct{}
 
-func (printer) Send(req uint64, member uint32, _ time.Duration) {
-	fmt.Println("send", req, "to", member)
+func (printer) Send(request uint64, endpoint uint32, _ time.Duration) {
+	fmt.Println("send", request, "to", endpoint)
 }
-func (printer) Cancel(req uint64, attempt int)         { fmt.Println("cancel", req, attempt) }
-func (printer) Reject(req uint64, after time.Duration) { fmt.Println("refuse", req, after) }
-func (printer) Fail(req uint64)                        { fmt.Println("fail", req) }
-func (printer) CheckHealth(member uint32)              { fmt.Println("probe", member) }
-func (printer) WatchEndpoints()                        {}
-func (printer) CloseIdle(member uint32)                { fmt.Println("close idle", member) }
-func (printer) SetTimer(time.Duration, uint32)         {}
+func (printer) Cancel(request uint64, attempt int)         { fmt.Println("cancel", request, attempt) }
+func (printer) Reject(request uint64, after time.Duration) { fmt.Println("refuse", request, after) }
+func (printer) Fail(request uint64)                        { fmt.Println("fail", request) }
+func (printer) CheckHealth(endpoint uint32)                { fmt.Println("probe", endpoint) }
+func (printer) WatchEndpoints()                            {}
+func (printer) CloseIdle(endpoint uint32)                  { fmt.Println("close idle", endpoint) }
+func (printer) SetTimer(time.Duration, uint32)             {}
 
 // A router embeds the module by passing it what happens, each with the time on
 // the router's own clock, and by carrying out the actions.
--- /dev/null
+++ b/decide/fixture_test.go
@@ -0,0 +1,163 @@
+package decide
+
+import (
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// sent is one attempt as a recorder saw it.
+type sent struct {
+	request  uint64
+	endpoint uint32
+	attempt  int
+	timeout  time.Duration
+}
+
+// recorder is an Actions that records its calls.
+type recorder struct {
+	sends        []sent
+	attempts     map[uint64]int
+	rejected     map[uint64]time.Duration
+	failed       map[uint64]bool
+	cancels      []sent
+	healthChecks []uint32
+	closed       []uint32
+	polls        int
+	onSend       func(request uint64, endpoint uint32)
+	onAnswer     func(request uint64, refused bool)
+}
+
+func newRecorder() *recorder {
+	return &recorder{attempts: map[uint64]int{}, rejected: map[uint64]time.Duration{}, failed: map[uint64]bool{}}
+}
+
+func (a *recorder) Send(request uint64, endpoint uint32, timeout time.Duration) {
+	if a.onSend != nil {
+		a.onSend(request, endpoint)
+	}
+	a.sends = append(a.sends, sent{request, endpoint, a.attempts[request], timeout})
+	a.attempts[request]++
+}
+func (a *recorder) Cancel(request uint64, attempt int) {
+	a.cancels = append(a.cancels, sent{request: request, attempt: attempt})
+}
+func (a *recorder) Reject(request uint64, after time.Duration) {
+	a.rejected[request] = after
+	if a.onAnswer != nil {
+		a.onAnswer(request, true)
+	}
+}
+func (a *recorder) Fail(request uint64) {
+	a.failed[request] = true
+	if a.onAnswer != nil {
+		a.onAnswer(request, false)
+	}
+}
+func (a *recorder) CheckHealth(endpoint uint32)    { a.healthChecks = append(a.healthChecks, endpoint) }
+func (a *recorder) WatchEndpoints()                { a.polls++ }
+func (a *recorder) CloseIdle(endpoint uint32)      { a.closed = append(a.closed, endpoint) }
+func (a *recorder) SetTimer(time.Duration, uint32) {}
+
+// The classes of the tests' configs.
+const (
+	writeClass = iota
+	freshReadClass
+	sessionReadClass
+	boundedReadClass
+	idempotentWriteClass
+)
+
+func testConfig() Config {
+	class := func(name string, c Consistency, rep Idempotency) Class {
+		return Class{Name: name, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: rep,
+			Consistency: c, MaxStaleness: 300 * ms, IdempotencyWindow: 5 * time.Second}
+	}
+	return Config{
+		Classes: []Class{class("write", Write, NonIdempotent), class("fresh", Fresh, Idempotent),
+			class("session", Session, Idempotent), class("bounded", Bounded, Idempotent), class("keyed", Write, IdempotencyKey)},
+		AnswersCarryPosition: true, MaxAttempts: 8, ParallelAttempts: true, CancelAttempts: true,
+		MaxRetryAfter: time.Second, SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second,
+		OverloadFactor: 2, OverloadDuration: time.Second, RemovalEnforced: true, PollInterval: 10 * time.Second,
+	}
+}
+
+// oneGroup is a group of a primary, 1, and two replicas: 2 here, 3 in another zone.
+func oneGroup() []Endpoint {
+	return []Endpoint{{ID: 1, State: Ready, Primary: true, Zone: 1}, {ID: 2, State: Ready},
+		{ID: 3, State: Ready, Zone: 1}}
+}
+
+// fixture drives one router on a clock of its own.
+type fixture struct {
+	t *testing.T
+	*recorder
+	router *Router
+	now    time.Duration
+	next   uint64
+}
+
+func newFixture(t *testing.T, config Config, endpoints []Endpoint) *fixture {
+	t.Helper()
+	return newSeededFixture(t, config, endpoints, 1)
+}
+
+func newSeededFixture(t *testing.T, config Config, endpoints []Endpoint, seed uint64) *fixture {
+	t.Helper()
+	f := &fixture{t: t, recorder: newRecorder(), now: time.Hour}
+	r, err := New(config, seed, f.recorder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.router = r
+	r.Start(f.now)
+	r.EndpointsUpdated(f.now, UpdateCachedSnapshot, endpoints)
+	return f
+}
+
+func (f *fixture) submit(class int) uint64 {
+	f.next++
+	f.router.RequestArrived(f.now, Request{ID: f.next, Class: class, Session: 9, TimeLeft: 2 * time.Second})
+	return f.next
+}
+
+// wait lets time pass in ticks.
+func (f *fixture) wait(d time.Duration) {
+	for end := f.now + d; f.now < end; {
+		f.now += tickInterval
+		f.router.TimerFired(f.now, tickToken)
+	}
+}
+
+// last returns the last attempt of a request.
+func (f *fixture) last(request uint64) sent {
+	f.t.Helper()
+	for i := len(f.sends) - 1; i >= 0; i-- {
+		if f.sends[i].request == request {
+			return f.sends[i]
+		}
+	}
+	f.t.Fatalf("request %d was never sent", request)
+	return sent{}
+}
+
+func (f *fixture) end(s sent, outcome Outcome, role Role, pos time.Duration) {
+	f.router.AttemptEnded(f.now, AttemptResult{Request: s.request, Attempt: s.attempt, Endpoint: s.endpoint, Outcome: outcome,
+		ClientAnswered: outcome == OK, Status: ReplicationStatus{Role: role, Position: pos}})
+}
+
+// teach makes a replica's position known through a session read with no token.
+func (f *fixture) learnPosition(endpoint uint32) {
+	f.t.Helper()
+	for range 50 {
+		id := f.submit(sessionReadClass)
+		s := f.last(id)
+		f.wait(20 * ms)
+		f.end(s, OK, RoleReplica, f.now)
+		if s.endpoint == endpoint {
+			return
+		}
+	}
+	f.t.Fatalf("member %d was never drawn", endpoint)
+}
--- a/decide/fleet.go
+++ b/decide/fleet.go
@@ -25,7 +25,8 @@
 	SuggestedPrimary(endpoint uint32, now time.Duration) bool
 }
 
-// JoinFleet sets the Fleet to consult; before that the router decides alone.
+// JoinFleet sets the Fleet to consult; before that the router
+// is standalone.
 func (r *Router) JoinFleet(fleet Fleet) { r.fleet = fleet }
 
 // standalone is the Fleet of a router without peers.
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -135,7 +135,7 @@
 
 // Whatever peers say, no rule is broken: the random histories that the module
 // is held to, with a Fleet that says anything.
-func TestNothingPeersSayBreaksARule(t *testing.T) {
+func TestNoAdviceOfTheFleetBreaksARule(t *testing.T) {
 	for seed := range uint64(150) {
 		if faults := historyWith(t, seed, atRandom{rand.New(rand.NewPCG(seed, 11))}); len(faults) > 0 {
 			t.Fatalf("seed %d: %d faults, first: %s", seed, len(faults), faults[0])
--- a/decide/healthcheck_test.go
+++ b/decide/healthcheck_test.go
@@ -9,11 +9,11 @@
 // all that are known have aged, as among many routers they do, the read waits
 // for a health check's word instead of falling to the primary; not for long, and not
 // where the word is that it is behind.
-func TestAgedPositionIsAskedForBeforeAReadFallsToThePrimary(t *testing.T) {
+func TestAgedPositionIsCheckedBeforeAReadGoesToThePrimary(t *testing.T) {
 	const second = time.Second
 	for name, c := range map[string]struct {
 		config func(*Config)
-		answer func(f *fixture, member uint32) // to the health check
+		answer func(f *fixture, endpoint uint32) // to the health check
 		probed bool
 		to     uint32
 		none   bool
@@ -65,7 +65,7 @@
 
 // Where answers tell no positions each replica is health-checked about once per bound
 // while reads come for its group, and not at all while none does.
-func TestReplicasThatTellNoPositionAreProbedOncePerBound(t *testing.T) {
+func TestReplicasWithoutPositionAreCheckedOncePerBound(t *testing.T) {
 	config := testConfig()
 	config.StaleReadPolicy, config.AnswersCarryPosition, config.HealthChecks, config.HealthChecksReportRole = RejectStale, false, true, true
 	f := newFixture(t, config, oneGroup())
--- a/decide/manyrouters_test.go
+++ b/decide/manyrouters_test.go
@@ -29,7 +29,7 @@
 
 // When all routers start together, the fleet sends no more health checks than its
 // requests pay for, whatever its size, and a fresh read waits for none.
-func TestProbesOfAFleetArePaidByItsRequests(t *testing.T) {
+func TestHealthChecksOfAFleetArePaidByItsRequests(t *testing.T) {
 	for _, routers := range []int{1, 3, 100} {
 		probes, requests := 0, 0
 		for i := range routers {
@@ -69,7 +69,7 @@
 }
 
 // Where replicas serve unchecked, each endpoint is still health-checked before its use.
-func TestUncheckedMembersAreProbedFirst(t *testing.T) {
+func TestEndpointsThatServeStaleAreCheckedFirst(t *testing.T) {
 	config := checkingConfig(100)
 	config.StaleReadPolicy = ServeStale
 	f := newFixture(t, config, groups(20))
@@ -84,14 +84,14 @@
 
 // A router of many meets a warming endpoint seldom, and then not evenly: what came
 // due meanwhile is not lost to it.
-func TestSeldomMetColdMemberKeepsItsTurns(t *testing.T) {
+func TestSeldomUsedWarmingEndpointKeepsItsTokens(t *testing.T) {
 	config := testConfig()
 	config.Routers, config.SlowStartDuration = 100, time.Hour
 	f := newFixture(t, config, groups(1))
 	f.router.answers.peak = 0.5 // answers a second that a endpoint gives this router
 	f.router.EndpointsUpdated(f.now, UpdateDelta, []Endpoint{{ID: 1, State: Ready, Primary: true, StartedAt: f.now - 1}})
 	f.router.groups[0].primary = f.router.endpoints[1]
-	rate := f.router.answers.peak * config.SlowStartCapacity * config.OverloadFactor * slowStartRateShare
+	rate := f.router.answers.peak * config.SlowStartCapacity * config.OverloadFactor * slowStartRateFraction
 	for range 10 {
 		f.wait(time.Duration(2.1 / rate * float64(time.Second)))
 		for range 2 {
@@ -107,7 +107,7 @@
 
 // Clients that give each try a part of their wait give a last one all that is
 // left, which is more: first tries are no repeats because of that.
-func TestLongLastTriesMakeFirstTriesNoRepeats(t *testing.T) {
+func TestLongLastRetriesMakeFirstRequestsNoRetries(t *testing.T) {
 	f := newFixture(t, checkingConfig(80), groups(1))
 	try := func(left time.Duration) uint64 {
 		f.next++
@@ -136,7 +136,7 @@
 // An error that comes at once cost its endpoint next to no work: a router that
 // meets an erring endpoint seldom can repeat each such read, where late errors
 // exhaust the budget.
-func TestEarlyErrorsAreRepeated(t *testing.T) {
+func TestEarlyErrorsAreRetried(t *testing.T) {
 	served := func(took time.Duration) (n int) {
 		f := newFixture(t, checkingConfig(80), groups(1))
 		f.learnPosition(3)
@@ -163,7 +163,7 @@
 
 // Routers that have just started have seen no load: what they may send to cold
 // endpoints must not wait for answers that only such sends could bring.
-func TestRestartedFleetServesColdMembers(t *testing.T) {
+func TestRestartedFleetServesFromWarmingEndpoints(t *testing.T) {
 	const routers, took = 80, 40 * ms // an answer's time: a endpoint bears 25 a second at least
 	config := checkingConfig(routers)
 	config.SlowStartDuration = time.Hour
@@ -193,20 +193,20 @@
 
 // A router that meets a endpoint once in seconds passes over one that fell
 // silent, until it is heard again: each further try would cost a read.
-func TestSilentMemberIsPassedOverUntilHeard(t *testing.T) {
-	for _, o := range []Outcome{TimedOut, ConnectFailed} {
-		members := append(groups(1), Endpoint{ID: 4, Zone: 0, State: Ready})
-		f := newFixture(t, checkingConfig(80), members) // 3 and 4 are replicas here
+func TestSilentEndpointIsAvoidedUntilItAnswers(t *testing.T) {
+	for _, outcome := range []Outcome{TimedOut, ConnectFailed} {
+		endpoints := append(groups(1), Endpoint{ID: 4, Zone: 0, State: Ready})
+		f := newFixture(t, checkingConfig(80), endpoints) // 3 and 4 are replicas here
 		f.learnPosition(3)
 		f.learnPosition(4)
 		local := f.last(f.submit(boundedReadClass))
 		f.wait(150 * ms)
-		f.router.AttemptEnded(f.now, AttemptResult{Request: local.request, Endpoint: local.endpoint, Attempt: local.attempt, Outcome: o, Latency: 150 * ms})
+		f.router.AttemptEnded(f.now, AttemptResult{Request: local.request, Endpoint: local.endpoint, Attempt: local.attempt, Outcome: outcome, Latency: 150 * ms})
 		before := len(f.sends)
 		for range 4 {
 			f.wait(time.Second)
 			if s := f.last(f.submit(boundedReadClass)); s.endpoint == local.endpoint {
-				t.Errorf("outcome %d: the silent member was sent a read", o)
+				t.Errorf("outcome %d: the silent member was sent a read", outcome)
 			} else {
 				f.end(s, OK, RoleReplica, f.now)
 			}
@@ -224,7 +224,7 @@
 			f.end(s, OK, RoleReplica, f.now)
 		}
 		if !back {
-			t.Errorf("outcome %d: a member that was heard again is still passed over", o)
+			t.Errorf("outcome %d: a member that was heard again is still passed over", outcome)
 		}
 	}
 }
@@ -236,17 +236,17 @@
 // turned away.
 func longestWithoutAttempt(t *testing.T, config Config, seed uint64) time.Duration {
 	const nGroups, every, took = 8, 50 * ms, 40 * ms
-	members := groups(nGroups)
+	endpoints := groups(nGroups)
 	leads := map[int]uint32{}
-	for i := range members {
-		if m := &members[i]; i%2 == 0 {
+	for i := range endpoints {
+		if m := &endpoints[i]; i%2 == 0 {
 			m.StartedAt = time.Hour // now
 		}
-		if m := members[i]; m.Primary {
+		if m := endpoints[i]; m.Primary {
 			leads[m.Group] = m.ID + uint32(m.Group%2)
 		}
 	}
-	f := newSeededFixture(t, config, members, seed)
+	f := newSeededFixture(t, config, endpoints, seed)
 	lastAttempt, longest := f.now, time.Duration(0)
 	for n := range int(10 * time.Second / every) {
 		heard := len(f.sends)
@@ -272,7 +272,7 @@
 }
 
 // A router that has just started never turns away all that it gets for 4 s.
-func TestRestartedRouterNeverTurnsAllAway(t *testing.T) {
+func TestRestartedRouterNeverRejectsEverything(t *testing.T) {
 	unchecked := testConfig()
 	unchecked.Routers = 300
 	probing := unchecked
--- a/decide/maysend_test.go
+++ b/decide/maysend_test.go
@@ -7,7 +7,7 @@
 
 // An attempt may wait for its connection, and what allowed it may end
 // meanwhile: it is asked again at the moment of its writing.
-func TestWhatAllowedAnAttemptMustHoldWhenItLeaves(t *testing.T) {
+func TestAttemptMustStillBeAllowedWhenItIsWritten(t *testing.T) {
 	unchecked := func(c *Config) { c.StaleReadPolicy = ServeStale }
 	for name, c := range map[string]struct {
 		class  int
@@ -61,7 +61,7 @@
 // A repeat of a write that may have run must leave within the key's window,
 // which counts from the first attempt, with the way to the host on top; one
 // that surely never ran has no window.
-func TestRepeatMustLeaveWithinTheKeysWindow(t *testing.T) {
+func TestRetryMustBeWrittenWithinTheIdempotencyWindow(t *testing.T) {
 	for _, c := range []struct {
 		first  Outcome
 		at, on time.Duration // when the repeat is sent, and how long it waits
--- a/decide/outcome.go
+++ b/decide/outcome.go
@@ -22,7 +22,7 @@
 )
 
 // AttemptEnded takes the end of an attempt. One that this router does not know
-// any more is evidence on its endpoint alone.
+// any more is evidence on its endpoint only.
 func (r *Router) AttemptEnded(now time.Duration, result AttemptResult) {
 	request := r.requests[result.Request]
 	current := request.attemptInFlight(result.Attempt)
@@ -104,7 +104,7 @@
 	endpoint.record(position, now)
 }
 
-// recordOutcome takes what the end of an attempt tells of its endpoint's health.
+// recordOutcome takes the evidence that the end of an attempt gives of its endpoint's health.
 func (r *Router) recordOutcome(
 	request *trackedRequest, ended *attempt, result AttemptResult, now time.Duration,
 ) {
--- a/decide/request.go
+++ b/decide/request.go
@@ -26,7 +26,7 @@
 	objectiveAt     time.Duration // when its latency objective has passed
 	queuedUntil     time.Duration // it is shed if nothing was sent by then
 	tokenPosition   time.Duration // of its session token, 0 if none
-	admissionDraw   float64       // in [0, 1), held against the admission shares
+	admissionDraw   float64       // in [0, 1), compared with the admission fractions
 	clientMayRetry  bool          // false if it is taken for a client's retry
 	attempts        []attempt
 	inFlight        int           // attempts
@@ -70,7 +70,7 @@
 		class:          class,
 		group:          r.group(arrived.Group),
 		expiresAt:      now + timeLeft,
-		queuedUntil:    now + time.Duration(maxQueueShare*float64(timeLeft)) - queueAnswerMargin,
+		queuedUntil:    now + time.Duration(maxQueuedFraction*float64(timeLeft)) - queueAnswerMargin,
 		admissionDraw:  r.rng.Float64(),
 		clientMayRetry: true,
 	}
--- a/decide/retrybudget.go
+++ b/decide/retrybudget.go
@@ -16,7 +16,7 @@
 )
 
 // retryBudget limits retries to a fraction of the client requests (a token
-// bucket). It may be overdrawn by what the fleet lent to other routers.
+// bucket). It may be overdrawn by what was lent to other routers.
 type retryBudget struct {
 	tokens float64
 }
--- a/decide/router.go
+++ b/decide/router.go
@@ -34,7 +34,7 @@
 	rng     *rand.Rand
 
 	endpoints     map[uint32]*trackedEndpoint
-	ordered       []*trackedEndpoint // in the order in which they were first listed
+	ordered       []*trackedEndpoint // in the order of their first entries in the endpoint list
 	groups        map[int]*replicaGroup
 	orderedGroups []*replicaGroup
 	requests      map[uint64]*trackedRequest
@@ -49,7 +49,7 @@
 	answers       answerRate
 
 	latency                  time.Duration // smoothed over all endpoints
-	readyEndpoints           int           // listed as ready
+	readyEndpoints           int           // by the endpoint list
 	tightestStaleness        time.Duration // smallest staleness bound of a class, 0 for none
 	tightestPrimaryObjective time.Duration // of the classes that only a primary serves
 }
@@ -75,7 +75,7 @@
 		watch:                    endpointWatch{backoff: initialWatchBackoff},
 		retries:                  retryBudget{tokens: maxRetryTokens},
 		clientRetries:            newClientRetryEstimate(len(config.Classes)),
-		admission:                admissionControl{readShare: 1, primaryReadShare: 1},
+		admission:                admissionControl{readFraction: 1, primaryReadFraction: 1},
 		latency:                  initialLatency,
 		tightestStaleness:        config.tightestStaleness(),
 		tightestPrimaryObjective: config.tightestPrimaryObjective(),
@@ -133,7 +133,7 @@
 	measuredAt time.Duration
 }
 
-// record counts one answer; readyEndpoints shares the rate out.
+// record counts one answer; readyEndpoints divides the rate.
 func (a *answerRate) record(now time.Duration, readyEndpoints int) {
 	decay := math.Exp(-(now - a.measuredAt).Seconds() / answerRateWindow.Seconds())
 	a.perSecond = a.perSecond*decay + 1/answerRateWindow.Seconds()
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -34,27 +34,29 @@
 	if request.class.Consistency.needsPrimary() {
 		return r.selectPrimary(request, 1, now)
 	}
-	if request.admissionDraw > r.admission.readShare {
+	if request.admissionDraw > r.admission.readFraction {
 		return nil
 	}
 	replicas, healthCheckPending := r.bestReplicas(request, now)
 	if len(replicas) > 0 {
 		return r.selectWeighted(replicas)
 	}
-	if request.admissionDraw > r.admission.primaryReadShare {
+	if request.admissionDraw > r.admission.primaryReadFraction {
 		return nil
 	}
 	if healthCheckPending && r.cfg.StaleReadPolicy == ServeStale {
 		return nil // a replica may soon prove to be fresh enough
 	}
-	return r.selectPrimary(request, replicaReadShare, now)
+	return r.selectPrimary(request, replicaReadFraction, now)
 }
 
 // selectPrimary returns the primary of the request's group if it may be used,
-// with at most the given share of its concurrency limit.
-func (r *Router) selectPrimary(request *trackedRequest, share float64, now time.Duration) *trackedEndpoint {
+// with at most the given fraction of its concurrency limit.
+func (r *Router) selectPrimary(
+	request *trackedRequest, limitFraction float64, now time.Duration,
+) *trackedEndpoint {
 	primary := request.group.primary
-	if primary == nil || !r.usable(request, primary, now) || !r.hasCapacity(primary, share, now) {
+	if primary == nil || !r.usable(request, primary, now) || !r.hasCapacity(primary, limitFraction, now) {
 		return nil
 	}
 	if request.class.Consistency == Fresh && primary.awaitsHealthCheck && r.healthCheckBeforeUse() {
@@ -147,8 +149,8 @@
 	return sum / measured
 }
 
-// usable reports whether the request may be sent to the endpoint: it is listed
-// as ready, neither backing off nor cut off by its circuit breaker, and was not
+// usable reports whether the request may be sent to the endpoint: the list
+// has it as ready, neither backing off nor cut off by its circuit breaker, and was not
 // just tried by this request.
 func (r *Router) usable(request *trackedRequest, endpoint *trackedEndpoint, now time.Duration) bool {
 	if endpoint.State != Ready || now < endpoint.backoffUntil {
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// slowStartRateShare is the part of the permitted rate that is sent to a
+	// slowStartRateFraction is the part of the permitted rate that is sent to a
 	// warming endpoint; the rest is a margin for chance.
-	slowStartRateShare = 0.75
+	slowStartRateFraction = 0.75
 	// maxSlowStartTokens is the most that is saved of that rate: with 1, a
 	// router that meets the endpoint seldom would lose half.
 	maxSlowStartTokens = 2.0
@@ -65,5 +65,5 @@
 	oneAtATime := 1 / float64(routers) / r.latency.Seconds()
 	own := max(r.answers.peak, oneAtATime)
 	rate := r.fleet.SlowStartRate(endpoint.ID, own, oneAtATime, now)
-	return rate * fraction * r.cfg.OverloadFactor * slowStartRateShare
+	return rate * fraction * r.cfg.OverloadFactor * slowStartRateFraction
 }
--- a/decide/types.go
+++ b/decide/types.go
@@ -87,8 +87,8 @@
 )
 
 // NotExecuted reports whether the outcome proves that nothing was executed.
-func (o Outcome) NotExecuted() bool {
-	switch o {
+func (outcome Outcome) NotExecuted() bool {
+	switch outcome {
 	case Overloaded, ConnectFailed, NotSent, Ineligible, InvalidRequest:
 		return true
 	}
@@ -97,8 +97,8 @@
 
 // fromEndpoint reports whether the outcome is an answer of the endpoint's own,
 // which proves that it runs and carries its ReplicationStatus.
-func (o Outcome) fromEndpoint() bool {
-	switch o {
+func (outcome Outcome) fromEndpoint() bool {
+	switch outcome {
 	case OK, Ineligible, Overloaded, Error, Malformed, InvalidRequest:
 		return true
 	}
--- a/decide/view.go
+++ b/decide/view.go
@@ -3,7 +3,7 @@
 import "time"
 
 // EndpointView is the router's knowledge of an endpoint at one moment, for
-// whoever shares it with other routers. Taking it decides nothing.
+// whoever shares it with other routers. It has no effect on decisions.
 type EndpointView struct {
 	ID                uint32
 	Group             int
@@ -21,8 +21,8 @@
 	PrimaryUnknown    bool // its group has no primary that answers
 }
 
-// View calls visit with every listed endpoint, in the order in which they were
-// first listed.
+// View calls visit with every endpoint of the list, in the order in which they
+// first appeared there.
 func (r *Router) View(now time.Duration, visit func(EndpointView)) {
 	for _, endpoint := range r.ordered {
 		if endpoint.State != Removed {
