--- a/cmd/lotusbend-sim/main.go
+++ b/cmd/lotusbend-sim/main.go
@@ -1,9 +1,10 @@
-// Command lotusbend-sim hosts instances of the decision module on the simulator's
-// wire: batches of events on standard input, actions on standard output.
+// Command lotusbend-sim hosts instances of the decision module for the
+// simulator: batches of events on standard input, actions on standard output.
 package main
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -13,6 +14,9 @@
 	"lotusbend/internal/simprotocol"
 )
 
+// inputBufferBytes is the size of the buffer on standard input.
+const inputBufferBytes = 1 << 16
+
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "lotusbend-sim:", err)
@@ -20,13 +24,13 @@
 	}
 }
 
-// instance is one router with what translates for it.
+// instance is one router with the settings that translate for it.
 type instance struct {
 	router   *decide.Router
 	settings *routingconfig.Settings
 }
 
-// host holds the instances by number and the lists that they share.
+// host holds the instances by number, and the endpoint lists that they share.
 type host struct {
 	reply     simprotocol.Reply
 	instances map[uint16]*instance
@@ -36,17 +40,18 @@
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	h := &host{instances: map[uint16]*instance{}, lists: map[uint32][]decide.Endpoint{}}
-	frames := simprotocol.NewReader(bufio.NewReaderSize(in, 1<<16))
+	batches := simprotocol.NewReader(bufio.NewReaderSize(in, inputBufferBytes))
 	for {
-		batch, err := frames.Next()
-		if err == io.EOF {
+		batch, err := batches.Next()
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
 		h.reply.Reset(batch.Seq)
-		if err := batch.Each(func(ev *simprotocol.Event) error { return h.handle(batch, ev) }); err != nil {
+		err = batch.Each(func(event *simprotocol.Event) error { return h.handle(batch, event) })
+		if err != nil {
 			return err
 		}
 		if _, err := out.Write(h.reply.Bytes()); err != nil {
@@ -55,65 +60,75 @@
 	}
 }
 
-// handle passes one event to its instance. A panic of the decisions is
-// reported on the wire.
-func (h *host) handle(batch simprotocol.Batch, ev *simprotocol.Event) (err error) {
+// handle passes one event to its instance. A panic of the decisions is reported
+// in the reply.
+func (h *host) handle(batch simprotocol.Batch, event *simprotocol.Event) error {
 	defer func() {
-		if p := recover(); p != nil {
-			h.reply.Exception(ev.Instance, fmt.Sprint(p))
+		if cause := recover(); cause != nil {
+			h.reply.Exception(event.Instance, fmt.Sprint(cause))
 		}
 	}()
-	now := batch.Now
-	switch ev.Code {
-	case simprotocol.EvRegister:
-		h.lists[ev.List] = ev.Members
+	switch event.Code {
+	case simprotocol.EventRegisterList:
+		h.lists[event.List] = event.Endpoints
 		return nil
-	case simprotocol.EvConfigure:
-		return h.configure(batch, ev)
+	case simprotocol.EventConfigure:
+		return h.configure(batch, event)
 	}
-	in := h.instances[ev.Instance]
-	if in == nil {
-		return fmt.Errorf("%w: event %d for unknown instance %d", simprotocol.ErrMalformed, ev.Code, ev.Instance)
+	instance := h.instances[event.Instance]
+	if instance == nil {
+		return fmt.Errorf("%w: event %d for unknown instance %d",
+			simprotocol.ErrMalformed, event.Code, event.Instance)
 	}
-	switch ev.Code {
-	case simprotocol.EvLapsed:
-		in.router.ClientCancelled(now, ev.Ticket)
-	case simprotocol.EvFirst:
-		in.router.AnswerStarted(now, ev.Ticket, ev.Attempt)
-	case simprotocol.EvAttemptEnd:
-		ev.Result.Status = in.settings.Note(ev.Result.Status)
-		in.router.AttemptEnded(now, ev.Result)
-	case simprotocol.EvElapsed:
-		in.router.TimerFired(now, ev.Token)
-	case simprotocol.EvFleet:
-		members, ok := h.lists[ev.List]
-		if !ok && ev.Kind != decide.WatchFailed {
-			return fmt.Errorf("%w: list %d was never registered", simprotocol.ErrMalformed, ev.List)
+	return h.dispatch(instance, batch, event)
+}
+
+// dispatch passes an event to a running instance.
+func (h *host) dispatch(instance *instance, batch simprotocol.Batch, event *simprotocol.Event) error {
+	now, router := batch.Now, instance.router
+	switch event.Code {
+	case simprotocol.EventClientCancelled:
+		router.ClientCancelled(now, event.RequestID)
+	case simprotocol.EventAnswerStarted:
+		router.AnswerStarted(now, event.RequestID, event.Attempt)
+	case simprotocol.EventAttemptEnded:
+		result := event.Result
+		result.Status = instance.settings.OnRouterClock(result.Status)
+		router.AttemptEnded(now, result)
+	case simprotocol.EventTimerFired:
+		router.TimerFired(now, event.Token)
+	case simprotocol.EventEndpointsUpdated:
+		endpoints, registered := h.lists[event.List]
+		if !registered && event.Kind != decide.WatchFailed {
+			return fmt.Errorf("%w: list %d was never registered", simprotocol.ErrMalformed, event.List)
 		}
-		in.router.EndpointsUpdated(now, ev.Kind, members)
-	case simprotocol.EvDemand:
-		in.router.RequestArrived(now, ev.Request)
-	case simprotocol.EvHalt:
-		delete(h.instances, ev.Instance)
-	case simprotocol.EvPingResult:
-		in.router.HealthChecked(now, decide.HealthCheckResult{Endpoint: ev.Probe.Member, Outcome: ev.Probe.Outcome,
-			Status: in.settings.Report(ev.Probe.Values)})
+		router.EndpointsUpdated(now, event.Kind, endpoints)
+	case simprotocol.EventRequestArrived:
+		router.RequestArrived(now, event.Request)
+	case simprotocol.EventStop:
+		delete(h.instances, event.Instance)
+	case simprotocol.EventHealthChecked:
+		router.HealthChecked(now, decide.HealthCheckResult{
+			Endpoint: event.HealthCheck.Endpoint,
+			Outcome:  event.HealthCheck.Outcome,
+			Status:   instance.settings.HealthReport(event.HealthCheck.Values),
+		})
 	}
 	return nil
 }
 
 // configure starts an instance anew.
-func (h *host) configure(batch simprotocol.Batch, ev *simprotocol.Event) error {
-	set, err := routingconfig.Parse(ev.Settings)
+func (h *host) configure(batch simprotocol.Batch, event *simprotocol.Event) error {
+	settings, err := routingconfig.Parse(event.Settings)
 	if err != nil {
-		return fmt.Errorf("instance %d: %w", ev.Instance, err)
+		return fmt.Errorf("instance %d: %w", event.Instance, err)
 	}
-	actions := &simprotocol.Sender{Reply: &h.reply, Instance: ev.Instance}
-	router, err := decide.New(set.Config, ev.Seed, actions)
+	actions := &simprotocol.ActionWriter{Reply: &h.reply, Instance: event.Instance}
+	router, err := decide.New(settings.Config, event.Seed, actions)
 	if err != nil {
-		return fmt.Errorf("instance %d: %w", ev.Instance, err)
+		return fmt.Errorf("instance %d: %w", event.Instance, err)
 	}
-	h.instances[ev.Instance] = &instance{router: router, settings: set}
+	h.instances[event.Instance] = &instance{router: router, settings: settings}
 	router.Start(batch.Now)
 	return nil
 }
--- a/cmd/lotusbend-sim/main_test.go
+++ b/cmd/lotusbend-sim/main_test.go
@@ -50,7 +50,7 @@
 func TestPanicIsReportedAsException(t *testing.T) {
 	h := &host{instances: map[uint16]*instance{3: {}}}
 	h.reply.Reset(1)
-	if err := h.handle(simprotocol.Batch{}, &simprotocol.Event{Code: simprotocol.EvDemand, Instance: 3}); err != nil {
+	if err := h.handle(simprotocol.Batch{}, &simprotocol.Event{Code: simprotocol.EventRequestArrived, Instance: 3}); err != nil {
 		t.Fatal(err)
 	}
 	const exception = 9
--- a/cmd/lotusbend/main.go
+++ b/cmd/lotusbend/main.go
@@ -81,7 +81,7 @@
 		return fmt.Errorf("%s: %w", cmd.Settings, err)
 	}
 	fmt.Printf("configuration of %s is in order: %d classes, %d database hosts known\n",
-		c.Name, len(c.Settings.Config.Classes), len(c.Known.Endpoints))
+		c.Name, len(c.Settings.Config.Classes), len(c.KnownEndpoints.Endpoints))
 	return nil
 }
 
@@ -179,7 +179,7 @@
 
 // limitMemory lets the collector work harder long before the platform's limit.
 func limitMemory(c *deployconfig.Config) {
-	if c.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(c.MemoryMB * (1 << 20) * memoryShare))
+	if c.MemoryMiB > 0 {
+		debug.SetMemoryLimit(int64(c.MemoryMiB * (1 << 20) * memoryShare))
 	}
 }
--- a/cmd/lotusbend/node.go
+++ b/cmd/lotusbend/node.go
@@ -52,16 +52,16 @@
 
 // newNode puts a router together; it listens, and takes clients once run.
 func newNode(c *deployconfig.Config, opt *operatorconfig.Options, loop *clock.Loop, log *slog.Logger) (*node, error) {
-	budget := netio.NewDescriptorBudget(cmp.Or(c.Sockets, defaultSockets))
+	budget := netio.NewDescriptorBudget(cmp.Or(c.Descriptors, defaultSockets))
 	r, err := router.New(loop, c.Settings.Config, c.Seed)
 	if err != nil {
 		return nil, err
 	}
 	n := &node{loop: loop, budget: budget, log: log, router: r, config: c}
 	n.pool = back.New(loop, back.Options{
-		ConnectTimeout: c.Settings.ConnectTimeout, IdleTimeout: c.Settings.ConnIdle,
+		ConnectTimeout: c.Settings.ConnectTimeoutMs, IdleTimeout: c.Settings.IdleTimeoutMs,
 	}, budget, r)
-	if n.server, err = front.Listen(c.Listen, loop, budget, c.MemoryMB, r); err != nil {
+	if n.server, err = front.Listen(c.Listen, loop, budget, c.MemoryMiB, r); err != nil {
 		return nil, fmt.Errorf("listening for clients: %w", err)
 	}
 	if opt.Edge != nil {
@@ -83,7 +83,7 @@
 	self := &watch{cancel}
 	n.watches = append(n.watches, self)
 	heard := false
-	w := discovery.Watcher{Loop: n.loop, Log: n.log, Address: address, IDs: n.config.Names, OnUpdate: func(list discovery.Update) {
+	w := discovery.Watcher{Loop: n.loop, Log: n.log, Address: address, IDs: n.config.EndpointIDs, OnUpdate: func(list discovery.Update) {
 		if ctx.Err() != nil { // it waited for its turn while another took its place
 			return
 		}
@@ -103,7 +103,7 @@
 	}, n.config.Seed+uint64(len(n.watches)))
 	// Another address may count its lists otherwise, so only the first goes on
 	// from what the configuration holds.
-	if known := n.config.Known; cfg.PollOnly && len(n.watches) == 1 && len(known.Endpoints) > 0 {
+	if known := n.config.KnownEndpoints; cfg.PollOnly && len(n.watches) == 1 && len(known.Endpoints) > 0 {
 		w.Schedule.Resume(known.Index)
 	}
 	go w.Run(ctx)
@@ -113,14 +113,14 @@
 func (n *node) reload(c *deployconfig.Config) {
 	n.loop.Do(func() {
 		was := n.config
-		if c.Listen != was.Listen || c.Name != was.Name || !bytes.Equal(c.Settings.Text, was.Settings.Text) {
+		if c.Listen != was.Listen || c.Name != was.Name || !bytes.Equal(c.Settings.JSON, was.Settings.JSON) {
 			n.log.Warn("a new name, listen or settings takes effect at the next start")
 		}
 		moved := c.Discovery != was.Discovery
-		was.Discovery, was.Sockets, was.MemoryMB = c.Discovery, c.Sockets, c.MemoryMB
-		n.budget.Resize(cmp.Or(c.Sockets, defaultSockets))
-		n.server.LimitMemory(c.MemoryMB)
-		n.log.Info("configuration read anew", "discovery", c.Discovery, "moved", moved, "sockets", c.Sockets)
+		was.Discovery, was.Descriptors, was.MemoryMiB = c.Discovery, c.Descriptors, c.MemoryMiB
+		n.budget.Resize(cmp.Or(c.Descriptors, defaultSockets))
+		n.server.LimitMemory(c.MemoryMiB)
+		n.log.Info("configuration read anew", "discovery", c.Discovery, "moved", moved, "sockets", c.Descriptors)
 		if moved && len(n.watches) > 0 { // before the start there is none to go on until the new one is heard
 			n.follow(c.Discovery)
 		}
@@ -220,7 +220,7 @@
 // is now. What a reload changes comes after it.
 func (n *node) start() {
 	n.loop.Do(func() {
-		n.router.Start(n.pool, n.members(n.config.Known))
+		n.router.Start(n.pool, n.members(n.config.KnownEndpoints))
 		n.follow(n.config.Discovery)
 	})
 }
@@ -234,7 +234,7 @@
 	})
 	failed := make(chan error, 1)
 	go func() { failed <- n.server.Serve() }()
-	n.log.Info("serving", "listen", n.server.Address(), "hosts", len(n.config.Known.Endpoints))
+	n.log.Info("serving", "listen", n.server.Address(), "hosts", len(n.config.KnownEndpoints.Endpoints))
 	if n.edge != nil {
 		n.edge.Start()
 		coap, mqtt, frames := n.edge.Addresses()
--- a/internal/deployconfig/config_test.go
+++ b/internal/deployconfig/config_test.go
@@ -1,6 +1,7 @@
 package deployconfig
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -15,7 +16,7 @@
 func TestParse(t *testing.T) {
 	none := func(string) string { return "" }
 	c, err := Parse([]byte(good), none)
-	if err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.MemoryMB != 192 {
+	if err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Descriptors != 1024 || c.MemoryMiB != 192 {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	c, err = Parse([]byte(good), func(name string) string {
@@ -32,8 +33,8 @@
 			t.Errorf("no error with %q for %q", change[1], change[0])
 		}
 	}
-	if _, err := Load(none); err == nil {
-		t.Error("no error without a file")
+	if _, err := Load(none); !errors.Is(err, ErrNoFile) {
+		t.Errorf("without a file: %v, want ErrNoFile", err)
 	}
 }
 
--- a/internal/routingconfig/routingconfig.go
+++ b/internal/routingconfig/routingconfig.go
@@ -1,9 +1,11 @@
-// Package routingconfig reads the settings object, which the simulator sends and
-// a router's configuration file holds in the same form, into the decisions'
-// configuration.
+// Package routingconfig reads the routing settings, classes of requests, rules
+// and limits, into the decisions' configuration. The simulator sends them, and a
+// deployment's configuration file holds them in the same form. It is the one
+// place that knows the settings' own names.
 package routingconfig
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"slices"
@@ -15,156 +17,215 @@
 	"lotusbend/internal/clock"
 )
 
+// ErrInvalid is wrapped by every error about settings that the decisions cannot
+// work with.
+var ErrInvalid = errors.New("settings")
+
+func invalid(format string, args ...any) error {
+	return fmt.Errorf("%w: %s", ErrInvalid, fmt.Sprintf(format, args...))
+}
+
 // Settings is the decisions' configuration and what lies around it.
 type Settings struct {
-	Text           []byte // as JSON, to tell them from others
-	Config         decide.Config
-	PositionZero   time.Duration // from which the simulator counts positions
-	Zones          []string
-	ConnIdle       float64 // milliseconds
-	ConnectTimeout float64
-	positionAt     int // index of x0 in a report, -1 if it has none
-	roleAt         int // index of x1
+	JSON             []byte // the settings as they came, to tell them from others
+	Config           decide.Config
+	PositionZero     time.Duration // from which the simulator counts positions
+	Zones            []string      // by number
+	IdleTimeoutMs    float64       // after which an endpoint closes an idle connection
+	ConnectTimeoutMs float64
+	positionIndex    int // of FieldPosition in a health check's report, -1 if it has none
+	roleIndex        int // of FieldRole, likewise
 }
 
-// The names of a report's values that are read.
+// The names of the values of a health check's report that are read.
 const (
 	FieldPosition = "x0" // in seconds
-	FieldRole     = "x1" // 1 from a primary
+	FieldRole     = "x1" // 1 from a primary, 0 from a replica
 )
 
-var semantics = map[string]decide.Idempotency{
-	"pure": decide.Idempotent, "token": decide.IdempotencyKey, "side_effect": decide.NonIdempotent,
-}
-var scopes = map[string]decide.IdempotencyScope{
-	"cell": decide.ScopeGroup, "zone": decide.ScopeZone, "all": decide.ScopeAll,
-}
-var consistencies = map[string]decide.Consistency{
-	"write": decide.Write, "fresh": decide.Fresh, "session": decide.Session,
-	"bounded": decide.Bounded, "any": decide.Any,
-}
-var checks = map[string]decide.StaleReadPolicy{
-	"off": decide.ServeStale, "refuse": decide.RejectStale, "wait": decide.WaitThenReject,
-}
+// The settings' names for the values of the decisions' types.
+var (
+	idempotencies = map[string]decide.Idempotency{
+		"pure":        decide.Idempotent,
+		"token":       decide.IdempotencyKey,
+		"side_effect": decide.NonIdempotent,
+	}
+	idempotencyScopes = map[string]decide.IdempotencyScope{
+		"cell": decide.ScopeGroup,
+		"zone": decide.ScopeZone,
+		"all":  decide.ScopeAll,
+	}
+	consistencies = map[string]decide.Consistency{
+		"write":   decide.Write,
+		"fresh":   decide.Fresh,
+		"session": decide.Session,
+		"bounded": decide.Bounded,
+		"any":     decide.Any,
+	}
+	staleReadPolicies = map[string]decide.StaleReadPolicy{
+		"off":    decide.ServeStale,
+		"refuse": decide.RejectStale,
+		"wait":   decide.WaitThenReject,
+	}
+)
 
 // Parse reads the settings from JSON.
 func Parse(data []byte) (*Settings, error) {
-	v, err := fastjson.ParseBytes(data)
+	object, err := fastjson.ParseBytes(data)
 	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
-	return From(v)
+	return From(object)
 }
 
-// From reads the settings from a parsed object. Unknown keys are skipped;
-// what the decisions cannot do without is an error.
-func From(v *fastjson.Value) (*Settings, error) {
-	classes, info, limits, rules := v.GetArray("Classes"), v.Get("FamilyInfo"), v.Get("Limits"), v.Get("Rules")
+// From reads the settings from a parsed object. Unknown keys are skipped; what
+// the decisions cannot do without is an error that wraps ErrInvalid.
+func From(object *fastjson.Value) (*Settings, error) {
+	classes, info := object.GetArray("Classes"), object.Get("FamilyInfo")
+	limits, rules := object.Get("Limits"), object.Get("Rules")
 	if len(classes) == 0 || info == nil || limits == nil || rules == nil {
-		return nil, fmt.Errorf("settings: Classes, FamilyInfo, Limits and Rules are needed")
+		return nil, invalid("Classes, FamilyInfo, Limits and Rules are needed")
 	}
-	reads, bounds := info.GetArray("ClassRead"), info.GetArray("OldestDataMs")
+	reads := info.GetArray("ClassRead")
 	if len(reads) != len(classes) {
-		return nil, fmt.Errorf("settings: %d classes, %d entries of ClassRead", len(classes), len(reads))
-	}
-	check, ok := checks[text(info, "WhenBehind")]
-	if !ok {
-		return nil, fmt.Errorf("settings: unknown WhenBehind %q", text(info, "WhenBehind"))
-	}
-	fields := texts(v.GetArray("Feedback", "Fields"))
-	s := &Settings{
-		Text:         v.MarshalTo(nil),
-		PositionZero: millis(info, "PositionZeroMs"), Zones: texts(v.GetArray("Zones")),
-		ConnIdle: limits.GetFloat64("ConnIdleMs"), ConnectTimeout: limits.GetFloat64("ConnectTimeoutMs"),
-		positionAt: slices.Index(fields, FieldPosition), roleAt: slices.Index(fields, FieldRole),
-	}
-	s.Config = decide.Config{
-		Zone:            v.GetInt("Locality"),
-		Routers:         int(max(1, min(v.GetFloat64("FleetSize"), math.MaxInt32))),
-		StaleReadPolicy: check, StaleReadWait: millis(info, "PatienceMs"), AnswersCarryPosition: info.GetBool("Stamps"),
-		SessionTokens:          text(info, "Tokens") == "carried",
-		HealthChecksReportRole: s.positionAt >= 0 && s.roleAt >= 0 && text(v.Get("Feedback"), "Via") != "off",
-		PollOnly:               text(v, "Discovery") == "ask",
-		PollInterval:           millis(rules, "AskWithinMs"),
-		MaxAttempts:            limits.GetInt("MaxAttempts"),
-		ParallelAttempts:       limits.GetBool("ParallelTries"), HealthChecks: limits.GetBool("Probes"),
-		CancelAttempts:    limits.GetBool("Cancelling"),
-		SlowStartCapacity: rules.GetFloat64("StartCapacity"), SlowStartDuration: millis(rules, "ColdMs"),
-		OverloadFactor: rules.GetFloat64("OverloadFactor"), OverloadDuration: millis(rules, "OverloadForMs"),
-		RemovalEnforced: !rules.GetBool("RemovalNotBinding"),
+		return nil, invalid("%d classes, %d entries of ClassRead", len(classes), len(reads))
 	}
-	if limits.GetBool("RetryAfter") {
-		s.Config.MaxRetryAfter = millis(limits, "MaxRetryAfterMs")
+	policy, known := staleReadPolicies[text(info, "WhenBehind")]
+	if !known {
+		return nil, invalid("unknown WhenBehind %q", text(info, "WhenBehind"))
 	}
-	for i, c := range classes {
-		cl := decide.Class{
-			Name: text(c, "Name"), LatencyObjective: millis(c, "AimMs"), Deadline: millis(c, "GiveUpMs"),
-			PriorityWeight: c.GetFloat64("Importance"), LateWeight: c.GetFloat64("LateWorth"),
-			IdempotencyWindow: millis(c, "KeyTtlMs"),
-		}
-		read, _ := reads[i].StringBytes()
-		var ok1, ok2 bool
-		cl.Idempotency, ok1 = semantics[text(c, "Semantics")]
-		cl.Consistency, ok2 = consistencies[string(read)]
-		if !ok1 || !ok2 {
-			return nil, fmt.Errorf("settings: class %q: unknown semantics %q or read %q",
-				cl.Name, text(c, "Semantics"), read)
-		}
-		cl.IdempotencyScope, ok = scopes[text(c, "Group")]
-		if !ok && cl.Idempotency == decide.IdempotencyKey {
-			return nil, fmt.Errorf("settings: class %q: unknown group %q", cl.Name, text(c, "Group"))
-		}
-		if cl.Consistency == decide.Bounded {
-			if i >= len(bounds) {
-				return nil, fmt.Errorf("settings: class %q has no OldestDataMs", cl.Name)
-			}
-			cl.MaxStaleness = clock.Duration(bounds[i].GetFloat64())
+	fields := texts(object.GetArray("Feedback", "Fields"))
+	settings := &Settings{
+		JSON:             object.MarshalTo(nil),
+		PositionZero:     millis(info, "PositionZeroMs"),
+		Zones:            texts(object.GetArray("Zones")),
+		IdleTimeoutMs:    limits.GetFloat64("ConnIdleMs"),
+		ConnectTimeoutMs: limits.GetFloat64("ConnectTimeoutMs"),
+		positionIndex:    slices.Index(fields, FieldPosition),
+		roleIndex:        slices.Index(fields, FieldRole),
+	}
+	settings.Config = configFrom(object, info, limits, rules)
+	settings.Config.StaleReadPolicy = policy
+	settings.Config.HealthChecksReportRole = settings.positionIndex >= 0 && settings.roleIndex >= 0 &&
+		text(object.Get("Feedback"), "Via") != "off"
+	for i, class := range classes {
+		read, err := classFrom(class, reads[i], info.GetArray("OldestDataMs"), i)
+		if err != nil {
+			return nil, err
 		}
-		s.Config.Classes = append(s.Config.Classes, cl)
+		settings.Config.Classes = append(settings.Config.Classes, read)
 	}
-	return s, nil
+	return settings, nil
 }
 
-func text(v *fastjson.Value, key string) string { return string(v.GetStringBytes(key)) }
-
-func millis(v *fastjson.Value, key string) time.Duration { return clock.Duration(v.GetFloat64(key)) }
+// configFrom reads the decisions' configuration but for its classes and its
+// policy on stale reads.
+func configFrom(object, info, limits, rules *fastjson.Value) decide.Config {
+	config := decide.Config{
+		Zone:                 object.GetInt("Locality"),
+		Routers:              int(max(1, min(object.GetFloat64("FleetSize"), math.MaxInt32))),
+		StaleReadWait:        millis(info, "PatienceMs"),
+		AnswersCarryPosition: info.GetBool("Stamps"),
+		SessionTokens:        text(info, "Tokens") == "carried",
+		PollOnly:             text(object, "Discovery") == "ask",
+		PollInterval:         millis(rules, "AskWithinMs"),
+		MaxAttempts:          limits.GetInt("MaxAttempts"),
+		ParallelAttempts:     limits.GetBool("ParallelTries"),
+		HealthChecks:         limits.GetBool("Probes"),
+		CancelAttempts:       limits.GetBool("Cancelling"),
+		SlowStartCapacity:    rules.GetFloat64("StartCapacity"),
+		SlowStartDuration:    millis(rules, "ColdMs"),
+		OverloadFactor:       rules.GetFloat64("OverloadFactor"),
+		OverloadDuration:     millis(rules, "OverloadForMs"),
+		RemovalEnforced:      !rules.GetBool("RemovalNotBinding"),
+	}
+	if limits.GetBool("RetryAfter") {
+		config.MaxRetryAfter = millis(limits, "MaxRetryAfterMs")
+	}
+	return config
+}
 
-func texts(vs []*fastjson.Value) []string {
-	var out []string
-	for _, v := range vs {
-		b, _ := v.StringBytes()
-		out = append(out, string(b))
+// classFrom reads one class; read is its entry of ClassRead, and the bounds are
+// those of every class.
+func classFrom(object, read *fastjson.Value, bounds []*fastjson.Value, index int) (decide.Class, error) {
+	class := decide.Class{
+		Name:              text(object, "Name"),
+		LatencyObjective:  millis(object, "AimMs"),
+		Deadline:          millis(object, "GiveUpMs"),
+		PriorityWeight:    object.GetFloat64("Importance"),
+		LateWeight:        object.GetFloat64("LateWorth"),
+		IdempotencyWindow: millis(object, "KeyTtlMs"),
 	}
-	return out
+	consistency, _ := read.StringBytes()
+	var known, knownRead bool
+	class.Idempotency, known = idempotencies[text(object, "Semantics")]
+	class.Consistency, knownRead = consistencies[string(consistency)]
+	if !known || !knownRead {
+		return decide.Class{}, invalid("class %q: unknown semantics %q or read %q",
+			class.Name, text(object, "Semantics"), consistency)
+	}
+	class.IdempotencyScope, known = idempotencyScopes[text(object, "Group")]
+	if !known && class.Idempotency == decide.IdempotencyKey {
+		return decide.Class{}, invalid("class %q: unknown group %q", class.Name, text(object, "Group"))
+	}
+	if class.Consistency == decide.Bounded {
+		if index >= len(bounds) {
+			return decide.Class{}, invalid("class %q has no OldestDataMs", class.Name)
+		}
+		class.MaxStaleness = clock.Duration(bounds[index].GetFloat64())
+	}
+	return class, nil
 }
 
-// Note puts the position of an answer in the simulator on the router's clock.
-func (s *Settings) Note(n decide.ReplicationStatus) decide.ReplicationStatus {
-	if n.Position > 0 {
-		n.Position += s.PositionZero
+// OnRouterClock puts the position of an answer in the simulator on the router's
+// clock.
+func (s *Settings) OnRouterClock(status decide.ReplicationStatus) decide.ReplicationStatus {
+	if status.Position > 0 {
+		status.Position += s.PositionZero
 	}
-	return n
+	return status
 }
 
-// Report reads the values of a probe's report in the simulator, given in the
-// order of the settings.
-func (s *Settings) Report(values []float32) decide.ReplicationStatus {
-	var n decide.ReplicationStatus
-	if s.roleAt >= 0 && s.roleAt < len(values) {
-		switch values[s.roleAt] {
+// HealthReport reads the values of a health check's report in the simulator,
+// given in the order of the settings.
+func (s *Settings) HealthReport(values []float32) decide.ReplicationStatus {
+	var status decide.ReplicationStatus
+	if s.roleIndex >= 0 && s.roleIndex < len(values) {
+		switch values[s.roleIndex] {
 		case 1:
-			n.Role = decide.RolePrimary
+			status.Role = decide.RolePrimary
 		case 0:
-			n.Role = decide.RoleReplica
+			status.Role = decide.RoleReplica
 		}
 	}
-	if s.positionAt >= 0 && s.positionAt < len(values) {
-		// A float32 of seconds is as coarse as a millisecond after hours: round
-		// down by one unit in the last place.
-		sec := math.Nextafter32(values[s.positionAt], 0)
-		if sec > 0 && !math.IsInf(float64(sec), 0) {
-			n.Position = s.PositionZero + clock.Duration(float64(sec)*1e3)
-		}
+	if s.positionIndex >= 0 && s.positionIndex < len(values) {
+		status.Position = s.position(values[s.positionIndex])
+	}
+	return status
+}
+
+// position puts a position, in seconds, on the router's clock; 0 if it is none.
+// A float32 of seconds is as coarse as a millisecond after hours, so it is
+// rounded down by one unit in the last place.
+func (s *Settings) position(seconds float32) time.Duration {
+	rounded := math.Nextafter32(seconds, 0)
+	if !(rounded > 0) || math.IsInf(float64(rounded), 0) {
+		return 0
+	}
+	return s.PositionZero + clock.Duration(float64(rounded)*1e3)
+}
+
+func text(object *fastjson.Value, key string) string { return string(object.GetStringBytes(key)) }
+
+func millis(object *fastjson.Value, key string) time.Duration {
+	return clock.Duration(object.GetFloat64(key))
+}
+
+func texts(values []*fastjson.Value) []string {
+	var out []string
+	for _, value := range values {
+		text, _ := value.StringBytes()
+		out = append(out, string(text))
 	}
-	return n
+	return out
 }
--- a/internal/routingconfig/settings_test.go
+++ b/internal/routingconfig/routingconfig_test.go
@@ -1,6 +1,7 @@
 package routingconfig
 
 import (
+	"errors"
 	"math"
 	"strings"
 	"testing"
@@ -26,11 +27,11 @@
 		c.StaleReadPolicy != decide.WaitThenReject || !c.SessionTokens || !c.HealthChecks {
 		t.Errorf("config %+v", c)
 	}
-	n := s.Report([]float32{2, 1})
+	n := s.HealthReport([]float32{2, 1})
 	if n.Role != decide.RolePrimary || n.Position > 3*time.Second || n.Position < 2999*time.Millisecond {
 		t.Errorf("note %+v", n)
 	}
-	if n := s.Report([]float32{1}); n.Role != decide.RoleUnknown {
+	if n := s.HealthReport([]float32{1}); n.Role != decide.RoleUnknown {
 		t.Errorf("short report gave %+v", n)
 	}
 }
@@ -45,8 +46,8 @@
 		"bad effect":   strings.Replace(example, `"pure"`, `"x"`, 1),
 		"bad check":    strings.Replace(example, `"wait"`, `"x"`, 1),
 	} {
-		if _, err := Parse([]byte(text)); err == nil {
-			t.Errorf("%s: no error", name)
+		if _, err := Parse([]byte(text)); !errors.Is(err, ErrInvalid) {
+			t.Errorf("%s: %v, want ErrInvalid", name, err)
 		}
 	}
 }
--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -2,62 +2,62 @@
 
 import "time"
 
-// Sender writes one instance's actions into a reply. It implements
+// ActionWriter writes one instance's actions into a reply. It implements
 // decide.Actions.
-type Sender struct {
+type ActionWriter struct {
 	Reply    *Reply
 	Instance uint16
 }
 
 // Send implements decide.Actions.
-func (s *Sender) Send(request uint64, member uint32, timeout time.Duration) {
-	s.Reply.record(acPlace, 22, s.Instance)
-	s.Reply.u64(request)
-	s.Reply.u32(member)
-	s.Reply.ms(timeout)
+func (w *ActionWriter) Send(request uint64, endpoint uint32, timeout time.Duration) {
+	w.Reply.record(actionSend, requestBytes+idBytes+durationBytes, w.Instance)
+	w.Reply.u64(request)
+	w.Reply.u32(endpoint)
+	w.Reply.duration(timeout)
 }
 
 // Cancel implements decide.Actions.
-func (s *Sender) Cancel(request uint64, attempt int) {
-	s.Reply.record(acCancel, 11, s.Instance)
-	s.Reply.u64(request)
-	s.Reply.buf = append(s.Reply.buf, uint8(attempt))
+func (w *ActionWriter) Cancel(request uint64, attempt int) {
+	w.Reply.record(actionCancel, requestBytes+1, w.Instance)
+	w.Reply.u64(request)
+	w.Reply.u8(uint8(attempt))
 }
 
-// Refuse implements decide.Actions.
-func (s *Sender) Reject(request uint64, retryAfter time.Duration) {
-	s.Reply.record(acPushBack, 18, s.Instance)
-	s.Reply.u64(request)
-	s.Reply.ms(retryAfter)
+// Reject implements decide.Actions.
+func (w *ActionWriter) Reject(request uint64, retryAfter time.Duration) {
+	w.Reply.record(actionReject, requestBytes+durationBytes, w.Instance)
+	w.Reply.u64(request)
+	w.Reply.duration(retryAfter)
 }
 
 // Fail implements decide.Actions.
-func (s *Sender) Fail(request uint64) {
-	s.Reply.record(acError, 10, s.Instance)
-	s.Reply.u64(request)
+func (w *ActionWriter) Fail(request uint64) {
+	w.Reply.record(actionFail, requestBytes, w.Instance)
+	w.Reply.u64(request)
 }
 
-// Probe implements decide.Actions.
-func (s *Sender) CheckHealth(member uint32) {
-	s.Reply.record(acCheck, 6, s.Instance)
-	s.Reply.u32(member)
+// CheckHealth implements decide.Actions.
+func (w *ActionWriter) CheckHealth(endpoint uint32) {
+	w.Reply.record(actionCheckHealth, idBytes, w.Instance)
+	w.Reply.u32(endpoint)
 }
 
-// Watch implements decide.Actions.
-func (s *Sender) WatchEndpoints() {
-	s.Reply.record(acKeepInformed, 3, s.Instance)
-	s.Reply.buf = append(s.Reply.buf, 1)
+// WatchEndpoints implements decide.Actions.
+func (w *ActionWriter) WatchEndpoints() {
+	w.Reply.record(actionWatchEndpoints, 1, w.Instance)
+	w.Reply.u8(1)
 }
 
 // CloseIdle implements decide.Actions.
-func (s *Sender) CloseIdle(member uint32) {
-	s.Reply.record(acDropConns, 6, s.Instance)
-	s.Reply.u32(member)
+func (w *ActionWriter) CloseIdle(endpoint uint32) {
+	w.Reply.record(actionCloseIdle, idBytes, w.Instance)
+	w.Reply.u32(endpoint)
 }
 
 // SetTimer implements decide.Actions.
-func (s *Sender) SetTimer(after time.Duration, token uint32) {
-	s.Reply.record(acSchedule, 14, s.Instance)
-	s.Reply.ms(after)
-	s.Reply.u32(token)
+func (w *ActionWriter) SetTimer(after time.Duration, token uint32) {
+	w.Reply.record(actionSetTimer, durationBytes+idBytes, w.Instance)
+	w.Reply.duration(after)
+	w.Reply.u32(token)
 }
--- a/internal/simprotocol/characterization_test.go
+++ b/internal/simprotocol/characterization_test.go
@@ -61,46 +61,46 @@
 
 // replies fills one reply for each scenario. The names are those of the
 // simulator's actions.
-var replies = map[string]func(*simprotocol.Reply, *simprotocol.Sender){
-	"no-action": func(*simprotocol.Reply, *simprotocol.Sender) {},
-	"place": func(_ *simprotocol.Reply, s *simprotocol.Sender) {
+var replies = map[string]func(*simprotocol.Reply, *simprotocol.ActionWriter){
+	"no-action": func(*simprotocol.Reply, *simprotocol.ActionWriter) {},
+	"place": func(_ *simprotocol.Reply, s *simprotocol.ActionWriter) {
 		s.Send(request, member, 80*time.Millisecond)
 		s.Send(math.MaxUint64, math.MaxUint32, 0)
 		s.Send(0, 0, 1234567*time.Nanosecond)
 	},
-	"cancel": func(_ *simprotocol.Reply, s *simprotocol.Sender) {
+	"cancel": func(_ *simprotocol.Reply, s *simprotocol.ActionWriter) {
 		s.Cancel(request, 0)
 		s.Cancel(math.MaxUint64, 255)
 	},
-	"push-back": func(_ *simprotocol.Reply, s *simprotocol.Sender) {
+	"push-back": func(_ *simprotocol.Reply, s *simprotocol.ActionWriter) {
 		s.Reject(request, 0)
 		s.Reject(math.MaxUint64, 2500*time.Millisecond)
 	},
-	"error": func(_ *simprotocol.Reply, s *simprotocol.Sender) {
+	"error": func(_ *simprotocol.Reply, s *simprotocol.ActionWriter) {
 		s.Fail(request)
 		s.Fail(math.MaxUint64)
 	},
-	"check": func(_ *simprotocol.Reply, s *simprotocol.Sender) {
+	"check": func(_ *simprotocol.Reply, s *simprotocol.ActionWriter) {
 		s.CheckHealth(member)
 		s.CheckHealth(math.MaxUint32)
 	},
-	"keep-informed": func(_ *simprotocol.Reply, s *simprotocol.Sender) { s.WatchEndpoints() },
-	"drop-connections": func(_ *simprotocol.Reply, s *simprotocol.Sender) {
+	"keep-informed": func(_ *simprotocol.Reply, s *simprotocol.ActionWriter) { s.WatchEndpoints() },
+	"drop-connections": func(_ *simprotocol.Reply, s *simprotocol.ActionWriter) {
 		s.CloseIdle(member)
 		s.CloseIdle(math.MaxUint32)
 	},
-	"schedule": func(_ *simprotocol.Reply, s *simprotocol.Sender) {
+	"schedule": func(_ *simprotocol.Reply, s *simprotocol.ActionWriter) {
 		s.SetTimer(500*time.Millisecond, 77)
 		s.SetTimer(0, math.MaxUint32)
 		s.SetTimer(-time.Microsecond, 0)
 	},
-	"exception": func(p *simprotocol.Reply, _ *simprotocol.Sender) {
+	"exception": func(p *simprotocol.Reply, _ *simprotocol.ActionWriter) {
 		p.Exception(3, "")
 		p.Exception(math.MaxUint16, "broken: \x00\xff")
 	},
-	"exception-at-bound":   func(p *simprotocol.Reply, _ *simprotocol.Sender) { p.Exception(3, strings.Repeat("x", 65535)) },
-	"exception-over-bound": func(p *simprotocol.Reply, _ *simprotocol.Sender) { p.Exception(3, strings.Repeat("y", 65536)) },
-	"several-instances": func(p *simprotocol.Reply, s *simprotocol.Sender) {
+	"exception-at-bound":   func(p *simprotocol.Reply, _ *simprotocol.ActionWriter) { p.Exception(3, strings.Repeat("x", 65535)) },
+	"exception-over-bound": func(p *simprotocol.Reply, _ *simprotocol.ActionWriter) { p.Exception(3, strings.Repeat("y", 65536)) },
+	"several-instances": func(p *simprotocol.Reply, s *simprotocol.ActionWriter) {
 		s.Send(request, member, time.Second)
 		s.Instance = math.MaxUint16
 		s.WatchEndpoints()
@@ -108,7 +108,7 @@
 		s.Instance = 0
 		s.SetTimer(time.Millisecond, 1)
 	},
-	"reset-midway": func(p *simprotocol.Reply, s *simprotocol.Sender) {
+	"reset-midway": func(p *simprotocol.Reply, s *simprotocol.ActionWriter) {
 		s.Send(request, member, time.Second)
 		p.Reset(math.MaxUint32)
 		s.Fail(request)
@@ -116,12 +116,12 @@
 }
 
 // encodeReply returns a reply's bytes, after another reply used its memory.
-func encodeReply(fill func(*simprotocol.Reply, *simprotocol.Sender)) string {
+func encodeReply(fill func(*simprotocol.Reply, *simprotocol.ActionWriter)) string {
 	var reply simprotocol.Reply
 	reply.Reset(11)
 	reply.Exception(9, "of an earlier batch")
 	reply.Reset(12)
-	fill(&reply, &simprotocol.Sender{Reply: &reply, Instance: 3})
+	fill(&reply, &simprotocol.ActionWriter{Reply: &reply, Instance: 3})
 	return abbreviate(hex.EncodeToString(reply.Bytes()))
 }
 
@@ -222,7 +222,7 @@
 // event adds every field of an event, whether or not its code sets it.
 func (n *numbers) event(ev *simprotocol.Event) {
 	n.add(int64(ev.Code), int64(ev.Instance))
-	n.unsigned(ev.Ticket)
+	n.unsigned(ev.RequestID)
 	n.add(int64(ev.Attempt), int64(ev.Token))
 	n.unsigned(ev.Seed)
 	n.bytes(ev.Settings)
@@ -250,16 +250,16 @@
 }
 
 func (n *numbers) probe(ev *simprotocol.Event) {
-	p := &ev.Probe
-	n.add(int64(p.Member), int64(p.Outcome), int64(len(p.Values)))
+	p := &ev.HealthCheck
+	n.add(int64(p.Endpoint), int64(p.Outcome), int64(len(p.Values)))
 	for _, v := range p.Values {
 		n.add(int64(math.Float32bits(v)))
 	}
 }
 
 func (n *numbers) members(ev *simprotocol.Event) {
-	n.add(int64(len(ev.Members)))
-	for _, m := range ev.Members {
+	n.add(int64(len(ev.Endpoints)))
+	for _, m := range ev.Endpoints {
 		n.add(int64(m.ID), int64(m.Zone), int64(m.Group), int64(m.State))
 		n.bool(m.Primary)
 		n.add(int64(m.StartedAt))
@@ -270,7 +270,7 @@
 // stops.
 func decodeUntilStopped(t *testing.T) string {
 	t.Helper()
-	timer := []byte{simprotocol.EvElapsed, 6, 0, 0, 0, 3, 0, 77, 0, 0, 0}
+	timer := []byte{simprotocol.EventTimerFired, 6, 0, 0, 0, 3, 0, 77, 0, 0, 0}
 	batch, err := simprotocol.NewReader(bytes.NewReader(encodeFrame(2, append(timer, timer...)))).Next()
 	if err != nil {
 		t.Fatal(err)
@@ -291,7 +291,7 @@
 	fields := []byte{3, 0, 1, 2, 3, 4, 5, 6, 7, 8}
 	fields = binary.LittleEndian.AppendUint32(fields, uint32(len(settings)))
 	fields = append(fields, settings...)
-	body := binary.LittleEndian.AppendUint32([]byte{simprotocol.EvConfigure}, uint32(len(fields)))
+	body := binary.LittleEndian.AppendUint32([]byte{simprotocol.EventConfigure}, uint32(len(fields)))
 	body = append(body, fields...)
 	return abbreviate(decodeStream(&pieces{encodeFrame(1, body)}))
 }
--- /dev/null
+++ b/internal/simprotocol/event.go
@@ -0,0 +1,205 @@
+package simprotocol
+
+import (
+	"encoding/binary"
+	"math"
+	"time"
+
+	"lotusbend/decide"
+	"lotusbend/internal/clock"
+)
+
+const (
+	// endpointBytes is the length of one entry of an endpoint list.
+	endpointBytes = 25
+	// maxLists is the number of endpoint lists that may be registered.
+	maxLists = 16
+	// valueBytes is the length of one value of a report.
+	valueBytes = 4
+	// roleBits are the low bits of a packed status; above them stands the
+	// position in milliseconds.
+	roleBits = 2
+	roleMask = 1<<roleBits - 1
+)
+
+// Event is one decoded record. Which fields are set depends on Code.
+type Event struct {
+	Code        uint8
+	Instance    uint16 // the router that it is for
+	Request     decide.Request
+	Result      decide.AttemptResult
+	HealthCheck HealthCheckReport
+	RequestID   uint64 // EventClientCancelled, EventAnswerStarted
+	Attempt     int    // EventAnswerStarted
+	Token       uint32 // EventTimerFired
+	Seed        uint64 // EventConfigure
+	Settings    []byte // EventConfigure, JSON
+	List        uint32 // EventRegisterList, EventEndpointsUpdated
+	Kind        decide.EndpointUpdateKind
+	Endpoints   []decide.Endpoint // EventRegisterList
+}
+
+// HealthCheckReport is a health check's result with the report's values as they
+// came, in the order of the instance's settings.
+type HealthCheckReport struct {
+	Endpoint uint32
+	Outcome  decide.Outcome
+	Values   []float32
+}
+
+// decode reads the event's fields after its code.
+func (e *Event) decode(f *fields) error {
+	if e.Code == EventRegisterList {
+		return e.decodeList(f)
+	}
+	e.Instance = f.u16()
+	switch e.Code {
+	case EventClientCancelled:
+		e.RequestID = f.u64()
+	case EventAnswerStarted:
+		e.RequestID = f.u64()
+		e.Attempt = int(f.u8())
+		f.u32() // the endpoint
+		f.f64() // when
+	case EventAttemptEnded:
+		return e.decodeResult(f)
+	case EventTimerFired:
+		e.Token = f.u32()
+	case EventConfigure:
+		e.Seed = f.u64()
+		e.Settings = f.counted(int(f.u32()))
+	case EventEndpointsUpdated:
+		return e.decodeUpdate(f)
+	case EventRequestArrived:
+		return e.decodeRequest(f)
+	case EventPeerMessage:
+		f.u32() // the sender
+		f.counted(int(f.u16()))
+	case EventStop:
+	case EventHealthChecked:
+		return e.decodeHealthCheck(f)
+	default:
+		return malformed("unknown code")
+	}
+	return f.err
+}
+
+func (e *Event) decodeList(f *fields) error {
+	e.List = f.u32()
+	e.Endpoints = decodeEndpoints(f)
+	if f.err == nil && e.List >= maxLists {
+		return malformed("list number %d is over %d", e.List, maxLists-1)
+	}
+	return f.err
+}
+
+func (e *Event) decodeResult(f *fields) error {
+	result := &e.Result
+	result.Request = f.u64()
+	result.Attempt = int(f.u8())
+	result.Endpoint = f.u32()
+	code := f.u16()
+	result.Latency = f.duration()
+	result.ClientAnswered = f.u8() != 0
+	status := f.u32()
+	result.Status.Role = role(status & roleMask)
+	result.Status.Position = time.Duration(status>>roleBits) * time.Millisecond
+	f.counted(valueBytes * int(f.u8()))
+	return f.outcome(code, &result.Outcome)
+}
+
+func (e *Event) decodeUpdate(f *fields) error {
+	e.List = f.u32()
+	kind := int(f.u8())
+	f.u64() // the list's index
+	if f.err != nil {
+		return f.err
+	}
+	if kind >= len(updateKinds) {
+		return malformed("unknown list kind %d", kind)
+	}
+	e.Kind = updateKinds[kind]
+	return nil
+}
+
+func (e *Event) decodeRequest(f *fields) error {
+	request := &e.Request
+	request.ID = f.u64()
+	f.f64() // when its client sent it
+	request.SinceCommit = clock.Duration(float64(f.f32()))
+	group := f.f32()
+	request.Session = f.u64()
+	f.u8()
+	request.Class = int(f.u16())
+	f.u16() // the tenant: nothing is decided by it
+	request.TimeLeft = f.duration()
+	if f.err == nil && !(group >= 0 && group <= math.MaxUint16) {
+		return malformed("impossible group %v", group)
+	}
+	request.Group = int(group)
+	return f.err
+}
+
+func (e *Event) decodeHealthCheck(f *fields) error {
+	report := &e.HealthCheck
+	report.Endpoint = f.u32()
+	code := f.u16()
+	f.f64() // how long it took
+	values := f.counted(valueBytes * int(f.u8()))
+	for ; len(values) >= valueBytes; values = values[valueBytes:] {
+		report.Values = append(report.Values, math.Float32frombits(binary.LittleEndian.Uint32(values)))
+	}
+	return f.outcome(code, &report.Outcome)
+}
+
+// outcome translates a result code, after every field has been read.
+func (f *fields) outcome(code uint16, to *decide.Outcome) error {
+	if f.err != nil {
+		return f.err
+	}
+	outcome, known := outcomes[code]
+	if !known {
+		return malformed("unknown outcome %d", code)
+	}
+	*to = outcome
+	return nil
+}
+
+// decodeEndpoints reads the rest of a record as the entries of an endpoint list.
+func decodeEndpoints(f *fields) []decide.Endpoint {
+	count := int(f.u32())
+	if f.err != nil {
+		return nil
+	}
+	if count*endpointBytes != len(f.bytes) {
+		f.err = malformed("%d list entries in %d bytes", count, len(f.bytes))
+		return nil
+	}
+	endpoints := make([]decide.Endpoint, 0, count)
+	for range count {
+		endpoint := decodeEndpoint(f)
+		if f.err != nil {
+			return nil
+		}
+		endpoints = append(endpoints, endpoint)
+	}
+	return endpoints
+}
+
+func decodeEndpoint(f *fields) decide.Endpoint {
+	var endpoint decide.Endpoint
+	endpoint.ID = f.u32()
+	endpoint.Zone = int(f.u8())
+	f.u8() // the kind of machine
+	endpoint.Group = int(f.u16())
+	state := int(f.u8())
+	endpoint.Primary = f.f32() == 1
+	f.f32() // the rating: nothing is decided by it
+	endpoint.StartedAt = f.duration()
+	if state >= len(endpointStates) {
+		f.err = malformed("unknown endpoint state %d", state)
+		return decide.Endpoint{}
+	}
+	endpoint.State = endpointStates[state]
+	return endpoint
+}
--- /dev/null
+++ b/internal/simprotocol/fields.go
@@ -0,0 +1,53 @@
+package simprotocol
+
+import (
+	"encoding/binary"
+	"math"
+	"time"
+
+	"lotusbend/internal/clock"
+)
+
+// widestField is the length of the widest number.
+const widestField = 8
+
+// fields reads the fields of one record, little-endian. Past the record's end it
+// notes an error and returns zeros.
+type fields struct {
+	bytes []byte // not read yet
+	err   error
+}
+
+// take reads n bytes.
+func (f *fields) take(n int) []byte {
+	if f.err == nil && n > len(f.bytes) {
+		f.err = malformed("field runs past its record")
+	}
+	if f.err != nil {
+		return make([]byte, min(n, widestField))
+	}
+	value := f.bytes[:n]
+	f.bytes = f.bytes[n:]
+	return value
+}
+
+func (f *fields) u8() uint8    { return f.take(1)[0] }
+func (f *fields) u16() uint16  { return binary.LittleEndian.Uint16(f.take(2)) }
+func (f *fields) u32() uint32  { return binary.LittleEndian.Uint32(f.take(4)) }
+func (f *fields) u64() uint64  { return binary.LittleEndian.Uint64(f.take(8)) }
+func (f *fields) f32() float32 { return math.Float32frombits(f.u32()) }
+func (f *fields) f64() float64 { return math.Float64frombits(f.u64()) }
+
+// duration reads a time in milliseconds; what is no time at all becomes zero.
+func (f *fields) duration() time.Duration { return clock.Duration(f.f64()) }
+
+// counted reads n bytes that follow a count.
+func (f *fields) counted(n int) []byte {
+	if f.err == nil && (n < 0 || n > len(f.bytes)) {
+		f.err = malformed("count %d runs past its record", n)
+	}
+	if f.err != nil {
+		return nil
+	}
+	return f.take(n)
+}
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -61,7 +61,7 @@
 	if q.Group != 11 || q.TimeLeft != 240*time.Millisecond || q.SinceCommit != 412500*time.Microsecond {
 		t.Errorf("request %+v", q)
 	}
-	if evs[1].Token != 77 || evs[2].Instance != 5 || evs[2].Ticket != 0x62c410e6f2b19 {
+	if evs[1].Token != 77 || evs[2].Instance != 5 || evs[2].RequestID != 0x62c410e6f2b19 {
 		t.Errorf("events %+v", evs[1:])
 	}
 }
@@ -79,7 +79,7 @@
 	if !r.ClientAnswered || r.Status.Role != decide.RoleReplica || r.Status.Position != 6371*time.Millisecond {
 		t.Errorf("result %+v", r)
 	}
-	m := evs[1].Members
+	m := evs[1].Endpoints
 	if len(m) != 2 || !m[0].Primary || m[1].Primary || m[1].StartedAt != 6100*time.Millisecond || m[1].Group != 11 {
 		t.Errorf("members %+v", m)
 	}
@@ -88,7 +88,7 @@
 func TestEncodeReply(t *testing.T) {
 	var p Reply
 	p.Reset(12)
-	a := Sender{Reply: &p, Instance: 3}
+	a := ActionWriter{Reply: &p, Instance: 3}
 	a.Send(0x763f25d3a91c4, 0x03124a07, 80*time.Millisecond)
 	a.SetTimer(500*time.Millisecond, 77)
 	a.Instance = 5
@@ -103,7 +103,7 @@
 }
 
 func TestMalformedFrames(t *testing.T) {
-	timer := record(EvElapsed, []byte{3, 0, 77, 0, 0, 0})
+	timer := record(EventTimerFired, []byte{3, 0, 77, 0, 0, 0})
 	whole := frame(1, timer)
 	huge := append([]byte{0xff, 0xff, 0xff, 0x3f}, whole[4:]...)
 	for name, b := range map[string][]byte{
@@ -113,13 +113,13 @@
 		"over length":      append([]byte{0xff, 0xff, 0xff, 0xff}, whole[4:]...),
 		"too many records": frame(9, timer),
 		"too few records":  frame(1, timer, timer),
-		"short fields":     frame(1, record(EvElapsed, []byte{3, 0, 77})),
-		"long fields":      frame(1, record(EvElapsed, make([]byte, 9))),
+		"short fields":     frame(1, record(EventTimerFired, []byte{3, 0, 77})),
+		"long fields":      frame(1, record(EventTimerFired, make([]byte, 9))),
 		"unknown code":     frame(1, record(99, make([]byte, 9))),
 		"unknown outcome":  frame(1, unhex(t, `0a 11000000 0300 f211902c 0900 666666666666f63f 00`)),
-		"list too short":   frame(1, record(EvRegister, []byte{0, 0, 0, 0, 200, 0, 0, 0})),
-		"list count":       frame(1, record(EvRegister, []byte{0, 0, 0, 0, 255, 255, 255, 255})),
-		"settings count":   frame(1, record(EvConfigure, append(make([]byte, 10), 255, 255, 255, 255))),
+		"list too short":   frame(1, record(EventRegisterList, []byte{0, 0, 0, 0, 200, 0, 0, 0})),
+		"list count":       frame(1, record(EventRegisterList, []byte{0, 0, 0, 0, 255, 255, 255, 255})),
+		"settings count":   frame(1, record(EventConfigure, append(make([]byte, 10), 255, 255, 255, 255))),
 	} {
 		if _, err := decode(b); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: error %v", name, err)
@@ -131,7 +131,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(frame(1, record(EvElapsed, []byte{3, 0, 77, 0, 0, 0})))
+	f.Add(frame(1, record(EventTimerFired, []byte{3, 0, 77, 0, 0, 0})))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		_, _ = decode(b) // must not panic
 	})
