--- a/cmd/lotusbend/fleet.go
+++ b/cmd/lotusbend/fleet.go
@@ -33,7 +33,7 @@
 	}
 	f := &fleet{}
 	if opt.Shared != nil {
-		f.ahead = int64(opt.Shared.ClockOffsetMs)
+		f.clockAheadMs = int64(opt.Shared.ClockOffsetMs)
 		clk = clk.Shifted(opt.Shared.ClockOffsetMs)
 	}
 	cfg := membership.Defaults()
@@ -78,9 +78,9 @@
 type fleet struct {
 	view *udp.Transport
 	link *link.Link
-	// ahead is how far, in milliseconds, the fleet's clock is set ahead of the
+	// clockAheadMs is how far, in milliseconds, the fleet's clock is set ahead of the
 	// router's, in drills; 0 in service, where both are one.
-	ahead int64
+	clockAheadMs int64
 }
 
 // fleetPage is what GET /fleet tells.
--- a/cmd/lotusbend/main.go
+++ b/cmd/lotusbend/main.go
@@ -3,20 +3,11 @@
 package main
 
 import (
-	"bytes"
-	"context"
 	"fmt"
-	"io"
-	"log/slog"
 	"os"
-	"os/signal"
-	"reflect"
 	"runtime"
-	"runtime/debug"
-	"syscall"
 
 	"github.com/alecthomas/kong"
-	"github.com/cloudwego/netpoll"
 
 	"lotusbend/internal/clock"
 	"lotusbend/internal/deployconfig"
@@ -36,9 +27,9 @@
 }
 
 func main() {
-	k := kong.Parse(&cli{}, kong.Name("lotusbend"),
+	command := kong.Parse(&cli{}, kong.Name("lotusbend"),
 		kong.Description("A router for sharded, replicated databases that speaks the PostgreSQL protocol."))
-	if err := k.Run(); err != nil {
+	if err := command.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "lotusbend:", err)
 		os.Exit(1)
 	}
@@ -54,7 +45,7 @@
 
 // settingsFlag names the operators' settings file.
 type settingsFlag struct {
-	Settings string `help:"The operators' settings file, JSON with comments." env:"LOTUSBEND_SETTINGS" type:"path"`
+	Settings string `help:"The operators' settings file." env:"LOTUSBEND_SETTINGS" type:"path"`
 }
 
 // load reads the file, if there is one: without it everything in it is off.
@@ -69,117 +60,31 @@
 
 // Run implements the command.
 func (cmd checkConfigCmd) Run() error {
-	opt, err := cmd.load()
+	options, err := cmd.load()
 	if err != nil {
 		return err
 	}
-	c, err := deployconfig.Load(os.Getenv)
+	config, err := deployconfig.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
-	if err := checkEdge(c, opt); err != nil {
+	if err := checkEdge(config, options); err != nil {
 		return fmt.Errorf("%s: %w", cmd.Settings, err)
 	}
 	fmt.Printf("configuration of %s is in order: %d classes, %d database hosts known\n",
-		c.Name, len(c.Settings.Config.Classes), len(c.KnownEndpoints.Endpoints))
+		config.Name, len(config.Settings.Config.Classes), len(config.KnownEndpoints.Endpoints))
 	return nil
 }
 
-// checkEdge checks the edge against the classes that the router is told.
-func checkEdge(c *deployconfig.Config, opt *operatorconfig.Options) error {
-	if opt.Edge == nil {
+// checkEdge checks the edge against the classes of the routing settings.
+func checkEdge(config *deployconfig.Config, options *operatorconfig.Options) error {
+	if options.Edge == nil {
 		return nil
 	}
-	r, err := router.New(clock.NewLoop(clock.System()), c.Settings.Config, c.Seed)
+	loop := clock.NewLoop(clock.System())
+	classes, err := router.New(loop, config.Settings.Config, config.Seed)
 	if err != nil {
 		return err
 	}
-	return edge.Check(opt.Edge, r)
-}
-
-type serveCmd struct{ settingsFlag }
-
-// Run implements the command.
-func (cmd serveCmd) Run() error {
-	again := make(chan os.Signal, 1) // from the first moment on, SIGHUP must not end the program,
-	signal.Notify(again, syscall.SIGHUP)
-	// and SIGTERM must end it in good order. A second one changes nothing.
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
-	opt, err := cmd.load()
-	if err != nil {
-		return err
-	}
-	c, err := deployconfig.Load(os.Getenv)
-	if err != nil {
-		return err
-	}
-	runtime.GOMAXPROCS(1)
-	limitMemory(c)
-	var level slog.LevelVar
-	level.Set(opt.Level)
-	log := logger(os.Stderr, opt.JSON, &level).With("router", c.Name)
-	netpoll.SetLoggerOutput(debugLog{log}) // it has a line for each connection that a peer resets
-	clk := clock.System()
-	loop := clock.NewLoop(clk)
-	n, err := newNode(c, opt, loop, log)
-	if err != nil {
-		return err
-	}
-	f, err := startMembership(ctx, c, opt, clk, log)
-	if err != nil {
-		return err
-	}
-	n.join(ctx, f)
-	go loop.Run(context.Background())
-	n.start()
-	go func() {
-		for range again {
-			if c, err := deployconfig.Reload(os.Getenv); err != nil {
-				log.Error("the new configuration is not taken", "error", err)
-			} else {
-				limitMemory(c)
-				n.reload(c)
-			}
-			if fresh, err := cmd.load(); err != nil {
-				log.Error("the new settings file is not taken", "error", err)
-			} else {
-				level.Set(fresh.Level)
-				if fresh.JSON != opt.JSON || !reflect.DeepEqual(fresh.Edge, opt.Edge) || !reflect.DeepEqual(fresh.Membership, opt.Membership) ||
-					!reflect.DeepEqual(fresh.Shared, opt.Shared) {
-					log.Warn("a new form of the log, edge, membership or shared state takes effect at the next start")
-				}
-			}
-		}
-	}()
-	return n.run(ctx)
-}
-
-// logger writes lines as text or JSON.
-func logger(to io.Writer, asJSON bool, level slog.Leveler) *slog.Logger {
-	opt := &slog.HandlerOptions{Level: level}
-	if asJSON {
-		return slog.New(slog.NewJSONHandler(to, opt))
-	}
-	return slog.New(slog.NewTextHandler(to, opt))
-}
-
-// debugLog takes another package's lines as debugging ones.
-type debugLog struct{ *slog.Logger }
-
-// Write implements io.Writer.
-func (l debugLog) Write(line []byte) (int, error) {
-	l.Debug(string(bytes.TrimSpace(line)))
-	return len(line), nil
-}
-
-// memoryShare of the limit is for the heap; the rest is for stacks, the
-// binary and the system's buffers.
-const memoryShare = 0.6
-
-// limitMemory lets the collector work harder long before the platform's limit.
-func limitMemory(c *deployconfig.Config) {
-	if c.MemoryMiB > 0 {
-		debug.SetMemoryLimit(int64(c.MemoryMiB * (1 << 20) * memoryShare))
-	}
+	return edge.Check(options.Edge, classes)
 }
--- a/cmd/lotusbend/main_test.go
+++ b/cmd/lotusbend/main_test.go
@@ -47,7 +47,7 @@
 }
 
 // A line of netpoll's for every connection that is reset would fill the log.
-func TestLinesOfNetpollAreForDebugging(t *testing.T) {
+func TestNetpollLogsAtDebugLevel(t *testing.T) {
 	for level, want := range map[slog.Level]bool{slog.LevelInfo: false, slog.LevelDebug: true} {
 		var out bytes.Buffer
 		l := debugLog{slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: level}))}
@@ -81,7 +81,7 @@
 
 // SIGHUP must not end the program; it reads the file anew, and one that is in
 // disorder leaves the old configuration in force.
-func TestSIGHUPReadsTheConfigurationAnew(t *testing.T) {
+func TestSIGHUPReloadsTheConfiguration(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	put := func(text []byte) {
 		t.Helper()
--- a/cmd/lotusbend/leave_test.go
+++ b/cmd/lotusbend/maysend_test.go
@@ -35,7 +35,7 @@
 
 // An attempt may wait for its connection while the list tells that its host
 // drains: it must not be written there then.
-func TestAttemptThatWaitedIsNotWrittenToAHostThatDrains(t *testing.T) {
+func TestQueuedAttemptIsNotWrittenToADrainingEndpoint(t *testing.T) {
 	primary, replica := listen(t), listen(t)
 	w := newWorld(t, 100, endpoint("p", primary, "off", "ready"), endpoint("r", replica, "on", "ready"))
 	d := agent(t, w.discovery)
@@ -59,7 +59,7 @@
 
 // Nor is it written for a client that has gone: the connection is there for the
 // next one.
-func TestAttemptThatWaitedIsNotWrittenForAClientThatHasGone(t *testing.T) {
+func TestQueuedAttemptIsNotWrittenForADisconnectedClient(t *testing.T) {
 	l := listen(t)
 	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
 	gone, next := w.client(), w.client()
@@ -74,7 +74,7 @@
 }
 
 // Nor is a repeat sent for it, that waits for a primary to be found.
-func TestRepeatIsNotSentForAClientThatHasGone(t *testing.T) {
+func TestRetryIsNotSentForADisconnectedClient(t *testing.T) {
 	l := listen(t)
 	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
 	gone, next := w.client(), w.client()
@@ -83,7 +83,7 @@
 	h.refuse(wire.CodeReadOnly)
 	for rests := false; !rests; runtime.Gosched() { // the refusal was taken: the connection rests after it
 		due, _ := w.loop.Next()
-		rests = due <= start+settled
+		rests = due <= start+settleDelayMs
 	}
 	_ = gone.c.Close()
 	w.until(func() bool { return w.node.router.PendingRequests() == 0 })
--- a/cmd/lotusbend/story_test.go
+++ b/cmd/lotusbend/serving_test.go
@@ -35,7 +35,7 @@
 			t.Fatalf("the host got %q", got)
 		}
 		p.want(p.answer(), "TDCZ")
-		w.pass(settled)
+		w.pass(settleDelayMs)
 	}
 }
 
@@ -91,7 +91,7 @@
 
 // A connection that breaks once the statement is written may have run it: a
 // write must not be called refused, which invites a repeat elsewhere.
-func TestBreakAfterTheLastByteMayHaveRun(t *testing.T) {
+func TestConnectionBrokenAfterTheLastByteMayHaveExecuted(t *testing.T) {
 	l := listen(t)
 	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
 	p := w.client()
@@ -122,7 +122,7 @@
 }
 
 // Work for a client that has gone is called off.
-func TestClientThatGoesEndsItsAttempt(t *testing.T) {
+func TestDisconnectedClientCancelsItsAttempt(t *testing.T) {
 	l := listen(t)
 	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
 	p := w.client()
@@ -136,7 +136,7 @@
 }
 
 // A miss moves the read on; the connection stays, and is the one used next.
-func TestMissTriesElsewhereAndConnectionsAreReused(t *testing.T) {
+func TestIneligibleAnswerIsRetriedElsewhereAndConnectionsAreReused(t *testing.T) {
 	primary, replica := listen(t), listen(t)
 	w := newWorld(t, 100, endpoint("p", primary, "off", "ready"), endpoint("r", replica, "on", "ready"))
 	p := w.client()
@@ -146,7 +146,7 @@
 	h := accept(t, primary)
 	h.serve("fresh", "off")
 	p.want(p.answer(), "fresh")
-	w.pass(settled)
+	w.pass(settleDelayMs)
 	p.query(write)
 	p.want(h.serve("again", "off"), "c=write")
 	p.want(p.answer(), "again")
@@ -173,7 +173,7 @@
 		if late {
 			h.write(row(write, "own", "off"))
 			p.want(p.answer(), "own")
-			w.pass(settled)
+			w.pass(settleDelayMs)
 			h.write(row(write, "again", "off"))
 		} else {
 			h.write(twice("own"))
@@ -190,7 +190,7 @@
 
 // An answer that can't be one to the statement is a failed attempt that may
 // have run, on a connection of no further use.
-func TestSpoiltAnswersFailAndEndTheirConnection(t *testing.T) {
+func TestMalformedAnswersFailAndEndTheirConnection(t *testing.T) {
 	l := listen(t)
 	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
 	good := string(row(write, "value", "off"))
@@ -227,7 +227,7 @@
 	h.serve("one", "off")
 	p.want(p.answer(), "one")
 	p.want(p.answer(), "IZ")
-	w.pass(settled)
+	w.pass(settleDelayMs)
 	h.serve("two", "off")
 	p.want(p.answer(), "two")
 }
@@ -286,7 +286,7 @@
 	p.query(write)
 	accept(t, fresh).serve("new", "off")
 	p.want(p.answer(), "new")
-	w.pass(settled)
+	w.pass(settleDelayMs)
 	if kind, _ := h.message(); kind != 0 {
 		t.Error("the idle connection to a draining host is still open")
 	}
@@ -294,7 +294,7 @@
 
 // SIGTERM: new clients are served a while longer, then told to come again;
 // what is held is finished before the end.
-func TestStopFinishesWhatIsHeld(t *testing.T) {
+func TestShutdownFinishesPendingRequests(t *testing.T) {
 	l := listen(t)
 	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
 	idle := w.client()
@@ -303,12 +303,12 @@
 	p.query(write)
 	h := accept(t, l)
 	h.message()
-	w.pass(lingerFor + stopBeat)
+	w.pass(drainDelayMs + shutdownCheckMs)
 	idle.want(idle.answer(), "closed")
 	late := w.dial()
 	late.want(late.answer(), "57P03")
 	for range 10 { // more than the last answers get
-		w.pass(stopBeat)
+		w.pass(shutdownCheckMs)
 		runtime.Gosched()
 	}
 	if len(w.ended) > 0 {
@@ -325,7 +325,7 @@
 			}
 			return
 		default:
-			w.pass(stopBeat)
+			w.pass(shutdownCheckMs)
 			runtime.Gosched()
 		}
 	}
@@ -333,7 +333,7 @@
 
 // Sockets are shared: past the clients' part a client is turned away cleanly.
 // Silent connections, however many, and those quiet for long make room first.
-func TestTooManyClientsAreTurnedAway(t *testing.T) {
+func TestTooManyClientsAreRejected(t *testing.T) {
 	w := newWorld(t, 28)
 	ask := func() *peer {
 		p := w.client()
@@ -364,7 +364,7 @@
 
 // Clients that each ask once and keep their connection must not use up what
 // clients open for requests: the longest idle goes, and none that is at work.
-func TestIdleClientsMakeRoomForTheNextRequest(t *testing.T) {
+func TestIdleClientsAreClosedForTheNextRequest(t *testing.T) {
 	l := listen(t)
 	w := newWorld(t, 60, endpoint("p", l, "off", "ready"))
 	var h *peer
@@ -378,7 +378,7 @@
 		h.serve("value", "off")
 		p.want(p.answer(), "value")
 		clients = append(clients, p)
-		w.pass(settled)
+		w.pass(settleDelayMs)
 	}
 	for _, p := range clients[:2] {
 		p.want(p.answer(), "closed")
@@ -389,7 +389,7 @@
 
 // Whoever has said nothing whole hears so or is let go within 2 s, while a
 // statement under way may take its time.
-func TestQuietClientsAreLetGo(t *testing.T) {
+func TestIdleClientsAreClosed(t *testing.T) {
 	l := listen(t)
 	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
 	busy := w.client()
@@ -417,7 +417,7 @@
 
 // An id under way names one request: an answer could not be told from the
 // other's. It is free again once that has ended.
-func TestIDsUnderWayAreNotTakenTwice(t *testing.T) {
+func TestRequestIDsInUseAreRejected(t *testing.T) {
 	l := listen(t)
 	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
 	first, second := w.client(), w.client()
@@ -428,7 +428,7 @@
 	second.want(second.answer(), "42601")
 	h.write(row(write, "own", "off"))
 	first.want(first.answer(), "own")
-	w.pass(settled)
+	w.pass(settleDelayMs)
 	second.query(write)
 	h.serve("next", "off")
 	second.want(second.answer(), "next")
@@ -462,7 +462,7 @@
 		}
 		h.serve("value", "off")
 		p.want(p.answer(), "value")
-		w.pass(settled)
+		w.pass(settleDelayMs)
 	}
 	// What stays is for the client, the host's connection, the module, the watch.
 	w.until(func() bool { return w.loop.Pending() <= 4 })
--- a/cmd/lotusbend/stop_test.go
+++ b/cmd/lotusbend/shutdown_test.go
@@ -19,7 +19,7 @@
 )
 
 // told tells the router to stop and waits until it has heard.
-func (w *world) told() {
+func (w *testbed) told() {
 	w.stop()
 	for line := ""; !strings.Contains(line, "stopping"); {
 		line = <-w.logged
@@ -27,19 +27,19 @@
 }
 
 // stopped is told, with the linger over.
-func (w *world) stopped() {
+func (w *testbed) stopped() {
 	w.told()
-	w.pass(lingerFor + stopBeat)
+	w.pass(drainDelayMs + shutdownCheckMs)
 }
 
 // ends waits for the router's end, once every limit on clients is over.
-func (w *world) ends() {
+func (w *testbed) ends() {
 	w.t.Helper()
 	w.until(func() bool {
 		clients, _ := w.node.server.Open()
 		return clients == 0 && w.node.router.PendingRequests() == 0
 	})
-	w.pass(turnedAwayFor + stopBeat)
+	w.pass(rejectedClientsMs + shutdownCheckMs)
 	if err := <-w.ended; err != nil {
 		w.t.Error(err)
 	}
@@ -47,7 +47,7 @@
 
 // A client may take its time to read its last answer: the end of the process
 // would reset its connection.
-func TestStopWaitsUntilTheLastAnswerIsRead(t *testing.T) {
+func TestShutdownWaitsUntilTheLastAnswerIsRead(t *testing.T) {
 	l := listen(t)
 	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
 	p := w.client()
@@ -73,7 +73,7 @@
 // Neither a client that reads nothing and stays, nor one that says it would
 // wait for a minute, holds the stop up beyond the settings' longest wait and
 // the limits of the front.
-func TestStopIsBounded(t *testing.T) {
+func TestShutdownIsBounded(t *testing.T) {
 	l := listen(t)
 	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
 	w.client() // reads nothing, and stays
@@ -82,13 +82,13 @@
 	h := accept(t, l)
 	h.message()
 	w.stopped()
-	w.pass(5000 - 2*stopBeat) // of the settings' longest wait
+	w.pass(5000 - 2*shutdownCheckMs) // of the settings' longest wait
 	w.loop.Do(func() {
 		if w.node.router.PendingRequests() != 1 {
 			t.Error("a request was given up before the longest wait was over")
 		}
 	})
-	w.pass(3 * stopBeat)
+	w.pass(3 * shutdownCheckMs)
 	p.want(p.answer(), "57014")
 	p.want(p.answer(), "closed")
 	w.pass(1000) // that each has to go
--- a/cmd/lotusbend/world_test.go
+++ b/cmd/lotusbend/testbed_test.go
@@ -31,12 +31,12 @@
 	"Limits": {"Cancelling": true, "ConnIdleMs": 30000, "ConnectTimeoutMs": 250, "MaxAttempts": 6, "MaxRetryAfterMs": 1000, "ParallelTries": true, "Probes": false, "RetryAfter": true},
 	"Locality": 0, "Rules": {"ColdMs": 18000, "OverloadFactor": 2, "OverloadForMs": 1000, "StartCapacity": 0.2}, "Zones": ["a", "b"]}`
 
-// settled is longer than a connection rests after an answer, in milliseconds.
-const settled = 5
+// settleDelayMs is longer than a connection rests after an answer, in milliseconds.
+const settleDelayMs = 5
 
-// world is a router on loopback between scripted peers, at a clock that
-// stands still until the story sets it.
-type world struct {
+// testbed is a router on loopback between scripted peers, at a clock that
+// stands still until the test sets it.
+type testbed struct {
 	t         *testing.T
 	clock     *clock.Clock
 	loop      *clock.Loop
@@ -48,7 +48,7 @@
 }
 
 // Write takes a line of the router's log.
-func (w *world) Write(line []byte) (int, error) {
+func (w *testbed) Write(line []byte) (int, error) {
 	select {
 	case w.logged <- string(line):
 	default: // nobody waits for it
@@ -118,9 +118,9 @@
 		name, l.Addr(), status, recovery)
 }
 
-func newWorld(t *testing.T, sockets int, known ...string) *world {
+func newWorld(t *testing.T, sockets int, known ...string) *testbed {
 	t.Helper()
-	w := &world{t: t, clock: clock.Manual(start), discovery: listen(t), ended: make(chan error, 1),
+	w := &testbed{t: t, clock: clock.Manual(start), discovery: listen(t), ended: make(chan error, 1),
 		logged: make(chan string, 100)}
 	w.loop = clock.NewLoop(w.clock)
 	c, err := deployconfig.Parse(configuration(w.discovery, sockets, known...), func(string) string { return "" })
@@ -148,7 +148,7 @@
 // pass sets the clock forward, deadline by deadline. A client may have its
 // answer before the router knows that it is with the system: the client's idle
 // time begins then, so that is waited for.
-func (w *world) pass(ms float64) {
+func (w *testbed) pass(ms float64) {
 	w.until(func() bool { return w.node.server.Unsent() == 0 })
 	end := w.clock.Now() + ms
 	for {
@@ -164,7 +164,7 @@
 
 // answerAfter lets time pass until p has its answer, at the most the wait of
 // the write: further on, an answer not written yet would be given up.
-func (w *world) answerAfter(p *peer) string {
+func (w *testbed) answerAfter(p *peer) string {
 	done := make(chan string, 1)
 	go func() { done <- p.answer() }()
 	for range 201 {
@@ -175,7 +175,7 @@
 }
 
 // until waits for what the router's state must come to.
-func (w *world) until(holds func() bool) {
+func (w *testbed) until(holds func() bool) {
 	for ok := false; !ok; runtime.Gosched() {
 		w.loop.Do(func() { ok = holds() })
 	}
@@ -242,7 +242,7 @@
 }
 
 // dial connects a client that has not said anything.
-func (w *world) dial() *peer {
+func (w *testbed) dial() *peer {
 	w.t.Helper()
 	c, err := net.Dial("tcp", w.node.server.Address())
 	if err != nil {
@@ -252,7 +252,7 @@
 }
 
 // client connects a client up to its first ReadyForQuery.
-func (w *world) client() *peer {
+func (w *testbed) client() *peer {
 	p := w.dial()
 	p.write(wire.AppendStartup(nil, "app", "shop"))
 	p.want(p.answer(), "RKZ")
