--- a/cmd/lotusbend/main.go
+++ b/cmd/lotusbend/main.go
@@ -45,7 +45,7 @@
 
 // settingsFlag names the operators' settings file.
 type settingsFlag struct {
-	Settings string `help:"The operators' settings file." env:"LOTUSBEND_SETTINGS" type:"path"`
+	Settings string `help:"The operators' settings, JSON with comments." env:"LOTUSBEND_SETTINGS" type:"path"`
 }
 
 // load reads the file, if there is one: without it everything in it is off.
