--- a/Makefile
+++ b/Makefile
@@ -2,6 +2,9 @@
 
 VERSION ?= $(shell git describe --always --dirty 2>/dev/null || echo dev)
 
+# The packages whose files, functions and lines are bounded (revive-size.toml).
+SIZED = decide cmd/lotusbend-sim internal/deployconfig internal/routingconfig internal/simprotocol
+
 .PHONY: build test lint run up drill sites
 
 build:
@@ -15,7 +18,10 @@
 	@unformatted=$$(gofmt -l .); if [ -n "$$unformatted" ]; then echo "not gofmt-clean: $$unformatted"; exit 1; fi
 	go vet ./...
 	go tool staticcheck ./...
+	go tool revive -config revive.toml -set_exit_status ./...
+	@for package in $(SIZED); do go tool revive -config revive-size.toml -set_exit_status ./$$package/... || exit 1; done
 	@.ci/pure.sh
+	@.ci/doc-names.sh
 
 # A stand-in fleet, discovery and a router with its edge on loopback.
 up: build
