--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -107,14 +107,14 @@
 	_, _ = rand.Read(key[:]) // never fails
 	_, _ = rand.Read(boot[:])
 	e.boot = binary.BigEndian.Uint64(boot[:])
-	limits := progress.Limits{Window: opt.StallWindowMs, Least: opt.StallBytes, Bytes: opt.PartialBytes}
+	limits := progress.Limits{Window: opt.ProgressWindowMs, Least: opt.MinProgressBytes, Bytes: opt.UnfinishedBytes}
 	e.partial = progress.New(limits)
 	e.mqtt = mqtt.New(mqtt.Limits{
-		Sessions: opt.Sessions, SessionMs: opt.SessionMs, KeepAliveMs: opt.IdleMs,
-		ReceiveMax: min(opt.Intake.PerDevice, 65535), MessageBytes: opt.MessageBytes,
+		Sessions: opt.MaxSessions, SessionMs: opt.SessionExpiryMs, KeepAliveMs: opt.IdleTimeoutMs,
+		ReceiveMax: min(opt.Intake.PerDevice, 65535), MessageBytes: opt.MaxMessageBytes,
 	}, e.codec, (*mqttOut)(e))
-	e.frames = frames.New(frames.Limits{Window: opt.Intake.PerDevice, IdleMs: opt.IdleMs}, e.codec, (*framesOut)(e))
-	e.coap = coap.New(coap.Limits{Exchanges: opt.Exchanges, MessageBytes: opt.MessageBytes, Progress: limits}, key, seed, (*coapOut)(e))
+	e.frames = frames.New(frames.Limits{Window: opt.Intake.PerDevice, IdleMs: opt.IdleTimeoutMs}, e.codec, (*framesOut)(e))
+	e.coap = coap.New(coap.Limits{Exchanges: opt.MaxExchanges, MessageBytes: opt.MaxMessageBytes, Progress: limits}, key, seed, (*coapOut)(e))
 	if err := e.listen(); err != nil {
 		return nil, errors.Join(err, e.closeSockets())
 	}
@@ -188,7 +188,7 @@
 
 // restore opens the store; what it holds is delivered once started.
 func (e *Edge) restore() error {
-	s, held, err := store.Open(e.opt.Store, e.opt.StoreBytes)
+	s, held, err := store.Open(e.opt.Store, e.opt.MaxStoreBytes)
 	if err != nil {
 		return err
 	}
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -351,7 +351,7 @@
 
 // Unfinished messages together hold no more than their bound.
 func TestUnfinishedMessagesHaveABound(t *testing.T) {
-	w := newWorld(t, func(o *edgeoptions.Edge) { o.PartialBytes = 20000 })
+	w := newWorld(t, func(o *edgeoptions.Edge) { o.UnfinishedBytes = 20000 })
 	var peers []*peer
 	for range 20 {
 		p := w.dial().hello()
@@ -383,7 +383,7 @@
 	if err := p.receive(&a); err != nil || a.Ranges[0].Status != uint8(intake.Recorded) {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	w.pass(w.edge.opt.FirstMs + 1)
+	w.pass(w.edge.opt.FirstMessageMs + 1)
 	w.until("their end", func() bool { return w.edge.open == 1 })
 }
 
--- a/internal/edge/sockets.go
+++ b/internal/edge/sockets.go
@@ -202,14 +202,14 @@
 		peer = a.AddrPort().Addr()
 	}
 	e.loop.Do(func() {
-		if e.stopping || e.open >= e.opt.Connections || !e.budget.TakeClient() {
+		if e.stopping || e.open >= e.opt.MaxConnections || !e.budget.TakeClient() {
 			return
 		}
 		e.open++
 		c = &conn{edge: e, proto: proto, link: netio.NewConn(tcp), peer: peer, taken: make(chan bool, 1)}
 		c.ref = e.conns.Add(c)
 		id, now := c.ref.ID(), e.loop.Now()
-		c.first = e.loop.At(now+e.opt.FirstMs, c.link.Close)
+		c.first = e.loop.At(now+e.opt.FirstMessageMs, c.link.Close)
 		if proto == protoMQTT {
 			e.mqtt.Open(now, id)
 		} else {
@@ -362,7 +362,7 @@
 // frame returns the length of the message at the beginning of b, 0 if that
 // is not known yet.
 func (c *conn) frame(b []byte) (int, error) {
-	most := c.edge.opt.MessageBytes
+	most := c.edge.opt.MaxMessageBytes
 	if c.proto == protoMQTT {
 		if !c.begun && !mqtt.MayBegin(b[0]) {
 			return 0, errNoProtocol
--- a/internal/operatorconfig/shared.go
+++ b/internal/operatorconfig/shared.go
@@ -1,8 +1,6 @@
 package operatorconfig
 
 import (
-	"slices"
-
 	"lotusbend/internal/fleetstate"
 )
 
@@ -15,13 +13,13 @@
 }
 
 // shared reads the section; what it leaves out has the rules' default.
-func shared(t *tree) *Shared {
+func shared(t *value) *Shared {
 	s := &Shared{Rules: fleetstate.Defaults()}
 	c := &s.Rules
-	ms := func(to *int64, low, high int) func(*tree) {
-		return func(v *tree) { *to = int64(v.integer(low, high)) }
+	ms := func(to *int64, low, high int) func(*value) {
+		return func(v *value) { *to = int64(v.integer(low, high)) }
 	}
-	fields := map[string]func(*tree){
+	fields := map[string]func(*value){
 		"tick_ms":         ms(&c.TickMs, 20, 10_000),
 		"counts_ms":       ms(&c.CounterIntervalMs, 20, 60_000),
 		"lease_ms":        ms(&c.LeaseMs, 100, 600_000),
@@ -30,20 +28,15 @@
 		"claim_ms":        ms(&c.ReportTTLMs, 100, 60_000),
 		"hint_ms":         ms(&c.EjectionMs, 20, 60_000),
 		"hearsay_ms":      ms(&c.GossipEjectionMs, 20, 60_000),
-		"share_most":      func(v *tree) { c.MaxEjectedFraction = v.number(0, 0.9, false) },
-		"lendable":        func(v *tree) { c.MaxLentFraction = v.number(0, 0.9, false) },
-		"clock_offset_ms": func(v *tree) { s.ClockOffsetMs = v.number(0, 3600e3, true) },
-		"sabotage": func(v *tree) {
+		"share_most":      func(v *value) { c.MaxEjectedFraction = v.number(0, 0.9, false) },
+		"lendable":        func(v *value) { c.MaxLentFraction = v.number(0, 0.9, false) },
+		"clock_offset_ms": func(v *value) { s.ClockOffsetMs = v.number(0, 3600e3, true) },
+		"sabotage": func(v *value) {
 			c.Sabotage = v.choice("no-lease-wait", "trust-one", "counts-by-sum", "never-expire", "liar", "liar-well")
 		},
 	}
-	known := make([]string, 0, len(fields))
-	for name := range fields {
-		known = append(known, name)
-	}
-	slices.Sort(known)
-	t.object(known, func(name string, v *tree) { fields[name](v) })
-	if t.file.err == nil {
+	t.section(fields)
+	if t.ok() {
 		check := *c
 		check.Name = "checked"
 		if err := check.Check(); err != nil {
