--- a/internal/fleetstate/hang_test.go
+++ b/internal/fleetstate/hang_test.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// Send implements router.Hosts.
+// Send implements router.Transport.
 func (h *hangRouter) Send(host uint32, a router.Attempt, _ router.Statement, _ float64) slotmap.Handle {
 	f := h.f
 	h.next++
@@ -206,7 +206,7 @@
 	return ref
 }
 
-// Cancel implements router.Hosts.
+// Cancel implements router.Transport.
 func (h *hangRouter) Cancel(ref slotmap.Handle) bool {
 	if s := h.sent[ref]; s != nil {
 		h.f.loop.Cancel(s.end)
@@ -215,7 +215,7 @@
 	return true
 }
 
-// Probe implements router.Hosts: a hung host answers probes, as real ones may.
+// Probe implements router.Transport: a hung host answers probes, as real ones may.
 func (h *hangRouter) CheckHealth(host uint32) {
 	h.f.loop.At(h.f.loop.Now()+1, func() {
 		role := decide.RoleReplica
@@ -226,7 +226,7 @@
 	})
 }
 
-// CloseIdle implements router.Hosts.
+// CloseIdle implements router.Transport.
 func (h *hangRouter) CloseIdle(uint32) {}
 
 // Answer implements router.Client.
--- a/internal/postgres/back/back.go
+++ b/internal/postgres/back/back.go
@@ -117,12 +117,12 @@
 	}
 }
 
-// Send implements router.Hosts.
+// Send implements router.Transport.
 func (p *Pool) Send(id uint32, a router.Attempt, s router.Statement, wait float64) slotmap.Handle {
 	return p.start(&job{attempt: a, stmt: s, until: p.loop.Now() + wait}, id)
 }
 
-// Probe implements router.Hosts.
+// Probe implements router.Transport.
 func (p *Pool) CheckHealth(id uint32) {
 	j := &job{probe: true, until: p.loop.Now() + p.opt.ConnectTimeout}
 	p.start(j, id)
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// Cancel implements router.Hosts: an attempt is given up by closing its
+// Cancel implements router.Transport: an attempt is given up by closing its
 // connection.
 func (p *Pool) Cancel(sent slotmap.Handle) (begun bool) {
 	j := p.jobs.Get(sent)
@@ -196,7 +196,7 @@
 	}
 }
 
-// CloseIdle implements router.Hosts.
+// CloseIdle implements router.Transport.
 func (p *Pool) CloseIdle(id uint32) {
 	if h := p.hosts[id]; h != nil {
 		h.purges++ // one that settles goes, too, unless it is needed
