--- a/internal/discovery/polling/characterization_test.go
+++ b/internal/discovery/polling/characterization_test.go
@@ -37,67 +37,74 @@
 	for i, config := range characterizedConfigs() {
 		name := fmt.Sprintf("ask=%t,within=%g,routers=%d", config.PollOnly, config.PollInterval, config.Routers)
 		seed := uint64(i + 1)
-		digests["pace/"+name] = replayPace(config, seed)
-		digests["watch/"+name] = replayWatch(config, seed)
+		digests["pace/"+name] = replayBackoff(config, seed)
+		digests["watch/"+name] = replaySchedule(config, seed)
 	}
 	compareWithGolden(t, digests)
 }
 
 func characterizedConfigs() []polling.Config {
 	var configs []polling.Config
-	for _, mustAsk := range []bool{false, true} {
-		for _, askWithin := range []float64{0, 800, 10000} {
+	for _, pollOnly := range []bool{false, true} {
+		for _, pollInterval := range []float64{0, 800, 10000} {
 			for _, routers := range []int{0, 1, 3, 300} {
-				configs = append(configs, polling.Config{Routers: routers, PollOnly: mustAsk, PollInterval: askWithin})
+				configs = append(configs, polling.Config{
+					Routers:      routers,
+					PollOnly:     pollOnly,
+					PollInterval: pollInterval,
+				})
 			}
 		}
 	}
 	return configs
 }
 
-// replayPace returns the digest of one router's waits. Failures come in runs,
-// so that the waits grow up to their bounds.
-func replayPace(config polling.Config, seed uint64) string {
+// replayBackoff returns the digest of one router's delays. Failures come in
+// runs, so that the delays grow up to their bounds.
+func replayBackoff(config polling.Config, seed uint64) string {
 	events := rand.New(rand.NewPCG(seed, 1))
-	p := polling.NewBackoff(config, seed)
+	backoff := polling.NewBackoff(config, seed)
 	d := newDigest()
 	for range eventsPerStream {
 		switch n := events.IntN(16); {
 		case n == 0:
-			p.Succeeded()
+			backoff.Succeeded()
 		case n <= 2:
-			d.float(p.InitialDelay(n == 1))
+			d.float(backoff.InitialDelay(n == 1))
 		default:
-			d.float(p.Failed(n%2 == 0))
+			d.float(backoff.Failed(n%2 == 0))
 		}
 	}
 	return d.sum()
 }
 
-// replayWatch returns the digest of one router's calls and of the waits
+// replaySchedule returns the digest of one router's requests and of the delays
 // between them.
-func replayWatch(config polling.Config, seed uint64) string {
-	failures := []polling.Failure{polling.ConnectionFailed, polling.TimedOut, polling.Overloaded, polling.ErrorStatus, polling.Malformed}
+func replaySchedule(config polling.Config, seed uint64) string {
+	failures := []polling.Failure{
+		polling.ConnectionFailed, polling.TimedOut, polling.Overloaded, polling.ErrorStatus, polling.Malformed,
+	}
 	events := rand.New(rand.NewPCG(seed, 2))
-	w := polling.NewSchedule(config, seed)
+	schedule := polling.NewSchedule(config, seed)
 	d := newDigest()
 	for range eventsPerStream {
-		call := w.NextPoll()
-		d.bool(call.Incremental)
-		d.uint(call.Index)
-		d.float(call.LongPoll)
-		d.float(call.Timeout)
+		poll := schedule.NextPoll()
+		d.bool(poll.Incremental)
+		d.uint(poll.Index)
+		d.float(poll.LongPoll)
+		d.float(poll.Timeout)
 		switch n := events.IntN(16); {
 		case n == 0:
-			w.Resume(events.Uint64N(1000))
+			schedule.Resume(events.Uint64N(1000))
 		case n == 1:
-			d.float(w.InitialDelay())
+			d.float(schedule.InitialDelay())
 		case n <= 7:
-			d.float(w.Failed(failures[events.IntN(len(failures))]))
+			d.float(schedule.Failed(failures[events.IntN(len(failures))]))
 		default:
-			index := nextIndex(events, call.Index)
-			whole, news := events.IntN(4) == 0, events.IntN(2) == 0
-			d.float(w.Answered(call, index, whole, news, answerTime(events, call)))
+			index := nextIndex(events, poll.Index)
+			snapshot := events.IntN(4) == 0
+			updated := events.IntN(2) == 0
+			d.float(schedule.Answered(poll, index, snapshot, updated, answerTime(events, poll)))
 		}
 	}
 	return d.sum()
@@ -118,18 +125,18 @@
 
 // answerTime draws how long an answer took. Half of the time for which the
 // service may wait is the bound between an early answer and one in time.
-func answerTime(events *rand.Rand, call polling.Poll) float64 {
+func answerTime(events *rand.Rand, poll polling.Poll) float64 {
 	switch events.IntN(6) {
 	case 0:
 		return 0
 	case 1:
-		return call.LongPoll / 2
+		return poll.LongPoll / 2
 	case 2:
-		return math.Nextafter(call.LongPoll/2, 0)
+		return math.Nextafter(poll.LongPoll/2, 0)
 	case 3:
-		return call.LongPoll
+		return poll.LongPoll
 	default:
-		return call.Timeout * events.Float64()
+		return poll.Timeout * events.Float64()
 	}
 }
 
