--- a/cmd/lotusbend/start_test.go
+++ b/cmd/lotusbend/start_test.go
@@ -60,7 +60,7 @@
 	began := time.Now()
 	address, before := startProgram(t, `exec "$0"`, configuration(discovery, 100, endpoint("p", host, "off", "ready")))
 	for _, line := range before {
-		if strings.Contains(line, "msg=discovery") {
+		if strings.Contains(line, "component=discovery") {
 			t.Errorf("a call to discovery ended before the program served: %s", line)
 		}
 	}
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -1,5 +1,9 @@
-// Package discovery keeps the list of database hosts: it reads the list's
-// JSON and follows its changes over HTTP.
+// Package discovery keeps a router's endpoint list current: it parses the list
+// and watches its changes over HTTP.
+//
+// update.go parses the list's JSON, watcher.go keeps the watch, response.go
+// reads HTTP responses. When to poll, and for what, is decided in package
+// polling.
 package discovery
 
 import (
@@ -13,80 +17,96 @@
 	"lotusbend/internal/clock"
 )
 
-// Host is one line of the list.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	decide.Endpoint // its ID is this router's own number for Name
-	Name, Address   string
+	decide.Endpoint // its ID is assigned by an EndpointIDs
+	Name            string
+	Address         string // host and port
 }
 
-// List is the whole list or what has changed of it.
+// Update is the whole endpoint list, or what has changed of it.
 type Update struct {
-	Index     uint64
-	Snapshot  bool
+	Index     uint64 // the list's version
+	Snapshot  bool   // Endpoints is the whole list
 	Endpoints []Endpoint
 }
 
-// Names gives hosts their numbers, the same as long as the program runs.
+// EndpointIDs assigns endpoints their IDs by their names. An ID stays the same
+// as long as the program runs. It is not safe for concurrent use.
 type EndpointIDs struct {
 	zones []string
 	ids   map[string]uint32
 }
 
-// NewEndpointIDs returns an empty register; zones are those of the settings.
+// NewEndpointIDs returns an EndpointIDs that has assigned none. zones are the
+// names of the zones in the settings; an endpoint's zone is an index into them.
 func NewEndpointIDs(zones []string) *EndpointIDs {
 	return &EndpointIDs{zones: zones, ids: map[string]uint32{}}
 }
 
 var errList = errors.New("discovery: not a list of endpoints")
 
-// Parse reads a list. An entry that cannot be used is left out of it.
-func (n *EndpointIDs) Parse(v *fastjson.Value) (Update, error) {
-	entries := v.Get("endpoints")
+// Parse reads an update. It skips entries that are malformed or of unknown
+// status: one of them must not cost the others.
+func (n *EndpointIDs) Parse(document *fastjson.Value) (Update, error) {
+	entries := document.Get("endpoints")
 	if entries == nil || entries.Type() != fastjson.TypeArray {
 		return Update{}, errList
 	}
-	list := Update{Index: v.GetUint64("index"), Snapshot: v.GetBool("snapshot")}
-	for _, e := range entries.GetArray() {
-		if h, ok := n.host(e); ok {
-			list.Endpoints = append(list.Endpoints, h)
+	update := Update{
+		Index:    document.GetUint64("index"),
+		Snapshot: document.GetBool("snapshot"),
+	}
+	for _, entry := range entries.GetArray() {
+		if endpoint, ok := n.parseEndpoint(entry); ok {
+			update.Endpoints = append(update.Endpoints, endpoint)
 		}
 	}
-	return list, nil
+	return update, nil
 }
 
-func (n *EndpointIDs) host(e *fastjson.Value) (Endpoint, bool) {
-	h := Endpoint{Name: string(e.GetStringBytes("name")), Address: string(e.GetStringBytes("address"))}
-	if h.Name == "" {
-		return h, false
+// parseEndpoint reads one entry, and reports whether it can be used.
+func (n *EndpointIDs) parseEndpoint(entry *fastjson.Value) (Endpoint, bool) {
+	endpoint := Endpoint{
+		Name:    string(entry.GetStringBytes("name")),
+		Address: string(entry.GetStringBytes("address")),
+	}
+	if endpoint.Name == "" {
+		return endpoint, false
 	}
-	switch string(e.GetStringBytes("status")) {
+	switch string(entry.GetStringBytes("status")) {
 	case "ready":
-		h.State = decide.Ready
+		endpoint.State = decide.Ready
 	case "draining":
-		h.State = decide.Draining
+		endpoint.State = decide.Draining
 	case "gone":
-		h.State = decide.Removed
+		endpoint.State = decide.Removed
 	default:
-		return h, false
+		return endpoint, false
 	}
-	id, ok := n.ids[h.Name]
+	endpoint.ID = n.id(endpoint.Name)
+	endpoint.Zone = slices.Index(n.zones, string(entry.GetStringBytes("zone")))
+	endpoint.Group = entry.GetInt("group")
+	endpoint.Primary = string(entry.GetStringBytes("recovery")) == "off"
+	endpoint.StartedAt = clock.Duration(entry.GetFloat64("since_ms"))
+	return endpoint, true
+}
+
+// id returns the ID of a name, a new one for a new name.
+func (n *EndpointIDs) id(name string) uint32 {
+	id, ok := n.ids[name]
 	if !ok {
 		id = uint32(len(n.ids) + 1)
-		n.ids[h.Name] = id
+		n.ids[name] = id
 	}
-	h.ID = id
-	h.Zone = slices.Index(n.zones, string(e.GetStringBytes("zone")))
-	h.Group = e.GetInt("group")
-	h.Primary = string(e.GetStringBytes("recovery")) == "off"
-	h.StartedAt = clock.Duration(e.GetFloat64("since_ms"))
-	return h, true
+	return id
 }
 
-// ParseBytes reads a list from JSON.
+// ParseBytes reads an update from JSON.
 func (n *EndpointIDs) ParseBytes(body []byte) (Update, error) {
-	v, err := fastjson.ParseBytes(body)
+	document, err := fastjson.ParseBytes(body)
 	if err != nil {
 		return Update{}, fmt.Errorf("discovery: %w", err)
 	}
-	return n.Parse(v)
+	return n.Parse(document)
 }
--- a/internal/discovery/update_test.go
+++ b/internal/discovery/update_test.go
@@ -6,29 +6,67 @@
 	"encoding/json"
 	"fmt"
 	"testing"
+
+	"lotusbend/decide"
 )
 
-// A list of 3,100 hosts, indented, is taken whole.
-func TestListOfThousandsOfHostsIsTaken(t *testing.T) {
-	const hosts = 3100
+// A malformed entry costs no other; a name keeps its ID.
+func TestParseUpdate(t *testing.T) {
+	ids := NewEndpointIDs([]string{"a", "b"})
+	first, err := ids.ParseBytes([]byte(`{"index":41,"snapshot":true,"endpoints":[{"name":"x","status":"odd"},{"status":"ready"},
+		{"name":"s","address":"127.0.0.1:1","zone":"b","group":3,"status":"ready",
+		"since_ms":1767225600000,"recovery":"off"}]}`))
+	if err != nil || first.Index != 41 || !first.Snapshot || len(first.Endpoints) != 1 {
+		t.Fatalf("%+v, %v", first, err)
+	}
+	endpoint := first.Endpoints[0]
+	if endpoint.Zone != 1 || endpoint.Group != 3 || endpoint.State != decide.Ready || !endpoint.Primary ||
+		endpoint.StartedAt.Milliseconds() != 1767225600000 {
+		t.Errorf("%+v", endpoint)
+	}
+	second, err := ids.ParseBytes([]byte(`{"index":42,"endpoints":[{"name":"s","status":"gone"}]}`))
+	if err != nil || second.Snapshot {
+		t.Errorf("%+v, %v", second, err)
+	}
+	if second.Endpoints[0].ID != endpoint.ID || second.Endpoints[0].State != decide.Removed {
+		t.Errorf("%+v", second)
+	}
+	for _, malformed := range []string{"", "[]", "{}", `{"endpoints":{}}`} {
+		if _, err := ids.ParseBytes([]byte(malformed)); err == nil {
+			t.Errorf("%q is parsed as a list", malformed)
+		}
+	}
+}
+
+// A list of 3,100 endpoints, indented, is read and parsed whole.
+func TestListOfThousandsOfEndpoints(t *testing.T) {
+	const count = 3100
 	var entries []map[string]any
-	for n := range hosts {
+	for n := range count {
 		entries = append(entries, map[string]any{
-			"name": fmt.Sprintf("database-host-%05d.billing.region-%d.example", n, n%5), "address": fmt.Sprintf("10.%d.%d.%d:5433", n%5, n/250, n%250),
-			"zone": fmt.Sprintf("zone-%d", n%10), "type": "m2", "group": n / 4, "status": "ready", "weight": 1.0, "since_ms": 1767225600000 + n, "recovery": "on",
+			"name":     fmt.Sprintf("database-host-%05d.billing.region-%d.example", n, n%5),
+			"address":  fmt.Sprintf("10.%d.%d.%d:5433", n%5, n/250, n%250),
+			"zone":     fmt.Sprintf("zone-%d", n%10),
+			"type":     "m2",
+			"group":    n / 4,
+			"status":   "ready",
+			"weight":   1.0,
+			"since_ms": 1767225600000 + n,
+			"recovery": "on",
 		})
 	}
-	body, err := json.MarshalIndent(map[string]any{"index": 41, "snapshot": true, "endpoints": entries}, "", "        ")
+	document := map[string]any{"index": 41, "snapshot": true, "endpoints": entries}
+	body, err := json.MarshalIndent(document, "", "        ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body))
-	read, _, err := readResponse(bufio.NewReader(bytes.NewReader(append([]byte(head), body...))))
+	got, err := readResponse(bufio.NewReader(bytes.NewReader(append([]byte(head), body...))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	list, err := NewEndpointIDs([]string{"zone-0"}).ParseBytes(read)
-	if err != nil || len(list.Endpoints) != hosts || list.Endpoints[hosts-1].Group != (hosts-1)/4 {
-		t.Errorf("%d hosts of %d, %v", len(list.Endpoints), hosts, err)
+	update, err := NewEndpointIDs([]string{"zone-0"}).ParseBytes(got.body)
+	if err != nil || len(update.Endpoints) != count || update.Endpoints[count-1].Group != (count-1)/4 {
+		t.Errorf("%d endpoints of %d, %v", len(update.Endpoints), count, err)
 	}
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -8,96 +8,139 @@
 	"net"
 	"net/http"
 	"runtime"
+	"strings"
+	"syscall"
 	"testing"
 
 	"lotusbend/internal/clock"
 	"lotusbend/internal/discovery/polling"
 )
 
-// service is the list's end of a watch, scripted.
+// service is the discovery service's end of a watch, scripted.
 type service struct {
-	t       *testing.T
-	l       net.Listener
-	c       net.Conn
-	in      *bufio.Reader
-	advance func()
+	t        *testing.T
+	listener net.Listener
+	conn     net.Conn // nil once it was ended
+	in       *bufio.Reader
+	clock    *clock.Clock
+	loop     *clock.Loop
 }
 
-// asked reads the next call, on a new connection if the last one was ended.
-func (s *service) asked(want string) {
+// expect reads the next request, on a new connection if the last one has ended.
+func (s *service) expect(want string) {
 	s.t.Helper()
-	if s.c == nil {
-		c, err := s.l.Accept()
+	if s.conn == nil {
+		conn, err := s.listener.Accept()
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		s.t.Cleanup(func() { _ = c.Close() })
-		s.c, s.in = c, bufio.NewReader(c)
+		s.t.Cleanup(func() { _ = conn.Close() })
+		s.conn = conn
+		s.in = bufio.NewReader(conn)
 	}
-	r, err := http.ReadRequest(s.in)
-	if err != nil || r.URL.String() != want {
-		s.t.Fatalf("asked %v, %v; want %s", r, err, want)
+	request, err := http.ReadRequest(s.in)
+	if err != nil || request.URL.String() != want {
+		s.t.Fatalf("requested %v, %v; want %s", request, err, want)
 	}
 }
 
+// answer writes a response. One that is a failure to the watcher ends the
+// connection.
 func (s *service) answer(status, body string) {
 	s.t.Helper()
-	if _, err := fmt.Fprintf(s.c, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body); err != nil {
+	_, err := fmt.Fprintf(s.conn, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
+	if err != nil {
 		s.t.Fatal(err)
 	}
 	if status != "200 OK" {
-		s.c = nil
-		s.advance()
+		s.endConnection()
+	}
+}
+
+// endConnection awaits the delay that follows a failed request.
+func (s *service) endConnection() {
+	s.conn = nil
+	for {
+		if due, ok := s.loop.Next(); ok && due < s.clock.Now()+1000 {
+			s.clock.Set(due)
+			s.loop.Fire()
+			return
+		}
+		runtime.Gosched()
 	}
 }
 
-// A router that holds a list asks for what has changed since, also after the
-// service was too busy for it; a service that does not know the list's index,
-// or tells what is no list, is asked for the whole.
-func TestWatchGoesOnFromTheListItHolds(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// A router that holds a list requests what has changed since, also after the
+// service was overloaded; a service that does not know the list's index, or
+// whose answer is malformed, is asked for the whole list.
+func TestWatchResumesFromHeldList(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() })
-	at := clock.Manual(1e6)
-	loop := clock.NewLoop(at)
-	s := &service{t: t, l: l, advance: func() {
-		for { // until the router waits for its next call
-			if due, ok := loop.Next(); ok && due < at.Now()+1000 {
-				at.Set(due)
-				loop.Fire()
-				return
-			}
-			runtime.Gosched()
-		}
-	}}
-	news := make(chan Update, 9)
-	w := &Watcher{
-		Loop: loop, Log: slog.New(slog.DiscardHandler), Address: l.Addr().String(), IDs: NewEndpointIDs(nil),
-		Schedule: polling.NewSchedule(polling.Config{}, 1), OnUpdate: func(n Update) { news <- n },
+	t.Cleanup(func() { _ = listener.Close() })
+	s := &service{t: t, listener: listener, clock: clock.Manual(1e6)}
+	s.loop = clock.NewLoop(s.clock)
+	updates := make(chan Update, 9)
+	watcher := &Watcher{
+		Loop:     s.loop,
+		Log:      slog.New(slog.DiscardHandler),
+		Address:  listener.Addr().String(),
+		IDs:      NewEndpointIDs(nil),
+		Schedule: polling.NewSchedule(polling.Config{}, 1),
+		OnUpdate: func(update Update) { updates <- update },
 	}
-	w.Schedule.Resume(41)
+	watcher.Schedule.Resume(41)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go w.Run(ctx)
-	const whole = "/v1/endpoints"
+	go watcher.Run(ctx)
+
 	for range 3 {
-		s.asked(whole + "?after=41&wait_ms=3000")
+		s.expect(snapshotURL + "?after=41&wait_ms=3000")
 		s.answer("503 Service Unavailable", "")
 	}
-	s.asked(whole + "?after=41&wait_ms=3000")
+	s.expect(snapshotURL + "?after=41&wait_ms=3000")
 	s.answer("200 OK", `{"index":43,"snapshot":false,"endpoints":[{"name":"a","status":"ready"}]}`)
-	if n := <-news; n.Index != 43 || n.Snapshot || len(n.Endpoints) != 1 {
-		t.Errorf("heard %+v", n)
+	if update := <-updates; update.Index != 43 || update.Snapshot || len(update.Endpoints) != 1 {
+		t.Errorf("received %+v", update)
 	}
-	s.asked(whole + "?after=43&wait_ms=3000")
+	s.expect(snapshotURL + "?after=43&wait_ms=3000")
 	s.answer("410 Gone", "")
-	s.asked(whole)
+	s.expect(snapshotURL)
 	s.answer("200 OK", `{"index":7,"snapshot":true,"endpoints":[]}`)
-	s.asked(whole + "?after=7&wait_ms=3000")
+	s.expect(snapshotURL + "?after=7&wait_ms=3000")
 	s.answer("200 OK", `{"index":`)
-	s.c = nil
-	s.advance()
-	s.asked(whole)
+	s.endConnection()
+	s.expect(snapshotURL)
+}
+
+// A failed poll is logged as one event with the component's name, by which
+// operators and cmd/lotusbend's tests find it.
+func TestFailedPollIsLogged(t *testing.T) {
+	loop := clock.NewLoop(clock.Manual(1e6))
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	lines := make(chan string, 1)
+	watcher := &Watcher{
+		Loop:     loop,
+		Log:      slog.New(slog.NewTextHandler(lineWriter(lines), nil)),
+		IDs:      NewEndpointIDs(nil),
+		Schedule: polling.NewSchedule(polling.Config{}, 1),
+		dial:     func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED },
+	}
+	go watcher.Run(ctx)
+	line := <-lines
+	for _, want := range []string{`level=WARN msg="endpoint poll failed" component=discovery error="`, "retry_ms="} {
+		if !strings.Contains(line, want) {
+			t.Errorf("logged %q, want %q in it", line, want)
+		}
+	}
+}
+
+// lineWriter sends each write as a line.
+type lineWriter chan<- string
+
+func (w lineWriter) Write(line []byte) (int, error) {
+	w <- string(line)
+	return len(line), nil
 }
--- a/internal/router/observer.go
+++ b/internal/router/observer.go
@@ -174,7 +174,9 @@
 }
 
 // endpointHealth describes one endpoint to other routers.
-func (r *Router) endpointHealth(view decide.EndpointView, name string, now float64) fleetstate.EndpointHealth {
+func (r *Router) endpointHealth(
+	view decide.EndpointView, name string, now float64,
+) fleetstate.EndpointHealth {
 	health := fleetstate.EndpointHealth{
 		Name:              name,
 		Group:             view.Group,
@@ -202,7 +204,9 @@
 
 // assess adds to health what the record shows of its endpoint. Silence that has
 // lasted becomes a failure of the attempt that was awaited.
-func (record *endpointRecord) assess(view decide.EndpointView, now float64, health *fleetstate.EndpointHealth) {
+func (record *endpointRecord) assess(
+	view decide.EndpointView, now float64, health *fleetstate.EndpointHealth,
+) {
 	latency := clock.Millis(max(view.Latency, view.TypicalLatency))
 	silence := now - record.awaitedSentAt
 	failedLately := record.failedSentAt > record.answeredSentAt && now-record.failedSentAt < faultMemory
