--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -59,18 +59,18 @@
 	text := string(q.Statement.Text)
 	r.texts = append(r.texts, text)
 	s, err := wire.ParseStatement(q.Statement.Text)
-	if err != nil || s.Cluster != q.Group || s.WaitAt != q.Statement.WaitFrom || s.WaitTo != q.Statement.WaitTo || r.hold {
+	if err != nil || s.Group != q.Group || s.WaitFrom != q.Statement.WaitFrom || s.WaitTo != q.Statement.WaitTo || r.hold {
 		if !r.hold {
 			from.Answer(client, router.Answer{Verdict: router.Failed})
 		}
 		return slotmap.Handle{}
 	}
-	row := string(s.Key)
+	row := string(s.RowKey)
 	if strings.HasPrefix(text, "INSERT") {
 		_, rest, _ := strings.Cut(text, `\x`)
 		digits, _, _ := strings.Cut(rest, "'")
 		value, err := hex.DecodeString(digits)
-		if err != nil || !s.Keyed {
+		if err != nil || !s.HasIdempotencyKey {
 			from.Answer(client, router.Answer{Verdict: router.Failed})
 			return slotmap.Handle{}
 		}
--- a/internal/postgres/back/characterization_test.go
+++ b/internal/postgres/back/characterization_test.go
@@ -255,7 +255,7 @@
 			w.pool.CheckHealth(1)
 			return
 		}
-		s := router.Statement{Text: []byte(e.text), WaitFrom: parsed.WaitAt, WaitTo: parsed.WaitTo, Write: e.write}
+		s := router.Statement{Text: []byte(e.text), WaitFrom: parsed.WaitFrom, WaitTo: parsed.WaitTo, Write: e.write}
 		sent = w.pool.Send(1, router.Attempt{Number: 7}, s, 480.7)
 	})
 	return sent
--- a/internal/postgres/front/closing.go
+++ b/internal/postgres/front/closing.go
@@ -4,143 +4,22 @@
 	"errors"
 
 	"lotusbend/internal/postgres/wire"
-	"lotusbend/internal/slotmap"
 )
 
-// Times are in milliseconds.
-const (
-	// partialTimeout is how long a connection may go without a command under
-	// way: one that has not sent a whole statement by then is ended, and any
-	// other may be, if its socket is wanted.
-	partialTimeout = 2000
-	// idleTimeout ends the others: some clients keep their connections for good.
-	idleTimeout = 10000
-	// closeTimeout is how long a client may take to go once it was told.
-	closeTimeout = 1000
-	// minOnReserve bounds the clients told to go that have not gone, which live
-	// on the descriptors kept in reserve, and spareOnReserve the share of those
-	// that nobody has taken that they may hold beside: a close without a word
-	// looks to a client like a router that has died.
-	minOnReserve   = 12
-	spareOnReserve = 0.5
-	// drainDelay is how long after a drain began nobody is let go: what had come
-	// by then may be on its way from the system to the buffer, where Quiet sees
-	// it in neither.
-	drainDelay = 10
-	// drainGrace is for how long after a drain began a statement that is read
-	// may have come before it.
-	drainGrace = 100
-	// activeShare of what clients may hold for requests is where those that have
-	// sent a statement begin to make room for each other.
-	activeShare = 0.75
-)
-
-func (s *Server) mostOnReserve() int {
-	return minOnReserve + int(spareOnReserve*float64(s.budget.Spare()))
-}
-
-// evictOne ends the connection that has been idle longest, one that never sent
-// a statement before any other. Of those that did, only one that may be closed
-// goes: its client may be about to send another.
-func (s *Server) evictOne() bool {
-	c := s.longestIdle(func(c *client) bool { return !c.active })
-	if c == nil {
-		c = s.longestIdle(func(c *client) bool { return s.loop.Now() >= c.idleSince+partialTimeout && c.conn.Quiet() })
-	}
-	if c != nil {
-		s.evict(c)
-		return true
-	}
-	s.clients.Each(func(_ slotmap.Handle, told *client) { // it takes its time to go
-		if told.closing && !told.sending && (c == nil || told.idleSince < c.idleSince) {
-			c = told
-		}
-	})
-	if c != nil {
-		c.release()
-		c.conn.Close()
-	}
-	return c != nil
-}
-
-// evict lets c go and gives its place in the budget to another at once. It
-// lives on a descriptor of the reserve until its client has heard; only where
-// none is left it is closed hard.
-func (s *Server) evict(c *client) {
-	c.release()
-	if s.onReserve >= s.mostOnReserve() {
-		c.conn.Close()
-		return
-	}
-	c.onReserve = true
-	s.onReserve++
-	c.halfClose()
-}
-
-// evictIdle ends the connection that has been idle longest when clients hold
-// nearly all that they open for requests. Where each sends one and keeps its
-// connection, none is left for the next request: it would be refused over
-// there, unseen here. The protocol lets a router close between requests.
-func (s *Server) evictIdle() {
-	if float64(s.active) <= activeShare*float64(s.budget.Asking) {
-		return
-	}
-	if c := s.longestIdle(func(c *client) bool { return c.active && !c.partial && c.conn.Quiet() }); c != nil {
-		s.evict(c)
-	}
-}
+// closeTimeout is how long, in milliseconds, a client may take to close its
+// connection after our half-close.
+const closeTimeout = 1000
 
-// longestIdle returns the client that has been idle longest of those that may
-// be ended, nil if there is none.
-func (s *Server) longestIdle(may func(*client) bool) (found *client) {
-	s.clients.Each(func(_ slotmap.Handle, c *client) {
-		if !c.busy() && !c.closing && (found == nil || c.idleSince < found.idleSince) && may(c) {
-			found = c
-		}
-	})
-	return found
-}
-
-// beginIdle begins the time that c may go without a command.
-func (c *client) beginIdle() {
-	c.idleSince = c.server.loop.Now()
-	c.checkIdleAt(c.idleSince + partialTimeout)
-}
-
-func (c *client) checkIdleAt(at float64) {
-	loop := c.server.loop
-	loop.Cancel(c.idleCheck)
-	c.idleCheck = loop.At(at, c.checkIdle)
-}
-
-// checkIdle ends a connection that has been idle too long. That is no answer:
-// it must not cross a statement that is on its way up to here.
-func (c *client) checkIdle() {
-	now, budget := c.server.loop.Now(), c.server.budget
-	expired := now >= c.idleSince+idleTimeout || budget.ClientsShort()
-	switch {
-	case c.released, c.closing:
-	case c.busy(): // only a part of what comes next is there
-		c.checkIdleAt(now + partialTimeout)
-	case c.partial:
-		c.fail(errPartial)
-	case c.active && !expired:
-		c.checkIdleAt(min(now+partialTimeout, c.idleSince+idleTimeout))
-	case !c.halfCloseIfQuiet():
-		c.checkIdleAt(now + partialTimeout)
-	}
-}
-
-// fail ends an idle connection on which something came that is no message.
+// fail ends an idle connection on which something came that is not a message.
 func (c *client) fail(err error) {
-	if b := endAnswer(err); len(b) > 0 {
-		c.conn.Send(b, nil)
+	if message := finalMessage(err); len(message) > 0 {
+		c.conn.Send(message, nil)
 	}
 	c.halfClose()
 }
 
-// endAnswer is the last that a client hears when err ends its connection.
-func endAnswer(err error) []byte {
+// finalMessage is the last message to a client whose connection err ends.
+func finalMessage(err error) []byte {
 	code := wire.CodeProtocol
 	switch {
 	case errors.Is(err, errTerminate):
@@ -153,8 +32,9 @@
 	return wire.AppendError(nil, "FATAL", code, err.Error(), "")
 }
 
-// halfClose lets c go, that owes nothing: its client hears the end after what
-// was sent, and ends the connection, at the latest after a while.
+// halfClose ends our side of a connection whose commands are all answered. Its
+// client sees the end after what was sent, and closes the connection; if it
+// takes too long, the connection is closed here.
 func (c *client) halfClose() {
 	if c.closing && !c.onReserve {
 		return
@@ -163,8 +43,8 @@
 	c.awaitClose()
 }
 
-// halfCloseIfQuiet is halfClose where everything that has come was read, and
-// tells whether it was.
+// halfCloseIfQuiet is halfClose if everything that has arrived was read. It
+// reports whether it was.
 func (c *client) halfCloseIfQuiet() bool {
 	if !c.conn.FinishQuiet() {
 		return false
@@ -173,8 +53,8 @@
 	return true
 }
 
-// awaitClose has the connection closed if its client takes too long: to read its
-// last answers while these are leaving, then to go.
+// awaitClose closes the connection if its client takes too long: to read its
+// last answers while these are being sent, then to close.
 func (c *client) awaitClose() {
 	loop := c.server.loop
 	c.closing = true
@@ -182,63 +62,36 @@
 	if c.sending {
 		timeout = writeTimeout
 	}
-	loop.Cancel(c.closeBy)
-	c.closeBy = loop.At(loop.Now()+timeout, c.conn.Close)
+	loop.Cancel(c.closeTimer)
+	c.closeTimer = loop.At(loop.Now()+timeout, c.conn.Close)
 }
 
-// drainIfIdle lets c go if the server drains and c owes nothing. What may have
-// come before the drain is still read, and c looked at again after; what can
-// only have come later is not waited for, or who goes on sending would hold the
-// drain up.
-func (c *client) drainIfIdle() {
-	s := c.server
-	now := s.loop.Now()
-	if !s.draining || now < s.drainBegan+drainDelay || c.busy() || c.closing {
-		return
-	}
-	if now >= s.drainBegan+drainGrace {
-		c.halfClose()
-	} else if !c.partial {
-		c.halfCloseIfQuiet()
-	}
-}
-
-// release gives c's slot, socket and memory back; the requests of a client that
-// has gone lapse.
+// release returns c's slot, socket and memory, and cancels its requests.
 func (c *client) release() {
 	if c.released {
 		return
 	}
 	c.bookUnread(0)
-	c.released, c.closing = true, true
-	c.server.loop.Cancel(c.idleCheck)
-	c.server.loop.Cancel(c.closeBy)
-	c.server.clients.Remove(c.ref)
+	c.released = true
+	c.closing = true
+	c.server.loop.Cancel(c.idleTimer)
+	c.server.loop.Cancel(c.closeTimer)
+	c.server.clients.Remove(c.handle)
 	c.server.budget.GiveClient()
 	if c.active {
-		c.server.active--
+		c.server.activeClients--
 	}
 	c.abandonCommands()
 }
 
-// disconnected learns that the connection has ended, by either side.
+// disconnected takes the end of the connection, by either side.
 func (c *client) disconnected() {
 	c.conn.Close()
-	c.server.loop.Cancel(c.closeBy)
+	c.server.loop.Cancel(c.closeTimer)
 	if c.onReserve {
 		c.onReserve = false
-		c.server.onReserve--
+		c.server.reserveClients--
 		return
 	}
 	c.release()
 }
-
-// Drain lets clients go between their commands, from now on: those that are
-// idle now, the others after their answers. New ones are told to come again, and
-// so are statements that come later. It runs inside Do.
-func (s *Server) Drain() {
-	s.draining, s.drainBegan = true, s.loop.Now()
-	each := func() { s.clients.Each(func(_ slotmap.Handle, c *client) { c.drainIfIdle() }) }
-	s.loop.At(s.drainBegan+drainDelay, each)
-	s.loop.At(s.drainBegan+drainGrace, each)
-}
--- a/internal/postgres/front/closing_test.go
+++ b/internal/postgres/front/closing_test.go
@@ -66,7 +66,7 @@
 }
 
 // held returns how many bytes are booked for clients. It runs inside Do.
-func (d *stubRouter) held() int { return d.server.queued.Used() + d.server.unread.Used() }
+func (d *stubRouter) held() int { return d.server.queuedMemory.Used() + d.server.unreadMemory.Used() }
 
 // testMemoryMB is the memory limit of the tests' router.
 const testMemoryMB = 8
@@ -300,7 +300,7 @@
 		c.sending = true // so that the answer waits
 		c.server.Answer(d.taken[0].ref, router.Answer{Verdict: router.Failed})
 		d.taken = d.taken[:1]
-		c.sent(errors.New("it never left"))
+		c.answersSent(errors.New("it never left"))
 	})
 	d.until(func() bool { return d.only() == nil })
 	if len(d.taken) != 1 {
@@ -323,8 +323,8 @@
 		if len(d.taken) != 1 {
 			t.Errorf("%d statements were taken", len(d.taken))
 		}
-		if d.held() != 0 || len(d.server.ids) != 0 {
-			t.Errorf("%d bytes and %d ids are kept", d.held(), len(d.server.ids))
+		if d.held() != 0 || len(d.server.runningIDs) != 0 {
+			t.Errorf("%d bytes and %d ids are kept", d.held(), len(d.server.runningIDs))
 		}
 	}
 }
@@ -347,8 +347,8 @@
 		if !d.server.evictOne() {
 			t.Error("nobody makes room")
 		}
-		if d.server.onReserve != 2 {
-			t.Errorf("%d clients have their time to hear the end, want both that made room", d.server.onReserve)
+		if d.server.reserveClients != 2 {
+			t.Errorf("%d clients have their time to hear the end, want both that made room", d.server.reserveClients)
 		}
 		u.write(read(2))
 	})
--- a/internal/postgres/front/commands_test.go
+++ b/internal/postgres/front/commands_test.go
@@ -204,7 +204,7 @@
 		}
 		read := 0
 		for n := range clients {
-			if c := d.server.clients.AtSlot(uint32(n)); c != nil && c.unread == 0 && c.queue.Commands() == each {
+			if c := d.server.clients.AtSlot(uint32(n)); c != nil && c.unreadBytes == 0 && c.queue.Commands() == each {
 				read++
 			}
 		}
@@ -301,8 +301,8 @@
 	if err := f.in.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	c := &client{server: d.server, conn: netio.NewConn(f), greeted: true}
-	d.loop.Do(func() { c.ref = d.server.clients.Add(c) })
+	c := &client{server: d.server, conn: netio.NewConn(f), started: true}
+	d.loop.Do(func() { c.handle = d.server.clients.Add(c) })
 	if err := c.onData(f); err != nil || !c.discarding || !c.conn.Finishing() {
 		t.Errorf("%v; the rest is read: %v", err, !c.discarding)
 	}
@@ -321,7 +321,7 @@
 		d.until(func() bool { // each after the one before
 			n := 0
 			for i := range users {
-				if c := d.server.clients.AtSlot(uint32(i)); c != nil && (c.partial && c.unread >= wire.MaxMessage || c.closing) {
+				if c := d.server.clients.AtSlot(uint32(i)); c != nil && (c.partial && c.unreadBytes >= wire.MaxMessage || c.closing) {
 					n++
 				}
 			}
@@ -340,7 +340,7 @@
 	u.write(append(write(1), write(2)...))
 	d.submitted(1)
 	var process, secret uint32
-	d.loop.Do(func() { process, secret = d.only().ref.Slot, d.only().secret })
+	d.loop.Do(func() { process, secret = d.only().handle.Slot, d.only().secret })
 	request := func(secret uint32) {
 		b := binary.BigEndian.AppendUint32(nil, 16)
 		for _, v := range []uint32{wire.CancelRequest, process, secret} {
@@ -395,10 +395,10 @@
 // stuckClient is a client that reads nothing, with so many statements under way.
 func (d *stubRouter) stuckClient(statements int) (*client, *stuckConn) {
 	stuck := &stuckConn{readAhead: readAhead{in: netpoll.NewLinkBuffer()}, closed: make(chan struct{})}
-	c := &client{server: d.server, conn: netio.NewConn(stuck), greeted: true}
+	c := &client{server: d.server, conn: netio.NewConn(stuck), started: true}
 	d.loop.Do(func() {
 		d.server.budget.TakeClient()
-		c.ref = d.server.clients.Add(c)
+		c.handle = d.server.clients.Add(c)
 		for n := range statements {
 			if err := c.receive(wire.Query, read(n)[wire.HeaderLen:]); err != nil {
 				d.t.Fatal(err)
@@ -433,7 +433,7 @@
 	}
 	d.loop.Do(func() {
 		c.discarding = true
-		c.receiveEnd(errPartial)
+		c.receiveError(errPartial)
 	})
 	flood()
 	d.answer(0) // and it is being written
@@ -473,7 +473,7 @@
 func TestLastAnswerHasItsTimeToLeave(t *testing.T) {
 	d := newStub(t, 100)
 	c, stuck := d.stuckClient(1)
-	d.loop.Do(func() { c.receiveEnd(errPartial) })
+	d.loop.Do(func() { c.receiveError(errPartial) })
 	d.answer(0)
 	endsIn := func(want float64) { // the one deadline that there is
 		t.Helper()
@@ -491,7 +491,7 @@
 		}
 	})
 	d.pass(writeTimeout - 1)
-	d.loop.Do(func() { c.sent(nil) })
+	d.loop.Do(func() { c.answersSent(nil) })
 	endsIn(closeTimeout)
 	d.pass(closeTimeout)
 	d.until(stuck.isClosed)
--- a/internal/postgres/front/cut_test.go
+++ b/internal/postgres/front/disconnect_test.go
@@ -37,7 +37,7 @@
 				if len(d.taken) != d.lapsed || len(d.taken) > 0 != (cut == len(whole)) {
 					t.Errorf("cut after %d of %d bytes, linger %d: %d taken, %d lapsed", cut, len(whole), linger, len(d.taken), d.lapsed)
 				}
-				if n, _ := d.server.budget.Open(); n != 0 || len(d.server.ids) > 0 || d.held() != 0 {
+				if n, _ := d.server.budget.Open(); n != 0 || len(d.server.runningIDs) > 0 || d.held() != 0 {
 					t.Errorf("cut after %d of %d bytes: %d clients are counted, %d bytes held", cut, len(whole), n, d.held())
 				}
 			})
--- a/internal/postgres/front/input.go
+++ b/internal/postgres/front/input.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// maxDiscarded is what a client that was told to go, or broke the protocol,
-	// may still send: reading on would cost more than it is worth.
+	// maxDiscarded is how many bytes a client whose connection was ended, or that
+	// broke the protocol, may still send before it is cut off.
 	maxDiscarded = 64 << 10
-	// smallMessage is the size of a message that may come in parts however
-	// short memory is.
+	// smallMessage is the size, in bytes, of a message that may be received in
+	// parts even when memory is short.
 	smallMessage = 8 << 10
 )
 
-// Why nothing more is read of what a client sends.
+// Reasons why nothing more is read from a client. Their texts are sent to it.
 var (
 	errMemory    = errors.New("out of memory for what was sent ahead of the answers")
 	errTerminate = errors.New("the client ends the connection")
@@ -25,7 +25,7 @@
 	errVersion   = errors.New("unsupported protocol version")
 )
 
-// onData reads messages; a partial one waits for its rest, in this
+// onData reads messages. It waits for the rest of a partial one, in this
 // connection's own goroutine.
 func (c *client) onData(nc netpoll.Connection) error {
 	in := nc.Reader()
@@ -34,13 +34,13 @@
 			return c.discard(nc)
 		}
 		read := c.readMessage
-		if !c.greeted {
+		if !c.started {
 			read = c.readStartup
 		}
-		if err := read(in); err != nil { // what came before it is still answered, in its turn
+		if err := read(in); err != nil { // what came before is still answered, in its turn
 			c.server.loop.Do(func() {
 				c.discarding = true
-				c.receiveEnd(err)
+				c.receiveError(err)
 			})
 			continue
 		}
@@ -51,20 +51,21 @@
 	return nil
 }
 
-// discard drops what has come: only the client's end still matters. One that
-// goes on sending is cut off once all that it is owed is with the system.
+// discard drops what has arrived: only the client's close still matters. A
+// client that goes on sending is cut off once all its answers are written to
+// the system.
 func (c *client) discard(nc netpoll.Connection) error {
 	in := nc.Reader()
 	n := in.Len()
-	owed := false
+	busy := false
 	c.server.loop.Do(func() {
 		c.bookUnread(0)
-		owed = c.busy()
+		busy = c.busy()
 	})
-	if !owed {
-		c.discarded += n
+	if !busy {
+		c.discardedBytes += n
 	}
-	if c.discarded > maxDiscarded {
+	if c.discardedBytes > maxDiscarded {
 		c.conn.Close()
 		return nc.Close()
 	}
@@ -72,30 +73,19 @@
 	return in.Release()
 }
 
-// bookUnread books what lies in the read buffer, or is to come of a message
-// that has begun. It tells whether memory for it is left: the poller reads on
-// whatever becomes of the bytes, so that a flood has to be ended.
-func (c *client) bookUnread(n int) bool {
-	if c.released {
-		return true
-	}
-	c.server.unread.Book(n - c.unread)
-	c.unread = n
-	return n <= smallMessage || !c.server.unread.Exceeded()
-}
-
-// await waits until n bytes are there and returns them; they stay in the
-// buffer. While some are still to come, the client has sent a part of a message.
+// await waits until n bytes have arrived and returns them; they stay in the
+// buffer. While some are missing, the client counts as having sent a part of a
+// message.
 func (c *client) await(in netpoll.Reader, n int) ([]byte, error) {
 	if in.Len() >= n {
 		return in.Peek(n)
 	}
-	room := true
+	fits := true
 	c.server.loop.Do(func() {
-		room = c.bookUnread(n)
+		fits = c.bookUnread(n)
 		c.setPartial(true)
 	})
-	if !room {
+	if !fits {
 		return nil, errMemory
 	}
 	b, err := in.Peek(n)
@@ -103,16 +93,17 @@
 	return b, err
 }
 
-// setPartial notes whether a part of a message has come and its rest has not.
-func (c *client) setPartial(is bool) {
-	c.partial = is
+// setPartial records whether a part of a message has arrived without its rest.
+func (c *client) setPartial(partial bool) {
+	c.partial = partial
 	if !c.busy() && !c.released {
 		c.beginIdle()
 		c.drainIfIdle()
 	}
 }
 
-// readStartup reads one message of those that come before any other.
+// readStartup reads one of the messages that precede all others: a request for
+// encryption, a CancelRequest, or the startup message.
 func (c *client) readStartup(in netpoll.Reader) error {
 	head, err := c.await(in, wire.StartupHeaderLen)
 	if err != nil {
@@ -125,11 +116,11 @@
 	if _, err = c.await(in, wire.StartupHeaderLen+n); err != nil {
 		return err
 	}
-	b, err := in.Next(wire.StartupHeaderLen + n)
+	message, err := in.Next(wire.StartupHeaderLen + n)
 	if err != nil {
 		return err
 	}
-	body := b[wire.StartupHeaderLen:]
+	body := message[wire.StartupHeaderLen:]
 	switch code := wire.StartupCode(body); {
 	case code == wire.SSLRequest, code == wire.GSSRequest:
 		c.conn.Send([]byte{'N'}, nil)
@@ -142,33 +133,37 @@
 	case code>>16 != wire.Version3>>16:
 		return errVersion
 	}
-	c.greeted = true
+	c.started = true
 	c.server.loop.Do(func() { c.bookUnread(in.Len()) })
-	c.conn.Send(c.greeting(), nil)
+	c.conn.Send(c.startupAnswer(), nil)
 	return nil
 }
 
-// greeting is what a connection hears when it is up.
-func (c *client) greeting() []byte {
+// startupAnswer is the answer to the startup message.
+func (c *client) startupAnswer() []byte {
 	b := wire.AppendAuthenticationOk(nil)
-	for _, p := range [...][2]string{
-		{"server_version", "15.0"}, {"server_encoding", "UTF8"}, {"client_encoding", "UTF8"},
-		{"DateStyle", "ISO, MDY"}, {"integer_datetimes", "on"}, {"standard_conforming_strings", "on"},
+	for _, parameter := range [...]struct{ name, value string }{
+		{"server_version", "15.0"},
+		{"server_encoding", "UTF8"},
+		{"client_encoding", "UTF8"},
+		{"DateStyle", "ISO, MDY"},
+		{"integer_datetimes", "on"},
+		{"standard_conforming_strings", "on"},
 	} {
-		b = wire.AppendParameter(b, p[0], p[1])
+		b = wire.AppendParameter(b, parameter.name, parameter.value)
 	}
-	return wire.AppendReady(wire.AppendKeyData(b, c.ref.Slot, c.secret))
+	return wire.AppendReady(wire.AppendKeyData(b, c.handle.Slot, c.secret))
 }
 
-// readMessage reads one message of a connection that is up. It is taken off
-// the buffer inside Do, where it is taken up too: whoever ends the connection
-// there has to find it in the one or in the other.
+// readMessage reads one message after the startup. It is taken off the buffer
+// and received inside one Do: code there that ends the connection must find it
+// in the buffer or in the queue.
 func (c *client) readMessage(in netpoll.Reader) error {
-	h, err := c.await(in, wire.HeaderLen)
+	head, err := c.await(in, wire.HeaderLen)
 	if err != nil {
 		return err
 	}
-	kind, n, err := wire.Header(h)
+	kind, n, err := wire.Header(head)
 	if err != nil {
 		return err
 	}
@@ -176,11 +171,13 @@
 		return err
 	}
 	c.server.loop.Do(func() {
-		var b []byte
-		if b, err = in.Next(wire.HeaderLen + n); err != nil {
+		var message []byte
+		message, err = in.Next(wire.HeaderLen + n)
+		if err != nil {
 			return
 		}
-		if err = c.receive(kind, b[wire.HeaderLen:]); err == nil && !c.bookUnread(in.Len()) {
+		err = c.receive(kind, message[wire.HeaderLen:])
+		if err == nil && !c.bookUnread(in.Len()) {
 			err = errMemory
 		}
 	})
--- a/internal/postgres/wire/characterization_test.go
+++ b/internal/postgres/wire/characterization_test.go
@@ -245,9 +245,9 @@
 	if err != nil {
 		return
 	}
-	d.texts(s.ID, s.Class, s.Key)
-	d.flags(s.Keyed, s.Key == nil)
-	d.numbers(s.Cluster, s.WaitAt, s.WaitTo, int(math.Float64bits(s.After)), int(math.Float64bits(s.Wait)))
+	d.texts(s.ID, s.Class, s.RowKey)
+	d.flags(s.HasIdempotencyKey, s.RowKey == nil)
+	d.numbers(s.Group, s.WaitFrom, s.WaitTo, int(math.Float64bits(s.SessionCommitAt)), int(math.Float64bits(s.Wait)))
 }
 
 // rewrittenStatement returns the query with another wait in its comment, nil if
@@ -258,7 +258,7 @@
 		return nil
 	}
 	left := strconv.AppendInt(nil, 123, 10)
-	return wire.AppendQuery(nil, []byte(text[:s.WaitAt]), left, []byte(text[s.WaitTo:]))
+	return wire.AppendQuery(nil, []byte(text[:s.WaitFrom]), left, []byte(text[s.WaitTo:]))
 }
 
 // mutated returns b with a few bytes changed, added or taken out.
--- a/internal/postgres/wire/wire_test.go
+++ b/internal/postgres/wire/wire_test.go
@@ -8,8 +8,8 @@
 func TestParseStatement(t *testing.T) {
 	const read = `SELECT doc FROM items WHERE id = '7f3a' /* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */`
 	s, err := ParseStatement([]byte(read))
-	if err != nil || string(s.ID) != "9b1f" || string(s.Class) != "basket" || s.Wait != 480 || s.Cluster != 2 ||
-		s.After != 1767225600123 || string(s.Key) != "7f3a" || read[s.WaitAt:s.WaitTo] != "480" {
+	if err != nil || string(s.ID) != "9b1f" || string(s.Class) != "basket" || s.Wait != 480 || s.Group != 2 ||
+		s.SessionCommitAt != 1767225600123 || string(s.RowKey) != "7f3a" || read[s.WaitFrom:s.WaitTo] != "480" {
 		t.Errorf("%+v, %v", s, err)
 	}
 	for _, bad := range []string{
@@ -69,7 +69,7 @@
 	f.Add([]byte(`SELECT '1' /* id=1,c=a,d=5,cluster=1,after=7 */`))
 	f.Add(AppendRowDescription(nil, Column{Name: []byte("doc")})[HeaderLen:])
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if s, err := ParseStatement(b); err == nil && s.WaitAt >= s.WaitTo {
+		if s, err := ParseStatement(b); err == nil && s.WaitFrom >= s.WaitTo {
 			t.Errorf("%q: no digits", b)
 		}
 		_, _ = ParseRowDescription(b)
