--- a/internal/postgres/front/disconnect_test.go
+++ b/internal/postgres/front/disconnect_test.go
@@ -2,43 +2,76 @@
 
 import (
 	"errors"
-	"net"
+	"fmt"
 	"testing"
 
 	"lotusbend/internal/postgres/wire"
 )
 
-// What a client sends may be cut after any of its bytes, by an end or a reset.
-// Nothing but a whole statement is taken; its request lapses, and of the client
-// nothing is left, at a clock that stands still.
-func TestClientCutAnywhere(t *testing.T) {
-	d := newStub(t, 100)
-	whole := append(wire.AppendStartup(nil, "app", "shop"), read(1)...)
-	for _, linger := range []int{-1, 0} { // an end, a reset
+// A client that disconnects, by an EOF or a reset, with statements sent ahead and
+// a part of one more, is released at once; nothing more of it is submitted.
+func TestClientThatDisconnectsIsReleased(t *testing.T) {
+	for _, linger := range []int{-1, 0} { // an EOF, a reset
+		stub := newStub(t, 100)
+		peer := stub.connect()
+		peer.write(append(append(writeQuery(1), writeQuery(2)...), writeQuery(3)[:11]...))
+		stub.waitUntil(func() bool {
+			return len(stub.submitted) == 1 && stub.onlyClient().queue.Len() == 2 && stub.onlyClient().partial
+		})
+		if err := errors.Join(peer.conn.SetLinger(linger), peer.conn.Close()); err != nil {
+			t.Fatal(err)
+		}
+		stub.waitUntil(func() bool { // without any time passing
+			return stub.cancelled == 1 && stub.onlyClient() == nil
+		})
+		if len(stub.submitted) != 1 {
+			t.Errorf("%d statements were submitted", len(stub.submitted))
+		}
+		if stub.bookedBytes() != 0 || len(stub.server.runningIDs) != 0 {
+			t.Errorf("%d bytes and %d IDs are kept", stub.bookedBytes(), len(stub.server.runningIDs))
+		}
+	}
+}
+
+// What a client sends may be truncated after any of its bytes, by an EOF or a
+// reset. Only a whole statement is submitted; its request is cancelled, and the
+// client is released without any time passing.
+func TestTruncatedInput(t *testing.T) {
+	stub := newStub(t, 100)
+	whole := append(wire.AppendStartup(nil, "app", "shop"), readQuery(1)...)
+	for _, linger := range []int{-1, 0} { // an EOF, a reset
 		for cut := range len(whole) + 1 {
-			d.loop.Do(func() { d.taken, d.lapsed = nil, 0 })
-			c, err := net.Dial("tcp", d.server.Address())
-			if err != nil {
-				t.Fatal(err)
-			}
-			if _, err := c.Write(whole[:cut]); err != nil {
-				t.Fatal(err)
-			}
+			stub.loop.Do(func() {
+				stub.submitted = nil
+				stub.cancelled = 0
+			})
+			peer := stub.dial()
+			peer.write(whole[:cut])
 			if cut == len(whole) {
-				d.submitted(1)
+				stub.waitSubmitted(1)
 			} else {
-				d.until(func() bool { clients, _ := d.server.Open(); return clients == 1 })
+				stub.waitUntil(func() bool {
+					clients, _ := stub.server.Open()
+					return clients == 1
+				})
 			}
-			if err := errors.Join(c.(*net.TCPConn).SetLinger(linger), c.Close()); err != nil {
+			if err := errors.Join(peer.conn.SetLinger(linger), peer.conn.Close()); err != nil {
 				t.Fatal(err)
 			}
-			d.until(func() bool { clients, leaving := d.server.Open(); return clients+leaving == 0 })
-			d.loop.Do(func() {
-				if len(d.taken) != d.lapsed || len(d.taken) > 0 != (cut == len(whole)) {
-					t.Errorf("cut after %d of %d bytes, linger %d: %d taken, %d lapsed", cut, len(whole), linger, len(d.taken), d.lapsed)
+			stub.waitClosed()
+			stub.loop.Do(func() {
+				at := fmt.Sprintf("truncated after %d of %d bytes, linger %d", cut, len(whole), linger)
+				if submitted := len(stub.submitted) > 0; submitted != (cut == len(whole)) {
+					t.Errorf("%s: submitted %v", at, submitted)
+				}
+				if len(stub.submitted) != stub.cancelled {
+					t.Errorf("%s: %d submitted, %d cancelled", at, len(stub.submitted), stub.cancelled)
+				}
+				if clients, _ := stub.server.budget.Open(); clients != 0 {
+					t.Errorf("%s: %d clients are counted", at, clients)
 				}
-				if n, _ := d.server.budget.Open(); n != 0 || len(d.server.runningIDs) > 0 || d.held() != 0 {
-					t.Errorf("cut after %d of %d bytes: %d clients are counted, %d bytes held", cut, len(whole), n, d.held())
+				if len(stub.server.runningIDs) > 0 || stub.bookedBytes() != 0 {
+					t.Errorf("%s: %d IDs and %d bytes are kept", at, len(stub.server.runningIDs), stub.bookedBytes())
 				}
 			})
 		}
--- a/internal/postgres/front/partial_test.go
+++ b/internal/postgres/front/partial_test.go
@@ -14,45 +14,51 @@
 	"lotusbend/internal/slotmap"
 )
 
-// nothing knows no class.
-type nothing struct{}
+// noClasses knows no class.
+type noClasses struct{}
 
-func (nothing) Class([]byte) (router.Class, bool)                                       { return router.Class{}, false }
-func (nothing) Submit(router.Request, router.Client, slotmap.Handle) (r slotmap.Handle) { return r }
-func (nothing) ClientCancelled(slotmap.Handle)                                          {}
+func (noClasses) Class([]byte) (router.Class, bool) { return router.Class{}, false }
 
-// A message of which a part never comes must hold its connection no longer
-// than the limit, at a startup and after it; the time counts from that part.
-func TestPartOfAMessageIsGivenUp(t *testing.T) {
-	now := clock.Manual(1000)
-	loop := clock.NewLoop(now)
-	s, err := Listen("127.0.0.1:0", loop, netio.NewDescriptorBudget(100), testMemoryMB, nothing{})
+func (noClasses) Submit(router.Request, router.Client, slotmap.Handle) (r slotmap.Handle) { return r }
+
+func (noClasses) ClientCancelled(slotmap.Handle) {}
+
+// A message whose rest never arrives keeps its connection open no longer than the
+// timeout, at the startup and after it; the timeout counts from its first part.
+func TestPartialMessageTimesOut(t *testing.T) {
+	manual := clock.Manual(1000)
+	loop := clock.NewLoop(manual)
+	server, err := Listen("127.0.0.1:0", loop, netio.NewDescriptorBudget(100), testMemoryMB, noClasses{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = s.Serve() }()
+	go func() { _ = server.Serve() }()
 	startup := string(wire.AppendStartup(nil, "app", "shop"))
-	asked := startup + string(wire.AppendQuery(nil, []byte("SELECT 1")))
-	for _, text := range []string{startup[:9], startup + "Q\x00", asked + "Q\x00\x00\x00\x40SELECT"} {
-		c, err := net.Dial("tcp", s.Address())
+	queried := startup + string(wire.AppendQuery(nil, []byte("SELECT 1")))
+	for _, text := range []string{startup[:9], startup + "Q\x00", queried + "Q\x00\x00\x00\x40SELECT"} {
+		conn, err := net.Dial("tcp", server.Address())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := c.Write([]byte(text)); err != nil {
+		if _, err := conn.Write([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
-		for half := false; !half; runtime.Gosched() {
-			loop.Do(func() { s.clients.Each(func(_ slotmap.Handle, c *client) { half = half || c.partial && !c.busy() }) })
+		for partial := false; !partial; runtime.Gosched() {
+			loop.Do(func() {
+				server.clients.Each(func(_ slotmap.Handle, c *client) {
+					partial = partial || c.partial && !c.busy()
+				})
+			})
 		}
-		now.Set(now.Now() + partialTimeout)
+		manual.Set(manual.Now() + partialTimeout)
 		loop.Fire()
-		got, _ := io.ReadAll(c) // up to the end, however it comes
+		got, _ := io.ReadAll(conn) // up to the EOF or reset
 		if !strings.Contains(string(got), "08P01") {
 			t.Errorf("%q: got %q", text, got)
 		}
-		_ = c.Close()
+		_ = conn.Close()
 		for open := 1; open > 0; runtime.Gosched() {
-			loop.Do(func() { open, _ = s.budget.Open() })
+			loop.Do(func() { open, _ = server.budget.Open() })
 		}
 	}
 }
