--- a/cmd/lotusbend/endpoints.go
+++ b/cmd/lotusbend/endpoints.go
@@ -73,7 +73,7 @@
 func (n *node) applyUpdate(update discovery.Update) []decide.Endpoint {
 	endpoints := make([]decide.Endpoint, len(update.Endpoints))
 	for i, listed := range update.Endpoints {
-		n.pool.SetHost(listed.ID, listed.Address, listed.State == decide.Ready)
+		n.pool.SetEndpoint(listed.ID, listed.Address, listed.State == decide.Ready)
 		n.rememberName(listed)
 		endpoints[i] = listed.Endpoint
 	}
--- /dev/null
+++ b/internal/postgres/back/characterization_exchanges_test.go
@@ -0,0 +1,212 @@
+package back_test
+
+import (
+	"net"
+	"slices"
+
+	"lotusbend/internal/postgres/wire"
+	"lotusbend/internal/router"
+)
+
+// exchange is one statement or health check, and what its endpoint answers.
+type exchange struct {
+	healthCheck  bool
+	write        bool
+	text         string  // of the statement, readStatement if empty
+	timePasses   float64 // milliseconds after the connection was accepted
+	forbidden    bool    // it may not be sent once there is a connection
+	startupError []byte  // ends the connection in answer to the startup; nil for greeting
+	answer       []byte
+	ends         bool // the endpoint ends the connection after its answer
+}
+
+const (
+	readStatement  = "SELECT doc FROM items WHERE id = 'a' /* id=1,c=read,d=480,cluster=2,after=5 */"
+	writeStatement = "INSERT INTO items VALUES ('a') /* id=1,c=write,k=b,d=480,cluster=2 */"
+)
+
+var greeting = inTurn(
+	wire.AppendAuthenticationOk(nil), wire.AppendParameter(nil, "server_version", "15.0"),
+	wire.AppendKeyData(nil, 1, 2), wire.AppendReady(nil),
+)
+
+func inTurn(parts ...[]byte) []byte { return slices.Concat(parts...) }
+
+// answer is a row of one column, with parameters of the endpoint.
+func answer(value, tag string, parameters ...string) []byte {
+	b := wire.AppendRowDescription(nil, wire.Column{Name: []byte("doc"), Type: 25, Size: -1})
+	b = wire.AppendComplete(wire.AppendDataRow(b, []byte(value)), []byte(tag))
+	for i := 0; i < len(parameters); i += 2 {
+		b = wire.AppendParameter(b, parameters[i], parameters[i+1])
+	}
+	return wire.AppendReady(b)
+}
+
+func failure(code string, parameters ...string) []byte {
+	b := wire.AppendError(nil, "ERROR", code, "no", "")
+	for i := 0; i < len(parameters); i += 2 {
+		b = wire.AppendParameter(b, parameters[i], parameters[i+1])
+	}
+	return wire.AppendReady(b)
+}
+
+var exchanges = map[string]exchange{
+	"read": {answer: answer("v", "SELECT 1")},
+	"read-from-replica": {
+		answer: answer("v", "SELECT 1", "recovery", "on", "lsn_ms", "1767225600123.4567891"),
+	},
+	"read-of-role-unknown": {answer: answer("v", "SELECT 1", "recovery", "perhaps", "lsn_ms", "-5")},
+	"write": {
+		write:  true,
+		text:   writeStatement,
+		answer: answer("v", "INSERT 0 1", "recovery", "off", "lsn_ms", "1767225600123.4567891"),
+	},
+	"write-in-lower-case": {
+		write:  true,
+		text:   "update items /* id=1,c=write,k=b,d=480,cluster=2 */",
+		answer: answer("v", "UPDATE 1", "lsn_ms", "7"),
+	},
+	"position-not-a-number": {answer: answer("v", "SELECT 1", "lsn_ms", "7.x")},
+	"position-too-large":    {answer: answer("v", "SELECT 1", "lsn_ms", "4000000000001")},
+	"binary-row": {
+		answer: inTurn(
+			wire.AppendRowDescription(nil, wire.Column{Name: []byte("n"), Type: 23, Size: 4, Binary: true}),
+			wire.AppendDataRow(nil, []byte{0, 0, 0, 9}), wire.AppendComplete(nil, []byte("SELECT 1")),
+			wire.AppendReady(nil),
+		),
+	},
+	"notice":           {answer: inTurn(notice(), answer("v", "SELECT 1"))},
+	"wait-partly-over": {timePasses: 100.5, answer: answer("v", "SELECT 1")},
+	"wait-over":        {timePasses: 1000, answer: answer("v", "SELECT 1")},
+	"not-sent":         {forbidden: true},
+	"error-read-only":  {answer: failure(wire.CodeReadOnly, "recovery", "on")},
+	"error-behind":     {answer: failure(wire.CodeTooFarBehind)},
+	"error-full":       {answer: failure(wire.CodeTooManyConnections)},
+	"error-syntax":     {answer: failure(wire.CodeSyntax)},
+	"error-protocol":   {answer: failure(wire.CodeProtocol)},
+	"error-other":      {answer: failure("XX000")},
+	"startup-full": {
+		startupError: wire.AppendError(nil, "FATAL", wire.CodeTooManyConnections, "no", ""),
+	},
+	"startup-refused": {
+		startupError: wire.AppendError(nil, "FATAL", wire.CodeCannotConnectNow, "no", ""),
+	},
+	"startup-ends":          {startupError: []byte{}},
+	"startup-with-password": {startupError: []byte("R\x00\x00\x00\x08\x00\x00\x00\x03")},
+	"no-answer":             {ends: true},
+	"answer-before-the-end": {
+		answer: answer("v", "SELECT 1")[:len(answer("v", "SELECT 1"))-6],
+		ends:   true,
+	},
+	"answer-cut":               {answer: answer("v", "SELECT 1")[:20], ends: true},
+	"tag-of-another-statement": {answer: answer("v", "INSERT 0 1")},
+	"tag-of-two-rows":          {answer: answer("v", "SELECT 2")},
+	"ready-without-answer":     {answer: wire.AppendReady(nil)},
+	"row-without-description":  {answer: wire.AppendDataRow(nil, []byte("v"))},
+	"ready-of-no-state":        {answer: []byte("Z\x00\x00\x00\x05X")},
+	"message-of-no-kind":       {answer: []byte("?\x00\x00\x00\x04")},
+	"message-too-long":         {answer: []byte("C\x00\x00\x40\x00")},
+	"row-of-lying-length": {
+		answer: inTurn(
+			wire.AppendRowDescription(nil, wire.Column{Name: []byte("doc")}),
+			[]byte("D\x00\x00\x00\x0b\x00\x01\x00\x00\x00\x09v"),
+		),
+	},
+	"error-behind-the-answer": {
+		answer: inTurn(answer("v", "SELECT 1")[:len(answer("v", "SELECT 1"))-6], failure("XX000")),
+	},
+	"probe":            {healthCheck: true, answer: answer("x0=12.5,x1=1,role=1", "SHOW")},
+	"probe-error":      {healthCheck: true, answer: failure("XX000")},
+	"probe-unreadable": {healthCheck: true, answer: answer("x0=much", "SHOW")},
+	"probe-empty":      {healthCheck: true, answer: answer("", "SHOW")},
+	"probe-spoilt":     {healthCheck: true, answer: wire.AppendReady(nil)},
+	"probe-startup-full": {
+		healthCheck:  true,
+		startupError: wire.AppendError(nil, "FATAL", wire.CodeTooManyConnections, "no", ""),
+	},
+	"probe-that-ends-unheard": {healthCheck: true, ends: true},
+	"probe-of-a-replica":      {healthCheck: true, answer: answer("x0=1767225600.1234567891,x1=0,x7=4", "SHOW")},
+	"probe-of-no-role":        {healthCheck: true, answer: answer("x1=2", "SHOW")},
+	"probe-of-no-position":    {healthCheck: true, answer: answer("x0=-1", "SHOW")},
+}
+
+func notice() []byte {
+	b := wire.AppendError(nil, "WARNING", "01000", "careful", "")
+	b[0] = wire.NoticeResponse
+	return b
+}
+
+// failures are attempts and health checks that are not ended by an answer.
+var failures = map[string]func(*world) string{
+	"without-host": func(w *world) string {
+		w.loop.Do(func() { w.pool.Send(2, router.Attempt{Number: 3}, router.Statement{}, 10) })
+		return w.report()
+	},
+	"host-not-there": func(w *world) string {
+		_ = w.listener.Close()
+		w.start(exchange{})
+		return w.report()
+	},
+	"connect-timeout": func(w *world) string {
+		w.start(exchange{})
+		w.readStartup(w.accept())
+		w.passTime(250)
+		return w.report()
+	},
+	"probe-timeout": func(w *world) string {
+		w.start(exchange{healthCheck: true})
+		c := w.accept()
+		w.readStartup(c)
+		w.write(c, greeting)
+		w.readMessage(c)
+		w.passTime(250)
+		return w.report()
+	},
+	"no-socket-left": func(w *world) string {
+		w.takeAllSockets()
+		w.start(exchange{})
+		return w.report()
+	},
+	"socket-of-an-idle-connection": func(w *world) string {
+		c := w.idleConnection()
+		w.takeAllSockets()
+		other, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			w.t.Fatal(err)
+		}
+		defer other.Close()
+		w.loop.Do(func() {
+			w.pool.SetEndpoint(2, other.Addr().String(), true)
+			w.pool.CheckHealth(2)
+		})
+		w.expectEOF(c)
+		w.listener = other
+		second := w.accept()
+		w.readStartup(second)
+		w.write(second, greeting)
+		w.readMessage(second)
+		w.write(second, answer("x0=5", "SHOW"))
+		return w.report()
+	},
+	"host-no-longer-usable": func(w *world) string {
+		c := w.idleConnection()
+		w.loop.Do(func() { w.pool.SetEndpoint(1, "", false) })
+		w.expectEOF(c)
+		return w.cancelled(w.start(exchange{}))
+	},
+	"cancelled-before-it-began": func(w *world) string { return w.cancelled(w.start(exchange{})) },
+	"cancelled-write": func(w *world) string {
+		sent := w.start(exchange{write: true, text: writeStatement})
+		c := w.accept()
+		w.readStartup(c)
+		w.write(c, greeting)
+		w.readMessage(c)
+		text := w.cancelled(sent)
+		w.expectEOF(c)
+		return text
+	},
+	"cancelled-twice": func(w *world) string {
+		sent := w.start(exchange{})
+		return w.cancelled(sent) + w.cancelled(sent)
+	},
+}
--- a/internal/postgres/back/characterization_test.go
+++ b/internal/postgres/back/characterization_test.go
@@ -24,17 +24,18 @@
 
 // update rewrites the expected values. They may change only with a deliberate
 // change of behaviour, which the commit has to name.
-var update = flag.Bool("update", false, "rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
+var update = flag.Bool("update", false,
+	"rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
 
 const expectedFile = "testdata/characterization.txt"
 
-// TestCharacterization pins every byte that a database host hears, and what is
+// TestCharacterization pins every byte that an endpoint receives, and what is
 // reported of its answers.
 func TestCharacterization(t *testing.T) {
 	got := map[string]string{}
 	for name, e := range exchanges {
 		w := newWorld(t)
-		w.events.stays = e.stays
+		w.events.forbidden = e.forbidden
 		heard := w.exchange(e)
 		got["heard-"+name], got["reported-"+name] = hex.EncodeToString(heard), w.report()
 	}
@@ -82,102 +83,10 @@
 	}
 }
 
-// exchange is one statement or probe, and what its host answers.
-type exchange struct {
-	probe   bool
-	write   bool
-	text    string // of the statement, readStatement if empty
-	passes  float64
-	stays   bool   // it may no longer be sent once there is a connection
-	refusal []byte // the answer to the startup, which ends the connection; greeting if nil
-	answer  []byte
-	ends    bool // the host ends the connection behind its answer
-}
-
-const (
-	readStatement  = "SELECT doc FROM items WHERE id = 'a' /* id=1,c=read,d=480,cluster=2,after=5 */"
-	writeStatement = "INSERT INTO items VALUES ('a') /* id=1,c=write,k=b,d=480,cluster=2 */"
-)
-
-var greeting = inTurn(wire.AppendAuthenticationOk(nil), wire.AppendParameter(nil, "server_version", "15.0"), wire.AppendKeyData(nil, 1, 2), wire.AppendReady(nil))
-
-func inTurn(parts ...[]byte) []byte { return slices.Concat(parts...) }
-
-// answer is a row of one column with what a host says of itself.
-func answer(value, tag string, parameters ...string) []byte {
-	b := wire.AppendRowDescription(nil, wire.Column{Name: []byte("doc"), Type: 25, Size: -1})
-	b = wire.AppendComplete(wire.AppendDataRow(b, []byte(value)), []byte(tag))
-	for i := 0; i < len(parameters); i += 2 {
-		b = wire.AppendParameter(b, parameters[i], parameters[i+1])
-	}
-	return wire.AppendReady(b)
-}
-
-func failure(code string, parameters ...string) []byte {
-	b := wire.AppendError(nil, "ERROR", code, "no", "")
-	for i := 0; i < len(parameters); i += 2 {
-		b = wire.AppendParameter(b, parameters[i], parameters[i+1])
-	}
-	return wire.AppendReady(b)
-}
-
-var exchanges = map[string]exchange{
-	"read":                     {answer: answer("v", "SELECT 1")},
-	"read-from-replica":        {answer: answer("v", "SELECT 1", "recovery", "on", "lsn_ms", "1767225600123.4567891")},
-	"read-of-role-unknown":     {answer: answer("v", "SELECT 1", "recovery", "perhaps", "lsn_ms", "-5")},
-	"write":                    {write: true, text: writeStatement, answer: answer("v", "INSERT 0 1", "recovery", "off", "lsn_ms", "1767225600123.4567891")},
-	"write-in-lower-case":      {write: true, text: "update items /* id=1,c=write,k=b,d=480,cluster=2 */", answer: answer("v", "UPDATE 1", "lsn_ms", "7")},
-	"position-not-a-number":    {answer: answer("v", "SELECT 1", "lsn_ms", "7.x")},
-	"position-too-large":       {answer: answer("v", "SELECT 1", "lsn_ms", "4000000000001")},
-	"binary-row":               {answer: inTurn(wire.AppendRowDescription(nil, wire.Column{Name: []byte("n"), Type: 23, Size: 4, Binary: true}), wire.AppendDataRow(nil, []byte{0, 0, 0, 9}), wire.AppendComplete(nil, []byte("SELECT 1")), wire.AppendReady(nil))},
-	"notice":                   {answer: inTurn(notice(), answer("v", "SELECT 1"))},
-	"wait-partly-over":         {passes: 100.5, answer: answer("v", "SELECT 1")},
-	"wait-over":                {passes: 1000, answer: answer("v", "SELECT 1")},
-	"not-sent":                 {stays: true},
-	"error-read-only":          {answer: failure(wire.CodeReadOnly, "recovery", "on")},
-	"error-behind":             {answer: failure(wire.CodeTooFarBehind)},
-	"error-full":               {answer: failure(wire.CodeTooManyConnections)},
-	"error-syntax":             {answer: failure(wire.CodeSyntax)},
-	"error-protocol":           {answer: failure(wire.CodeProtocol)},
-	"error-other":              {answer: failure("XX000")},
-	"startup-full":             {refusal: wire.AppendError(nil, "FATAL", wire.CodeTooManyConnections, "no", "")},
-	"startup-refused":          {refusal: wire.AppendError(nil, "FATAL", wire.CodeCannotConnectNow, "no", "")},
-	"startup-ends":             {refusal: []byte{}},
-	"startup-with-password":    {refusal: []byte("R\x00\x00\x00\x08\x00\x00\x00\x03")},
-	"no-answer":                {ends: true},
-	"answer-before-the-end":    {answer: answer("v", "SELECT 1")[:len(answer("v", "SELECT 1"))-6], ends: true},
-	"answer-cut":               {answer: answer("v", "SELECT 1")[:20], ends: true},
-	"tag-of-another-statement": {answer: answer("v", "INSERT 0 1")},
-	"tag-of-two-rows":          {answer: answer("v", "SELECT 2")},
-	"ready-without-answer":     {answer: wire.AppendReady(nil)},
-	"row-without-description":  {answer: wire.AppendDataRow(nil, []byte("v"))},
-	"ready-of-no-state":        {answer: []byte("Z\x00\x00\x00\x05X")},
-	"message-of-no-kind":       {answer: []byte("?\x00\x00\x00\x04")},
-	"message-too-long":         {answer: []byte("C\x00\x00\x40\x00")},
-	"row-of-lying-length":      {answer: inTurn(wire.AppendRowDescription(nil, wire.Column{Name: []byte("doc")}), []byte("D\x00\x00\x00\x0b\x00\x01\x00\x00\x00\x09v"))},
-	"error-behind-the-answer":  {answer: inTurn(answer("v", "SELECT 1")[:len(answer("v", "SELECT 1"))-6], failure("XX000"))},
-	"probe":                    {probe: true, answer: answer("x0=12.5,x1=1,role=1", "SHOW")},
-	"probe-error":              {probe: true, answer: failure("XX000")},
-	"probe-unreadable":         {probe: true, answer: answer("x0=much", "SHOW")},
-	"probe-empty":              {probe: true, answer: answer("", "SHOW")},
-	"probe-spoilt":             {probe: true, answer: wire.AppendReady(nil)},
-	"probe-startup-full":       {probe: true, refusal: wire.AppendError(nil, "FATAL", wire.CodeTooManyConnections, "no", "")},
-	"probe-that-ends-unheard":  {probe: true, ends: true},
-	"probe-of-a-replica":       {probe: true, answer: answer("x0=1767225600.1234567891,x1=0,x7=4", "SHOW")},
-	"probe-of-no-role":         {probe: true, answer: answer("x1=2", "SHOW")},
-	"probe-of-no-position":     {probe: true, answer: answer("x0=-1", "SHOW")},
-}
-
-func notice() []byte {
-	b := wire.AppendError(nil, "WARNING", "01000", "careful", "")
-	b[0] = wire.NoticeResponse
-	return b
-}
-
-// settled is longer than a connection rests after an answer, in milliseconds.
+// settled is longer than the settle delay after an answer, in milliseconds.
 const settled = 5
 
-// world is a pool with one host, which the test plays.
+// world is a pool with one endpoint, which the test plays.
 type world struct {
 	t        *testing.T
 	clock    *clock.Clock
@@ -188,13 +97,13 @@
 	listener net.Listener
 }
 
-// events writes down what is reported, as numbers and bytes.
+// events records what is reported, as numbers and bytes.
 type events struct {
-	stays   bool
-	reports chan string
+	forbidden bool // attempts may not be sent
+	reports   chan string
 }
 
-func (e *events) MaySend(router.Attempt) bool { return !e.stays }
+func (e *events) MaySend(router.Attempt) bool { return !e.forbidden }
 
 func (e *events) AttemptEnded(a router.Attempt, rep router.AttemptReport) {
 	e.reports <- reportText(1, uint64(a.Number), rep)
@@ -233,14 +142,20 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	w := &world{t: t, clock: clock.Manual(1000), budget: netio.NewDescriptorBudget(100), events: &events{reports: make(chan string, 9)}, listener: l}
+	w := &world{
+		t:        t,
+		clock:    clock.Manual(1000),
+		budget:   netio.NewDescriptorBudget(100),
+		events:   &events{reports: make(chan string, 9)},
+		listener: l,
+	}
 	w.loop = clock.NewLoop(w.clock)
 	w.pool = back.New(w.loop, back.Options{}, w.budget, w.events)
-	w.loop.Do(func() { w.pool.SetHost(1, l.Addr().String(), true) })
+	w.loop.Do(func() { w.pool.SetEndpoint(1, l.Addr().String(), true) })
 	return w
 }
 
-// start hands the pool a statement or a probe.
+// start gives the pool a statement or a health check.
 func (w *world) start(e exchange) (sent slotmap.Handle) {
 	w.t.Helper()
 	if e.text == "" {
@@ -251,31 +166,36 @@
 		w.t.Fatal(err)
 	}
 	w.loop.Do(func() {
-		if e.probe {
+		if e.healthCheck {
 			w.pool.CheckHealth(1)
 			return
 		}
-		s := router.Statement{Text: []byte(e.text), WaitFrom: parsed.WaitFrom, WaitTo: parsed.WaitTo, Write: e.write}
-		sent = w.pool.Send(1, router.Attempt{Number: 7}, s, 480.7)
+		statement := router.Statement{
+			Text:     []byte(e.text),
+			WaitFrom: parsed.WaitFrom,
+			WaitTo:   parsed.WaitTo,
+			Write:    e.write,
+		}
+		sent = w.pool.Send(1, router.Attempt{Number: 7}, statement, 480.7)
 	})
 	return sent
 }
 
-// exchange has the host take a connection and answer on it, and returns what
-// the host heard.
+// exchange has the endpoint accept a connection and answer on it, and returns
+// what the endpoint received.
 func (w *world) exchange(e exchange) (heard []byte) {
 	w.t.Helper()
 	w.start(e)
 	c := w.accept()
 	heard = w.readStartup(c)
-	w.clock.Set(w.clock.Now() + e.passes)
-	if e.refusal != nil {
-		w.write(c, e.refusal)
+	w.clock.Set(w.clock.Now() + e.timePasses)
+	if e.startupError != nil {
+		w.write(c, e.startupError)
 		_ = c.Close()
 		return heard
 	}
 	w.write(c, greeting)
-	if e.stays {
+	if e.forbidden {
 		return heard
 	}
 	heard = append(heard, w.readMessage(c)...)
@@ -339,8 +259,8 @@
 	}
 }
 
-// reuse sends two statements and a probe over one connection, and returns all
-// that the host heard there.
+// reuse sends two statements and a health check over one connection, and returns
+// all that the endpoint received there.
 func (w *world) reuse() (heard, reported string) {
 	w.t.Helper()
 	w.start(exchange{})
@@ -350,7 +270,7 @@
 	for n := range 3 {
 		if n > 0 {
 			w.passTime(settled)
-			w.start(exchange{probe: n == 2})
+			w.start(exchange{healthCheck: n == 2})
 		}
 		bytes = append(bytes, w.readMessage(c)...)
 		w.write(c, answer("x0=1", []string{"SELECT 1", "SELECT 1", "SHOW"}[n]))
@@ -360,82 +280,7 @@
 	return hex.EncodeToString(bytes), reported
 }
 
-// failures are attempts and probes that no answer ends.
-var failures = map[string]func(*world) string{
-	"without-host": func(w *world) string {
-		w.loop.Do(func() { w.pool.Send(2, router.Attempt{Number: 3}, router.Statement{}, 10) })
-		return w.report()
-	},
-	"host-not-there": func(w *world) string {
-		_ = w.listener.Close()
-		w.start(exchange{})
-		return w.report()
-	},
-	"connect-timeout": func(w *world) string {
-		w.start(exchange{})
-		w.readStartup(w.accept())
-		w.passTime(250)
-		return w.report()
-	},
-	"probe-timeout": func(w *world) string {
-		w.start(exchange{probe: true})
-		c := w.accept()
-		w.readStartup(c)
-		w.write(c, greeting)
-		w.readMessage(c)
-		w.passTime(250)
-		return w.report()
-	},
-	"no-socket-left": func(w *world) string {
-		w.takeAllSockets()
-		w.start(exchange{})
-		return w.report()
-	},
-	"socket-of-an-idle-connection": func(w *world) string {
-		c := w.idleConnection()
-		w.takeAllSockets()
-		other, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			w.t.Fatal(err)
-		}
-		defer other.Close()
-		w.loop.Do(func() {
-			w.pool.SetHost(2, other.Addr().String(), true)
-			w.pool.CheckHealth(2)
-		})
-		w.hearsEnd(c)
-		w.listener = other
-		second := w.accept()
-		w.readStartup(second)
-		w.write(second, greeting)
-		w.readMessage(second)
-		w.write(second, answer("x0=5", "SHOW"))
-		return w.report()
-	},
-	"host-no-longer-usable": func(w *world) string {
-		c := w.idleConnection()
-		w.loop.Do(func() { w.pool.SetHost(1, "", false) })
-		w.hearsEnd(c)
-		return w.cancelled(w.start(exchange{}))
-	},
-	"cancelled-before-it-began": func(w *world) string { return w.cancelled(w.start(exchange{})) },
-	"cancelled-write": func(w *world) string {
-		sent := w.start(exchange{write: true, text: writeStatement})
-		c := w.accept()
-		w.readStartup(c)
-		w.write(c, greeting)
-		w.readMessage(c)
-		text := w.cancelled(sent)
-		w.hearsEnd(c)
-		return text
-	},
-	"cancelled-twice": func(w *world) string {
-		sent := w.start(exchange{})
-		return w.cancelled(sent) + w.cancelled(sent)
-	},
-}
-
-// cancelled gives an attempt up and writes whether it had begun.
+// cancelled cancels an attempt and returns whether it had begun.
 func (w *world) cancelled(sent slotmap.Handle) (begun string) {
 	w.loop.Do(func() {
 		begun = "00"
@@ -458,8 +303,7 @@
 	})
 }
 
-// idleConnection returns the host's end of a connection that rests between two
-// statements.
+// idleConnection returns the endpoint's end of an idle connection.
 func (w *world) idleConnection() net.Conn {
 	w.t.Helper()
 	w.start(exchange{})
@@ -473,9 +317,9 @@
 	return c
 }
 
-func (w *world) hearsEnd(c net.Conn) {
+func (w *world) expectEOF(c net.Conn) {
 	w.t.Helper()
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err == nil {
-		w.t.Errorf("the host reads %d bytes, %v; want the end", n, err)
+		w.t.Errorf("the endpoint reads %d bytes, %v; want EOF", n, err)
 	}
 }
--- a/internal/postgres/back/connection.go
+++ b/internal/postgres/back/connection.go
@@ -2,304 +2,196 @@
 
 import (
 	"slices"
-	"strconv"
-	"time"
-
-	"github.com/cloudwego/netpoll"
 
 	"lotusbend/decide"
 	"lotusbend/internal/clock"
 	"lotusbend/internal/netio"
-	"lotusbend/internal/postgres/wire"
 	"lotusbend/internal/router"
 	"lotusbend/internal/slotmap"
 )
 
+const (
+	// settleDelay is how long, in milliseconds, a connection is not used after an
+	// answer: an endpoint that sends more than the answer sends it right behind.
+	settleDelay = 2
+	// idleFraction of the endpoint's idle timeout is when we close: a request that
+	// crosses the endpoint's close is lost to a reset.
+	idleFraction = 0.8
+)
+
+// phase is the state of a connection.
 type phase uint8
 
 const (
-	opening  phase = iota // dialling, or before the first ReadyForQuery
-	settling              // after an answer
-	idle
-	busy
-	abandoned // its attempt was given up; an answer may still come
+	opening   phase = iota // dialling, or before the first ReadyForQuery
+	settling               // just after an answer
+	idle                   // ready for a job
+	busy                   // a job is sent or awaits its answer
+	abandoned              // its attempt was cancelled; an answer may still come
 	closed
 )
 
+// conn is one connection to an endpoint. answer belongs to the connection's own
+// callbacks, the rest to the loop.
 type conn struct {
-	ref     slotmap.Handle
-	pool    *Pool
-	host    *host
-	address string
-	link    *netio.Conn // nil while dialling
-	phase   phase
-	job     *job // under way, or given up
-	idleAt  float64
-	end     *clock.Deadline // of opening, settling or idling
-	purges  int             // of the host when the connection began to settle
-	reader  reader
+	handle     slotmap.Handle
+	pool       *Pool
+	endpoint   *endpoint
+	address    string
+	socket     *netio.Conn // nil while dialling
+	phase      phase
+	job        *job            // in flight, or the one that was cancelled
+	idleSince  float64         // Unix milliseconds
+	timeout    *clock.Deadline // of the present phase
+	idleCloses int             // the endpoint's, when the connection began to settle
+	answer     answer
 }
 
-// open dials one more connection to h, if the process may hold one.
-func (p *Pool) open(h *host) {
-	if !p.budget.TakeHost() {
-		if !p.closeAbandoned() && !p.closeOldestIdle() || !p.budget.TakeHost() {
-			j := h.waiting[len(h.waiting)-1]
-			p.loop.Post(func() { p.fail(j, decide.ConnectFailed) })
+// ready gives a connection its next job or leaves it idle.
+func (p *Pool) ready(c *conn) {
+	e := c.endpoint
+	fit := c.address == e.address && c.socket.Quiet()
+	for fit && len(e.waiting) > 0 {
+		j := e.waiting[0]
+		e.waiting = e.waiting[1:]
+		if j.healthCheck || p.events.MaySend(j.attempt) {
+			e.pendingConns--
+			p.write(c, j)
 			return
 		}
+		p.end(j, router.AttemptReport{Outcome: decide.NotSent})
 	}
-	c := &conn{pool: p, host: h, address: h.address, phase: opening, purges: h.purges}
-	c.ref = p.conns.Add(c)
-	h.coming++
-	timeout := clock.Duration(p.opt.ConnectTimeout)
-	c.end = p.loop.At(p.loop.Now()+p.opt.ConnectTimeout, func() { p.close(c) })
-	go c.dial(timeout)
-}
-
-// closeAbandoned frees the socket of a connection whose attempt was given up.
-func (p *Pool) closeAbandoned() bool {
-	var found *conn
-	p.conns.Each(func(_ slotmap.Handle, c *conn) {
-		if c.phase == abandoned {
-			found = c
-		}
-	})
-	if found == nil {
-		return false
-	}
-	p.close(found)
-	return true
-}
-
-// closeOldestIdle frees the socket that has been idle longest.
-func (p *Pool) closeOldestIdle() bool {
-	var oldest *conn
-	for _, h := range p.hosts {
-		if len(h.idle) > 0 && (oldest == nil || h.idle[0].idleAt < oldest.idleAt) {
-			oldest = h.idle[0]
-		}
-	}
-	if oldest == nil {
-		return false
+	if !fit || !e.usable || c.idleCloses != e.idleCloses {
+		p.close(c)
+		p.refill(e)
+		return
 	}
-	p.close(oldest)
-	return true
+	e.pendingConns--
+	p.becomeIdle(c)
 }
 
-// dial runs in a goroutine of its own, as it waits for the host.
-func (c *conn) dial(timeout time.Duration) {
-	nc, err := netpoll.DialConnection("tcp", c.address, timeout)
-	c.pool.loop.Do(func() { c.pool.dialled(c, nc, err) })
+// becomeIdle keeps a connection for the next job, until shortly before the
+// endpoint would close it.
+func (p *Pool) becomeIdle(c *conn) {
+	c.phase = idle
+	c.idleSince = p.loop.Now()
+	c.endpoint.idle = append(c.endpoint.idle, c)
+	p.loop.Cancel(c.timeout)
+	c.timeout = p.loop.At(c.idleSince+idleFraction*p.options.IdleTimeout, func() { p.close(c) })
 }
 
-func (p *Pool) dialled(c *conn, nc netpoll.Connection, err error) {
-	if err != nil {
-		p.openFailed(c, decide.ConnectFailed)
-		return
-	}
-	link := netio.NewConn(nc)
-	if c.phase == closed { // given up meanwhile
-		link.Close()
-		return
-	}
-	c.link = link
-	_ = nc.AddCloseCallback(func(netpoll.Connection) error { // the returned errors are always nil
-		p.loop.Do(func() { p.disconnected(c) })
+// beginAnswer checks that an answer may begin on c.
+func (p *Pool) beginAnswer(c *conn) error {
+	if c.phase == opening || c.phase == busy || c.phase == abandoned {
 		return nil
-	})
-	_ = nc.SetOnRequest(c.onData)
-	if !nc.IsActive() { // it ended before the callbacks were there
-		p.loop.Post(func() { p.disconnected(c) })
-		link.Close()
-		return
-	}
-	link.Send(wire.AppendStartup(nil, user, database), nil)
-}
-
-// openFailed ends a connection that never came up, and the job that has
-// waited longest unless another connection is on its way to it.
-func (p *Pool) openFailed(c *conn, o decide.Outcome) {
-	if c.phase != opening {
-		return
-	}
-	p.close(c)
-	if h := c.host; len(h.waiting) > h.coming {
-		p.fail(h.waiting[0], o)
 	}
+	return errExcess
 }
 
-// ready gives a connection its next job or leaves it idle.
-func (p *Pool) ready(c *conn) {
-	h := c.host
-	fit := c.address == h.address && c.link.Quiet()
-	for fit && len(h.waiting) > 0 {
-		j := h.waiting[0]
-		h.waiting = h.waiting[1:]
-		if j.probe || p.events.MaySend(j.attempt) {
-			h.coming--
-			p.write(c, j)
-			return
-		}
-		p.report(j, router.AttemptReport{Outcome: decide.NotSent})
-	}
+// readyForQuery takes the ReadyForQuery that ends a startup or an answer. It
+// returns an error if neither can end there.
+func (p *Pool) readyForQuery(c *conn) error {
 	switch {
-	case !fit, !h.usable, c.purges != h.purges:
-		p.close(c)
-		p.refill(h)
-		return
+	case c.phase == opening && c.answer.stage == awaiting:
+		p.ready(c)
+		return nil
+	case c.phase == abandoned:
+		p.lateAnswer(c)
+		return nil
+	case c.phase != busy || c.job == nil:
+		return errExcess
 	}
-	h.coming--
-	c.phase, c.idleAt = idle, p.loop.Now()
-	h.idle = append(h.idle, c)
-	p.loop.Cancel(c.end)
-	c.end = p.loop.At(c.idleAt+idleShare*p.opt.IdleTimeout, func() { p.close(c) })
+	j := c.job
+	report, complete := c.answer.report(j)
+	if !complete { // a ReadyForQuery without the answer to this statement
+		return errOrder
+	}
+	c.job = nil
+	j.conn = nil
+	j.writing = false
+	c.phase = settling
+	c.idleCloses = c.endpoint.idleCloses
+	c.endpoint.pendingConns++
+	c.timeout = p.loop.At(p.loop.Now()+settleDelay, func() { p.ready(c) })
+	p.end(j, report)
+	return nil
 }
 
-// write sends j on c.
-func (p *Pool) write(c *conn, j *job) {
-	p.loop.Cancel(c.end)
-	c.phase, c.job = busy, j
-	j.conn, j.writing = c, true
-	if !j.probe { // the wait for a connection is over
-		p.loop.Cancel(j.end)
-	}
-	var b []byte
-	if j.probe {
-		b = wire.AppendQuery(nil, []byte("SHOW health"))
-	} else {
-		left := max(j.until-p.loop.Now(), 1)
-		s := j.stmt
-		wait := strconv.AppendInt(nil, int64(left), 10)
-		b = wire.AppendQuery(make([]byte, 0, len(s.Text)+32), s.Text[:s.WaitFrom], wait, s.Text[s.WaitTo:])
+// lateAnswer reports what has arrived of the answer to a cancelled attempt.
+func (p *Pool) lateAnswer(c *conn) {
+	report, complete := c.answer.report(c.job)
+	id := c.endpoint.id
+	p.close(c)
+	if complete {
+		p.events.LateAnswer(id, report)
 	}
-	ref := j.ref
-	c.link.Send(b, func(err error) { p.loop.Do(func() { p.written(ref, c, err) }) })
 }
 
-// written learns whether a job's last byte is with the system. A connection
-// that broke meanwhile has waited for this: only what was not written whole
-// has surely never run.
-func (p *Pool) written(ref slotmap.Handle, c *conn, err error) {
-	j := p.jobs.Get(ref)
-	if j == nil || j.conn != c {
+// malformed ends a connection on which something arrived that is not an answer.
+// The statement that awaits its answer there may have been executed.
+func (p *Pool) malformed(c *conn) {
+	if c.phase == opening {
+		p.openFailed(c, c.answer.startupOutcome())
 		return
 	}
-	j.writing = false
-	switch {
-	case err != nil:
-		p.fail(j, decide.ConnectFailed)
-	case c.phase == closed:
-		p.fail(j, decide.Reset)
+	j := c.job
+	c.job = nil
+	cancelled := c.phase == abandoned
+	p.close(c)
+	if j != nil && !cancelled {
+		j.conn = nil
+		p.end(j, router.AttemptReport{Outcome: decide.Malformed})
 	}
+	p.refill(c.endpoint)
 }
 
-// disconnected learns that the connection has ended, by either side.
+// disconnected takes the end of the connection, by either side.
 func (p *Pool) disconnected(c *conn) {
-	switch j := c.job; {
+	j := c.job
+	switch {
 	case c.phase == opening:
-		p.openFailed(c, c.reader.startupOutcome())
+		p.openFailed(c, c.answer.startupOutcome())
 	case c.phase == abandoned:
 		p.lateAnswer(c)
 	case c.phase == busy && j != nil:
-		p.close(c)
-		// The read buffer dies after this callback, so what it holds counts now.
-		if rep, whole := c.reader.report(j); whole {
-			c.job, j.conn = nil, nil
-			p.report(j, rep)
-		} else if !j.writing {
-			p.fail(j, decide.Reset)
-		}
+		p.disconnectedInFlight(c, j)
 	default:
 		p.close(c)
-		p.refill(c.host)
+		p.refill(c.endpoint)
 	}
 }
 
-// lateAnswer takes what has come of the answer to an attempt that was given up.
-func (p *Pool) lateAnswer(c *conn) {
-	rep, whole := c.reader.report(c.job)
-	host := c.host.id
+// disconnectedInFlight ends the job of a connection that has ended. The read
+// buffer is released after this callback, so that an answer in it counts now.
+func (p *Pool) disconnectedInFlight(c *conn, j *job) {
 	p.close(c)
-	if whole {
-		p.events.LateAnswer(host, rep)
+	report, complete := c.answer.report(j)
+	if complete {
+		c.job = nil
+		j.conn = nil
+		p.end(j, report)
+		return
+	}
+	if !j.writing { // else written reports it
+		p.fail(j, decide.Reset)
 	}
 }
 
-// close ends c; a job that is at it is left to the caller.
+// close ends c; its job, if any, is left to the caller.
 func (p *Pool) close(c *conn) {
 	switch c.phase {
 	case closed:
 		return
 	case opening, settling:
-		c.host.coming--
+		c.endpoint.pendingConns--
 	case idle:
-		c.host.idle = slices.DeleteFunc(c.host.idle, func(i *conn) bool { return i == c })
+		c.endpoint.idle = slices.DeleteFunc(c.endpoint.idle, func(other *conn) bool { return other == c })
 	}
 	c.phase = closed
-	p.loop.Cancel(c.end)
-	p.conns.Remove(c.ref)
+	p.loop.Cancel(c.timeout)
+	p.conns.Remove(c.handle)
 	p.budget.GiveHost()
-	if c.link != nil {
-		c.link.Close()
-	}
-}
-
-// beginAnswer tells whether an answer may come on c.
-func (p *Pool) beginAnswer(c *conn) error {
-	if c.phase == opening || c.phase == busy || c.phase == abandoned {
-		return nil
-	}
-	return errExcess
-}
-
-// answered ends the command at hand with its ReadyForQuery. An error tells
-// that nothing could be answered, or not like this.
-func (p *Pool) answered(c *conn) error {
-	switch {
-	case c.phase == opening && c.reader.stage == begun:
-		p.ready(c)
-		return nil
-	case c.phase == abandoned:
-		p.lateAnswer(c)
-		return nil
-	case c.phase != busy || c.job == nil:
-		return errExcess
-	}
-	j := c.job
-	rep, whole := c.reader.report(j)
-	if !whole { // a ReadyForQuery without the answer to this statement
-		return errOrder
-	}
-	c.job, j.conn, j.writing = nil, nil, false
-	c.phase, c.purges = settling, c.host.purges
-	c.host.coming++
-	c.end = p.loop.At(p.loop.Now()+settleFor, func() { p.ready(c) })
-	p.report(j, rep)
-	return nil
-}
-
-// spoilt ends a connection on which something came that is no answer. An
-// attempt that waits for its own there may have run.
-func (p *Pool) spoilt(c *conn) {
-	if c.phase == opening {
-		p.openFailed(c, c.reader.startupOutcome())
-		return
-	}
-	j := c.job
-	c.job = nil
-	given := c.phase == abandoned
-	p.close(c)
-	if j != nil && !given {
-		j.conn = nil
-		p.report(j, router.AttemptReport{Outcome: decide.Malformed})
-	}
-	p.refill(c.host)
-}
-
-// refill opens a connection for whoever waits where none is on its way.
-func (p *Pool) refill(h *host) {
-	if h.coming < len(h.waiting) {
-		p.open(h)
+	if c.socket != nil {
+		c.socket.Close()
 	}
 }
--- /dev/null
+++ b/internal/postgres/back/open.go
@@ -0,0 +1,121 @@
+package back
+
+import (
+	"time"
+
+	"github.com/cloudwego/netpoll"
+
+	"lotusbend/decide"
+	"lotusbend/internal/clock"
+	"lotusbend/internal/netio"
+	"lotusbend/internal/postgres/wire"
+	"lotusbend/internal/slotmap"
+)
+
+// refill opens a connection if jobs wait for which none is pending.
+func (p *Pool) refill(e *endpoint) {
+	if e.pendingConns < len(e.waiting) {
+		p.open(e)
+	}
+}
+
+// open dials one more connection to e, if the process may have one.
+func (p *Pool) open(e *endpoint) {
+	if !p.takeDescriptor() {
+		j := e.waiting[len(e.waiting)-1]
+		p.loop.Post(func() { p.fail(j, decide.ConnectFailed) })
+		return
+	}
+	c := &conn{pool: p, endpoint: e, address: e.address, phase: opening, idleCloses: e.idleCloses}
+	c.handle = p.conns.Add(c)
+	e.pendingConns++
+	timeout := clock.Duration(p.options.ConnectTimeout)
+	c.timeout = p.loop.At(p.loop.Now()+p.options.ConnectTimeout, func() { p.close(c) })
+	go c.dial(timeout)
+}
+
+// takeDescriptor books a descriptor. If none is left, it closes a connection
+// that can be spared.
+func (p *Pool) takeDescriptor() bool {
+	if p.budget.TakeHost() {
+		return true
+	}
+	return (p.closeAbandoned() || p.closeOldestIdle()) && p.budget.TakeHost()
+}
+
+// closeAbandoned closes a connection whose attempt was cancelled, and reports
+// whether there was one.
+func (p *Pool) closeAbandoned() bool {
+	var found *conn
+	p.conns.Each(func(_ slotmap.Handle, c *conn) {
+		if c.phase == abandoned {
+			found = c
+		}
+	})
+	if found == nil {
+		return false
+	}
+	p.close(found)
+	return true
+}
+
+// closeOldestIdle closes the connection that has been idle longest, and reports
+// whether there was one.
+func (p *Pool) closeOldestIdle() bool {
+	var oldest *conn
+	for _, e := range p.endpoints {
+		if len(e.idle) > 0 && (oldest == nil || e.idle[0].idleSince < oldest.idleSince) {
+			oldest = e.idle[0]
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	p.close(oldest)
+	return true
+}
+
+// dial connects within the timeout. It blocks, and runs in a goroutine of its
+// own that ends with it.
+func (c *conn) dial(timeout time.Duration) {
+	nc, err := netpoll.DialConnection("tcp", c.address, timeout)
+	c.pool.loop.Do(func() { c.pool.dialled(c, nc, err) })
+}
+
+// dialled takes the result of a dial, and begins the startup.
+func (p *Pool) dialled(c *conn, nc netpoll.Connection, err error) {
+	if err != nil {
+		p.openFailed(c, decide.ConnectFailed)
+		return
+	}
+	socket := netio.NewConn(nc)
+	if c.phase == closed { // it timed out meanwhile
+		socket.Close()
+		return
+	}
+	c.socket = socket
+	_ = nc.AddCloseCallback(func(netpoll.Connection) error { // never fails
+		p.loop.Do(func() { p.disconnected(c) })
+		return nil
+	})
+	_ = nc.SetOnRequest(c.onData)
+	if !nc.IsActive() { // it ended before the callbacks were set
+		p.loop.Post(func() { p.disconnected(c) })
+		socket.Close()
+		return
+	}
+	socket.Send(wire.AppendStartup(nil, user, database), nil)
+}
+
+// openFailed ends a connection that never became ready, and the job that has
+// waited longest unless another connection is pending for it.
+func (p *Pool) openFailed(c *conn, outcome decide.Outcome) {
+	if c.phase != opening {
+		return
+	}
+	p.close(c)
+	e := c.endpoint
+	if len(e.waiting) > e.pendingConns {
+		p.fail(e.waiting[0], outcome)
+	}
+}
