--- a/internal/postgres/pipeline/characterization_test.go
+++ b/internal/postgres/pipeline/characterization_test.go
@@ -24,18 +24,27 @@
 
 const goldenFile = "testdata/characterization.txt"
 
-// scenario is a mix of events for one connection. Each event's weight is its
-// share among all; fractions are of the commands added.
+// scenario is a mix of events for one connection. An event is drawn with a
+// probability proportional to its weight; fractions are of the commands added.
 type scenario struct {
 	name   string
 	seed   uint64
 	events int
 
-	add, addAnswered, merge, start, answer, send, clear int // weights
+	// Weights.
+	add         int
+	addAnswered int
+	merge       int
+	start       int
+	answer      int
+	send        int
+	clear       int
 
-	groups, sessions int
-	writes, fresh    float64 // fractions
-	maxSize          int     // bytes that may leave at once
+	groups   int
+	sessions int
+	writes   float64 // fraction
+	fresh    float64 // fraction
+	maxSize  int     // bytes that may be sent at once
 }
 
 var scenarios = []scenario{
@@ -92,8 +101,13 @@
 		weight int
 		do     func()
 	}{
-		{s.add, c.addCommand}, {s.addAnswered, c.addAnsweredCommand}, {s.merge, c.mergeAnswer}, {s.start, c.startNext},
-		{s.answer, c.answerAny}, {s.send, c.sendAnswers}, {s.clear, c.clearAll},
+		{s.add, c.addCommand},
+		{s.addAnswered, c.addAnsweredCommand},
+		{s.merge, c.mergeAnswer},
+		{s.start, c.startNext},
+		{s.answer, c.answerAny},
+		{s.send, c.sendAnswers},
+		{s.clear, c.clearAll},
 	}
 	total := 0
 	for _, step := range steps {
@@ -102,7 +116,8 @@
 	for n := range s.events {
 		drawn := c.random.IntN(total)
 		for i, step := range steps {
-			if drawn -= step.weight; drawn < 0 {
+			drawn -= step.weight
+			if drawn < 0 {
 				c.digest.uint(uint64(i))
 				step.do()
 				break
@@ -153,8 +168,8 @@
 	}
 }
 
-// answerAny answers one of the commands that run, at times with one of the
-// shared answers.
+// answerAny answers one of the running commands, at times with one of the shared
+// answers.
 func (c *connection) answerAny() {
 	if len(c.running) == 0 {
 		return
