--- a/internal/postgres/wire/extended.go
+++ b/internal/postgres/wire/extended.go
@@ -5,7 +5,7 @@
 	"encoding/binary"
 )
 
-// Message types of the extended protocol (PostgreSQL 15, section 55.7).
+// Message types of the extended protocol (PostgreSQL 15 documentation, 55.7).
 const (
 	Parse                = 'P'
 	Bind                 = 'B'
@@ -20,83 +20,114 @@
 	PortalSuspended      = 's'
 )
 
-// What Describe and Close are about.
+// The objects of Describe and Close.
 const (
 	ofStatement = 'S'
 	ofPortal    = 'P'
 )
 
-// Extended is a client's message of the extended protocol. Its slices are
-// those of the message.
+// Extended is a client's message of the extended protocol. Its slices are those
+// of the message's body.
 type Extended struct {
 	Kind      byte
-	Statement []byte // of Parse, Bind, and of Describe and Close of a statement
-	Portal    []byte // of Bind, Execute, and of Describe and Close of a portal
-	OfPortal  bool   // Describe and Close
-	Text      []byte // of Parse
-	Types     []uint32
-	MaxRows   uint32 // of Execute, 0 for all
-	rest      []byte // of Bind: formats and values
+	Statement []byte   // of Parse, Bind, and of Describe and Close of a statement
+	Portal    []byte   // of Bind, Execute, and of Describe and Close of a portal
+	OfPortal  bool     // Describe and Close
+	Text      []byte   // of Parse
+	Types     []uint32 // of Parse: the parameters' object identifiers
+	MaxRows   uint32   // of Execute, 0 for all
+	rest      []byte   // of Bind: formats and values
 }
 
-// ParseExtended reads the body of a message and checks all of it: what lies
-// about a count or a length goes to no host.
+// typeLen is the length of a parameter's type, formatLen of a format code.
+const (
+	typeLen   = 4
+	formatLen = 2
+)
+
+// ParseExtended reads the body of a message and checks all of it: a message with
+// a false count or length is forwarded to no endpoint.
 func ParseExtended(kind byte, body []byte) (m Extended, err error) {
 	m.Kind = kind
-	r := fields{b: body}
+	in := fields{unread: body}
 	switch kind {
 	case Parse:
-		m.Statement, m.Text = r.text(), r.text()
-		n := r.count()
-		if n > len(r.b)/4 {
-			return m, malformed("%d parameter types in %d bytes", n, len(r.b))
-		}
-		for range n {
-			m.Types = append(m.Types, r.uint32())
-		}
+		err = m.parseParse(&in)
 	case Bind:
-		m.Portal, m.Statement = r.text(), r.text()
-		m.rest = r.b
-		r.skip(2 * r.count()) // formats of the parameters
-		for range r.count() {
-			if n := int32(r.uint32()); n > 0 {
-				r.skip(int(n))
-			} else if n < -1 {
-				r.bad = true
-			}
-		}
-		r.skip(2 * r.count()) // formats of the results
+		m.parseBind(&in)
 	case Describe, CloseStatement:
-		switch of := r.byte(); of {
-		case ofStatement:
-			m.Statement = r.text()
-		case ofPortal:
-			m.OfPortal, m.Portal = true, r.text()
-		default:
-			return m, malformed("neither a statement nor a portal: %q", of)
-		}
+		err = m.parseObject(&in)
 	case Execute:
-		m.Portal, m.MaxRows = r.text(), r.uint32()
+		m.Portal = in.text()
+		m.MaxRows = in.uint32()
 	case Sync, Flush:
 	default:
-		return m, malformed("a message %q of the extended protocol", kind)
+		err = malformed("a message %q of the extended protocol", kind)
+	}
+	if err != nil {
+		return m, err
 	}
-	if r.bad || len(r.b) > 0 {
+	if in.missing || len(in.unread) > 0 {
 		return m, malformed("a message %q of %d bytes", kind, len(body))
 	}
 	return m, nil
 }
 
-// AppendExtended appends a message with another name for its prepared
-// statement.
+// parseParse reads the body of a Parse.
+func (m *Extended) parseParse(in *fields) error {
+	m.Statement = in.text()
+	m.Text = in.text()
+	count := in.count()
+	if count > len(in.unread)/typeLen {
+		return malformed("%d parameter types in %d bytes", count, len(in.unread))
+	}
+	for range count {
+		m.Types = append(m.Types, in.uint32())
+	}
+	return nil
+}
+
+// parseBind reads the body of a Bind: formats and values of the parameters, and
+// formats of the results.
+func (m *Extended) parseBind(in *fields) {
+	m.Portal = in.text()
+	m.Statement = in.text()
+	m.rest = in.unread
+	in.next(formatLen * in.count())
+	for range in.count() {
+		length := int32(in.uint32())
+		if length > 0 {
+			in.next(int(length))
+		} else if length < -1 { // -1 stands for NULL
+			in.missing = true
+		}
+	}
+	in.next(formatLen * in.count())
+}
+
+// parseObject reads the body of a Describe or a Close.
+func (m *Extended) parseObject(in *fields) error {
+	switch object := in.byte(); object {
+	case ofStatement:
+		m.Statement = in.text()
+	case ofPortal:
+		m.OfPortal = true
+		m.Portal = in.text()
+	default:
+		return malformed("neither a statement nor a portal: %q", object)
+	}
+	return nil
+}
+
+// AppendExtended appends m with another name for its prepared statement.
 func AppendExtended(b []byte, m Extended, statement string) []byte {
-	b, at := begin(b, m.Kind)
+	b, lengthAt := begin(b, m.Kind)
 	switch m.Kind {
 	case Parse:
 		b = appendText(appendText(b, statement), m.Text)
 		b = binary.BigEndian.AppendUint16(b, uint16(len(m.Types)))
-		for _, t := range m.Types {
-			b = binary.BigEndian.AppendUint32(b, t)
+		for _, oid := range m.Types {
+			b = binary.BigEndian.AppendUint32(b, oid)
 		}
 	case Bind:
 		b = append(appendText(appendText(b, m.Portal), statement), m.rest...)
@@ -109,61 +140,68 @@
 	case Execute:
 		b = binary.BigEndian.AppendUint32(appendText(b, m.Portal), m.MaxRows)
 	}
-	return end(b, at)
+	return end(b, lengthAt)
 }
 
-// fields reads a body's fields one after another; bad tells that one of them
-// was not there.
+// fields reads the fields of a body one after another.
 type fields struct {
-	b   []byte
-	bad bool
+	unread  []byte
+	missing bool // a field was malformed or exceeded the body
 }
 
-func (r *fields) skip(n int) []byte {
-	if n < 0 || n > len(r.b) {
-		r.bad, r.b = true, nil
+// next reads n bytes.
+func (f *fields) next(n int) []byte {
+	if n < 0 || n > len(f.unread) {
+		f.fail()
 		return nil
 	}
-	out := r.b[:n]
-	r.b = r.b[n:]
-	return out
+	field := f.unread[:n]
+	f.unread = f.unread[n:]
+	return field
+}
+
+// fail ends the reading.
+func (f *fields) fail() {
+	f.missing = true
+	f.unread = nil
 }
 
-func (r *fields) byte() byte {
-	if b := r.skip(1); b != nil {
+func (f *fields) byte() byte {
+	if b := f.next(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-// count reads a number of things, which is never negative.
-func (r *fields) count() int {
-	b := r.skip(2)
+// count reads the number of the fields that follow, which is never negative.
+func (f *fields) count() int {
+	b := f.next(2)
 	if b == nil {
 		return 0
 	}
 	n := int(int16(binary.BigEndian.Uint16(b)))
 	if n < 0 {
-		r.bad = true
+		f.missing = true
 		return 0
 	}
 	return n
 }
 
-func (r *fields) uint32() uint32 {
-	if b := r.skip(4); b != nil {
+func (f *fields) uint32() uint32 {
+	if b := f.next(4); b != nil {
 		return binary.BigEndian.Uint32(b)
 	}
 	return 0
 }
 
-func (r *fields) text() []byte {
-	i := bytes.IndexByte(r.b, 0)
-	if i < 0 {
-		r.bad, r.b = true, nil
+// text reads a string up to its end.
+func (f *fields) text() []byte {
+	end := bytes.IndexByte(f.unread, 0)
+	if end < 0 {
+		f.fail()
 		return nil
 	}
-	out := r.b[:i]
-	r.b = r.b[i+1:]
-	return out
+	text := f.unread[:end]
+	f.unread = f.unread[end+1:]
+	return text
 }
