--- a/internal/fleetstate/hang_test.go
+++ b/internal/fleetstate/hang_test.go
@@ -215,7 +215,8 @@
 	return true
 }
 
-// Probe implements router.Transport: a hung host answers probes, as real ones may.
+// CheckHealth implements router.Transport: a hung host answers health checks, as real
+// ones may.
 func (h *hangRouter) CheckHealth(host uint32) {
 	h.f.loop.At(h.f.loop.Now()+1, func() {
 		role := decide.RoleReplica
