--- a/cmd/lotusbend/fleet.go
+++ b/cmd/lotusbend/fleet.go
@@ -104,7 +104,7 @@
 	mux.HandleFunc("GET /fleet", func(w http.ResponseWriter, _ *http.Request) {
 		p := fleetPage{View: f.view.View(), Classes: classes}
 		if f.link != nil {
-			shared := f.link.Page()
+			shared := f.link.StatusPage()
 			p.Shared = &shared
 		}
 		w.Header().Set("Content-Type", "application/json")
--- a/cmd/lotusbend/main_test.go
+++ b/cmd/lotusbend/main_test.go
@@ -145,7 +145,7 @@
 	var totals fleetstate.Counters
 	totals.Add(0, fleetstate.Rejections, 7)
 	p.Shared = &fleetstate.StatusPage{Routers: 4, Totals: totals, SlowStart: map[string]fleetstate.Quota{"h1": {Own: 0.125, Borrowed: 0.25, Until: math.MaxInt64}},
-		Ejections: []fleetstate.Ejection{{Host: "h2", Status: fleetstate.Unresponsive, Until: 1000, Support: 2}}, Reputation: map[string]float64{"liar": 0.25}}
+		Ejections: []fleetstate.Ejection{{Endpoint: "h2", Status: fleetstate.Unresponsive, Until: 1000, Support: 2}}, Reputation: map[string]float64{"liar": 0.25}}
 	b, err := json.Marshal(p)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/lotusbend/show.go
+++ b/cmd/lotusbend/show.go
@@ -69,7 +69,7 @@
 			fmt.Fprintf(w, "cold host %s: own share %.4f, held %.4f\n", host, share.Own, share.Borrowed)
 		}
 		for _, j := range s.Ejections {
-			fmt.Fprintf(w, "host %s: %s, by a standing of %.2f, own %v, until %s\n", j.Host, j.Status, j.Support, j.ObservedHere, time.UnixMilli(j.Until).UTC().Format(time.RFC3339))
+			fmt.Fprintf(w, "host %s: %s, by a standing of %.2f, own %v, until %s\n", j.Endpoint, j.Status, j.Support, j.ObservedHere, time.UnixMilli(j.Until).UTC().Format(time.RFC3339))
 		}
 		for peer, st := range s.Reputation {
 			fmt.Fprintf(w, "peer %s: standing %.2f\n", peer, st)
--- a/internal/fleetstate/characterization_test.go
+++ b/internal/fleetstate/characterization_test.go
@@ -165,7 +165,7 @@
 	d.entries(m.Counters)
 	d.numbers(int64(len(m.HealthReports)), int64(len(m.LeaseRequests)), int64(len(m.LeaseGrants)))
 	for _, c := range m.HealthReports {
-		d.texts(c.Host)
+		d.texts(c.Endpoint)
 		d.numbers(int64(c.Status), c.AgeMs)
 	}
 	for _, a := range m.LeaseRequests {
@@ -211,7 +211,7 @@
 func (d *digest) judgements(judgements []fleetstate.Ejection) {
 	d.numbers(int64(len(judgements)))
 	for _, j := range judgements {
-		d.texts(j.Host)
+		d.texts(j.Endpoint)
 		d.numbers(int64(j.Status), j.Until)
 		d.amounts(j.Support)
 		d.flag(j.ObservedHere)
@@ -500,7 +500,7 @@
 				continue
 			}
 			peers := c.peers(i)
-			r.node.Fleet(peers, len(peers)+1, c.now)
+			r.node.SetView(peers, len(peers)+1, c.now)
 			c.observe(i)
 			c.record(i, r.node.Tick(c.now))
 			if c.now%adviseMs == 0 {
@@ -775,8 +775,8 @@
 		{Counters: []fleetstate.CounterEntry{{Name: "y", Epoch: 1, Stamp: c.now + 1_000_000, Counters: fleetstate.Counters{300, 70_000, 1 << 33, 5}}}},
 		{Counters: []fleetstate.CounterEntry{{Name: "y", Epoch: 1, Stamp: c.now + 2_000_000, Counters: fleetstate.Counters{1, 80_000}}}},
 		{Counters: []fleetstate.CounterEntry{{Name: c.routers[0].name, Epoch: 1_000_000, Stamp: c.now, Counters: fleetstate.Counters{1 << 40}}}},
-		{HealthReports: []fleetstate.HealthReport{{Host: "unknown", Status: fleetstate.Unresponsive}, {Host: host}, {Host: host, Status: 200}, {Host: host, Status: fleetstate.Unresponsive, AgeMs: -1}, {Host: host, Status: fleetstate.Unresponsive, AgeMs: 1 << 40}}},
-		{HealthReports: []fleetstate.HealthReport{{Host: host, Status: fleetstate.Unresponsive, AgeMs: 10}, {Host: host, Status: fleetstate.Unresponsive, AgeMs: 500}, {Host: host, Status: fleetstate.Primary}, {Host: host, Status: fleetstate.Healthy}}},
+		{HealthReports: []fleetstate.HealthReport{{Endpoint: "unknown", Status: fleetstate.Unresponsive}, {Endpoint: host}, {Endpoint: host, Status: 200}, {Endpoint: host, Status: fleetstate.Unresponsive, AgeMs: -1}, {Endpoint: host, Status: fleetstate.Unresponsive, AgeMs: 1 << 40}}},
+		{HealthReports: []fleetstate.HealthReport{{Endpoint: host, Status: fleetstate.Unresponsive, AgeMs: 10}, {Endpoint: host, Status: fleetstate.Unresponsive, AgeMs: 500}, {Endpoint: host, Status: fleetstate.Primary}, {Endpoint: host, Status: fleetstate.Healthy}}},
 		{LeaseRequests: []fleetstate.LeaseRequest{{Key: "unknown", ID: 1, Wanted: 1, RequestedAt: c.now}, {Key: host, ID: 2, Wanted: 0, RequestedAt: c.now}, {Key: host, ID: 3, Wanted: -1, RequestedAt: c.now}, {Key: host, ID: 4, Wanted: math.NaN(), RequestedAt: c.now}}},
 		{LeaseRequests: []fleetstate.LeaseRequest{{Key: host, ID: 5, Wanted: 0.01, RequestedAt: c.now}, {Key: host, ID: 5, Wanted: 0.01, RequestedAt: c.now}, {Key: host, ID: 6, Wanted: 100, RequestedAt: c.now}, {Key: host, ID: 7, Wanted: 100, RequestedAt: c.now}}},
 		{LeaseGrants: []fleetstate.LeaseGrant{{Key: host, ID: 1, Amount: 0.5, RequestedAt: c.now, DurationMs: 1000}, {Key: "unknown", ID: 1, Amount: -1, DurationMs: 1 << 40}}},
@@ -844,14 +844,14 @@
 	for i := range 4200 {
 		names = append(names, fmt.Sprint("peer-", i))
 	}
-	c.routers[0].node.Fleet(names, len(names)+1, c.now)
+	c.routers[0].node.SetView(names, len(names)+1, c.now)
 	return names
 }
 
 // manyWitnesses lets more peers doubt a host than are kept.
 func manyWitnesses(c *cluster) {
 	for i, peer := range c.manyPeers() {
-		c.inject(peer, 0, fleetstate.Message{HealthReports: []fleetstate.HealthReport{{Host: c.databases[4].name, Status: fleetstate.Slow, AgeMs: int64(i % 50)}}})
+		c.inject(peer, 0, fleetstate.Message{HealthReports: []fleetstate.HealthReport{{Endpoint: c.databases[4].name, Status: fleetstate.Slow, AgeMs: int64(i % 50)}}})
 	}
 	c.advise(0)
 	c.run(1000)
@@ -923,7 +923,7 @@
 		case 0:
 			a.SlowStart[d.name] = share()
 		case 1:
-			a.Ejections = append(a.Ejections, fleetstate.Ejection{Host: d.name, Status: fleetstate.Unresponsive, Until: share().Until})
+			a.Ejections = append(a.Ejections, fleetstate.Ejection{Endpoint: d.name, Status: fleetstate.Unresponsive, Until: share().Until})
 		case 2:
 			a.SuggestedPrimaries[d.group] = d.name
 		}
--- a/internal/fleetstate/config.go
+++ b/internal/fleetstate/config.go
@@ -55,8 +55,8 @@
 // Check names the first setting that cannot work.
 func (c Config) Check() error {
 	switch {
-	case c.Name == "" || len(c.Name) > nameMost:
-		return fmt.Errorf("shared state: name %q, want 1 to %d bytes", c.Name, nameMost)
+	case c.Name == "" || len(c.Name) > maxNameBytes:
+		return fmt.Errorf("shared state: name %q, want 1 to %d bytes", c.Name, maxNameBytes)
 	case c.TickMs <= 0 || c.CounterIntervalMs < c.TickMs || c.LeaseMs < 2*c.TickMs:
 		return fmt.Errorf("shared state: lease_ms %d, want twice the tick of %d or more; counts every %d ms, want a tick or more", c.LeaseMs, c.TickMs, c.CounterIntervalMs)
 	case c.SkewMs < 0:
--- a/internal/fleetstate/counts.go
+++ b/internal/fleetstate/counts.go
@@ -15,7 +15,7 @@
 	Retries                              // attempts after a request's first
 	CrossZoneAttempts                    // attempts that left the router's zone
 	Attempts                             // attempts of which a host got something
-	kinds
+	counterKinds
 )
 
 // KindNames are the kinds' names, in their order.
@@ -31,7 +31,7 @@
 
 // Get reads one counter.
 func (c Counters) Get(class int, k CounterKind) uint64 {
-	if i := class*int(kinds) + int(k); i < len(c) {
+	if i := class*int(counterKinds) + int(k); i < len(c) {
 		return c[i]
 	}
 	return 0
@@ -39,24 +39,24 @@
 
 // Add counts n more.
 func (c *Counters) Add(class int, k CounterKind, n uint64) {
-	i := class*int(kinds) + int(k)
+	i := class*int(counterKinds) + int(k)
 	if class < 0 || class >= maxClasses {
 		return
 	}
 	for len(*c) <= i {
-		*c = append(*c, make([]uint64, kinds)...)
+		*c = append(*c, make([]uint64, counterKinds)...)
 	}
 	(*c)[i] += n
 }
 
 // add adds another's cells; max takes the larger of each. Both report whether
 // anything changed.
-func (c *Counters) add(o Counters) bool { return c.each(o, func(a, b uint64) uint64 { return a + b }) }
+func (c *Counters) add(o Counters) bool { return c.combine(o, func(a, b uint64) uint64 { return a + b }) }
 func (c *Counters) max(o Counters) bool {
-	return c.each(o, func(a, b uint64) uint64 { return max(a, b) })
+	return c.combine(o, func(a, b uint64) uint64 { return max(a, b) })
 }
 
-func (c *Counters) each(o Counters, f func(a, b uint64) uint64) (changed bool) {
+func (c *Counters) combine(o Counters, f func(a, b uint64) uint64) (changed bool) {
 	for len(*c) < len(o) {
 		*c = append(*c, 0)
 	}
@@ -77,7 +77,7 @@
 	Epoch    int64 // the instance's start, or later where it closed an epoch
 	Stamp    int64 // the owner's time when it last told
 	Counters Counters
-	told     int // how often this router told it since it changed
+	sends     int // how often this router told it since it changed
 }
 
 // Counts are every router's counters as this router has heard them.
@@ -88,25 +88,25 @@
 // that what others may have folded is never told as if it were new: totals
 // are exact after every cut shorter than CounterRetentionMs/2, and after a longer one
 // lose what was counted in the cut's first part, never count it twice.
-type CounterStore struct {
+type counterStore struct {
 	cfg      Config
 	own      CounterEntry
 	entries  []CounterEntry // of others and of earlier epochs, by name and epoch
-	folded   Counters
-	heardAt  int64
+	compacted   Counters
+	lastReceivedAt  int64
 	Rejected uint64 // entries not taken: too old, too many, malformed
 }
 
-func newCounts(cfg Config, now int64) *CounterStore {
-	return &CounterStore{cfg: cfg, own: CounterEntry{Name: cfg.Name, Epoch: cfg.Start, Stamp: now}, heardAt: now}
+func newCounterStore(cfg Config, now int64) *counterStore {
+	return &counterStore{cfg: cfg, own: CounterEntry{Name: cfg.Name, Epoch: cfg.Start, Stamp: now}, lastReceivedAt: now}
 }
 
 // carried adds what this router carried since the last time.
-func (c *CounterStore) carried(cells Counters) { c.own.Counters.add(cells) }
+func (c *counterStore) record(cells Counters) { c.own.Counters.add(cells) }
 
 // Total adds up every router's counters.
-func (c *CounterStore) Total() Counters {
-	t := slices.Clone(c.folded)
+func (c *counterStore) Total() Counters {
+	t := slices.Clone(c.compacted)
 	t.add(c.own.Counters)
 	for _, e := range c.entries {
 		t.add(e.Counters)
@@ -114,15 +114,15 @@
 	return t
 }
 
-func (c *CounterStore) find(name string, epoch int64) (int, bool) {
+func (c *counterStore) find(name string, epoch int64) (int, bool) {
 	return slices.BinarySearchFunc(c.entries, CounterEntry{Name: name, Epoch: epoch}, func(a, b CounterEntry) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Epoch, b.Epoch))
 	})
 }
 
 // merge takes an entry that a peer told of.
-func (c *CounterStore) merge(e CounterEntry, now int64) {
-	if e.Name == "" || len(e.Counters) > maxClasses*int(kinds) || e.Name == c.own.Name && e.Epoch == c.own.Epoch {
+func (c *counterStore) merge(e CounterEntry, now int64) {
+	if e.Name == "" || len(e.Counters) > maxClasses*int(counterKinds) || e.Name == c.own.Name && e.Epoch == c.own.Epoch {
 		return // nobody tells us anything of our own counters
 	}
 	i, found := c.find(e.Name, e.Epoch)
@@ -131,27 +131,27 @@
 		c.entries[i].Counters.add(e.Counters)
 	case found:
 		if c.entries[i].Counters.max(e.Counters) {
-			c.entries[i].told = 0
+			c.entries[i].sends = 0
 		}
 		c.entries[i].Stamp = max(c.entries[i].Stamp, min(e.Stamp, now+c.cfg.SkewMs))
 	case now-e.Stamp >= c.cfg.CounterRetentionMs || len(c.entries) >= c.cfg.MaxCounterEntries:
 		c.Rejected++ // folded here already, or more than can be held
 	default:
 		e.Stamp = min(e.Stamp, now+c.cfg.SkewMs) // a stamp far ahead would never fold
-		e.Counters, e.told = slices.Clone(e.Counters), 0
+		e.Counters, e.sends = slices.Clone(e.Counters), 0
 		c.entries = slices.Insert(c.entries, i, e)
 	}
 }
 
 // tick stamps the own entry, folds what was not told of for CounterRetentionMs, and
 // closes the own epoch after a long silence around this router.
-func (c *CounterStore) tick(now int64) {
+func (c *counterStore) tick(now int64) {
 	c.own.Stamp = now
-	if now-c.heardAt >= c.cfg.CounterRetentionMs/2 && len(c.own.Counters) > 0 {
+	if now-c.lastReceivedAt >= c.cfg.CounterRetentionMs/2 && len(c.own.Counters) > 0 {
 		closed := c.own
-		closed.Stamp = c.heardAt
+		closed.Stamp = c.lastReceivedAt
 		c.own = CounterEntry{Name: c.cfg.Name, Epoch: max(now, closed.Epoch+1), Stamp: now}
-		c.heardAt = now
+		c.lastReceivedAt = now
 		if i, found := c.find(closed.Name, closed.Epoch); !found {
 			c.entries = slices.Insert(c.entries, i, closed)
 		}
@@ -160,13 +160,13 @@
 		if now-e.Stamp < c.cfg.CounterRetentionMs {
 			return false
 		}
-		c.folded.add(e.Counters)
+		c.compacted.add(e.Counters)
 		return true
 	})
 }
 
 // all copies every entry, the own one first.
-func (c *CounterStore) all() []CounterEntry {
+func (c *counterStore) snapshot() []CounterEntry {
 	out := append([]CounterEntry{c.own}, c.entries...)
 	for i := range out {
 		out[i].Counters = slices.Clone(out[i].Counters)
@@ -177,7 +177,7 @@
 // page returns the own entry and the others that fit into room bytes, those
 // first that were told least often since they changed: news spreads as gossip
 // does, and what is old goes round again.
-func (c *CounterStore) page(room int) []CounterEntry {
+func (c *counterStore) page(room int) []CounterEntry {
 	own := c.own
 	own.Counters = slices.Clone(own.Counters) // what is told must not move with what is counted next
 	out := []CounterEntry{own}
@@ -186,13 +186,13 @@
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(c.entries[a].told, c.entries[b].told) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(c.entries[a].sends, c.entries[b].sends) })
 	for _, i := range order {
 		e := &c.entries[i]
 		if room -= e.size(); room < 0 {
 			break
 		}
-		e.told++
+		e.sends++
 		copied := *e
 		copied.Counters = slices.Clone(e.Counters)
 		out = append(out, copied)
--- a/internal/fleetstate/counts_test.go
+++ b/internal/fleetstate/counts_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-func newCounter(name string, epoch int64) *CounterStore {
+func newCounter(name string, epoch int64) *counterStore {
 	cfg := Defaults()
 	cfg.Name, cfg.Start = name, epoch
-	return newCounts(cfg, epoch)
+	return newCounterStore(cfg, epoch)
 }
 
 // exchange tells every counter's whole knowledge to every other, twice, in
 // an order and number drawn from pick.
-func exchange(cs []*CounterStore, now int64, order []int) {
+func exchange(cs []*counterStore, now int64, order []int) {
 	for range 2 {
 		for _, i := range order {
 			for _, j := range order {
@@ -24,7 +24,7 @@
 					for _, e := range cs[i].page(1 << 20) {
 						cs[j].merge(e, now)
 					}
-					cs[j].heardAt = now
+					cs[j].lastReceivedAt = now
 				}
 			}
 		}
@@ -39,7 +39,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "routers")
 		now := int64(1000)
-		cs := make([]*CounterStore, n)
+		cs := make([]*counterStore, n)
 		for i := range cs {
 			cs[i] = newCounter(fmt.Sprint("r", i), int64(i))
 		}
@@ -49,7 +49,7 @@
 		}
 		var wire []told
 		carried, ended, restarts, known := uint64(0), uint64(0), 0, 0
-		sum := func(c *CounterStore) (s uint64) {
+		sum := func(c *counterStore) (s uint64) {
 			for _, v := range c.Total() {
 				s += v
 			}
@@ -63,8 +63,8 @@
 			case ev < 4:
 				var cells Counters
 				k := uint64(rapid.IntRange(1, 9).Draw(t, "much"))
-				cells.Add(rapid.IntRange(0, 2).Draw(t, "class"), CounterKind(rapid.IntRange(0, int(kinds)-1).Draw(t, "kind")), k)
-				cs[i].carried(cells)
+				cells.Add(rapid.IntRange(0, 2).Draw(t, "class"), CounterKind(rapid.IntRange(0, int(counterKinds)-1).Draw(t, "kind")), k)
+				cs[i].record(cells)
 				carried += k
 			case ev < 6:
 				cs[i].tick(now)
@@ -125,10 +125,10 @@
 func TestMergeBySumIsFound(t *testing.T) {
 	cfg := Defaults()
 	cfg.Name, cfg.Sabotage = "a", "counts-by-sum"
-	a, b := newCounts(cfg, 0), newCounter("b", 0)
+	a, b := newCounterStore(cfg, 0), newCounter("b", 0)
 	var cells Counters
 	cells.Add(0, Requests, 5)
-	b.carried(cells)
+	b.record(cells)
 	for range 2 {
 		a.merge(b.page(1000)[0], 10)
 	}
@@ -146,14 +146,14 @@
 		c := newCounter(fmt.Sprint("gone", i), int64(i))
 		var cells Counters
 		cells.Add(1, Rejections, 3)
-		c.carried(cells)
+		c.record(cells)
 		c.tick(int64(1000 + i))
 		old = append(old, c.page(1000)...)
 	}
 	for _, e := range old {
 		a.merge(e, 2000)
 	}
-	a.heardAt = 1100 + a.cfg.CounterRetentionMs
+	a.lastReceivedAt = 1100 + a.cfg.CounterRetentionMs
 	a.tick(1100 + a.cfg.CounterRetentionMs)
 	if len(a.entries) != 0 || a.Total().Get(1, Rejections) != 300 {
 		t.Fatalf("%d entries kept, total %d; want 0 and 300", len(a.entries), a.Total().Get(1, Rejections))
@@ -175,12 +175,12 @@
 	now := int64(0)
 	carried := uint64(0)
 	for ; now < 3*a.cfg.CounterRetentionMs; now += 10_000 {
-		b.carried(one)
+		b.record(one)
 		carried++
 		a.tick(now)
 		b.tick(now)
 		if now < 60_000 || now > 2*a.cfg.CounterRetentionMs {
-			exchange([]*CounterStore{a, b}, now, []int{0, 1})
+			exchange([]*counterStore{a, b}, now, []int{0, 1})
 		}
 	}
 	got := a.Total().Get(0, Requests)
--- a/internal/fleetstate/guide.go
+++ b/internal/fleetstate/guide.go
@@ -19,7 +19,7 @@
 }
 
 // leadFor is how long, in milliseconds, a heard leader is asked first.
-const leadFor = 1000
+const suggestionMs = 1000
 
 // Count takes the view's number of routers alone, without shared state.
 func (g *FleetAdapter) SetRouters(routers int) { g.routers = routers }
@@ -35,13 +35,13 @@
 		}
 	}
 	for _, j := range a.Ejections {
-		if n, ok := id(j.Host); ok {
+		if n, ok := id(j.Endpoint); ok {
 			g.last[n] = j.Until
 		}
 	}
 	for _, name := range a.SuggestedPrimaries {
 		if n, ok := id(name); ok {
-			g.leads[n] = now + leadFor
+			g.leads[n] = now + suggestionMs
 		}
 	}
 }
--- a/internal/fleetstate/guide_test.go
+++ b/internal/fleetstate/guide_test.go
@@ -17,7 +17,7 @@
 	}
 	id := func(name string) (uint32, bool) { return uint32(len(name)), name != "unknown" }
 	g.Set(Advice{Routers: 4, RemainingStake: 0.5, SlowStart: map[string]Quota{"h": {Own: 0.125, Borrowed: 0.5, Until: 1000}, "unknown": {}},
-		RetryQuota: Quota{Own: -0.2, Borrowed: 1, Until: 1000}, Ejections: []Ejection{{Host: "hh", Until: 700}}, SuggestedPrimaries: map[int]string{1: "hhh"}}, id, 100)
+		RetryQuota: Quota{Own: -0.2, Borrowed: 1, Until: 1000}, Ejections: []Ejection{{Endpoint: "hh", Until: 700}}, SuggestedPrimaries: map[int]string{1: "hhh"}}, id, 100)
 	// Half of the stake of a quarter is left, and two stakes are borrowed.
 	if got := g.SlowStartRate(1, 6, 2, at(999)); got != 6*0.5+2*2 {
 		t.Errorf("the rate is %g, want half of its own and two stakes", got)
@@ -58,7 +58,7 @@
 
 // Advice and what was seen cross between two clocks without moving in time.
 func TestShiftedThereAndBack(t *testing.T) {
-	a := Advice{SlowStart: map[string]Quota{"h": {Own: 1, Borrowed: 1, Until: 500}, "i": {Own: 1, Until: math.MaxInt64}}, RetryQuota: Quota{Until: 90}, Ejections: []Ejection{{Host: "h", Until: 70}}}
+	a := Advice{SlowStart: map[string]Quota{"h": {Own: 1, Borrowed: 1, Until: 500}, "i": {Own: 1, Until: math.MaxInt64}}, RetryQuota: Quota{Until: 90}, Ejections: []Ejection{{Endpoint: "h", Until: 70}}}
 	b := a.OnClockAhead(2000)
 	if b.SlowStart["h"].Until != 2500 || b.SlowStart["i"].Until != math.MaxInt64 || b.RetryQuota.Until != 2090 || b.Ejections[0].Until != 2070 || a.Ejections[0].Until != 70 {
 		t.Errorf("shifted %+v from %+v", b, a)
--- a/internal/fleetstate/hang_test.go
+++ b/internal/fleetstate/hang_test.go
@@ -107,7 +107,7 @@
 						peers = append(peers, n)
 					}
 				}
-				h.node.Fleet(peers, routers, int64(f.loop.Now()))
+				h.node.SetView(peers, routers, int64(f.loop.Now()))
 				r.StartObserving()
 				r.JoinFleet(&h.guide)
 			}
@@ -157,7 +157,7 @@
 		wrong := map[string]int{}
 		for _, x := range a.Ejections {
 			var id uint32
-			if _, err := fmt.Sscanf(x.Host, "h%d", &id); err == nil && id != h.f.hung && !x.ObservedHere {
+			if _, err := fmt.Sscanf(x.Endpoint, "h%d", &id); err == nil && id != h.f.hung && !x.ObservedHere {
 				k := fmt.Sprint((id - 1) / 4)
 				wrong[k]++
 				h.f.wrong = max(h.f.wrong, float64(wrong[k])/4)
--- a/internal/fleetstate/judge.go
+++ b/internal/fleetstate/judge.go
@@ -19,7 +19,7 @@
 	Slow                                 // its answers take several times the others'
 	Lagging                              // its position is further back than any class allows
 	Primary                              // it told me that it is its group's primary
-	claimKinds
+	healthStatuses
 )
 
 func (k HealthStatus) String() string {
@@ -31,7 +31,7 @@
 
 // UnmarshalText reads a kind by its name.
 func (k *HealthStatus) UnmarshalText(b []byte) error {
-	for c := HealthStatus(0); c < claimKinds; c++ {
+	for c := HealthStatus(0); c < healthStatuses; c++ {
 		if c.String() == string(b) {
 			*k = c
 			return nil
@@ -43,7 +43,7 @@
 // Claim is first-hand evidence on one host. A router only tells of what it
 // saw itself, so the number of claimants is the number of witnesses.
 type HealthReport struct {
-	Host   string
+	Endpoint   string
 	Status HealthStatus
 	AgeMs  int64 // of the evidence, when sent
 }
@@ -67,59 +67,59 @@
 }
 
 // witness is one peer's latest claim on a host.
-type witness struct {
+type peerReport struct {
 	peer string
-	kind HealthStatus
-	at   int64 // of the newest evidence, on this router's clock
-	from int64 // of the oldest, where it was renewed ever since
-	was  int64 // Host.GoodAt when the claim came
-	read bool  // its truth has been settled against what was seen here
+	status HealthStatus
+	evidenceAt   int64 // of the newest evidence, on this router's clock
+	firstEvidenceAt int64 // of the oldest, where it was renewed ever since
+	answeredBefore  int64 // Host.GoodAt when the claim came
+	verified bool  // its truth has been settled against what was seen here
 }
 
 // doubt is what is held of one host beside what was seen here.
-type doubt struct {
-	witnesses []witness
-	taken     bool
-	until     int64  // of the judgement in force
-	alone     int64  // since when hearsay alone passes it over, 0 for not
-	claimMs   int64  // how long a claim on it counts here: drawn
-	refused   string // why the last judgement was not taken
+type suspicion struct {
+	reports []peerReport
+	ejected     bool
+	ejectedUntil     int64  // of the judgement in force
+	gossipOnlySince     int64  // since when hearsay alone passes it over, 0 for not
+	reportTTLMs   int64  // how long a claim on it counts here: drawn
+	rejectedFor   string // why the last judgement was not taken
 }
 
 // Judge weighs what peers say of hosts.
-type OutlierDetector struct {
+type outlierDetector struct {
 	cfg      Config
 	rng      *rand.Rand
-	hosts    []EndpointHealth // as last observed, by name
-	doubts   map[string]*doubt
-	told     map[string]bool    // hosts that this router told its own doubts of
-	standing map[string]float64 // of peers whose claims proved wrong: 1 is whole
-	steadied int64
+	endpoints    []EndpointHealth // as last observed, by name
+	suspicions   map[string]*suspicion
+	reported     map[string]bool    // hosts that this router told its own doubts of
+	reputation map[string]float64 // of peers whose claims proved wrong: 1 is whole
+	decayedAt int64
 	events   []Event
 }
 
 const (
-	maxWitnesses = 4096        // claims kept on one host: one of each router of a large fleet
-	wrongCosts   = 0.5         // of a peer's standing, for a claim that proved wrong
-	rightEarns   = 0.1         // back, for one that proved right
-	heals        = 1.0 / 60000 // and back with each millisecond: a minute for all of it
+	maxReporters = 4096        // claims kept on one host: one of each router of a large fleet
+	refutedFactor   = 0.5         // of a peer's standing, for a claim that proved wrong
+	confirmedGain   = 0.1         // back, for one that proved right
+	recoveryPerMs        = 1.0 / 60000 // and back with each millisecond: a minute for all of it
 )
 
-func newJudge(cfg Config, now int64) *OutlierDetector {
-	return &OutlierDetector{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x1d9e)), doubts: map[string]*doubt{}, told: map[string]bool{}, standing: map[string]float64{}, steadied: now}
+func newOutlierDetector(cfg Config, now int64) *outlierDetector {
+	return &outlierDetector{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x1d9e)), suspicions: map[string]*suspicion{}, reported: map[string]bool{}, reputation: map[string]float64{}, decayedAt: now}
 }
 
-func (j *OutlierDetector) host(name string) *EndpointHealth {
-	if i, ok := slices.BinarySearchFunc(j.hosts, name, func(h EndpointHealth, n string) int { return cmp.Compare(h.Name, n) }); ok {
-		return &j.hosts[i]
+func (j *outlierDetector) endpoint(name string) *EndpointHealth {
+	if i, ok := slices.BinarySearchFunc(j.endpoints, name, func(h EndpointHealth, n string) int { return cmp.Compare(h.Name, n) }); ok {
+		return &j.endpoints[i]
 	}
 	return nil
 }
 
 // urgent tells that this router has found a host bad that it did not tell of.
-func (j *OutlierDetector) urgent(now int64) bool {
-	for _, h := range j.hosts {
-		if h.Fault != 0 && now-h.FaultAt < j.cfg.ReportTTLMs && !j.told[h.Name] {
+func (j *outlierDetector) hasUnreportedFault(now int64) bool {
+	for _, h := range j.endpoints {
+		if h.Fault != 0 && now-h.FaultAt < j.cfg.ReportTTLMs && !j.reported[h.Name] {
 			return true
 		}
 	}
@@ -128,21 +128,21 @@
 
 // observe takes what this router knows; hosts no longer named are forgotten,
 // with all that was said of them.
-func (j *OutlierDetector) observe(hosts []EndpointHealth) {
-	j.hosts = slices.Clone(hosts)
-	slices.SortFunc(j.hosts, func(a, b EndpointHealth) int { return cmp.Compare(a.Name, b.Name) })
-	for name := range j.doubts {
-		if j.host(name) == nil {
-			delete(j.doubts, name)
+func (j *outlierDetector) observe(hosts []EndpointHealth) {
+	j.endpoints = slices.Clone(hosts)
+	slices.SortFunc(j.endpoints, func(a, b EndpointHealth) int { return cmp.Compare(a.Name, b.Name) })
+	for name := range j.suspicions {
+		if j.endpoint(name) == nil {
+			delete(j.suspicions, name)
 		}
 	}
 }
 
 // claims are what this router has to tell: each doubt of its own while its
 // evidence is fresh, that a host is well where others doubt it, and who leads.
-func (j *OutlierDetector) claims(now int64) (out []HealthReport) {
-	clear(j.told)
-	for _, h := range j.hosts {
+func (j *outlierDetector) ownReports(now int64) (out []HealthReport) {
+	clear(j.reported)
+	for _, h := range j.endpoints {
 		switch j.cfg.Sabotage { // in concert: every host hangs, or every host is well
 		case "liar":
 			out = append(out, HealthReport{h.Name, Unresponsive, 0})
@@ -153,8 +153,8 @@
 		}
 		if h.Fault != 0 && now-h.FaultAt < j.cfg.ReportTTLMs {
 			out = append(out, HealthReport{h.Name, h.Fault, max(0, now-h.FaultAt)})
-			j.told[h.Name] = true
-		} else if d := j.doubts[h.Name]; d != nil && len(d.witnesses) > 0 && h.AnsweredSentAt > 0 && now-h.AnsweredSentAt < j.cfg.ReportTTLMs {
+			j.reported[h.Name] = true
+		} else if d := j.suspicions[h.Name]; d != nil && len(d.reports) > 0 && h.AnsweredSentAt > 0 && now-h.AnsweredSentAt < j.cfg.ReportTTLMs {
 			out = append(out, HealthReport{h.Name, Healthy, max(0, now-h.AnsweredSentAt)})
 		}
 		if h.PrimaryReportedAt > 0 && now-h.PrimaryReportedAt < j.cfg.ReportTTLMs {
@@ -166,38 +166,38 @@
 
 // hear takes a peer's claim. Of a host unknown here nothing is kept: a peer
 // that invents hosts holds no memory.
-func (j *OutlierDetector) hear(peer string, c HealthReport, now int64) {
-	h := j.host(c.Host)
-	if h == nil || c.Status == 0 || c.Status >= claimKinds || c.AgeMs < 0 || c.AgeMs >= j.cfg.ReportTTLMs {
+func (j *outlierDetector) receive(peer string, c HealthReport, now int64) {
+	h := j.endpoint(c.Endpoint)
+	if h == nil || c.Status == 0 || c.Status >= healthStatuses || c.AgeMs < 0 || c.AgeMs >= j.cfg.ReportTTLMs {
 		return
 	}
-	d := j.doubts[c.Host]
+	d := j.suspicions[c.Endpoint]
 	if d == nil {
 		// Drawn, so that not all routers try a host again at one moment once
 		// nobody has new evidence: the first to try tells the others.
-		d = &doubt{claimMs: j.cfg.ReportTTLMs/2 + j.rng.Int64N(j.cfg.ReportTTLMs/2+1)}
-		j.doubts[c.Host] = d
+		d = &suspicion{reportTTLMs: j.cfg.ReportTTLMs/2 + j.rng.Int64N(j.cfg.ReportTTLMs/2+1)}
+		j.suspicions[c.Endpoint] = d
 	}
-	w := witness{peer: peer, kind: c.Status, at: now - c.AgeMs, from: now - c.AgeMs, was: h.AnsweredSentAt}
-	i := slices.IndexFunc(d.witnesses, func(o witness) bool { return o.peer == peer && (o.kind == Primary) == (c.Status == Primary) })
+	w := peerReport{peer: peer, status: c.Status, evidenceAt: now - c.AgeMs, firstEvidenceAt: now - c.AgeMs, answeredBefore: h.AnsweredSentAt}
+	i := slices.IndexFunc(d.reports, func(o peerReport) bool { return o.peer == peer && (o.status == Primary) == (c.Status == Primary) })
 	switch {
-	case i >= 0 && w.at <= d.witnesses[i].at: // an old one, doubled or reordered
+	case i >= 0 && w.evidenceAt <= d.reports[i].evidenceAt: // an old one, doubled or reordered
 	case i >= 0:
-		if o := d.witnesses[i]; o.kind == w.kind {
-			w.from = o.from
-			if !o.read { // the same doubt goes on: what was seen before it began counts
-				w.was = max(o.was, min(w.was, o.at))
+		if o := d.reports[i]; o.status == w.status {
+			w.firstEvidenceAt = o.firstEvidenceAt
+			if !o.verified { // the same doubt goes on: what was seen before it began counts
+				w.answeredBefore = max(o.answeredBefore, min(w.answeredBefore, o.evidenceAt))
 			}
 		}
-		d.witnesses[i] = w
-	case len(d.witnesses) < maxWitnesses:
-		d.witnesses = append(d.witnesses, w)
+		d.reports[i] = w
+	case len(d.reports) < maxReporters:
+		d.reports = append(d.reports, w)
 	}
 }
 
 // trust is a peer's standing, 1 where nothing of it proved wrong.
-func (j *OutlierDetector) trust(peer string) float64 {
-	if s, ok := j.standing[peer]; ok {
+func (j *outlierDetector) reputationOf(peer string) float64 {
+	if s, ok := j.reputation[peer]; ok {
 		return s
 	}
 	return 1
@@ -207,26 +207,26 @@
 // evidence and answered makes a doubt void; where one sent shortly before it
 // was answered as well, the host was well around it and the claim was wrong.
 // A doubt that was found true here earns standing back.
-func (j *OutlierDetector) settle(w *witness, h *EndpointHealth, now int64) (void bool) {
-	doubts, good := w.kind != Healthy && w.kind != Primary, h.AnsweredSentAt
-	if w.kind == Lagging {
+func (j *outlierDetector) verify(w *peerReport, h *EndpointHealth, now int64) (void bool) {
+	doubts, good := w.status != Healthy && w.status != Primary, h.AnsweredSentAt
+	if w.status == Lagging {
 		good = h.FreshAt
 	}
 	switch {
-	case doubts && good >= w.at:
-		if (w.kind == Unresponsive || w.kind == Failing) && !w.read && w.was > 0 && w.at-w.was < j.cfg.ReportTTLMs && h.AnsweredSentAt-w.at < j.cfg.ReportTTLMs {
-			was := j.trust(w.peer)
-			j.standing[w.peer] = was * wrongCosts
-			if was >= 0.5 && was*wrongCosts < 0.5 { // a liar's every claim would be a line
-				j.events = append(j.events, Event{Kind: ReportRefuted, Key: h.Name, Peer: w.peer, Status: w.kind, Amount: was * wrongCosts})
+	case doubts && good >= w.evidenceAt:
+		if (w.status == Unresponsive || w.status == Failing) && !w.verified && w.answeredBefore > 0 && w.evidenceAt-w.answeredBefore < j.cfg.ReportTTLMs && h.AnsweredSentAt-w.evidenceAt < j.cfg.ReportTTLMs {
+			was := j.reputationOf(w.peer)
+			j.reputation[w.peer] = was * refutedFactor
+			if was >= 0.5 && was*refutedFactor < 0.5 { // a liar's every claim would be a line
+				j.events = append(j.events, Event{Kind: ReportRefuted, Key: h.Name, Peer: w.peer, Status: w.status, Amount: was * refutedFactor})
 			}
 		}
-		w.read = true
+		w.verified = true
 		return true
-	case doubts && !w.read && h.Fault != 0 && h.FaultAt >= w.at:
-		j.standing[w.peer] = min(1, j.trust(w.peer)+rightEarns)
-		w.read = true
-	case w.kind == Healthy && h.Fault != 0 && h.FaultAt > w.at:
+	case doubts && !w.verified && h.Fault != 0 && h.FaultAt >= w.evidenceAt:
+		j.reputation[w.peer] = min(1, j.reputationOf(w.peer)+confirmedGain)
+		w.verified = true
+	case w.status == Healthy && h.Fault != 0 && h.FaultAt > w.evidenceAt:
 		return true
 	}
 	return false
@@ -237,72 +237,72 @@
 // be said for: a host that hung just now has doubters since then and nobody
 // whom it answered later; one that is lied about has always been answering
 // others meanwhile. It also counts those doubters.
-func (j *OutlierDetector) support(d *doubt, h *EndpointHealth, now int64) (most float64, count int, kind HealthStatus, newest int64) {
-	var valid []*witness
-	for i := range d.witnesses {
-		if w := &d.witnesses[i]; !j.settle(w, h, now) && w.kind != Primary {
+func (j *outlierDetector) support(d *suspicion, h *EndpointHealth, now int64) (most float64, count int, kind HealthStatus, newest int64) {
+	var valid []*peerReport
+	for i := range d.reports {
+		if w := &d.reports[i]; !j.verify(w, h, now) && w.status != Primary {
 			valid = append(valid, w)
 		}
 	}
-	for _, c := range j.since(valid) {
+	for _, c := range j.onsets(valid) {
 		if count == 0 || c.support > most {
-			most, count, kind, newest = c.support, c.count, c.kind, c.newest
+			most, count, kind, newest = c.support, c.reporters, c.status, c.newestEvidence
 		}
 	}
 	return most, count, kind, newest
 }
 
 // beginning is what is to be said for one moment at which a doubt began.
-type beginning struct {
+type onset struct {
 	support float64
-	count   int // of those who doubt the host since then
-	kind    HealthStatus
-	newest  int64 // of their evidence
+	reporters   int // of those who doubt the host since then
+	status    HealthStatus
+	newestEvidence  int64 // of their evidence
 }
 
 // since weighs the moments at which valid doubts began, in the order of the
 // witnesses. It goes through the moments from the latest to the earliest, as
 // each has the doubters of every later one: with thousands of routers there may
 // be as many witnesses.
-func (j *OutlierDetector) since(valid []*witness) []beginning {
+func (j *outlierDetector) onsets(valid []*peerReport) []onset {
 	var doubters, well []int // indexes, the latest first
 	for i, w := range valid {
-		if w.kind == Healthy {
+		if w.status == Healthy {
 			well = append(well, i)
 		} else {
 			doubters = append(doubters, i)
 		}
 	}
-	slices.SortStableFunc(doubters, func(a, b int) int { return cmp.Compare(valid[b].from, valid[a].from) })
-	slices.SortStableFunc(well, func(a, b int) int { return cmp.Compare(valid[b].at, valid[a].at) })
-	at := make([]beginning, len(valid))
-	var so beginning
+	slices.SortStableFunc(doubters, func(a, b int) int { return cmp.Compare(valid[b].firstEvidenceAt, valid[a].firstEvidenceAt) })
+	slices.SortStableFunc(well, func(a, b int) int { return cmp.Compare(valid[b].evidenceAt, valid[a].evidenceAt) })
+	at := make([]onset, len(valid))
+	var so onset
 	latest := -1 // index of the doubter with the newest evidence so far
 	for n := 0; n < len(doubters); {
-		from, first := valid[doubters[n]].from, n
-		for ; n < len(doubters) && valid[doubters[n]].from == from; n++ {
+		from, first := valid[doubters[n]].firstEvidenceAt, n
+		for ; n < len(doubters) && valid[doubters[n]].firstEvidenceAt == from; n++ {
 			i := doubters[n]
 			w := valid[i]
-			so.support += j.trust(w.peer)
-			so.count++
-			if w.at > so.newest || w.at == so.newest && i < latest {
-				so.kind, so.newest, latest = w.kind, w.at, i
+			so.support += j.reputationOf(w.peer)
+			so.reporters++
+			if w.evidenceAt > so.newestEvidence || w.evidenceAt == so.newestEvidence && i < latest {
+				so.status, so.newestEvidence, latest = w.status, w.evidenceAt, i
 			}
 		}
-		for len(well) > 0 && valid[well[0]].at > from {
-			so.support -= j.trust(valid[well[0]].peer)
+		for len(well) > 0 && valid[well[0]].evidenceAt > from {
+			so.support -= j.reputationOf(valid[well[0]].peer)
 			well = well[1:]
 		}
 		for _, i := range doubters[first:n] {
 			at[i] = so
 		}
 	}
-	return slices.DeleteFunc(at, func(b beginning) bool { return b.count == 0 })
+	return slices.DeleteFunc(at, func(b onset) bool { return b.reporters == 0 })
 }
 
 // Judgement passes over a host for a while.
 type Ejection struct {
-	Host         string
+	Endpoint         string
 	Status       HealthStatus
 	Until        int64
 	Support      float64
@@ -316,18 +316,18 @@
 // has tried the host itself; an answer ends it; without renewal it ends after
 // EjectionMs. It only ever takes a host out: nothing said by a peer lets one in,
 // or adds to what a cold one is sent.
-func (j *OutlierDetector) judge(now int64) (in []Ejection) {
-	j.steady(now)
+func (j *outlierDetector) eject(now int64) (in []Ejection) {
+	j.expire(now)
 	type candidate struct {
 		Ejection
-		d *doubt
+		d *suspicion
 		h *EndpointHealth
 	}
 	groups := map[int][]candidate{}
 	var order []int
-	for i := range j.hosts {
-		h := &j.hosts[i]
-		d := j.doubts[h.Name]
+	for i := range j.endpoints {
+		h := &j.endpoints[i]
+		d := j.suspicions[h.Name]
 		if d == nil {
 			continue
 		}
@@ -337,7 +337,7 @@
 		switch {
 		case own || h.Overdue: // seen here as well: one more witness is enough
 			need, least = 0.5, 1
-		case d.taken && now < d.until+j.cfg.EjectionMs: // judged by more: one in good standing renews it
+		case d.ejected && now < d.ejectedUntil+j.cfg.EjectionMs: // judged by more: one in good standing renews it
 			need, least = 0.75, 1
 		}
 		if j.cfg.Sabotage == "trust-one" {
@@ -345,28 +345,28 @@
 		}
 		if count < least || sum < need {
 			if count > 0 {
-				j.refuse(d, h, "too few witnesses")
+				j.reject(d, h, "too few witnesses")
 			}
-			d.taken, d.alone = d.taken && now < d.until, 0
+			d.ejected, d.gossipOnlySince = d.ejected && now < d.ejectedUntil, 0
 			continue
 		}
-		c := candidate{Ejection{Host: h.Name, Status: kind, Support: sum, ObservedHere: own}, d, h}
+		c := candidate{Ejection{Endpoint: h.Name, Status: kind, Support: sum, ObservedHere: own}, d, h}
 		switch {
 		case !h.Ready:
 			continue
 		case h.Primary: // nobody takes its place for writes and fresh reads: its trials are not put off
 			continue
 		case own: // its breaker is open: others' fresher evidence puts its trial off, for a while
-			c.Until = min(now+j.cfg.EjectionMs, h.FaultAt+2*d.claimMs)
+			c.Until = min(now+j.cfg.EjectionMs, h.FaultAt+2*d.reportTTLMs)
 			if newest <= h.FaultAt || c.Until <= now {
 				continue
 			}
 		case !h.Overdue:
-			if d.alone == 0 || h.LastSentAt > d.alone {
-				d.alone = now
+			if d.gossipOnlySince == 0 || h.LastSentAt > d.gossipOnlySince {
+				d.gossipOnlySince = now
 			}
-			if now-d.alone >= j.cfg.GossipEjectionMs && j.cfg.Sabotage == "" {
-				j.refuse(d, h, "not tried here")
+			if now-d.gossipOnlySince >= j.cfg.GossipEjectionMs && j.cfg.Sabotage == "" {
+				j.reject(d, h, "not tried here")
 				continue
 			}
 			fallthrough
@@ -387,7 +387,7 @@
 			return cmp.Or(cmp.Compare(b2i(b.h.Overdue), b2i(a.h.Overdue)), cmp.Compare(b.Support, a.Support))
 		})
 		ready, sound := 0, 0
-		for _, h := range j.hosts {
+		for _, h := range j.endpoints {
 			if h.Group == g && h.Ready {
 				ready++
 				if h.Fault == 0 || h.AnsweredSentAt > h.FaultAt {
@@ -407,7 +407,7 @@
 		for _, c := range cs {
 			if !c.ObservedHere {
 				if j.cfg.Sabotage != "trust-one" && (most < 1 || sound < 2 || !c.h.Overdue && alone > most) {
-					j.refuse(c.d, c.h, "too much of the group")
+					j.reject(c.d, c.h, "too much of the group")
 					continue
 				}
 				most--
@@ -416,10 +416,10 @@
 					alone--
 				}
 			}
-			if !c.d.taken || c.d.until < now {
-				j.events = append(j.events, Event{Kind: EndpointEjected, Key: c.Host, Status: c.Status, Amount: c.Support})
+			if !c.d.ejected || c.d.ejectedUntil < now {
+				j.events = append(j.events, Event{Kind: EndpointEjected, Key: c.Endpoint, Status: c.Status, Amount: c.Support})
 			}
-			c.d.taken, c.d.until, c.d.refused = true, c.Until, ""
+			c.d.ejected, c.d.ejectedUntil, c.d.rejectedFor = true, c.Until, ""
 			in = append(in, c.Ejection)
 		}
 	}
@@ -434,9 +434,9 @@
 }
 
 // refuse notes why a judgement was not taken, once for each reason.
-func (j *OutlierDetector) refuse(d *doubt, h *EndpointHealth, why string) {
-	if d.refused != why {
-		d.refused = why
+func (j *outlierDetector) reject(d *suspicion, h *EndpointHealth, why string) {
+	if d.rejectedFor != why {
+		d.rejectedFor = why
 		j.events = append(j.events, Event{Kind: EjectionRejected, Key: h.Name, Reason: why})
 	}
 }
@@ -444,20 +444,20 @@
 // leader returns whom peers say a group's primary is, where this router seeks
 // it: the newest word, if it is newer than what was seen here. A wrong one
 // costs one try that is turned away.
-func (j *OutlierDetector) leaders() (out map[int]string) {
+func (j *outlierDetector) suggestedPrimaries() (out map[int]string) {
 	best := map[int]int64{}
-	for i := range j.hosts {
-		h := &j.hosts[i]
-		d := j.doubts[h.Name]
+	for i := range j.endpoints {
+		h := &j.endpoints[i]
+		d := j.suspicions[h.Name]
 		if d == nil || !h.PrimaryUnknown || !h.Ready {
 			continue
 		}
-		for _, w := range d.witnesses {
-			if w.kind == Primary && w.at > best[h.Group] && w.at > h.LastSentAt {
+		for _, w := range d.reports {
+			if w.status == Primary && w.evidenceAt > best[h.Group] && w.evidenceAt > h.LastSentAt {
 				if out == nil {
 					out = map[int]string{}
 				}
-				best[h.Group], out[h.Group] = w.at, h.Name
+				best[h.Group], out[h.Group] = w.evidenceAt, h.Name
 			}
 		}
 	}
@@ -465,22 +465,22 @@
 }
 
 // steady forgets claims whose evidence is too old and lets standing recover.
-func (j *OutlierDetector) steady(now int64) {
+func (j *outlierDetector) expire(now int64) {
 	if j.cfg.Sabotage != "never-expire" {
-		for name, d := range j.doubts {
-			d.witnesses = slices.DeleteFunc(d.witnesses, func(w witness) bool { return now-w.at >= d.claimMs })
-			if len(d.witnesses) == 0 && now >= d.until && (d.alone == 0 || now-d.alone >= 4*j.cfg.GossipEjectionMs) {
-				delete(j.doubts, name)
+		for name, d := range j.suspicions {
+			d.reports = slices.DeleteFunc(d.reports, func(w peerReport) bool { return now-w.evidenceAt >= d.reportTTLMs })
+			if len(d.reports) == 0 && now >= d.ejectedUntil && (d.gossipOnlySince == 0 || now-d.gossipOnlySince >= 4*j.cfg.GossipEjectionMs) {
+				delete(j.suspicions, name)
 			}
 		}
 	}
-	by := float64(now-j.steadied) * heals
-	j.steadied = now
-	for p, s := range j.standing {
+	by := float64(now-j.decayedAt) * recoveryPerMs
+	j.decayedAt = now
+	for p, s := range j.reputation {
 		if s += by; s >= 1 {
-			delete(j.standing, p)
+			delete(j.reputation, p)
 		} else {
-			j.standing[p] = s
+			j.reputation[p] = s
 		}
 	}
 }
--- a/internal/fleetstate/lease_test.go
+++ b/internal/fleetstate/lease_test.go
@@ -17,7 +17,7 @@
 	true_   int64
 	offset  []int64 // of each clock
 	step    []int64 // within a quarter of the skew either way
-	leases  []*Leases
+	leases  []*leaseTable
 	advised []Quota // what each router acts on, taken when it last ran
 	wire    []letter
 }
@@ -31,7 +31,7 @@
 const host = "h"
 
 func newFleet(cfg Config, n int) *fleet {
-	f := &fleet{cfg: cfg, offset: make([]int64, n), step: make([]int64, n), leases: make([]*Leases, n), advised: make([]Quota, n)}
+	f := &fleet{cfg: cfg, offset: make([]int64, n), step: make([]int64, n), leases: make([]*leaseTable, n), advised: make([]Quota, n)}
 	for i := range n {
 		f.offset[i] = int64(i) * 1_000_000
 		f.boot(i)
@@ -51,11 +51,11 @@
 
 func (f *fleet) advise(i int) {
 	f.leases[i].expire(f.clock(i))
-	f.advised[i] = f.leases[i].Quota(host, f.stake(), f.clock(i))
+	f.advised[i] = f.leases[i].quota(host, f.stake(), f.clock(i))
 }
 
 func (f *fleet) ask(from, to int) {
-	if a, ok := f.leases[from].want(host, fmt.Sprint(to), f.stake(), f.clock(from)); ok {
+	if a, ok := f.leases[from].request(host, fmt.Sprint(to), f.stake(), f.clock(from)); ok {
 		f.wire = append(f.wire, letter{from: from, to: to, ask: &a})
 	}
 }
@@ -72,7 +72,7 @@
 		}
 		return
 	}
-	f.leases[l.to].take(fmt.Sprint(l.from), *l.grant, f.stake(), f.clock(l.to))
+	f.leases[l.to].accept(fmt.Sprint(l.from), *l.grant, f.stake(), f.clock(l.to))
 	f.advise(l.to)
 }
 
--- a/internal/fleetstate/link/link.go
+++ b/internal/fleetstate/link/link.go
@@ -17,10 +17,10 @@
 
 const (
 	// adviseMs is how often advice is given anew where nothing happened.
-	adviseMs = 50
+	adviceIntervalMs = 50
 	// heldMost bounds the grants that wait for the router; past it they are
 	// lost, as any datagram may be.
-	heldMost = 256
+	maxDelayedGrants = 256
 )
 
 // Advice is the rules' advice with its number, to be told back by Applied.
@@ -98,14 +98,14 @@
 func (l *Link) Applied(seq uint64) { l.applied.Store(seq) }
 
 // Page is the state for people, a copy.
-func (l *Link) Page() fleetstate.StatusPage {
+func (l *Link) StatusPage() fleetstate.StatusPage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.page
 }
 
 // Fleet implements udp.SharedState.
-func (l *Link) Fleet(peers []string, size int, now int64) { l.node.Fleet(peers, size, now) }
+func (l *Link) Fleet(peers []string, size int, now int64) { l.node.SetView(peers, size, now) }
 
 // Tick implements udp.SharedState.
 func (l *Link) Tick(now int64) []udp.Payload {
@@ -117,7 +117,7 @@
 		l.node.Observe(s)
 	}
 	r := l.node.Tick(now)
-	if len(r.Events) > 0 || now-l.advised >= adviseMs {
+	if len(r.Events) > 0 || now-l.advised >= adviceIntervalMs {
 		l.advise(now)
 	}
 	out := l.carry(r)
@@ -141,7 +141,7 @@
 		l.advise(now)
 	}
 	for _, p := range l.carry(r) { // all that answers a message is a grant
-		if len(l.grants) < heldMost {
+		if len(l.grants) < maxDelayedGrants {
 			l.grants = append(l.grants, grant{l.seq, p})
 		}
 	}
@@ -195,7 +195,7 @@
 
 // Metrics are the link's counters and the fleet's totals, by name.
 func (l *Link) Metrics(classes []string) map[string]uint64 {
-	p := l.Page()
+	p := l.StatusPage()
 	m := map[string]uint64{
 		"shared_messages_sent": l.Sent.Load(), "shared_messages_received": l.Received.Load(), "shared_bytes_sent": l.Bytes.Load(),
 		"shared_messages_malformed": l.Malformed.Load(), "shared_strangers": p.UnknownSenders, "shared_counters_refused": p.RejectedCounters,
--- a/internal/fleetstate/link/link_test.go
+++ b/internal/fleetstate/link/link_test.go
@@ -77,7 +77,7 @@
 	}
 	l.Tick(1000)
 	l.Tick(2000)
-	if got := l.Page().Totals.Get(1, fleetstate.Requests); got != 6 {
+	if got := l.StatusPage().Totals.Get(1, fleetstate.Requests); got != 6 {
 		t.Errorf("the total is %d, want 6", got)
 	}
 }
--- a/internal/fleetstate/node.go
+++ b/internal/fleetstate/node.go
@@ -7,7 +7,7 @@
 )
 
 // nameMost bounds names of members, hosts and budgets in a message.
-const nameMost = 128
+const maxNameBytes = 128
 
 // Message is what one router tells another.
 type Message struct {
@@ -22,7 +22,7 @@
 const (
 	messageOverhead = 24
 	entryOverhead   = 40
-	claimOverhead   = 20
+	reportOverhead   = 20
 	leaseOverhead   = 60
 )
 
@@ -52,7 +52,7 @@
 		n += e.size()
 	}
 	for _, c := range m.HealthReports {
-		n += claimOverhead + len(c.Host)
+		n += reportOverhead + len(c.Endpoint)
 	}
 	for _, a := range m.LeaseRequests {
 		n += leaseOverhead + len(a.Key)
@@ -171,18 +171,18 @@
 type Node struct {
 	cfg    Config
 	rng    *rand.Rand
-	leases *Leases
-	counts *CounterStore
-	judge  *OutlierDetector
+	leases *leaseTable
+	counters *counterStore
+	outliers  *outlierDetector
 
-	fleet          int // the setting
-	size           int // the larger of it and the largest view seen lately
-	sizeAt         int64
+	configuredRouters          int // the setting
+	routers           int // the larger of it and the largest view seen lately
+	routersAt         int64
 	peers          []string
-	repeats        RetryBudget
-	next           int64
-	nextCounts     int64
-	told           int // ticks, for the rounds of peers
+	retryBudget        RetryBudget
+	nextTick           int64
+	nextCounters     int64
+	rounds           int // ticks, for the rounds of peers
 	advice         Advice
 	UnknownSenders uint64 // messages of strangers
 }
@@ -190,9 +190,9 @@
 // New makes a node from checked settings; fleet is the configured number of
 // routers.
 func New(cfg Config, fleet int, now int64) *Node {
-	n := &Node{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed^0x5eed)), fleet: max(fleet, 1), size: max(fleet, 1), sizeAt: now,
-		leases: newLeases(cfg, now), counts: newCounts(cfg, now), judge: newJudge(cfg, now), next: now}
-	n.advice.Routers = n.size
+	n := &Node{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed^0x5eed)), configuredRouters: max(fleet, 1), routers: max(fleet, 1), routersAt: now,
+		leases: newLeases(cfg, now), counters: newCounterStore(cfg, now), outliers: newOutlierDetector(cfg, now), nextTick: now}
+	n.advice.Routers = n.routers
 	return n
 }
 
@@ -200,58 +200,58 @@
 // be, this one included (alive, suspect or dead, but not left). The size that
 // shares are cut by rises at once and falls only after CounterRetentionMs without the
 // larger number: who cannot be heard may be cut off and sending.
-func (n *Node) Fleet(peers []string, size int, now int64) {
+func (n *Node) SetView(peers []string, size int, now int64) {
 	n.peers = peers
-	if size = max(size, n.fleet); size >= n.size {
-		n.size, n.sizeAt = size, now
-	} else if now-n.sizeAt >= n.cfg.CounterRetentionMs {
-		n.size, n.sizeAt = size, now
+	if size = max(size, n.configuredRouters); size >= n.routers {
+		n.routers, n.routersAt = size, now
+	} else if now-n.routersAt >= n.cfg.CounterRetentionMs {
+		n.routers, n.routersAt = size, now
 	}
 }
 
 // Observe takes what the router saw.
 func (n *Node) Observe(s Observation) {
-	n.counts.carried(s.Counters)
-	n.judge.observe(s.Endpoints)
-	n.repeats = s.RetryBudget
+	n.counters.record(s.Counters)
+	n.outliers.observe(s.Endpoints)
+	n.retryBudget = s.RetryBudget
 }
 
 // stake is this router's own part of a budget, and whether it needs it itself.
 func (n *Node) stake(key string) (stake float64, needed bool) {
 	if key == RetryBudgetKey {
-		return n.repeats.EarnedPerSecond, !n.repeats.Surplus
+		return n.retryBudget.EarnedPerSecond, !n.retryBudget.Surplus
 	}
-	if h := n.judge.host(key); h != nil {
-		return 1 / float64(n.size), h.RequestsQueued
+	if h := n.outliers.endpoint(key); h != nil {
+		return 1 / float64(n.routers), h.RequestsQueued
 	}
-	return 1 / float64(n.size), false
+	return 1 / float64(n.routers), false
 }
 
 // Tick moves to now and says what to send. Call it at least every TickMs.
 func (n *Node) Tick(now int64) Ready {
 	var r Ready
 	r.Events = n.leases.expire(now)
-	if urgent := n.judge.urgent(now); now >= n.next || urgent { // what was just found is told at once
-		n.next = now + n.cfg.TickMs
-		n.counts.tick(now)
-		r.Messages = n.speak(now, urgent)
+	if urgent := n.outliers.hasUnreportedFault(now); now >= n.nextTick || urgent { // what was just found is told at once
+		n.nextTick = now + n.cfg.TickMs
+		n.counters.tick(now)
+		r.Messages = n.gossip(now, urgent)
 	}
-	r.Events = append(r.Events, n.judge.events...)
-	n.judge.events = nil
+	r.Events = append(r.Events, n.outliers.events...)
+	n.outliers.events = nil
 	return r
 }
 
 // newsFan is how many times FanOut peers are told of what was just found: the
 // first moments count, and what follows comes at FanOut's pace.
-const newsFan = 3
+const urgentFanOutFactor = 3
 
 // speak makes this tick's messages: counters to one peer, claims to FanOut,
 // asks to Lenders for each budget that this router wants more of.
-func (n *Node) speak(now int64, urgent bool) (out []Envelope) {
+func (n *Node) gossip(now int64, urgent bool) (out []Envelope) {
 	if len(n.peers) == 0 {
 		return nil
 	}
-	n.told++
+	n.rounds++
 	msgs := map[string]*Message{}
 	var order []string
 	to := func(peer string) *Message {
@@ -270,37 +270,37 @@
 		}
 		return got
 	}
-	if claims := n.judge.claims(now); len(claims) > 0 {
+	if claims := n.outliers.ownReports(now); len(claims) > 0 {
 		fan := n.cfg.FanOut
 		if urgent {
-			fan *= newsFan
+			fan *= urgentFanOutFactor
 		}
 		for _, p := range draw(fan) {
 			m := to(p)
 			for i := range claims { // each peer from another place on, so that a long list gets round
-				c := claims[(i+n.told)%len(claims)]
-				if m.Size()+claimOverhead+len(c.Host) > n.cfg.MaxMessageBytes {
+				c := claims[(i+n.rounds)%len(claims)]
+				if m.Size()+reportOverhead+len(c.Endpoint) > n.cfg.MaxMessageBytes {
 					break
 				}
 				m.HealthReports = append(m.HealthReports, c)
 			}
 		}
 	}
-	for _, key := range n.wanted() {
+	for _, key := range n.neededLeases() {
 		stake, _ := n.stake(key)
 		for _, p := range draw(n.cfg.LendersPerTick) {
 			if m := to(p); m.Size()+leaseOverhead+len(key) <= n.cfg.MaxMessageBytes {
-				if a, ok := n.leases.want(key, p, stake, now); ok {
+				if a, ok := n.leases.request(key, p, stake, now); ok {
 					m.LeaseRequests = append(m.LeaseRequests, a)
 				}
 			}
 		}
 	}
-	if now >= n.nextCounts {
-		n.nextCounts = now + n.cfg.CounterIntervalMs
+	if now >= n.nextCounters {
+		n.nextCounters = now + n.cfg.CounterIntervalMs
 		for _, p := range draw(1) {
 			m := to(p)
-			m.Counters = n.counts.page(n.cfg.MaxMessageBytes - m.Size())
+			m.Counters = n.counters.page(n.cfg.MaxMessageBytes - m.Size())
 		}
 	}
 	for _, p := range order {
@@ -312,13 +312,13 @@
 }
 
 // wanted are the budgets that this router would use more of.
-func (n *Node) wanted() (keys []string) {
-	for _, h := range n.judge.hosts {
+func (n *Node) neededLeases() (keys []string) {
+	for _, h := range n.outliers.endpoints {
 		if h.WarmingUp && h.RequestsQueued {
 			keys = append(keys, h.Name)
 		}
 	}
-	if n.repeats.Depleted {
+	if n.retryBudget.Depleted {
 		keys = append(keys, RetryBudgetKey)
 	}
 	return keys
@@ -332,17 +332,17 @@
 		n.UnknownSenders++
 		return r
 	}
-	n.counts.heardAt = now
+	n.counters.lastReceivedAt = now
 	for _, e := range m.Counters {
-		n.counts.merge(e, now)
+		n.counters.merge(e, now)
 	}
 	for _, c := range m.HealthReports {
-		n.judge.hear(peer, c, now)
+		n.outliers.receive(peer, c, now)
 	}
 	var answer Message
 	for _, a := range m.LeaseRequests {
 		stake, needed := n.stake(a.Key)
-		if a.Key != RetryBudgetKey && n.judge.host(a.Key) == nil {
+		if a.Key != RetryBudgetKey && n.outliers.endpoint(a.Key) == nil {
 			continue // of a host that this router does not know it gives nothing
 		}
 		if g, ok := n.leases.grant(peer, a, stake, needed, now); ok && answer.Size()+leaseOverhead+len(g.Key) <= n.cfg.MaxMessageBytes {
@@ -352,7 +352,7 @@
 	}
 	for _, g := range m.LeaseGrants {
 		stake, _ := n.stake(g.Key)
-		if h, ok := n.leases.take(peer, g, stake, now); ok {
+		if h, ok := n.leases.accept(peer, g, stake, now); ok {
 			r.Events = append(r.Events, Event{Kind: LeaseBorrowed, Key: g.Key, Peer: peer, Amount: h.amount})
 		}
 	}
@@ -367,23 +367,23 @@
 // changed a lease. A lease that has ended is not in it: a router that was
 // paused must ask again before it sends.
 func (n *Node) Advice(now int64) Advice {
-	a := Advice{Routers: n.size, Ejections: n.judge.judge(now), SuggestedPrimaries: n.judge.leaders(), SlowStart: map[string]Quota{}}
-	stake := 1 / float64(n.size)
+	a := Advice{Routers: n.routers, Ejections: n.outliers.eject(now), SuggestedPrimaries: n.outliers.suggestedPrimaries(), SlowStart: map[string]Quota{}}
+	stake := 1 / float64(n.routers)
 	// A host may be told to be cold here later than to who borrowed the share.
-	for _, h := range n.judge.hosts {
-		if h.WarmingUp || len(n.leases.lent[h.Name])+len(n.leases.held[h.Name]) > 0 {
-			a.SlowStart[h.Name] = n.leases.Quota(h.Name, stake, now)
+	for _, h := range n.outliers.endpoints {
+		if h.WarmingUp || len(n.leases.lent[h.Name])+len(n.leases.borrowed[h.Name]) > 0 {
+			a.SlowStart[h.Name] = n.leases.quota(h.Name, stake, now)
 		}
 	}
-	a.RemainingStake = n.leases.Quota("", 1, now).Own
-	a.RetryQuota = n.leases.Quota(RetryBudgetKey, n.repeats.EarnedPerSecond, now)
-	a.RetryQuota.Own -= n.repeats.EarnedPerSecond
+	a.RemainingStake = n.leases.quota("", 1, now).Own
+	a.RetryQuota = n.leases.quota(RetryBudgetKey, n.retryBudget.EarnedPerSecond, now)
+	a.RetryQuota.Own -= n.retryBudget.EarnedPerSecond
 	n.advice = a
 	return a
 }
 
 // Totals adds up what the fleet carried, as far as this router has heard.
-func (n *Node) Totals() Counters { return n.counts.Total() }
+func (n *Node) Totals() Counters { return n.counters.Total() }
 
 // Page is this node's state for people.
 type StatusPage struct {
@@ -404,15 +404,15 @@
 // Page copies the node's state at now, with the last advice.
 func (n *Node) StatusPage(now int64) StatusPage {
 	a := n.advice
-	p := StatusPage{Routers: n.size, SlowStart: a.SlowStart, Stake: 1 / float64(n.size), Lent: map[string]float64{}, Borrowed: map[string]float64{}, RetryQuota: a.RetryQuota,
-		Totals: n.Totals(), Counters: n.counts.all(), Ejections: a.Ejections, Reputation: map[string]float64{}, RejectedCounters: n.counts.Rejected, UnknownSenders: n.UnknownSenders}
+	p := StatusPage{Routers: n.routers, SlowStart: a.SlowStart, Stake: 1 / float64(n.routers), Lent: map[string]float64{}, Borrowed: map[string]float64{}, RetryQuota: a.RetryQuota,
+		Totals: n.Totals(), Counters: n.counters.snapshot(), Ejections: a.Ejections, Reputation: map[string]float64{}, RejectedCounters: n.counters.Rejected, UnknownSenders: n.UnknownSenders}
 	for k, l := range n.leases.lent {
-		p.Lent[k] = sum(l, now)
+		p.Lent[k] = activeAmount(l, now)
 	}
-	for k, l := range n.leases.held {
-		p.Borrowed[k] = sum(l, now)
+	for k, l := range n.leases.borrowed {
+		p.Borrowed[k] = activeAmount(l, now)
 	}
-	for k, s := range n.judge.standing {
+	for k, s := range n.outliers.reputation {
 		p.Reputation[k] = s
 	}
 	return p
--- a/internal/fleetstate/node_test.go
+++ b/internal/fleetstate/node_test.go
@@ -19,7 +19,7 @@
 		at         int64
 		size, want int
 	}{{0, 2, 4}, {1000, 9, 9}, {2000, 5, 9}, {1000 + n.cfg.CounterRetentionMs - 1, 5, 9}, {1000 + n.cfg.CounterRetentionMs, 5, 5}, {2000 + 3*n.cfg.CounterRetentionMs, 1, 4}} {
-		n.Fleet([]string{"b"}, step.size, step.at)
+		n.SetView([]string{"b"}, step.size, step.at)
 		if got := n.Advice(step.at).Routers; got != step.want {
 			t.Errorf("at %d, with %d seen, shares are cut by %d, want %d", step.at, step.size, got, step.want)
 		}
@@ -31,7 +31,7 @@
 func TestARouterThatHearsNothingIsAlone(t *testing.T) {
 	n := newTestNode("a", 4, 0)
 	now := n.cfg.LeaseMs + n.cfg.SkewMs
-	n.Fleet([]string{"b", "c"}, 4, now)
+	n.SetView([]string{"b", "c"}, 4, now)
 	n.Observe(Observation{Endpoints: []EndpointHealth{{Name: "h", Ready: true, WarmingUp: true, RequestsQueued: true}, {Name: "i", Group: 1, Ready: true}, {Name: "j", Group: 1, Ready: true}}})
 	var asked *LeaseRequest
 	for _, m := range n.Tick(now).Messages {
@@ -52,7 +52,7 @@
 	if a := n.Advice(now + 1); a.SlowStart["h"].At(now+1) != 0.375 || len(a.Ejections) != 1 {
 		t.Fatalf("advice %+v, want a share of 0.375 and one judgement", a)
 	}
-	n.Fleet(nil, 4, now+2) // it hears nobody any more
+	n.SetView(nil, 4, now+2) // it hears nobody any more
 	later := now + n.cfg.ReportTTLMs + n.cfg.LeaseMs
 	n.Tick(later)
 	if a := n.Advice(later); a.SlowStart["h"].At(later) != 0.25 || len(a.Ejections) > 0 {
@@ -64,17 +64,17 @@
 // bounds, whatever they send.
 func TestAPeersFloodIsBounded(t *testing.T) {
 	n := newTestNode("a", 4, 0)
-	n.Fleet([]string{"b"}, 2, 0)
+	n.SetView([]string{"b"}, 2, 0)
 	n.Observe(Observation{Endpoints: []EndpointHealth{{Name: "h", Ready: true, WarmingUp: true}}})
 	now := n.cfg.LeaseMs + n.cfg.SkewMs
-	if n.Receive("x", Message{HealthReports: []HealthReport{{"h", Unresponsive, 0}}}, now); n.UnknownSenders != 1 || len(n.judge.doubts) > 0 {
+	if n.Receive("x", Message{HealthReports: []HealthReport{{"h", Unresponsive, 0}}}, now); n.UnknownSenders != 1 || len(n.outliers.suspicions) > 0 {
 		t.Error("a stranger was heard")
 	}
 	for i := range 3 * n.cfg.MaxCounterEntries {
 		n.Receive("b", Message{Counters: []CounterEntry{{Name: fmt.Sprint("x", i), Epoch: 1, Stamp: now, Counters: Counters{1}}},
 			LeaseRequests: []LeaseRequest{{Key: "h", ID: uint64(i), Wanted: 1e-9, RequestedAt: now}, {Key: fmt.Sprint("k", i), ID: 1, Wanted: 1, RequestedAt: now}}}, now)
 	}
-	if e, l := len(n.counts.entries), len(n.leases.lent["h"]); e > n.cfg.MaxCounterEntries || l > maxLoans || len(n.leases.lent) > 1 {
+	if e, l := len(n.counters.entries), len(n.leases.lent["h"]); e > n.cfg.MaxCounterEntries || l > maxLeases || len(n.leases.lent) > 1 {
 		t.Errorf("%d entries, %d loans of h, %d budgets held", e, l, len(n.leases.lent))
 	}
 }
@@ -88,10 +88,10 @@
 		peers = append(peers, fmt.Sprint("router-of-a-long-name-", i))
 		hosts = append(hosts, EndpointHealth{Name: fmt.Sprint("host-of-a-long-name-", i), Group: i / 3, Ready: true, Fault: Unresponsive, FaultAt: 1, WarmingUp: true, RequestsQueued: true})
 	}
-	n.Fleet(peers, 301, 0)
+	n.SetView(peers, 301, 0)
 	n.Observe(Observation{Endpoints: hosts})
 	for i := range 300 {
-		n.counts.merge(CounterEntry{Name: peers[i], Epoch: 5, Counters: make(Counters, 20)}, 0)
+		n.counters.merge(CounterEntry{Name: peers[i], Epoch: 5, Counters: make(Counters, 20)}, 0)
 	}
 	count := 0
 	for now := int64(0); now < 5000; now += n.cfg.TickMs {
@@ -113,7 +113,7 @@
 	rich, poor := newTestNode("rich", 2, 0), newTestNode("poor", 2, 0)
 	now := rich.cfg.LeaseMs + rich.cfg.SkewMs
 	for _, n := range []*Node{rich, poor} {
-		n.Fleet([]string{map[*Node]string{rich: "poor", poor: "rich"}[n]}, 2, now)
+		n.SetView([]string{map[*Node]string{rich: "poor", poor: "rich"}[n]}, 2, now)
 	}
 	rich.Observe(Observation{RetryBudget: RetryBudget{EarnedPerSecond: 2, Surplus: true}})
 	poor.Observe(Observation{RetryBudget: RetryBudget{EarnedPerSecond: 1, Depleted: true}})
--- a/internal/fleetstate/judge_test.go
+++ b/internal/fleetstate/outlier_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-func judgeOf(hosts ...EndpointHealth) *OutlierDetector {
-	j := newJudge(Defaults(), 0)
+func judgeOf(hosts ...EndpointHealth) *outlierDetector {
+	j := newOutlierDetector(Defaults(), 0)
 	j.observe(hosts)
 	return j
 }
@@ -17,24 +17,24 @@
 	return []EndpointHealth{{Name: "a", Group: 1, Ready: true}, {Name: "b", Group: 1, Ready: true}, {Name: "c", Group: 1, Ready: true}}
 }
 
-func judged(j *OutlierDetector, now int64) (names string) {
-	for _, x := range j.judge(now) {
-		names += x.Host
+func judged(j *outlierDetector, now int64) (names string) {
+	for _, x := range j.eject(now) {
+		names += x.Endpoint
 	}
 	return names
 }
 
 func TestTwoWitnessesAreNeededAndAnAnswerHereOverridesThem(t *testing.T) {
 	j := judgeOf(group3()...)
-	j.hear("p", HealthReport{"b", Unresponsive, 0}, 1000)
+	j.receive("p", HealthReport{"b", Unresponsive, 0}, 1000)
 	if got := judged(j, 1000); got != "" {
 		t.Fatalf("one witness is enough for %q", got)
 	}
-	j.hear("p", HealthReport{"b", Unresponsive, 0}, 1100) // the same one again is no second
+	j.receive("p", HealthReport{"b", Unresponsive, 0}, 1100) // the same one again is no second
 	if got := judged(j, 1100); got != "" {
 		t.Fatalf("one witness said it twice, enough for %q", got)
 	}
-	j.hear("q", HealthReport{"b", Unresponsive, 100}, 1100)
+	j.receive("q", HealthReport{"b", Unresponsive, 100}, 1100)
 	if got := judged(j, 1100); got != "b" {
 		t.Fatalf("two witnesses judge %q, want b", got)
 	}
@@ -53,7 +53,7 @@
 	hosts[1].AnsweredSentAt = 900
 	j := judgeOf(hosts...)
 	for _, p := range []string{"p", "q"} {
-		j.hear(p, HealthReport{"b", Unresponsive, 0}, 1000)
+		j.receive(p, HealthReport{"b", Unresponsive, 0}, 1000)
 	}
 	if got := judged(j, 1000); got != "b" {
 		t.Fatalf("judged %q, want b", got)
@@ -61,28 +61,28 @@
 	hosts[1].AnsweredSentAt = 1100
 	j.observe(hosts)
 	judged(j, 1200)
-	if j.trust("p") >= 0.6 || j.trust("q") >= 0.6 {
-		t.Fatalf("standing %.2f and %.2f after a claim that proved wrong", j.trust("p"), j.trust("q"))
+	if j.reputationOf("p") >= 0.6 || j.reputationOf("q") >= 0.6 {
+		t.Fatalf("standing %.2f and %.2f after a claim that proved wrong", j.reputationOf("p"), j.reputationOf("q"))
 	}
 	for _, p := range []string{"p", "q"} {
-		j.hear(p, HealthReport{"c", Unresponsive, 0}, 1300)
+		j.receive(p, HealthReport{"c", Unresponsive, 0}, 1300)
 	}
 	if got := judged(j, 1300); got != "" {
 		t.Errorf("two whose claims proved wrong judge %q", got)
 	}
-	if judged(j, 100_000); j.trust("p") < 1 {
-		t.Errorf("standing is %.2f after long, want whole", j.trust("p"))
+	if judged(j, 100_000); j.reputationOf("p") < 1 {
+		t.Errorf("standing is %.2f after long, want whole", j.reputationOf("p"))
 	}
 }
 
 func TestHearsayEndsWithoutRenewalAndUntriedHere(t *testing.T) {
 	j := judgeOf(group3()...)
 	say := func(now int64) {
-		j.hear("p", HealthReport{"b", Unresponsive, 0}, now)
-		j.hear("q", HealthReport{"b", Unresponsive, 0}, now)
+		j.receive("p", HealthReport{"b", Unresponsive, 0}, now)
+		j.receive("q", HealthReport{"b", Unresponsive, 0}, now)
 	}
 	say(1000)
-	if got := j.judge(1000); len(got) != 1 || got[0].Until != 1000+j.cfg.EjectionMs {
+	if got := j.eject(1000); len(got) != 1 || got[0].Until != 1000+j.cfg.EjectionMs {
 		t.Fatalf("judged %+v, want b until %d", got, 1000+j.cfg.EjectionMs)
 	}
 	if got := judged(j, 1000+j.cfg.ReportTTLMs); got != "" {
@@ -112,8 +112,8 @@
 	}
 	last := int64(0)
 	for now := int64(1200); now < 20_000; now += 100 {
-		j.hear("p", HealthReport{"b", Unresponsive, 0}, now)
-		for _, x := range j.judge(now) {
+		j.receive("p", HealthReport{"b", Unresponsive, 0}, now)
+		for _, x := range j.eject(now) {
 			if !x.ObservedHere {
 				t.Fatalf("judged %+v, which was seen here", x)
 			}
@@ -133,7 +133,7 @@
 		hosts[1].Primary, hosts[1].Fault, hosts[1].FaultAt = true, bad, 1000
 		j := judgeOf(hosts...)
 		for _, p := range []string{"p", "q", "r"} {
-			j.hear(p, HealthReport{"b", Unresponsive, 0}, 1200)
+			j.receive(p, HealthReport{"b", Unresponsive, 0}, 1200)
 		}
 		if got := judged(j, 1200); got != "" {
 			t.Errorf("judged %q, the group's primary", got)
@@ -144,20 +144,20 @@
 func TestAHeardLeaderIsOnlyForWhoSeeks(t *testing.T) {
 	hosts := group3()
 	j := judgeOf(hosts...)
-	j.hear("p", HealthReport{"c", Primary, 10}, 1000)
-	if got := j.leaders(); len(got) > 0 {
+	j.receive("p", HealthReport{"c", Primary, 10}, 1000)
+	if got := j.suggestedPrimaries(); len(got) > 0 {
 		t.Fatalf("leaders %v though the primary is known here", got)
 	}
 	for i := range hosts {
 		hosts[i].PrimaryUnknown = true
 	}
 	j.observe(hosts)
-	if got := j.leaders(); got[1] != "c" {
+	if got := j.suggestedPrimaries(); got[1] != "c" {
 		t.Fatalf("leaders %v, want c", got)
 	}
 	hosts[2].LastSentAt = 1100
 	j.observe(hosts)
-	if got := j.leaders(); len(got) > 0 {
+	if got := j.suggestedPrimaries(); len(got) > 0 {
 		t.Errorf("leaders %v though c was tried since", got)
 	}
 }
@@ -165,11 +165,11 @@
 func TestPeersThatInventHostsHoldNoMemory(t *testing.T) {
 	j := judgeOf(group3()...)
 	for i := range 1000 {
-		j.hear("p", HealthReport{fmt.Sprint("x", i), Unresponsive, 0}, 1000)
-		j.hear(fmt.Sprint("p", i), HealthReport{"a", Unresponsive, 0}, 1000)
+		j.receive("p", HealthReport{fmt.Sprint("x", i), Unresponsive, 0}, 1000)
+		j.receive(fmt.Sprint("p", i), HealthReport{"a", Unresponsive, 0}, 1000)
 	}
-	if len(j.doubts) != 1 || len(j.doubts["a"].witnesses) > maxWitnesses {
-		t.Errorf("%d hosts and %d witnesses held", len(j.doubts), len(j.doubts["a"].witnesses))
+	if len(j.suspicions) != 1 || len(j.suspicions["a"].reports) > maxReporters {
+		t.Errorf("%d hosts and %d witnesses held", len(j.suspicions), len(j.suspicions["a"].reports))
 	}
 }
 
@@ -186,10 +186,10 @@
 func TestTrustInOneIsFound(t *testing.T) {
 	cfg := Defaults()
 	cfg.Sabotage = "trust-one"
-	j := newJudge(cfg, 0)
+	j := newOutlierDetector(cfg, 0)
 	j.observe(group3())
 	for _, h := range []string{"a", "b", "c"} {
-		j.hear("p", HealthReport{h, Unresponsive, 0}, 1000)
+		j.receive("p", HealthReport{h, Unresponsive, 0}, 1000)
 	}
 	if got := judged(j, 1000); len(got) < 3 {
 		t.Errorf("judged %q: the sabotage takes no guard out", got)
@@ -199,7 +199,7 @@
 func claimsWithinBounds(t *rapid.T, sabotage string) {
 	cfg := Defaults()
 	cfg.Sabotage = sabotage
-	j := newJudge(cfg, 0)
+	j := newOutlierDetector(cfg, 0)
 	now := int64(10_000)
 	var hosts []EndpointHealth
 	for g := range rapid.IntRange(1, 3).Draw(t, "groups") {
@@ -227,16 +227,16 @@
 			j.observe(hosts)
 		default:
 			for range rapid.IntRange(1, 12).Draw(t, "claims") {
-				j.hear(fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "peer")), HealthReport{
-					Host:   hosts[rapid.IntRange(0, len(hosts)-1).Draw(t, "of")].Name,
+				j.receive(fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "peer")), HealthReport{
+					Endpoint:   hosts[rapid.IntRange(0, len(hosts)-1).Draw(t, "of")].Name,
 					Status: HealthStatus(rapid.IntRange(0, 8).Draw(t, "kind")), AgeMs: rapid.Int64Range(-10, 4000).Draw(t, "age")}, now)
 			}
 		}
 		byHearsay, ready, sound, soundLeft := map[int]int{}, map[int]int{}, map[int]int{}, map[int]int{}
 		in := map[string]Ejection{}
-		for _, x := range j.judge(now) {
-			in[x.Host] = x
-			h := j.host(x.Host)
+		for _, x := range j.eject(now) {
+			in[x.Endpoint] = x
+			h := j.endpoint(x.Endpoint)
 			if x.Until > now+cfg.EjectionMs {
 				t.Fatalf("%+v lasts longer than stated at %d", x, now)
 			}
@@ -244,12 +244,12 @@
 				t.Fatalf("%+v is told as seen here, which is %+v", x, h)
 			}
 			fresh := false
-			for _, w := range j.doubts[x.Host].witnesses {
+			for _, w := range j.suspicions[x.Endpoint].reports {
 				since := h.AnsweredSentAt
-				if w.kind == Lagging {
+				if w.status == Lagging {
 					since = h.FreshAt
 				}
-				fresh = fresh || w.kind != Healthy && w.kind != Primary && now-w.at < cfg.ReportTTLMs && w.at > since
+				fresh = fresh || w.status != Healthy && w.status != Primary && now-w.evidenceAt < cfg.ReportTTLMs && w.evidenceAt > since
 			}
 			if !fresh {
 				t.Fatalf("%+v rests on no evidence newer than the last answer here", x)
--- a/internal/fleetstate/wire/characterization_test.go
+++ b/internal/fleetstate/wire/characterization_test.go
@@ -109,7 +109,7 @@
 	}
 	for kind := fleetstate.Healthy; kind <= fleetstate.Primary; kind++ {
 		claims := func(host string, ageMs int64) fleetstate.Message {
-			return fleetstate.Message{HealthReports: []fleetstate.HealthReport{{Host: host, Status: kind, AgeMs: ageMs}}}
+			return fleetstate.Message{HealthReports: []fleetstate.HealthReport{{Endpoint: host, Status: kind, AgeMs: ageMs}}}
 		}
 		all = append(all,
 			example{fmt.Sprintf("part-2-kind-%d-zero", kind), claims("a", 0)},
@@ -118,7 +118,7 @@
 	}
 	return append(all, example{"every-part", fleetstate.Message{
 		Counters:      []fleetstate.CounterEntry{{Name: "a", Epoch: 1, Stamp: 2, Counters: fleetstate.Counters{3}}, {Name: "b", Epoch: 4, Stamp: 5, Counters: fleetstate.Counters{6, 7}}},
-		HealthReports: []fleetstate.HealthReport{{Host: "c", Status: fleetstate.Unresponsive, AgeMs: 8}, {Host: "d", Status: fleetstate.Primary, AgeMs: 9}},
+		HealthReports: []fleetstate.HealthReport{{Endpoint: "c", Status: fleetstate.Unresponsive, AgeMs: 8}, {Endpoint: "d", Status: fleetstate.Primary, AgeMs: 9}},
 		LeaseRequests: []fleetstate.LeaseRequest{{Key: "e", ID: 10, Wanted: 0.25, RequestedAt: 11}},
 		LeaseGrants:   []fleetstate.LeaseGrant{{Key: "f", ID: 12, Amount: 0.125, RequestedAt: 13, DurationMs: 14}},
 	}})
@@ -134,7 +134,7 @@
 	}{{"below zero", -1, 0}, {"above the largest", math.MaxUint32 + 1, math.MaxUint32}} {
 		t.Run(bound.name, func(t *testing.T) {
 			durations := func(ms int64) fleetstate.Message {
-				return fleetstate.Message{HealthReports: []fleetstate.HealthReport{{Host: "a", Status: fleetstate.Healthy, AgeMs: ms}},
+				return fleetstate.Message{HealthReports: []fleetstate.HealthReport{{Endpoint: "a", Status: fleetstate.Healthy, AgeMs: ms}},
 					LeaseGrants: []fleetstate.LeaseGrant{{Key: "b", Amount: 1, DurationMs: ms}}}
 			}
 			encoded, err := codec.Encode(durations(bound.sent))
--- a/internal/fleetstate/wire/wire.go
+++ b/internal/fleetstate/wire/wire.go
@@ -88,7 +88,7 @@
 		w.Counts = append(w.Counts, entry{Name: e.Name, Epoch: e.Epoch, Stamp: e.Stamp, Cells: e.Counters})
 	}
 	for _, x := range m.HealthReports {
-		w.Claims = append(w.Claims, claim{Host: x.Host, Kind: uint8(x.Status), AgeMs: uint32(min(max(x.AgeMs, 0), math.MaxUint32))})
+		w.Claims = append(w.Claims, claim{Host: x.Endpoint, Kind: uint8(x.Status), AgeMs: uint32(min(max(x.AgeMs, 0), math.MaxUint32))})
 	}
 	for _, a := range m.LeaseRequests {
 		w.Asks = append(w.Asks, ask{Key: a.Key, ID: a.ID, Want: a.Wanted, At: a.RequestedAt})
@@ -131,7 +131,7 @@
 		if err == nil && (x.Kind < uint8(fleetstate.Healthy) || x.Kind > uint8(fleetstate.Primary)) {
 			err = fmt.Errorf("shared state: claim %d: kind %d, want %d to %d", i, x.Kind, fleetstate.Healthy, fleetstate.Primary)
 		}
-		m.HealthReports = append(m.HealthReports, fleetstate.HealthReport{Host: x.Host, Status: fleetstate.HealthStatus(x.Kind), AgeMs: int64(x.AgeMs)})
+		m.HealthReports = append(m.HealthReports, fleetstate.HealthReport{Endpoint: x.Host, Status: fleetstate.HealthStatus(x.Kind), AgeMs: int64(x.AgeMs)})
 	}
 	for i, a := range w.Asks {
 		name("ask", i, a.Key)
--- a/internal/fleetstate/wire/wire_test.go
+++ b/internal/fleetstate/wire/wire_test.go
@@ -26,7 +26,7 @@
 				Stamp: rapid.Int64().Draw(t, "stamp"), Counters: rapid.SliceOfN(rapid.Uint64(), 1, 10).Draw(t, "cells")})
 		}
 		for range n("claims") {
-			m.HealthReports = append(m.HealthReports, fleetstate.HealthReport{Host: name.Draw(t, "host"), Status: fleetstate.HealthStatus(rapid.IntRange(1, 6).Draw(t, "kind")), AgeMs: int64(rapid.Uint32().Draw(t, "age"))})
+			m.HealthReports = append(m.HealthReports, fleetstate.HealthReport{Endpoint: name.Draw(t, "host"), Status: fleetstate.HealthStatus(rapid.IntRange(1, 6).Draw(t, "kind")), AgeMs: int64(rapid.Uint32().Draw(t, "age"))})
 		}
 		for range n("asks") {
 			m.LeaseRequests = append(m.LeaseRequests, fleetstate.LeaseRequest{Key: name.Draw(t, "key"), ID: rapid.Uint64().Draw(t, "id"), Wanted: amount.Draw(t, "want"), RequestedAt: rapid.Int64().Draw(t, "at")})
@@ -61,7 +61,7 @@
 		f.Fatal(err)
 	}
 	seed, err := c.Encode(fleetstate.Message{Counters: []fleetstate.CounterEntry{{Name: "a", Epoch: 1, Stamp: 2, Counters: fleetstate.Counters{1, 2}}},
-		HealthReports: []fleetstate.HealthReport{{Host: "h", Status: fleetstate.Unresponsive, AgeMs: 5}}, LeaseRequests: []fleetstate.LeaseRequest{{Key: "h", ID: 1, Wanted: 0.5, RequestedAt: 9}}})
+		HealthReports: []fleetstate.HealthReport{{Endpoint: "h", Status: fleetstate.Unresponsive, AgeMs: 5}}, LeaseRequests: []fleetstate.LeaseRequest{{Key: "h", ID: 1, Wanted: 0.5, RequestedAt: 9}}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -78,12 +78,12 @@
 			}
 		}
 		for _, x := range m.HealthReports {
-			if x.Status < fleetstate.Healthy || x.Status > fleetstate.Primary || x.Host == "" {
+			if x.Status < fleetstate.Healthy || x.Status > fleetstate.Primary || x.Endpoint == "" {
 				t.Fatalf("a claim of kind %d", x.Status)
 			}
 		}
 		n := fleetstate.New(func() fleetstate.Config { c := fleetstate.Defaults(); c.Name = "me"; return c }(), 3, 0)
-		n.Fleet([]string{"p"}, 2, 0)
+		n.SetView([]string{"p"}, 2, 0)
 		n.Observe(fleetstate.Observation{Endpoints: []fleetstate.EndpointHealth{{Name: "h", Ready: true}}})
 		n.Receive("p", m, 10)
 		n.Tick(20)
--- a/internal/lab/shared.go
+++ b/internal/lab/shared.go
@@ -285,7 +285,7 @@
 	}
 	sleep(ctx, outliveMs-time.Since(hung).Milliseconds())
 	for i := range r.f.ms {
-		if p, err := r.page(i); err == nil && !r.o.liar(i) && slices.ContainsFunc(p.Shared.Ejections, func(j fleetstate.Ejection) bool { return !j.ObservedHere && j.Host == r.hung }) {
+		if p, err := r.page(i); err == nil && !r.o.liar(i) && slices.ContainsFunc(p.Shared.Ejections, func(j fleetstate.Ejection) bool { return !j.ObservedHere && j.Endpoint == r.hung }) {
 			r.res.Outlived++
 		}
 	}
--- a/internal/lab/shared_audit.go
+++ b/internal/lab/shared_audit.go
@@ -88,8 +88,8 @@
 		wrong := map[int]int{}
 		r.mu.Lock()
 		for _, j := range p.Shared.Ejections {
-			if !j.ObservedHere && !r.excuse[j.Host] {
-				wrong[groups[j.Host]]++
+			if !j.ObservedHere && !r.excuse[j.Endpoint] {
+				wrong[groups[j.Endpoint]]++
 			}
 		}
 		r.mu.Unlock()
