--- a/internal/fleetstate/characterization_test.go
+++ b/internal/fleetstate/characterization_test.go
@@ -19,6 +19,7 @@
 	"time"
 
 	"lotusbend/internal/fleetstate"
+	"lotusbend/internal/fleetstate/faultinjection"
 )
 
 // update rewrites the expected digests. They pin what the package does, so
@@ -583,16 +584,16 @@
 	{name: "odd-messages", seed: 15, script: oddMessages},
 	{name: "forged-grants", seed: 30, script: forgedGrants},
 	{name: "many-witnesses", seed: 31, script: manyWitnesses},
-	{name: "many-loans", seed: 32, config: sabotage("no-lease-wait"), script: manyLoans},
+	{name: "many-loans", seed: 32, config: inject(faultinjection.NoLeaseWait), script: manyLoans},
 	{name: "many-lenders", seed: 33, config: func(c *fleetstate.Config) { c.LeaseMs, c.CounterRetentionMs, c.LendersPerTick = 60_000, 700_000, 500 }, script: manyLenders},
 	{name: "guide", seed: 16, script: guideOverTime},
 	{name: "shifted-clocks", seed: 17, script: shiftedClocks},
-	{name: "sabotage-1", seed: 18, config: sabotage("no-lease-wait"), script: coldHosts},
-	{name: "sabotage-2", seed: 19, config: sabotage("trust-one"), script: everyCondition},
-	{name: "sabotage-3", seed: 20, config: sabotage("counts-by-sum"), script: restartsAndFolds},
-	{name: "sabotage-4", seed: 21, config: sabotage("never-expire"), script: coldHosts},
-	{name: "sabotage-5", seed: 22, config: sabotage("liar"), script: calm},
-	{name: "sabotage-6", seed: 23, config: sabotage("liar-well"), script: everyCondition},
+	{name: "sabotage-1", seed: 18, config: inject(faultinjection.NoLeaseWait), script: coldHosts},
+	{name: "sabotage-2", seed: 19, config: inject(faultinjection.TrustOne), script: everyCondition},
+	{name: "sabotage-3", seed: 20, config: inject(faultinjection.CountsBySum), script: restartsAndFolds},
+	{name: "sabotage-4", seed: 21, config: inject(faultinjection.NeverExpire), script: coldHosts},
+	{name: "sabotage-5", seed: 22, config: inject(faultinjection.Liar), script: calm},
+	{name: "sabotage-6", seed: 23, config: inject(faultinjection.LiarWell), script: everyCondition},
 	{name: "churn-1", seed: 24, script: churn},
 	{name: "churn-2", seed: 25, config: longSkew, script: onBadLinks(churn)},
 	{name: "churn-3", seed: 26, script: withFewTries(churn)},
@@ -604,8 +605,8 @@
 	c.LeaseMs, c.SkewMs, c.CounterRetentionMs, c.MaxLentFraction, c.MaxBorrowedStakes, c.LendersPerTick, c.FanOut = 600, 1200, 18_000, 0.8, 1, 2, 2
 }
 
-func sabotage(guard string) func(*fleetstate.Config) {
-	return func(c *fleetstate.Config) { c.Sabotage = guard }
+func inject(fault faultinjection.Fault) func(*fleetstate.Config) {
+	return func(c *fleetstate.Config) { c.FaultInjection = fault }
 }
 
 func onBadLinks(script func(*cluster)) func(*cluster) {
@@ -1013,13 +1014,14 @@
 		func(c *fleetstate.Config) { c.MaxEjectedFraction = 1 },
 		func(c *fleetstate.Config) { c.RequiredSupport = 0 },
 		func(c *fleetstate.Config) { c.MaxMessageBytes = 399 },
-		func(c *fleetstate.Config) { c.Sabotage = "unknown" },
 	} {
 		config := fleetstate.Defaults()
 		config.Name = "a"
 		change(&config)
 		c.digest.flag(config.Check() == nil)
 	}
+	_, err := faultinjection.Parse("unknown")
+	c.digest.flag(err == nil)
 }
 
 // cellsAndTexts reads and counts at the bounds of the cells, and reads each
--- a/internal/fleetstate/counts_test.go
+++ b/internal/fleetstate/counts_test.go
@@ -6,6 +6,8 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"lotusbend/internal/fleetstate/faultinjection"
 )
 
 func newCounter(name string, epoch int64) *counterStore {
@@ -50,7 +52,7 @@
 		var wire []told
 		carried, ended, restarts, known := uint64(0), uint64(0), 0, 0
 		sum := func(c *counterStore) (s uint64) {
-			for _, v := range c.Total() {
+			for _, v := range c.total() {
 				s += v
 			}
 			return s
@@ -105,8 +107,8 @@
 		exchange(cs, now, rapid.Permutation([]int{0, 1, 2, 3, 4}[:n]).Draw(t, "order"))
 		first := sum(cs[0])
 		for _, c := range cs {
-			if !slices.Equal(c.Total(), cs[0].Total()) {
-				t.Fatalf("after the heal %s totals %v, %s %v", c.own.Name, c.Total(), cs[0].own.Name, cs[0].Total())
+			if !slices.Equal(c.total(), cs[0].total()) {
+				t.Fatalf("after the heal %s totals %v, %s %v", c.own.Name, c.total(), cs[0].own.Name, cs[0].total())
 			}
 		}
 		if restarts == 0 && first != carried {
@@ -124,7 +126,8 @@
 // A merge by addition counts doubles twice: the same search would find it.
 func TestMergeBySumIsFound(t *testing.T) {
 	cfg := Defaults()
-	cfg.Name, cfg.Sabotage = "a", "counts-by-sum"
+	cfg.Name = "a"
+	cfg.FaultInjection = faultinjection.CountsBySum
 	a, b := newCounterStore(cfg, 0), newCounter("b", 0)
 	var cells Counters
 	cells.Add(0, Requests, 5)
@@ -132,8 +135,8 @@
 	for range 2 {
 		a.merge(b.page(1000)[0], 10)
 	}
-	if a.Total().Get(0, Requests) == 5 {
-		t.Error("a double is not counted twice: the sabotage does nothing")
+	if a.total().Get(0, Requests) == 5 {
+		t.Error("a duplicate is not counted twice: the injected fault does nothing")
 	}
 }
 
@@ -155,14 +158,14 @@
 	}
 	a.lastReceivedAt = 1100 + a.cfg.CounterRetentionMs
 	a.tick(1100 + a.cfg.CounterRetentionMs)
-	if len(a.entries) != 0 || a.Total().Get(1, Rejections) != 300 {
-		t.Fatalf("%d entries kept, total %d; want 0 and 300", len(a.entries), a.Total().Get(1, Rejections))
+	if len(a.entries) != 0 || a.total().Get(1, Rejections) != 300 {
+		t.Fatalf("%d entries kept, total %d; want 0 and 300", len(a.entries), a.total().Get(1, Rejections))
 	}
 	for _, e := range old {
 		a.merge(e, 1200+a.cfg.CounterRetentionMs)
 	}
-	if got := a.Total().Get(1, Rejections); got != 300 || a.Rejected != 100 {
-		t.Errorf("after late copies the total is %d, %d refused; want 300 and 100", got, a.Rejected)
+	if got := a.total().Get(1, Rejections); got != 300 || a.rejected != 100 {
+		t.Errorf("after late copies the total is %d, %d refused; want 300 and 100", got, a.rejected)
 	}
 }
 
@@ -183,7 +186,7 @@
 			exchange([]*counterStore{a, b}, now, []int{0, 1})
 		}
 	}
-	got := a.Total().Get(0, Requests)
+	got := a.total().Get(0, Requests)
 	if got > carried {
 		t.Fatalf("a totals %d of %d that b carried", got, carried)
 	}
--- a/internal/fleetstate/doc.go
+++ b/internal/fleetstate/doc.go
@@ -1,16 +1,25 @@
-// Package fleetstate is the state that routers share, as rules: budgets by
-// lease, counts as grow-only counters, and judgements on hosts. It stays
-// within its bounds when part of the fleet hears nothing.
+// Package fleetstate is the state that the routers of a fleet share: budgets
+// split by leases, request counters as grow-only counters (a CRDT), and health
+// reports on endpoints, from which outliers are ejected. It stays within its
+// bounds while part of the fleet is partitioned.
 //
-// A Node is one router's part as a value: what the router saw (Observe), what
-// its peers said (Receive) and the time (Tick) go in; messages to peers and
-// what the router may act on (Advice) come out. It reads no clock, opens no
-// socket, starts no goroutine; its randomness comes from Config.Seed. The
-// folder link beside it carries messages on membership's packets and advice
-// to the router; wire is the codec.
+// A [Node] is one router's part. What the router observed ([Node.Observe]), the
+// messages of its peers ([Node.Receive]) and the time ([Node.Tick]) go in;
+// messages to peers and what the router may act on ([Node.Advice]) come out. It
+// performs no I/O, reads no clock and starts no goroutine: times are passed in,
+// in milliseconds, and its randomness comes from Config.Seed. A Node is not safe
+// for concurrent use.
 //
-// What it owns: the leases lent and held, every router's counters and one
-// total of those folded, the claims heard of hosts and the standing of each
-// peer. Each is bounded by the members of the view, the hosts listed, and the
+// Package link beside it carries the messages on membership's packets and the
+// advice to the router; package wire is the codec.
+//
+// The files, by concern: leases in lease.go and quota.go; counters in
+// counters.go and counterstore.go; outlier detection in health.go (what is
+// known of an endpoint), suspicion.go (the peers' reports on it), support.go
+// (how they are weighed), reputation.go and ejection.go; the node in node.go,
+// gossip.go (what it sends), advice.go and status.go; adapter.go implements
+// decide.Fleet.
+//
+// Memory is bounded by the peers in the view, the endpoints listed, and the
 // limits in Config.
 package fleetstate
--- a/internal/fleetstate/hang_test.go
+++ b/internal/fleetstate/hang_test.go
@@ -20,6 +20,7 @@
 	"lotusbend/decide"
 	"lotusbend/internal/clock"
 	"lotusbend/internal/fleetstate"
+	"lotusbend/internal/fleetstate/faultinjection"
 	"lotusbend/internal/router"
 	"lotusbend/internal/slotmap"
 )
@@ -66,7 +67,7 @@
 
 func hostName(id uint32) string { return fmt.Sprint("h", id) }
 
-func playHang(seed uint64, routers, liars int, lie string, together bool) *hangFleet {
+func playHang(seed uint64, routers, liars int, lie faultinjection.Fault, together bool) *hangFleet {
 	f := &hangFleet{byName: map[string]*hangRouter{}, clk: clock.Manual(1e6), rng: rand.New(rand.NewPCG(seed, 99)), work: [2]float64{15, 35},
 		from: 1e6 + hangStart, to: 1e6 + hangStart + hangFor}
 	f.loop = clock.NewLoop(f.clk)
@@ -98,7 +99,7 @@
 				c := fleetstate.Defaults()
 				c.Name, c.Start, c.Seed = h.name, int64(f.loop.Now()), seed+uint64(i)
 				if h.liar {
-					c.Sabotage = lie
+					c.FaultInjection = lie
 				}
 				h.node = fleetstate.New(c, routers, int64(f.loop.Now()))
 				var peers []string
@@ -247,12 +248,12 @@
 // and the most of a group's members that hearsay wrongly passed over.
 type hangRow struct {
 	routers, liars  int
-	lie             string
+	lie             faultinjection.Fault
 	alone, together int
 	wrong           float64
 }
 
-func hangCase(routers, liars int, lie string, seeds uint64) hangRow {
+func hangCase(routers, liars int, lie faultinjection.Fault, seeds uint64) hangRow {
 	row := hangRow{routers: routers, liars: liars, lie: lie}
 	for seed := range seeds {
 		row.alone += playHang(seed, routers, liars, lie, false).swallowed()
@@ -271,13 +272,13 @@
 // table of docs/shared-state.md (some minutes), with LOTUSBEND_FIGURES=DIR its
 // plot as well.
 func TestHungHostAloneAndTogether(t *testing.T) {
-	seeds, cases := uint64(4), []hangRow{{routers: 20}, {routers: 20, liars: 6, lie: "liar"}, {routers: 20, liars: 6, lie: "liar-well"}}
+	seeds, cases := uint64(4), []hangRow{{routers: 20}, {routers: 20, liars: 6, lie: faultinjection.Liar}, {routers: 20, liars: 6, lie: faultinjection.LiarWell}}
 	large := os.Getenv("LOTUSBEND_LARGE") == "1"
 	if large {
 		seeds, cases = 10, nil
 		for _, n := range []int{2, 20, 300} {
 			cases = append(cases, hangRow{routers: n})
-			for _, lie := range []string{"liar", "liar-well"} {
+			for _, lie := range []faultinjection.Fault{faultinjection.Liar, faultinjection.LiarWell} {
 				cases = append(cases, hangRow{routers: n, liars: 1, lie: lie})
 				if n > 2 {
 					cases = append(cases, hangRow{routers: n, liars: n / 3, lie: lie})
@@ -326,7 +327,8 @@
 	for _, r := range rows {
 		y := float64(r.together) / float64(r.alone)
 		x := float64(r.liars) / float64(r.routers)
-		for lie, says := range map[string]string{"liar": "every host hangs", "liar-well": "every host is well"} {
+		for lie, says := range map[faultinjection.Fault]string{
+			faultinjection.Liar: "every host hangs", faultinjection.LiarWell: "every host is well"} {
 			if r.lie == lie || r.liars == 0 {
 				k := fmt.Sprintf("%d routers, told that %s", r.routers, says)
 				lines[k] = append(lines[k], plotter.XY{X: x, Y: y})
--- a/internal/fleetstate/lease.go
+++ b/internal/fleetstate/lease.go
@@ -6,183 +6,254 @@
 	"slices"
 )
 
-// Leases are this router's part of the budgets that the fleet splits: for
-// each budget (a key) a stake of its own, shares lent to peers and shares
-// borrowed from peers, each with an end.
+const (
+	// maxLeases bounds the leases of one budget on each side, one for each
+	// router of a large fleet: a peer that requests without end gets no more.
+	maxLeases = 4096
+	// leastLentDivisor: less than this part of a stake is not lent.
+	leastLentDivisor = 100
+)
+
+// leaseTable is this router's part of the budgets that the fleet splits: for
+// each budget (a key) a stake of its own, leases lent to peers and leases
+// borrowed from peers, each with an expiry.
 //
-// A share is only ever handed over by the router that holds it, for a stated
+// A quota is only ever handed over by the router that has it, for a stated
 // time, and that router does without it until that time has passed on the
-// borrower's side, whatever becomes of the borrower or of the messages. So at
-// every moment what all routers hold adds up to at most what all their stakes
-// are, through partitions, pauses, losses, doubles and restarts. Nothing is
-// taken from a router that went silent: it may be cut off, not dead, and then
+// borrower's side, whatever becomes of the borrower or of the messages. So the
+// quotas of all routers never add up to more than their stakes, through
+// partitions, pauses, restarts, lost and duplicated messages. Nothing is taken
+// from a router that went silent: it may be partitioned, not dead, and then
 // still spends its stake.
 type leaseTable struct {
-	cfg   Config
-	startedAt int64
-	lent  map[string][]lease
-	borrowed  map[string][]lease
-	pending map[string]LeaseRequest // by peer and key: the last ask, which only its grant may answer
-	lastRequestID   uint64
+	cfg           Config
+	faults        FaultInjection
+	startedAt     int64              // ms
+	lent          map[string][]lease // by budget
+	borrowed      map[string][]lease
+	pending       map[pendingKey]LeaseRequest // the last request, which only its grant may answer
+	lastRequestID uint64
 }
 
-// loan is a share of a budget in another's hands, or another's in ours.
-type lease struct {
+// pendingKey identifies the request for a budget sent to a peer.
+type pendingKey struct {
 	peer   string
-	requestID     uint64
-	requestedAt     int64 // the borrower's time when it asked: with id, one ask of one of its lives
-	amount float64
-	expiresAt   int64 // by this router's clock, the skew included where it lent
+	budget string
 }
 
-// Ask is a borrower's request for a share of a budget.
+// lease is a part of a budget lent to a peer, or borrowed from one.
+type lease struct {
+	peer        string
+	requestID   uint64
+	requestedAt int64 // borrower's clock, ms: with requestID, one request of one incarnation
+	amount      float64
+	expiresAt   int64 // this router's clock, ms, with the skew where it lent
+}
+
+// LeaseRequest is a borrower's request for a part of a budget.
 type LeaseRequest struct {
-	Key         string
-	ID          uint64 // of the borrower, new with each ask
-	Wanted      float64
-	RequestedAt int64 // the borrower's time, told back by the grant
+	Key         string  // of the budget: an endpoint's name, or RetryBudgetKey
+	ID          uint64  // chosen by the borrower, new with each request
+	Wanted      float64 // in the budget's unit
+	RequestedAt int64   // borrower's clock, ms; repeated by the grant
 }
 
-// Grant hands over a share: the borrower may use it until Ask.At + DurationMs on
-// its own clock.
+// LeaseGrant lends a part of a budget: the borrower may use it until
+// RequestedAt + DurationMs on its own clock.
 type LeaseGrant struct {
 	Key         string
 	ID          uint64
 	Amount      float64
-	RequestedAt int64
+	RequestedAt int64 // ms
 	DurationMs  int64
 }
 
-// maxLoans bounds the loans of one budget on each side, one for each router of
-// a large fleet: a peer that asks without end gets nothing more.
-const maxLeases = 4096
-
 // newLeases begins at now. Until a lease and its skew have passed, an earlier
-// instance under this name may have lent the lendable part of the stake: it
-// is left alone.
+// incarnation may have lent the lendable part of the stake, so that part is
+// not used.
 func newLeases(cfg Config, now int64) *leaseTable {
-	return &leaseTable{cfg: cfg, startedAt: now, lent: map[string][]lease{}, borrowed: map[string][]lease{}, pending: map[string]LeaseRequest{}}
-}
-
-// Share is what a router may use of a budget: Own for as long as it is told
-// nothing else, and Held until Until. Who acts on it later than Until has Own
-// alone, so a router that was paused past a lease does not send on it.
-type Quota struct {
-	Own, Borrowed float64
-	Until         int64
+	return &leaseTable{
+		cfg:       cfg,
+		faults:    cfg.faults(),
+		startedAt: now,
+		lent:      map[string][]lease{},
+		borrowed:  map[string][]lease{},
+		pending:   map[pendingKey]LeaseRequest{},
+	}
 }
 
-// At is the share at now.
-func (s Quota) At(now int64) float64 {
-	if now < s.Until {
-		return s.Own + s.Borrowed
-	}
-	return s.Own
+// mayHaveLentBefore reports that leases of an earlier incarnation may not have
+// expired.
+func (t *leaseTable) mayHaveLentBefore(now int64) bool {
+	return now < t.startedAt+t.cfg.LeaseMs+t.cfg.SkewMs
 }
 
-// Share is this router's part of the budget key, given its own stake: the
-// stake less what it lent, and what it borrowed.
-func (l *leaseTable) quota(key string, stake float64, now int64) Quota {
-	s := Quota{Own: stake, Until: math.MaxInt64}
-	if now < l.startedAt+l.cfg.LeaseMs+l.cfg.SkewMs {
-		s.Own *= 1 - l.cfg.MaxLentFraction
+// quota is this router's part of a budget, given its own stake: the stake less
+// what it lent, and what it borrowed.
+func (t *leaseTable) quota(key string, stake float64, now int64) Quota {
+	quota := Quota{Own: stake, Until: math.MaxInt64}
+	if t.mayHaveLentBefore(now) {
+		quota.Own *= 1 - t.cfg.MaxLentFraction
 	}
-	if l.cfg.Sabotage != "no-lease-wait" {
-		s.Own = max(0, s.Own-activeAmount(l.lent[key], now))
+	if !t.faults.SkipLeaseWait() {
+		quota.Own = max(0, quota.Own-activeAmount(t.lent[key], now))
 	}
-	for _, h := range l.borrowed[key] {
-		if now < h.expiresAt || l.cfg.Sabotage == "never-expire" {
-			s.Borrowed += h.amount
-			if l.cfg.Sabotage != "never-expire" {
-				s.Until = min(s.Until, h.expiresAt)
-			}
+	for _, borrowed := range t.borrowed[key] {
+		switch {
+		case t.faults.NeverExpire():
+			quota.Borrowed += borrowed.amount
+		case now < borrowed.expiresAt:
+			quota.Borrowed += borrowed.amount
+			quota.Until = min(quota.Until, borrowed.expiresAt)
 		}
 	}
-	return s
+	return quota
+}
+
+// has reports whether anything of a budget is lent or borrowed.
+func (t *leaseTable) has(key string) bool {
+	return len(t.lent[key])+len(t.borrowed[key]) > 0
 }
 
-// sum adds up the loans that have not ended.
-func activeAmount(loans []lease, now int64) (total float64) {
-	for _, l := range loans {
-		if now < l.expiresAt {
-			total += l.amount
+// activeAmount is the sum of the leases that have not expired.
+func activeAmount(leases []lease, now int64) (total float64) {
+	for _, lease := range leases {
+		if now < lease.expiresAt {
+			total += lease.amount
 		}
 	}
 	return total
 }
 
-// want returns an ask to peer for the budget key, if more may be borrowed.
-func (l *leaseTable) request(key, peer string, stake float64, now int64) (LeaseRequest, bool) {
-	room := l.cfg.MaxBorrowedStakes*stake - activeAmount(l.borrowed[key], now)
-	if room <= 0 || len(l.borrowed[key]) >= maxLeases {
+// request returns a request to a peer, if more of the budget may be borrowed.
+func (t *leaseTable) request(key, peer string, stake float64, now int64) (LeaseRequest, bool) {
+	available := t.cfg.MaxBorrowedStakes*stake - activeAmount(t.borrowed[key], now)
+	if available <= 0 || len(t.borrowed[key]) >= maxLeases {
 		return LeaseRequest{}, false
 	}
-	l.lastRequestID++
-	a := LeaseRequest{Key: key, ID: l.lastRequestID, Wanted: min(room, stake), RequestedAt: now}
-	l.pending[peer+"\x00"+key] = a
-	return a, true
+	t.lastRequestID++
+	request := LeaseRequest{
+		Key:         key,
+		ID:          t.lastRequestID,
+		Wanted:      min(available, stake),
+		RequestedAt: now,
+	}
+	t.pending[pendingKey{peer: peer, budget: key}] = request
+	return request, true
 }
 
-// grant answers a peer's ask: at most the lendable part of the stake less
-// what is lent, nothing where this router needs its stake itself. The same
-// ask again gets the same grant, and no second share.
-func (l *leaseTable) grant(peer string, a LeaseRequest, stake float64, needed bool, now int64) (LeaseGrant, bool) {
-	for _, o := range l.lent[a.Key] {
-		if o.peer == peer && o.requestID == a.ID && o.requestedAt == a.RequestedAt && now < o.expiresAt {
-			return LeaseGrant{a.Key, a.ID, o.amount, a.RequestedAt, l.cfg.LeaseMs}, true
+// grant answers a peer's request: with at most the lendable part of the stake
+// less what is lent, with nothing where this router needs its stake itself. A
+// duplicate of a request gets the same grant, and no second lease.
+func (t *leaseTable) grant(
+	peer string, request LeaseRequest, stake float64, needed bool, now int64,
+) (LeaseGrant, bool) {
+	for _, lent := range t.lent[request.Key] {
+		if lent.answers(peer, request) && now < lent.expiresAt {
+			return t.grantOf(request, lent.amount), true
 		}
 	}
-	if needed || now < l.startedAt+l.cfg.LeaseMs+l.cfg.SkewMs || !(a.Wanted > 0) || len(l.lent[a.Key]) >= maxLeases {
+	wantsSome := request.Wanted > 0 // false for NaN
+	if needed || t.mayHaveLentBefore(now) || !wantsSome || len(t.lent[request.Key]) >= maxLeases {
 		return LeaseGrant{}, false
 	}
-	left := l.cfg.MaxLentFraction * stake
-	if l.cfg.Sabotage != "no-lease-wait" {
-		left -= activeAmount(l.lent[a.Key], now)
+	lendable := t.cfg.MaxLentFraction * stake
+	if !t.faults.SkipLeaseWait() {
+		lendable -= activeAmount(t.lent[request.Key], now)
 	}
-	amount := min(a.Wanted, left)
-	if amount < stake/100 {
+	amount := min(request.Wanted, lendable)
+	if amount < stake/leastLentDivisor {
 		return LeaseGrant{}, false
 	}
-	l.lent[a.Key] = append(l.lent[a.Key], lease{peer, a.ID, a.RequestedAt, amount, now + l.cfg.LeaseMs + l.cfg.SkewMs})
-	return LeaseGrant{a.Key, a.ID, amount, a.RequestedAt, l.cfg.LeaseMs}, true
+	t.lent[request.Key] = append(t.lent[request.Key], lease{
+		peer:        peer,
+		requestID:   request.ID,
+		requestedAt: request.RequestedAt,
+		amount:      amount,
+		expiresAt:   now + t.cfg.LeaseMs + t.cfg.SkewMs,
+	})
+	return t.grantOf(request, amount), true
+}
+
+// answers reports whether the lease was granted for this very request.
+func (l *lease) answers(peer string, request LeaseRequest) bool {
+	return l.peer == peer && l.requestID == request.ID && l.requestedAt == request.RequestedAt
+}
+
+// grantOf is the grant that answers a request.
+func (t *leaseTable) grantOf(request LeaseRequest, amount float64) LeaseGrant {
+	return LeaseGrant{
+		Key:         request.Key,
+		ID:          request.ID,
+		Amount:      amount,
+		RequestedAt: request.RequestedAt,
+		DurationMs:  t.cfg.LeaseMs,
+	}
 }
 
-// take holds a granted share. Only the grant of the last ask to that peer
-// counts, once: one that comes doubled, late or unasked changes nothing.
-func (l *leaseTable) accept(peer string, g LeaseGrant, stake float64, now int64) (lease, bool) {
-	k := peer + "\x00" + g.Key
-	a, ok := l.pending[k]
-	if !ok || a.ID != g.ID || a.RequestedAt != g.RequestedAt || !(g.Amount > 0) {
+// accept takes a granted lease. Only the grant for the last request to that
+// peer counts, once: a duplicated, late or unrequested one changes nothing.
+func (t *leaseTable) accept(peer string, grant LeaseGrant, stake float64, now int64) (lease, bool) {
+	key := pendingKey{peer: peer, budget: grant.Key}
+	request, ok := t.pending[key]
+	positive := grant.Amount > 0 // false for NaN
+	if !ok || request.ID != grant.ID || request.RequestedAt != grant.RequestedAt || !positive {
 		return lease{}, false
 	}
-	delete(l.pending, k)
-	h := lease{peer, g.ID, a.RequestedAt, min(g.Amount, a.Wanted), a.RequestedAt + min(g.DurationMs, l.cfg.LeaseMs)}
-	if now >= h.expiresAt || activeAmount(l.borrowed[g.Key], now)+h.amount > l.cfg.MaxBorrowedStakes*stake {
+	delete(t.pending, key)
+	borrowed := lease{
+		peer:        peer,
+		requestID:   grant.ID,
+		requestedAt: request.RequestedAt,
+		amount:      min(grant.Amount, request.Wanted),
+		expiresAt:   request.RequestedAt + min(grant.DurationMs, t.cfg.LeaseMs),
+	}
+	total := activeAmount(t.borrowed[grant.Key], now) + borrowed.amount
+	if now >= borrowed.expiresAt || total > t.cfg.MaxBorrowedStakes*stake {
 		return lease{}, false
 	}
-	l.borrowed[g.Key] = append(l.borrowed[g.Key], h)
-	return h, true
+	t.borrowed[grant.Key] = append(t.borrowed[grant.Key], borrowed)
+	return borrowed, true
 }
 
-// expire forgets what has ended and returns the shares given back, in order.
-func (l *leaseTable) expire(now int64) (ended []Event) {
-	for _, key := range slices.Sorted(maps.Keys(l.borrowed)) {
-		l.borrowed[key] = slices.DeleteFunc(l.borrowed[key], func(h lease) bool {
-			if now < h.expiresAt || l.cfg.Sabotage == "never-expire" {
-				return false
-			}
-			ended = append(ended, Event{Kind: LeaseExpired, Key: key, Peer: h.peer, Amount: h.amount})
-			return true
-		})
-		if len(l.borrowed[key]) == 0 {
-			delete(l.borrowed, key)
+// expire drops leases and requests that have expired and returns the borrowed
+// leases among them, in order.
+func (t *leaseTable) expire(now int64) (expired []Event) {
+	for _, key := range slices.Sorted(maps.Keys(t.borrowed)) {
+		expired = append(expired, t.expireBorrowed(key, now)...)
+	}
+	for key, leases := range t.lent {
+		leases = slices.DeleteFunc(leases, func(lent lease) bool { return now >= lent.expiresAt })
+		if len(leases) == 0 {
+			delete(t.lent, key)
+		} else {
+			t.lent[key] = leases
 		}
 	}
-	for key := range l.lent {
-		if l.lent[key] = slices.DeleteFunc(l.lent[key], func(o lease) bool { return now >= o.expiresAt }); len(l.lent[key]) == 0 {
-			delete(l.lent, key)
+	maps.DeleteFunc(t.pending, func(_ pendingKey, request LeaseRequest) bool {
+		return now >= request.RequestedAt+t.cfg.LeaseMs
+	})
+	return expired
+}
+
+// expireBorrowed drops the expired leases borrowed of one budget.
+func (t *leaseTable) expireBorrowed(key string, now int64) (expired []Event) {
+	leases := slices.DeleteFunc(t.borrowed[key], func(borrowed lease) bool {
+		if now < borrowed.expiresAt || t.faults.NeverExpire() {
+			return false
 		}
+		expired = append(expired, Event{
+			Kind:   LeaseExpired,
+			Key:    key,
+			Peer:   borrowed.peer,
+			Amount: borrowed.amount,
+		})
+		return true
+	})
+	if len(leases) == 0 {
+		delete(t.borrowed, key)
+	} else {
+		t.borrowed[key] = leases
 	}
-	maps.DeleteFunc(l.pending, func(_ string, a LeaseRequest) bool { return now >= a.RequestedAt+l.cfg.LeaseMs })
-	return ended
+	return expired
 }
--- a/internal/fleetstate/lease_test.go
+++ b/internal/fleetstate/lease_test.go
@@ -6,6 +6,8 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"lotusbend/internal/fleetstate/faultinjection"
 )
 
 // fleet plays leases of one budget among routers: messages in flight that are
@@ -88,7 +90,7 @@
 // order of events: at every moment the shares add up to the budget at most.
 func TestSharesNeverPassTheBudget(t *testing.T) {
 	for range 10 { // ten times the usual number of cases: some guards show in one of a thousand
-		rapid.Check(t, func(t *rapid.T) { anyOrder(t, "") })
+		rapid.Check(t, func(t *rapid.T) { anyOrder(t) })
 	}
 }
 
@@ -125,9 +127,9 @@
 
 // The same search finds a lender that does not wait, and leases without end.
 func TestTheSearchFindsEachSabotageOfLeases(t *testing.T) {
-	for _, s := range []string{"no-lease-wait", "never-expire"} {
+	for _, s := range []faultinjection.Fault{faultinjection.NoLeaseWait, faultinjection.NeverExpire} {
 		cfg := Defaults()
-		cfg.Sabotage = s
+		cfg.FaultInjection = s
 		f := newFleet(cfg, 2)
 		f.true_ += cfg.LeaseMs + cfg.SkewMs
 		worst := 0.0
@@ -147,9 +149,8 @@
 	}
 }
 
-func anyOrder(t *rapid.T, sabotage string) {
+func anyOrder(t *rapid.T) {
 	cfg := Defaults()
-	cfg.Sabotage = sabotage
 	f := newFleet(cfg, rapid.IntRange(2, 5).Draw(t, "routers"))
 	n := len(f.leases)
 	one := func(what string) int { return rapid.IntRange(0, n-1).Draw(t, what) }
--- a/internal/fleetstate/node_test.go
+++ b/internal/fleetstate/node_test.go
@@ -67,7 +67,7 @@
 	n.SetView([]string{"b"}, 2, 0)
 	n.Observe(Observation{Endpoints: []EndpointHealth{{Name: "h", Ready: true, WarmingUp: true}}})
 	now := n.cfg.LeaseMs + n.cfg.SkewMs
-	if n.Receive("x", Message{HealthReports: []HealthReport{{"h", Unresponsive, 0}}}, now); n.UnknownSenders != 1 || len(n.outliers.suspicions) > 0 {
+	if n.Receive("x", Message{HealthReports: []HealthReport{{"h", Unresponsive, 0}}}, now); n.unknownSenders != 1 || len(n.outliers.suspicions) > 0 {
 		t.Error("a stranger was heard")
 	}
 	for i := range 3 * n.cfg.MaxCounterEntries {
--- a/internal/fleetstate/outlier_test.go
+++ b/internal/fleetstate/outlier_test.go
@@ -5,6 +5,8 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"lotusbend/internal/fleetstate/faultinjection"
 )
 
 func judgeOf(hosts ...EndpointHealth) *outlierDetector {
@@ -61,8 +63,8 @@
 	hosts[1].AnsweredSentAt = 1100
 	j.observe(hosts)
 	judged(j, 1200)
-	if j.reputationOf("p") >= 0.6 || j.reputationOf("q") >= 0.6 {
-		t.Fatalf("standing %.2f and %.2f after a claim that proved wrong", j.reputationOf("p"), j.reputationOf("q"))
+	if j.reputation.of("p") >= 0.6 || j.reputation.of("q") >= 0.6 {
+		t.Fatalf("standing %.2f and %.2f after a claim that proved wrong", j.reputation.of("p"), j.reputation.of("q"))
 	}
 	for _, p := range []string{"p", "q"} {
 		j.receive(p, HealthReport{"c", Unresponsive, 0}, 1300)
@@ -70,8 +72,8 @@
 	if got := judged(j, 1300); got != "" {
 		t.Errorf("two whose claims proved wrong judge %q", got)
 	}
-	if judged(j, 100_000); j.reputationOf("p") < 1 {
-		t.Errorf("standing is %.2f after long, want whole", j.reputationOf("p"))
+	if judged(j, 100_000); j.reputation.of("p") < 1 {
+		t.Errorf("standing is %.2f after long, want whole", j.reputation.of("p"))
 	}
 }
 
@@ -179,13 +181,13 @@
 // judgement ends within the stated time and rests on evidence newer than the
 // last answer here, not older than stated.
 func TestNoClaimsPassTheBounds(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { claimsWithinBounds(t, "") })
+	rapid.Check(t, func(t *rapid.T) { claimsWithinBounds(t) })
 }
 
 // The same search finds a judge that trusts one claim, whatever was seen.
 func TestTrustInOneIsFound(t *testing.T) {
 	cfg := Defaults()
-	cfg.Sabotage = "trust-one"
+	cfg.FaultInjection = faultinjection.TrustOne
 	j := newOutlierDetector(cfg, 0)
 	j.observe(group3())
 	for _, h := range []string{"a", "b", "c"} {
@@ -196,9 +198,8 @@
 	}
 }
 
-func claimsWithinBounds(t *rapid.T, sabotage string) {
+func claimsWithinBounds(t *rapid.T) {
 	cfg := Defaults()
-	cfg.Sabotage = sabotage
 	j := newOutlierDetector(cfg, 0)
 	now := int64(10_000)
 	var hosts []EndpointHealth
@@ -228,8 +229,8 @@
 		default:
 			for range rapid.IntRange(1, 12).Draw(t, "claims") {
 				j.receive(fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "peer")), HealthReport{
-					Endpoint:   hosts[rapid.IntRange(0, len(hosts)-1).Draw(t, "of")].Name,
-					Status: HealthStatus(rapid.IntRange(0, 8).Draw(t, "kind")), AgeMs: rapid.Int64Range(-10, 4000).Draw(t, "age")}, now)
+					Endpoint: hosts[rapid.IntRange(0, len(hosts)-1).Draw(t, "of")].Name,
+					Status:   HealthStatus(rapid.IntRange(0, 8).Draw(t, "kind")), AgeMs: rapid.Int64Range(-10, 4000).Draw(t, "age")}, now)
 			}
 		}
 		byHearsay, ready, sound, soundLeft := map[int]int{}, map[int]int{}, map[int]int{}, map[int]int{}
--- a/internal/fleetstate/scale_test.go
+++ b/internal/fleetstate/scale_test.go
@@ -17,9 +17,9 @@
 		for _, w := range valid {
 			switch {
 			case w.status == Healthy && w.evidenceAt > began.firstEvidenceAt:
-				b.support -= j.reputationOf(w.peer)
+				b.support -= j.reputation.of(w.peer)
 			case w.status != Healthy && w.firstEvidenceAt >= began.firstEvidenceAt:
-				b.support += j.reputationOf(w.peer)
+				b.support += j.reputation.of(w.peer)
 				b.reporters++
 				if w.evidenceAt > b.newestEvidence {
 					b.status, b.newestEvidence = w.status, w.evidenceAt
@@ -39,7 +39,7 @@
 		for n := range rng.IntN(40) {
 			w := &peerReport{peer: fmt.Sprint(n), status: []HealthStatus{Unresponsive, Failing, Slow, Healthy, Lagging}[rng.IntN(5)], firstEvidenceAt: 1 + rng.Int64N(12)}
 			w.evidenceAt = w.firstEvidenceAt + rng.Int64N(6)
-			j.reputation[w.peer] = rng.Float64()
+			j.reputation.byPeer[w.peer] = rng.Float64()
 			valid = append(valid, w)
 		}
 		got, want := j.onsets(valid), j.sinceByPairs(valid)
@@ -65,7 +65,7 @@
 	for n := range routers {
 		j.receive(fmt.Sprint("router-", n), HealthReport{"h", Unresponsive, 0}, now)
 	}
-	if _, count, _, _ := j.support(j.suspicions["h"], j.endpoint("h"), now); count != routers {
+	if count := j.support(j.suspicions["h"], j.endpoint("h")).reporters; count != routers {
 		t.Errorf("%d of %d routers are heard", count, routers)
 	}
 }
@@ -78,6 +78,6 @@
 		j.receive(fmt.Sprint("router-", n), HealthReport{"h", Unresponsive, int64(n % 100)}, cfg.ReportTTLMs)
 	}
 	for b.Loop() {
-		j.support(j.suspicions["h"], j.endpoint("h"), cfg.ReportTTLMs)
+		j.support(j.suspicions["h"], j.endpoint("h"))
 	}
 }
--- a/internal/operatorconfig/shared.go
+++ b/internal/operatorconfig/shared.go
@@ -2,6 +2,7 @@
 
 import (
 	"lotusbend/internal/fleetstate"
+	"lotusbend/internal/fleetstate/faultinjection"
 )
 
 // Shared switches the state that routers share on (docs/shared-state.md).
@@ -32,7 +33,7 @@
 		"lendable":        func(v *value) { c.MaxLentFraction = v.number(0, 0.9, false) },
 		"clock_offset_ms": func(v *value) { s.ClockOffsetMs = v.number(0, 3600e3, true) },
 		"sabotage": func(v *value) {
-			c.Sabotage = v.choice("no-lease-wait", "trust-one", "counts-by-sum", "never-expire", "liar", "liar-well")
+			c.FaultInjection = faultinjection.Fault(v.choice(faultinjection.Names()...))
 		},
 	}
 	t.section(fields)
--- a/internal/operatorconfig/shared_test.go
+++ b/internal/operatorconfig/shared_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"lotusbend/internal/fleetstate"
+	"lotusbend/internal/fleetstate/faultinjection"
 )
 
 // The section is off unless named, has the rules' defaults, and what cannot
@@ -16,7 +17,9 @@
 		t.Fatal(err)
 	}
 	want := fleetstate.Defaults()
-	want.LeaseMs, want.SkewMs, want.Sabotage = 4000, 0, "trust-one"
+	want.LeaseMs = 4000
+	want.SkewMs = 0
+	want.FaultInjection = faultinjection.TrustOne
 	if o.Shared == nil || o.Shared.Rules != want {
 		t.Errorf("got %+v, want %+v", o.Shared, want)
 	}
