--- a/internal/fleetstate/link/link.go
+++ b/internal/fleetstate/link/link.go
@@ -1,11 +1,12 @@
 // Package link carries the shared state between its rules and the two loops
-// that it stands between: membership's, whose packets bring peers' messages,
-// and the router's, which sees hosts and acts on advice. The rules' Node is
-// owned by membership's loop; what crosses to the router's is copied and never
-// waited for.
+// that it stands between: membership's, whose packets bring the peers'
+// messages, and the router's, which observes endpoints and acts on advice. The
+// rules' Node is owned by membership's loop; what crosses to the router's loop
+// is copied, and neither waits for the other.
 package link
 
 import (
+	"fmt"
 	"log/slog"
 	"sync"
 	"sync/atomic"
@@ -16,88 +17,105 @@
 )
 
 const (
-	// adviseMs is how often advice is given anew where nothing happened.
+	// adviceIntervalMs is how often advice is renewed where nothing happened.
 	adviceIntervalMs = 50
-	// heldMost bounds the grants that wait for the router; past it they are
-	// lost, as any datagram may be.
+	// maxDelayedGrants bounds the grants that wait for the router; past it they
+	// are dropped, as any datagram may be.
 	maxDelayedGrants = 256
 )
 
-// Advice is the rules' advice with its number, to be told back by Applied.
+// Advice is the rules' advice with its number, to be returned by Applied.
 type Advice struct {
 	fleetstate.Advice
 	Seq uint64
 }
 
-// grant waits until the router acts on what the lender has left: sent sooner,
-// both could spend the share, for as long as this process is paused between.
-type grant struct {
-	seq uint64
+// delayedGrant waits until the router acts on what the lender has left. Sent
+// sooner, both could spend the quota for as long as this process is paused
+// between.
+type delayedGrant struct {
+	seq uint64 // of the advice
 	udp.Payload
 }
 
-// Link implements udp.SharedState.
+// Link implements udp.SharedState. Membership's loop calls Fleet, Tick and
+// Receive; the other methods and the counters are safe for concurrent use.
 type Link struct {
-	node    *fleetstate.Node
-	codec   *wire.Codec
-	log     *slog.Logger
-	advice  chan Advice
-	advised int64
-	first   fleetstate.Advice
-	seq     uint64 // of the last advice
-	applied atomic.Uint64
-	grants  []grant
-
-	mu      sync.Mutex
-	pending fleetstate.Observation
-	fresh   bool
-	page    fleetstate.StatusPage
-
-	Malformed, Sent, Received, Bytes atomic.Uint64
+	node      *fleetstate.Node
+	codec     *wire.Codec
+	log       *slog.Logger
+	advice    chan Advice // the latest, not yet taken
+	advisedAt int64       // ms
+	first     fleetstate.Advice
+	seq       uint64        // of the last advice
+	applied   atomic.Uint64 // number of the advice that the router acts on
+	grants    []delayedGrant
+
+	mu       sync.Mutex
+	observed *fleetstate.Observation // not yet taken by the node, nil for none
+	page     fleetstate.StatusPage
+
+	Malformed atomic.Uint64 // messages that were dropped
+	Sent      atomic.Uint64 // messages
+	Received  atomic.Uint64 // messages
+	Bytes     atomic.Uint64 // sent
 }
 
-// New makes a link from checked settings; fleet is the configured number of
-// routers, now the time in milliseconds.
-func New(cfg fleetstate.Config, fleet int, now int64, log *slog.Logger) (*Link, error) {
+// New makes a link. routers is the configured size of the fleet, now the time in
+// ms. It returns the ConfigError of a configuration that cannot work.
+func New(cfg fleetstate.Config, routers int, now int64, log *slog.Logger) (*Link, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
 	codec, err := wire.New()
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("link: %w", err)
+	}
+	l := &Link{
+		node:   fleetstate.New(cfg, routers, now),
+		codec:  codec,
+		log:    log.With("component", "fleetstate"),
+		advice: make(chan Advice, 1),
 	}
-	l := &Link{node: fleetstate.New(cfg, fleet, now), codec: codec, log: log, advice: make(chan Advice, 1)}
 	l.first = l.node.Advice(now)
 	l.page = l.node.StatusPage(now)
 	return l, nil
 }
 
-// First is the advice that holds before any other: what an earlier life of
-// this router may have lent is left alone from the first request on.
+// First is the advice that holds before any other: what an earlier incarnation
+// of this router may have lent is not used from the first request on.
 func (l *Link) First() fleetstate.Advice { return l.first }
 
-// Offer takes what the router saw; what was not yet taken of an earlier one is
-// added up.
-func (l *Link) Offer(s fleetstate.Observation) {
+// Offer takes what the router observed. The counters of an earlier observation
+// that the node has not taken yet are added to it.
+func (l *Link) Offer(observed fleetstate.Observation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for i, v := range l.pending.Counters {
-		if len(s.Counters) <= i {
-			s.Counters = append(s.Counters, make(fleetstate.Counters, i+1-len(s.Counters))...)
-		}
-		s.Counters[i] += v
+	if l.observed != nil {
+		observed.Counters = sum(observed.Counters, l.observed.Counters)
+	}
+	l.observed = &observed
+}
+
+// sum adds earlier counters to counters.
+func sum(counters, earlier fleetstate.Counters) fleetstate.Counters {
+	if missing := len(earlier) - len(counters); missing > 0 {
+		counters = append(counters, make(fleetstate.Counters, missing)...)
+	}
+	for i, value := range earlier {
+		counters[i] += value
 	}
-	l.pending, l.fresh = s, true
+	return counters
 }
 
-// Advice tells what the router may act on; only the latest waits.
+// Advice delivers what the router may act on; only the latest waits.
 func (l *Link) Advice() <-chan Advice { return l.advice }
 
-// Applied tells that the router acts on the advice of this number. Grants of
-// shares that it gave up by it may leave now.
+// Applied reports that the router acts on the advice of this number. Grants of
+// quotas that it gave up by it may be sent now.
 func (l *Link) Applied(seq uint64) { l.applied.Store(seq) }
 
-// Page is the state for people, a copy.
+// StatusPage is a copy of the state for the admin page.
 func (l *Link) StatusPage() fleetstate.StatusPage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,103 +127,86 @@
 
 // Tick implements udp.SharedState.
 func (l *Link) Tick(now int64) []udp.Payload {
-	l.mu.Lock()
-	s, fresh := l.pending, l.fresh
-	l.pending, l.fresh = fleetstate.Observation{}, false
-	l.mu.Unlock()
-	if fresh {
-		l.node.Observe(s)
+	if observed := l.takeObserved(); observed != nil {
+		l.node.Observe(*observed)
 	}
-	r := l.node.Tick(now)
-	if len(r.Events) > 0 || now-l.advised >= adviceIntervalMs {
+	ready := l.node.Tick(now)
+	if len(ready.Events) > 0 || now-l.advisedAt >= adviceIntervalMs {
 		l.advise(now)
 	}
-	out := l.carry(r)
+	l.logEvents(ready.Events)
+	return append(l.encode(ready.Messages), l.dueGrants()...)
+}
+
+// takeObserved returns the observation not yet taken, nil if there is none.
+func (l *Link) takeObserved() *fleetstate.Observation {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	observed := l.observed
+	l.observed = nil
+	return observed
+}
+
+// dueGrants are the delayed grants whose advice the router acts on.
+func (l *Link) dueGrants() (due []udp.Payload) {
 	for len(l.grants) > 0 && l.grants[0].seq <= l.applied.Load() {
-		out = append(out, l.grants[0].Payload)
+		due = append(due, l.grants[0].Payload)
 		l.grants = l.grants[1:]
 	}
-	return out
+	return due
 }
 
-// Receive implements udp.SharedState: bytes that no router sends are counted.
+// Receive implements udp.SharedState. Malformed messages are counted and
+// dropped. It returns nothing: what answers a message is a grant, which waits
+// for the router.
 func (l *Link) Receive(from string, payload []byte, now int64) []udp.Payload {
-	m, err := l.codec.Decode(payload)
+	message, err := l.codec.Decode(payload)
 	if err != nil {
 		l.Malformed.Add(1)
 		return nil
 	}
 	l.Received.Add(1)
-	r := l.node.Receive(from, m, now)
-	if len(r.Events) > 0 {
+	ready := l.node.Receive(from, message, now)
+	if len(ready.Events) > 0 {
 		l.advise(now)
 	}
-	for _, p := range l.carry(r) { // all that answers a message is a grant
+	l.logEvents(ready.Events)
+	for _, grant := range l.encode(ready.Messages) {
 		if len(l.grants) < maxDelayedGrants {
-			l.grants = append(l.grants, grant{l.seq, p})
+			l.grants = append(l.grants, delayedGrant{seq: l.seq, Payload: grant})
 		}
 	}
 	return nil
 }
 
+// advise renews the advice and the status page.
 func (l *Link) advise(now int64) {
-	l.advised = now
-	a, p := l.node.Advice(now), l.node.StatusPage(now)
+	l.advisedAt = now
+	advice := l.node.Advice(now)
+	page := l.node.StatusPage(now)
 	l.mu.Lock()
-	l.page = p
+	l.page = page
 	l.mu.Unlock()
-	select { // an older one not yet taken is stale
+	select { // advice not yet taken is stale
 	case <-l.advice:
 	default:
 	}
 	l.seq++
-	l.advice <- Advice{a, l.seq} // cannot block: this loop is the only sender
+	l.advice <- Advice{Advice: advice, Seq: l.seq} // cannot block: this loop is the only sender
 }
 
-func (l *Link) carry(r fleetstate.Ready) (out []udp.Payload) {
-	for _, e := range r.Events {
-		key := e.Key
-		if key == fleetstate.RetryBudgetKey {
-			key = "repeats"
-		}
-		attrs := []any{"of", key, "amount", e.Amount}
-		if e.Peer != "" {
-			attrs = append(attrs, "peer", e.Peer)
-		}
-		if e.Status != 0 {
-			attrs = append(attrs, "claim", e.Status.String())
-		}
-		if e.Reason != "" {
-			attrs = append(attrs, "why", e.Reason)
-		}
-		l.log.Info("shared state: "+e.Kind.String(), attrs...)
-	}
-	for _, m := range r.Messages {
-		b, err := l.codec.Encode(m.Message)
+// encode returns the packets of messages. One that cannot be encoded is logged
+// and dropped.
+func (l *Link) encode(messages []fleetstate.Envelope) (payloads []udp.Payload) {
+	for _, envelope := range messages {
+		encoded, err := l.codec.Encode(envelope.Message)
 		if err != nil {
-			l.log.Error("shared state: a message that cannot be encoded", "error", err)
+			l.log.Error("message not encoded", "error", err)
 			continue
 		}
 		l.Sent.Add(1)
-		l.Bytes.Add(uint64(len(b)))
-		out = append(out, udp.Payload{To: m.To, Bytes: b})
-	}
-	return out
-}
-
-// Metrics are the link's counters and the fleet's totals, by name.
-func (l *Link) Metrics(classes []string) map[string]uint64 {
-	p := l.StatusPage()
-	m := map[string]uint64{
-		"shared_messages_sent": l.Sent.Load(), "shared_messages_received": l.Received.Load(), "shared_bytes_sent": l.Bytes.Load(),
-		"shared_messages_malformed": l.Malformed.Load(), "shared_strangers": p.UnknownSenders, "shared_counters_refused": p.RejectedCounters,
-		"shared_routers_counted": uint64(len(p.Counters)), "shared_judgements": uint64(len(p.Ejections)), "shared_size": uint64(p.Routers),
-		"shared_leases_lent": uint64(len(p.Lent)), "shared_leases_held": uint64(len(p.Borrowed)),
-	}
-	for i, c := range classes {
-		for k, name := range fleetstate.CounterKindNames() {
-			m["fleet_"+name+"_"+c] = p.Totals.Get(i, fleetstate.CounterKind(k))
-		}
+		l.Bytes.Add(uint64(len(encoded)))
+		payloads = append(payloads, udp.Payload{To: envelope.To, Bytes: encoded})
 	}
-	return m
+	return payloads
 }
--- a/internal/fleetstate/wire/wire_test.go
+++ b/internal/fleetstate/wire/wire_test.go
@@ -1,6 +1,7 @@
 package wire
 
 import (
+	"errors"
 	"reflect"
 	"testing"
 
@@ -41,7 +42,7 @@
 		if len(b) > m.Size() {
 			t.Fatalf("%d bytes, over the %d reckoned", len(b), m.Size())
 		}
-		if len(b) > maxBytes {
+		if len(b) > maxMessageBytes {
 			return
 		}
 		got, err := c.Decode(b)
@@ -89,3 +90,31 @@
 		n.Tick(20)
 	})
 }
+
+// Each kind of error can be told apart by its type.
+func TestDecodeErrorsAreTyped(t *testing.T) {
+	codec, err := New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := codec.Decode(make([]byte, maxMessageBytes+1)); !errors.Is(err, ErrTooLong) {
+		t.Errorf("too many bytes: %v, want ErrTooLong", err)
+	}
+	if _, err := codec.Decode([]byte{0xff}); !errors.Is(err, ErrMalformed) {
+		t.Errorf("no CBOR: %v, want ErrMalformed", err)
+	}
+	var version *VersionError
+	if _, err := codec.Decode([]byte{0xa1, 0x00, 0x02}); !errors.As(err, &version) || version.Version != 2 {
+		t.Errorf("version 2: %v, want a VersionError", err)
+	}
+	unnamed, err := codec.Encode(fleetstate.Message{LeaseGrants: []fleetstate.LeaseGrant{
+		{Key: "a", Amount: 1}, {Amount: 1},
+	}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var part *PartError
+	if _, err := codec.Decode(unnamed); !errors.As(err, &part) || part.Part != "lease grant" || part.Index != 1 {
+		t.Errorf("a grant without a key: %v, want a PartError of lease grant 1", err)
+	}
+}
