--- a/internal/fleetstate/advice.go
+++ b/internal/fleetstate/advice.go
@@ -34,9 +34,9 @@
 }
 
 // Advice returns what holds at now, in ms. It weighs the reports on every
-// endpoint, so the caller asks for it at its own pace, and after each event
+// endpoint, so the caller calls it at its own pace, and after each event
 // that changed a lease. An expired lease is not part of it: a router that was
-// paused must ask again before it sends.
+// paused must call it again before it sends.
 func (n *Node) Advice(now int64) Advice {
 	advice := Advice{
 		Routers:            n.routers,
--- a/internal/fleetstate/characterization_test.go
+++ b/internal/fleetstate/characterization_test.go
@@ -334,7 +334,12 @@
 	c := &cluster{t: t, random: rand.New(rand.NewPCG(s.seed, 2)), digest: newDigest(), config: settings(s.config),
 		now: 1_000_000, longestDelay: 20, tries: 0.2}
 	for i := range databases {
-		c.databases = append(c.databases, database{name: fmt.Sprint("db-", i), group: i / 3, primary: i%3 == 0, condition: fleetstate.Healthy})
+		c.databases = append(c.databases, database{
+			name:      fmt.Sprint("db-", i),
+			group:     i / 3,
+			primary:   i%3 == 0,
+			condition: fleetstate.Healthy,
+		})
 	}
 	for i := range routers {
 		c.routers = append(c.routers, &member{name: fmt.Sprint("router-", i)})
@@ -572,28 +577,48 @@
 	{name: "every-condition-few-tries", seed: 4, script: withFewTries(everyCondition)},
 	{name: "liars", seed: 5, script: liars},
 	{name: "liars-few-tries", seed: 6, script: withFewTries(liars)},
-	{name: "liars-long-names", seed: 29, config: func(c *fleetstate.Config) { c.MaxMessageBytes = 400 }, script: withLongNames(liars)},
-	{name: "liars-most", seed: 7, config: func(c *fleetstate.Config) { c.MaxEjectedFraction, c.RequiredSupport = 0.9, 0.8 }, script: withFewTries(liars)},
+	{
+		name:   "liars-long-names",
+		seed:   29,
+		config: func(c *fleetstate.Config) { c.MaxMessageBytes = 400 },
+		script: withLongNames(liars),
+	},
+	{
+		name:   "liars-most",
+		seed:   7,
+		config: func(c *fleetstate.Config) { c.MaxEjectedFraction, c.RequiredSupport = 0.9, 0.8 },
+		script: withFewTries(liars),
+	},
 	{name: "cold-hosts", seed: 8, script: coldHosts},
 	{name: "cold-hosts-bad-links", seed: 9, script: onBadLinks(coldHosts)},
 	{name: "cold-hosts-long-skew", seed: 10, config: longSkew, script: onBadLinks(coldHosts)},
 	{name: "restarts-and-folds", seed: 11, script: restartsAndFolds},
-	{name: "restarts-small-tables", seed: 12, config: func(c *fleetstate.Config) { c.MaxCounterEntries, c.MaxMessageBytes = 5, 400 }, script: onBadLinks(restartsAndFolds)},
+	{
+		name:   "restarts-small-tables",
+		seed:   12,
+		config: func(c *fleetstate.Config) { c.MaxCounterEntries, c.MaxMessageBytes = 5, 400 },
+		script: onBadLinks(restartsAndFolds),
+	},
 	{name: "splits", seed: 13, script: splits},
 	{name: "retry-budget", seed: 14, script: retryBudget},
 	{name: "odd-messages", seed: 15, script: oddMessages},
 	{name: "forged-grants", seed: 30, script: forgedGrants},
 	{name: "many-witnesses", seed: 31, script: manyWitnesses},
 	{name: "many-loans", seed: 32, config: inject(faultinjection.NoLeaseWait), script: manyLoans},
-	{name: "many-lenders", seed: 33, config: func(c *fleetstate.Config) { c.LeaseMs, c.CounterRetentionMs, c.LendersPerTick = 60_000, 700_000, 500 }, script: manyLenders},
+	{
+		name:   "many-lenders",
+		seed:   33,
+		config: func(c *fleetstate.Config) { c.LeaseMs, c.CounterRetentionMs, c.LendersPerTick = 60_000, 700_000, 500 },
+		script: manyLenders,
+	},
 	{name: "guide", seed: 16, script: guideOverTime},
 	{name: "shifted-clocks", seed: 17, script: shiftedClocks},
 	{name: "sabotage-1", seed: 18, config: inject(faultinjection.NoLeaseWait), script: coldHosts},
 	{name: "sabotage-2", seed: 19, config: inject(faultinjection.TrustOne), script: everyCondition},
 	{name: "sabotage-3", seed: 20, config: inject(faultinjection.CountsBySum), script: restartsAndFolds},
 	{name: "sabotage-4", seed: 21, config: inject(faultinjection.NeverExpire), script: coldHosts},
-	{name: "sabotage-5", seed: 22, config: inject(faultinjection.Liar), script: calm},
-	{name: "sabotage-6", seed: 23, config: inject(faultinjection.LiarWell), script: everyCondition},
+	{name: "sabotage-5", seed: 22, config: inject(faultinjection.AllUnresponsive), script: calm},
+	{name: "sabotage-6", seed: 23, config: inject(faultinjection.AllHealthy), script: everyCondition},
 	{name: "churn-1", seed: 24, script: churn},
 	{name: "churn-2", seed: 25, config: longSkew, script: onBadLinks(churn)},
 	{name: "churn-3", seed: 26, script: withFewTries(churn)},
@@ -602,7 +627,13 @@
 }
 
 func longSkew(c *fleetstate.Config) {
-	c.LeaseMs, c.SkewMs, c.CounterRetentionMs, c.MaxLentFraction, c.MaxBorrowedStakes, c.LendersPerTick, c.FanOut = 600, 1200, 18_000, 0.8, 1, 2, 2
+	c.LeaseMs = 600
+	c.SkewMs = 1200
+	c.CounterRetentionMs = 18_000
+	c.MaxLentFraction = 0.8
+	c.MaxBorrowedStakes = 1
+	c.LendersPerTick = 2
+	c.FanOut = 2
 }
 
 func inject(fault faultinjection.Fault) func(*fleetstate.Config) {
@@ -643,7 +674,12 @@
 func everyCondition(c *cluster) {
 	c.bootAll()
 	c.run(3000)
-	for k, condition := range []fleetstate.HealthStatus{fleetstate.Unresponsive, fleetstate.Failing, fleetstate.Slow, fleetstate.Lagging} {
+	for k, condition := range []fleetstate.HealthStatus{
+		fleetstate.Unresponsive,
+		fleetstate.Failing,
+		fleetstate.Slow,
+		fleetstate.Lagging,
+	} {
 		for _, i := range []int{k, 4 + k, 1} {
 			c.databases[i].condition = condition
 		}
@@ -683,7 +719,12 @@
 func liars(c *cluster) {
 	c.bootAll()
 	c.run(2500)
-	for _, kind := range []fleetstate.HealthStatus{fleetstate.Unresponsive, fleetstate.Failing, fleetstate.Slow, fleetstate.Lagging} {
+	for _, kind := range []fleetstate.HealthStatus{
+		fleetstate.Unresponsive,
+		fleetstate.Failing,
+		fleetstate.Slow,
+		fleetstate.Lagging,
+	} {
 		c.routers[1].lies = kind
 		c.run(1500)
 		c.routers[2].lies, c.routers[3].lies = kind, kind
@@ -757,7 +798,11 @@
 	c.bootAll()
 	for round := range 8 {
 		for i, r := range c.routers {
-			r.repeats = fleetstate.RetryBudget{EarnedPerSecond: 0.5 * float64(i), Surplus: (i+round)%3 == 0, Depleted: (i+round)%3 == 1}
+			r.repeats = fleetstate.RetryBudget{
+				EarnedPerSecond: 0.5 * float64(i),
+				Surplus:         (i+round)%3 == 0,
+				Depleted:        (i+round)%3 == 1,
+			}
 		}
 		c.run(1500)
 	}
@@ -772,15 +817,67 @@
 	c.run(2500)
 	peer, host := c.routers[1].name, c.databases[1].name
 	for _, m := range []fleetstate.Message{
-		{Counters: []fleetstate.CounterEntry{{}, {Name: "x", Counters: make(fleetstate.Counters, 1000)}, {Name: "x", Epoch: 1, Stamp: 1, Counters: fleetstate.Counters{1}}}},
-		{Counters: []fleetstate.CounterEntry{{Name: "y", Epoch: 1, Stamp: c.now + 1_000_000, Counters: fleetstate.Counters{300, 70_000, 1 << 33, 5}}}},
-		{Counters: []fleetstate.CounterEntry{{Name: "y", Epoch: 1, Stamp: c.now + 2_000_000, Counters: fleetstate.Counters{1, 80_000}}}},
-		{Counters: []fleetstate.CounterEntry{{Name: c.routers[0].name, Epoch: 1_000_000, Stamp: c.now, Counters: fleetstate.Counters{1 << 40}}}},
-		{HealthReports: []fleetstate.HealthReport{{Endpoint: "unknown", Status: fleetstate.Unresponsive}, {Endpoint: host}, {Endpoint: host, Status: 200}, {Endpoint: host, Status: fleetstate.Unresponsive, AgeMs: -1}, {Endpoint: host, Status: fleetstate.Unresponsive, AgeMs: 1 << 40}}},
-		{HealthReports: []fleetstate.HealthReport{{Endpoint: host, Status: fleetstate.Unresponsive, AgeMs: 10}, {Endpoint: host, Status: fleetstate.Unresponsive, AgeMs: 500}, {Endpoint: host, Status: fleetstate.Primary}, {Endpoint: host, Status: fleetstate.Healthy}}},
-		{LeaseRequests: []fleetstate.LeaseRequest{{Key: "unknown", ID: 1, Wanted: 1, RequestedAt: c.now}, {Key: host, ID: 2, Wanted: 0, RequestedAt: c.now}, {Key: host, ID: 3, Wanted: -1, RequestedAt: c.now}, {Key: host, ID: 4, Wanted: math.NaN(), RequestedAt: c.now}}},
-		{LeaseRequests: []fleetstate.LeaseRequest{{Key: host, ID: 5, Wanted: 0.01, RequestedAt: c.now}, {Key: host, ID: 5, Wanted: 0.01, RequestedAt: c.now}, {Key: host, ID: 6, Wanted: 100, RequestedAt: c.now}, {Key: host, ID: 7, Wanted: 100, RequestedAt: c.now}}},
-		{LeaseGrants: []fleetstate.LeaseGrant{{Key: host, ID: 1, Amount: 0.5, RequestedAt: c.now, DurationMs: 1000}, {Key: "unknown", ID: 1, Amount: -1, DurationMs: 1 << 40}}},
+		{
+			Counters: []fleetstate.CounterEntry{
+				{},
+				{Name: "x", Counters: make(fleetstate.Counters, 1000)},
+				{Name: "x", Epoch: 1, Stamp: 1, Counters: fleetstate.Counters{1}},
+			},
+		},
+		{
+			Counters: []fleetstate.CounterEntry{
+				{Name: "y", Epoch: 1, Stamp: c.now + 1_000_000, Counters: fleetstate.Counters{300, 70_000, 1 << 33, 5}},
+			},
+		},
+		{
+			Counters: []fleetstate.CounterEntry{
+				{Name: "y", Epoch: 1, Stamp: c.now + 2_000_000, Counters: fleetstate.Counters{1, 80_000}},
+			},
+		},
+		{
+			Counters: []fleetstate.CounterEntry{
+				{Name: c.routers[0].name, Epoch: 1_000_000, Stamp: c.now, Counters: fleetstate.Counters{1 << 40}},
+			},
+		},
+		{
+			HealthReports: []fleetstate.HealthReport{
+				{Endpoint: "unknown", Status: fleetstate.Unresponsive},
+				{Endpoint: host},
+				{Endpoint: host, Status: 200},
+				{Endpoint: host, Status: fleetstate.Unresponsive, AgeMs: -1},
+				{Endpoint: host, Status: fleetstate.Unresponsive, AgeMs: 1 << 40},
+			},
+		},
+		{
+			HealthReports: []fleetstate.HealthReport{
+				{Endpoint: host, Status: fleetstate.Unresponsive, AgeMs: 10},
+				{Endpoint: host, Status: fleetstate.Unresponsive, AgeMs: 500},
+				{Endpoint: host, Status: fleetstate.Primary},
+				{Endpoint: host, Status: fleetstate.Healthy},
+			},
+		},
+		{
+			LeaseRequests: []fleetstate.LeaseRequest{
+				{Key: "unknown", ID: 1, Wanted: 1, RequestedAt: c.now},
+				{Key: host, ID: 2, Wanted: 0, RequestedAt: c.now},
+				{Key: host, ID: 3, Wanted: -1, RequestedAt: c.now},
+				{Key: host, ID: 4, Wanted: math.NaN(), RequestedAt: c.now},
+			},
+		},
+		{
+			LeaseRequests: []fleetstate.LeaseRequest{
+				{Key: host, ID: 5, Wanted: 0.01, RequestedAt: c.now},
+				{Key: host, ID: 5, Wanted: 0.01, RequestedAt: c.now},
+				{Key: host, ID: 6, Wanted: 100, RequestedAt: c.now},
+				{Key: host, ID: 7, Wanted: 100, RequestedAt: c.now},
+			},
+		},
+		{
+			LeaseGrants: []fleetstate.LeaseGrant{
+				{Key: host, ID: 1, Amount: 0.5, RequestedAt: c.now, DurationMs: 1000},
+				{Key: "unknown", ID: 1, Amount: -1, DurationMs: 1 << 40},
+			},
+		},
 	} {
 		c.inject(peer, 0, m)
 		c.inject("stranger", 0, m)
@@ -793,9 +890,23 @@
 // flood tells of many routers and asks for shares without end.
 func (c *cluster) flood(peer string) {
 	for i := range 300 {
-		m := fleetstate.Message{Counters: []fleetstate.CounterEntry{{Name: fmt.Sprint("invented-", i), Epoch: int64(i), Stamp: c.now - int64(i), Counters: fleetstate.Counters{1, uint64(i)}}}}
+		m := fleetstate.Message{
+			Counters: []fleetstate.CounterEntry{
+				{
+					Name:     fmt.Sprint("invented-", i),
+					Epoch:    int64(i),
+					Stamp:    c.now - int64(i),
+					Counters: fleetstate.Counters{1, uint64(i)},
+				},
+			},
+		}
 		for k := range 20 { // more answers than one message holds
-			m.LeaseRequests = append(m.LeaseRequests, fleetstate.LeaseRequest{Key: c.databases[k%databases].name, ID: uint64(1000*i + k), Wanted: 0.002, RequestedAt: c.now})
+			m.LeaseRequests = append(m.LeaseRequests, fleetstate.LeaseRequest{
+				Key:         c.databases[k%databases].name,
+				ID:          uint64(1000*i + k),
+				Wanted:      0.002,
+				RequestedAt: c.now,
+			})
 		}
 		c.inject(peer, 3, m)
 	}
@@ -819,7 +930,13 @@
 // forge sends router 0 grants for an ask to lender, the true one last.
 func (c *cluster) forge(ask fleetstate.LeaseRequest, lender int) {
 	for k := range 7 {
-		g := fleetstate.LeaseGrant{Key: ask.Key, ID: ask.ID, Amount: ask.Wanted / 16, RequestedAt: ask.RequestedAt, DurationMs: 400}
+		g := fleetstate.LeaseGrant{
+			Key:         ask.Key,
+			ID:          ask.ID,
+			Amount:      ask.Wanted / 16,
+			RequestedAt: ask.RequestedAt,
+			DurationMs:  400,
+		}
 		from := c.routers[lender].name
 		switch k {
 		case 0:
@@ -852,7 +969,11 @@
 // manyWitnesses lets more peers doubt a host than are kept.
 func manyWitnesses(c *cluster) {
 	for i, peer := range c.manyPeers() {
-		c.inject(peer, 0, fleetstate.Message{HealthReports: []fleetstate.HealthReport{{Endpoint: c.databases[4].name, Status: fleetstate.Slow, AgeMs: int64(i % 50)}}})
+		c.inject(peer, 0, fleetstate.Message{
+			HealthReports: []fleetstate.HealthReport{
+				{Endpoint: c.databases[4].name, Status: fleetstate.Slow, AgeMs: int64(i % 50)},
+			},
+		})
 	}
 	c.advise(0)
 	c.run(1000)
@@ -862,7 +983,9 @@
 func manyLoans(c *cluster) {
 	peer := c.manyPeers()[0]
 	for i := range 4200 {
-		c.inject(peer, 0, fleetstate.Message{LeaseRequests: []fleetstate.LeaseRequest{{Key: c.databases[4].name, ID: uint64(i), Wanted: 1, RequestedAt: c.now}}})
+		c.inject(peer, 0, fleetstate.Message{
+			LeaseRequests: []fleetstate.LeaseRequest{{Key: c.databases[4].name, ID: uint64(i), Wanted: 1, RequestedAt: c.now}},
+		})
 	}
 	c.advise(0)
 	c.run(1500)
@@ -880,7 +1003,11 @@
 		c.record(0, ready)
 		for _, out := range ready.Messages {
 			for _, ask := range out.Message.LeaseRequests {
-				c.inject(out.To, 0, fleetstate.Message{LeaseGrants: []fleetstate.LeaseGrant{{Key: ask.Key, ID: ask.ID, Amount: 1e-8, RequestedAt: ask.RequestedAt, DurationMs: 60_000}}})
+				c.inject(out.To, 0, fleetstate.Message{
+					LeaseGrants: []fleetstate.LeaseGrant{
+						{Key: ask.Key, ID: ask.ID, Amount: 1e-8, RequestedAt: ask.RequestedAt, DurationMs: 60_000},
+					},
+				})
 			}
 		}
 	}
@@ -924,7 +1051,11 @@
 		case 0:
 			a.SlowStart[d.name] = share()
 		case 1:
-			a.Ejections = append(a.Ejections, fleetstate.Ejection{Endpoint: d.name, Status: fleetstate.Unresponsive, Until: share().Until})
+			a.Ejections = append(a.Ejections, fleetstate.Ejection{
+				Endpoint: d.name,
+				Status:   fleetstate.Unresponsive,
+				Until:    share().Until,
+			})
 		case 2:
 			a.SuggestedPrimaries[d.group] = d.name
 		}
@@ -985,7 +1116,11 @@
 	case 8:
 		r.lies = fleetstate.HealthStatus(max(0, c.random.IntN(10)-4))
 	case 9:
-		r.repeats = fleetstate.RetryBudget{EarnedPerSecond: c.random.Float64(), Surplus: c.random.IntN(2) == 0, Depleted: c.random.IntN(2) == 0}
+		r.repeats = fleetstate.RetryBudget{
+			EarnedPerSecond: c.random.Float64(),
+			Surplus:         c.random.IntN(2) == 0,
+			Depleted:        c.random.IntN(2) == 0,
+		}
 	}
 }
 
--- a/internal/fleetstate/config.go
+++ b/internal/fleetstate/config.go
@@ -30,7 +30,7 @@
 	CounterRetentionMs int64 // counters not updated for this long are compacted into one total
 	MaxCounterEntries  int   // counters of routers and incarnations kept apart
 
-	ReportTTLMs        int64   // a report expires this long after its evidence, at the latest: drawn from half of it on
+	ReportTTLMs        int64   // a report expires at most this long after its evidence: drawn from half of it on
 	EjectionMs         int64   // an ejection ends after this unless renewed
 	GossipEjectionMs   int64   // for how long gossip alone ejects, before this router must try the endpoint
 	MaxEjectedFraction float64 // of a group's endpoints that gossip ejects at once
@@ -79,7 +79,13 @@
 // Check returns a ConfigError for the first setting that cannot work.
 func (c Config) Check() error {
 	for _, check := range []func() *ConfigError{
-		c.checkName, c.checkIntervals, c.checkLeases, c.checkCounters, c.checkReports, c.checkEjections, c.checkMessages,
+		c.checkName,
+		c.checkIntervals,
+		c.checkLeases,
+		c.checkCounters,
+		c.checkReports,
+		c.checkEjections,
+		c.checkMessages,
 	} {
 		if err := check(); err != nil {
 			return err
@@ -140,7 +146,8 @@
 	case c.EjectionMs < c.TickMs:
 		return &ConfigError{"hint_ms", c.EjectionMs, fmt.Sprintf("the tick of %d or more", c.TickMs)}
 	case c.GossipEjectionMs < c.EjectionMs:
-		return &ConfigError{"hearsay_ms", c.GossipEjectionMs, fmt.Sprintf("hint_ms (%d) or more", c.EjectionMs)}
+		want := fmt.Sprintf("hint_ms (%d) or more", c.EjectionMs)
+		return &ConfigError{"hearsay_ms", c.GossipEjectionMs, want}
 	case c.FanOut < 1:
 		return &ConfigError{"the fan-out", c.FanOut, "1 or more"}
 	}
@@ -159,7 +166,8 @@
 
 func (c Config) checkMessages() *ConfigError {
 	if c.MaxMessageBytes < minMessageBytes {
-		return &ConfigError{"the size of a message", c.MaxMessageBytes, fmt.Sprintf("%d bytes or more", minMessageBytes)}
+		want := fmt.Sprintf("%d bytes or more", minMessageBytes)
+		return &ConfigError{"the size of a message", c.MaxMessageBytes, want}
 	}
 	return nil
 }
--- a/internal/fleetstate/counts_test.go
+++ b/internal/fleetstate/counts_test.go
@@ -65,7 +65,9 @@
 			case ev < 4:
 				var cells Counters
 				k := uint64(rapid.IntRange(1, 9).Draw(t, "much"))
-				cells.Add(rapid.IntRange(0, 2).Draw(t, "class"), CounterKind(rapid.IntRange(0, int(counterKinds)-1).Draw(t, "kind")), k)
+				class := rapid.IntRange(0, 2).Draw(t, "class")
+				kind := rapid.IntRange(0, int(counterKinds)-1).Draw(t, "kind")
+				cells.Add(class, CounterKind(kind), k)
 				cs[i].record(cells)
 				carried += k
 			case ev < 6:
--- a/internal/fleetstate/ejection.go
+++ b/internal/fleetstate/ejection.go
@@ -114,7 +114,8 @@
 		return requirement{support: 0.01, reporters: 1}
 	case endpoint.faultObserved() || endpoint.Overdue: // one more reporter is enough
 		return requirement{support: 0.5, reporters: 1}
-	case suspicion.ejected && now < suspicion.ejectedUntil+d.cfg.EjectionMs: // one of good reputation renews it
+	case suspicion.ejected && now < suspicion.ejectedUntil+d.cfg.EjectionMs:
+		// One reporter of good reputation renews it.
 		return requirement{support: 0.75, reporters: 1}
 	}
 	return requirement{support: d.cfg.RequiredSupport, reporters: 2}
--- a/internal/fleetstate/event.go
+++ b/internal/fleetstate/event.go
@@ -14,8 +14,12 @@
 )
 
 var eventKindNames = [ReportRefuted + 1]string{
-	"", "lease granted", "lease borrowed", "lease expired",
-	"endpoint ejected", "ejection rejected", "report refuted",
+	LeaseGranted:     "lease granted",
+	LeaseBorrowed:    "lease borrowed",
+	LeaseExpired:     "lease expired",
+	EndpointEjected:  "endpoint ejected",
+	EjectionRejected: "ejection rejected",
+	ReportRefuted:    "report refuted",
 }
 
 // String is the kind's name in the log.
--- a/internal/fleetstate/faultinjection/faultinjection.go
+++ b/internal/fleetstate/faultinjection/faultinjection.go
@@ -15,22 +15,23 @@
 
 // The faults.
 const (
-	NoLeaseWait Fault = "no-lease-wait" // a lender goes on using what it lent, and lends it again
-	TrustOne    Fault = "trust-one"     // one report ejects, whatever was observed here
-	CountsBySum Fault = "counts-by-sum" // counters are merged by addition
-	NeverExpire Fault = "never-expire"  // borrowed leases and reports do not end
-	Liar        Fault = "liar"          // every endpoint is reported as unresponsive
-	LiarWell    Fault = "liar-well"     // every endpoint is reported as healthy
+	NoLeaseWait     Fault = "no-lease-wait" // a lender goes on using what it lent, and lends it again
+	TrustOne        Fault = "trust-one"     // one report ejects, whatever was observed here
+	CountsBySum     Fault = "counts-by-sum" // counters are merged by addition
+	NeverExpire     Fault = "never-expire"  // borrowed leases and reports do not end
+	AllUnresponsive Fault = "liar"          // every endpoint is reported as unresponsive
+	AllHealthy      Fault = "liar-well"     // every endpoint is reported as healthy
 )
 
-var all = []Fault{NoLeaseWait, TrustOne, CountsBySum, NeverExpire, Liar, LiarWell}
+var all = []Fault{NoLeaseWait, TrustOne, CountsBySum, NeverExpire, AllUnresponsive, AllHealthy}
 
 // UnknownFaultError is returned by Parse for a name that no fault has.
 type UnknownFaultError struct{ Name string }
 
 // Error implements error.
 func (e *UnknownFaultError) Error() string {
-	return fmt.Sprintf("faultinjection: unknown fault %q, want one of %s", e.Name, strings.Join(Names(), ", "))
+	names := strings.Join(Names(), ", ")
+	return fmt.Sprintf("faultinjection: unknown fault %q, want one of %s", e.Name, names)
 }
 
 // Names are the faults' names.
@@ -67,7 +68,7 @@
 func (f Fault) UnlimitedGossipEjection() bool { return f != "" }
 
 // ReportAllUnresponsive implements fleetstate.FaultInjection.
-func (f Fault) ReportAllUnresponsive() bool { return f == Liar }
+func (f Fault) ReportAllUnresponsive() bool { return f == AllUnresponsive }
 
 // ReportAllHealthy implements fleetstate.FaultInjection.
-func (f Fault) ReportAllHealthy() bool { return f == LiarWell }
+func (f Fault) ReportAllHealthy() bool { return f == AllHealthy }
--- a/internal/fleetstate/faultinjection/faultinjection_test.go
+++ b/internal/fleetstate/faultinjection/faultinjection_test.go
@@ -11,12 +11,12 @@
 // bound that every fault lifts; an unknown name is an error.
 func TestEachFaultTakesOutItsOwnGuard(t *testing.T) {
 	guards := map[Fault]func(fleetstate.FaultInjection) bool{
-		NoLeaseWait: fleetstate.FaultInjection.SkipLeaseWait,
-		TrustOne:    fleetstate.FaultInjection.TrustSingleReporter,
-		CountsBySum: fleetstate.FaultInjection.SumCounters,
-		NeverExpire: fleetstate.FaultInjection.NeverExpire,
-		Liar:        fleetstate.FaultInjection.ReportAllUnresponsive,
-		LiarWell:    fleetstate.FaultInjection.ReportAllHealthy,
+		NoLeaseWait:     fleetstate.FaultInjection.SkipLeaseWait,
+		TrustOne:        fleetstate.FaultInjection.TrustSingleReporter,
+		CountsBySum:     fleetstate.FaultInjection.SumCounters,
+		NeverExpire:     fleetstate.FaultInjection.NeverExpire,
+		AllUnresponsive: fleetstate.FaultInjection.ReportAllUnresponsive,
+		AllHealthy:      fleetstate.FaultInjection.ReportAllHealthy,
 	}
 	if len(Names()) != len(guards) {
 		t.Errorf("%d names, want %d", len(Names()), len(guards))
--- a/internal/fleetstate/guide_test.go
+++ b/internal/fleetstate/guide_test.go
@@ -12,12 +12,19 @@
 // nothing that has ended, before anything new was told.
 func TestAGuideEndsByItself(t *testing.T) {
 	var g FleetAdapter
-	if g.SlowStartRate(1, 5, 2, at(0)) != 5 || g.Deprioritized(1, at(0)) || g.SuggestedPrimary(1, at(0)) || g.RetryRate(at(0)) != 0 {
+	advised := g.Deprioritized(1, at(0)) || g.SuggestedPrimary(1, at(0))
+	if g.SlowStartRate(1, 5, 2, at(0)) != 5 || advised || g.RetryRate(at(0)) != 0 {
 		t.Fatal("a guide that was told nothing says something")
 	}
 	id := func(name string) (uint32, bool) { return uint32(len(name)), name != "unknown" }
-	g.Set(Advice{Routers: 4, RemainingStake: 0.5, SlowStart: map[string]Quota{"h": {Own: 0.125, Borrowed: 0.5, Until: 1000}, "unknown": {}},
-		RetryQuota: Quota{Own: -0.2, Borrowed: 1, Until: 1000}, Ejections: []Ejection{{Endpoint: "hh", Until: 700}}, SuggestedPrimaries: map[int]string{1: "hhh"}}, id, 100)
+	g.Set(Advice{
+		Routers:            4,
+		RemainingStake:     0.5,
+		SlowStart:          map[string]Quota{"h": {Own: 0.125, Borrowed: 0.5, Until: 1000}, "unknown": {}},
+		RetryQuota:         Quota{Own: -0.2, Borrowed: 1, Until: 1000},
+		Ejections:          []Ejection{{Endpoint: "hh", Until: 700}},
+		SuggestedPrimaries: map[int]string{1: "hhh"},
+	}, id, 100)
 	// Half of the stake of a quarter is left, and two stakes are borrowed.
 	if got := g.SlowStartRate(1, 6, 2, at(999)); got != 6*0.5+2*2 {
 		t.Errorf("the rate is %g, want half of its own and two stakes", got)
@@ -58,13 +65,19 @@
 
 // Advice and what was seen cross between two clocks without moving in time.
 func TestShiftedThereAndBack(t *testing.T) {
-	a := Advice{SlowStart: map[string]Quota{"h": {Own: 1, Borrowed: 1, Until: 500}, "i": {Own: 1, Until: math.MaxInt64}}, RetryQuota: Quota{Until: 90}, Ejections: []Ejection{{Endpoint: "h", Until: 70}}}
+	a := Advice{
+		SlowStart:  map[string]Quota{"h": {Own: 1, Borrowed: 1, Until: 500}, "i": {Own: 1, Until: math.MaxInt64}},
+		RetryQuota: Quota{Until: 90},
+		Ejections:  []Ejection{{Endpoint: "h", Until: 70}},
+	}
 	b := a.OnClockAhead(2000)
-	if b.SlowStart["h"].Until != 2500 || b.SlowStart["i"].Until != math.MaxInt64 || b.RetryQuota.Until != 2090 || b.Ejections[0].Until != 2070 || a.Ejections[0].Until != 70 {
+	quotasShifted := b.SlowStart["h"].Until == 2500 && b.SlowStart["i"].Until == math.MaxInt64 && b.RetryQuota.Until == 2090
+	if !quotasShifted || b.Ejections[0].Until != 2070 || a.Ejections[0].Until != 70 {
 		t.Errorf("shifted %+v from %+v", b, a)
 	}
 	s := Observation{Endpoints: []EndpointHealth{{Name: "h", AnsweredSentAt: 10, FaultAt: 0, LastSentAt: 30}}}
-	if got := s.OnClockAhead(5).Endpoints[0]; got.AnsweredSentAt != 15 || got.FaultAt != 0 || got.LastSentAt != 35 || s.Endpoints[0].AnsweredSentAt != 10 {
+	got := s.OnClockAhead(5).Endpoints[0]
+	if got.AnsweredSentAt != 15 || got.FaultAt != 0 || got.LastSentAt != 35 || s.Endpoints[0].AnsweredSentAt != 10 {
 		t.Errorf("shifted %+v", got)
 	}
 }
--- a/internal/fleetstate/hang_test.go
+++ b/internal/fleetstate/hang_test.go
@@ -68,8 +68,13 @@
 func hostName(id uint32) string { return fmt.Sprint("h", id) }
 
 func playHang(seed uint64, routers, liars int, lie faultinjection.Fault, together bool) *hangFleet {
-	f := &hangFleet{byName: map[string]*hangRouter{}, clk: clock.Manual(1e6), rng: rand.New(rand.NewPCG(seed, 99)), work: [2]float64{15, 35},
-		from: 1e6 + hangStart, to: 1e6 + hangStart + hangFor}
+	f := &hangFleet{
+		byName: map[string]*hangRouter{},
+		clk:    clock.Manual(1e6),
+		rng:    rand.New(rand.NewPCG(seed, 99)),
+		work:   [2]float64{15, 35},
+		from:   1e6 + hangStart, to: 1e6 + hangStart + hangFor,
+	}
 	f.loop = clock.NewLoop(f.clk)
 	var members []decide.Endpoint
 	for g := range hangGroup {
@@ -78,10 +83,32 @@
 		}
 	}
 	f.hung = 2 + uint32(f.rng.IntN(3)) // a replica of the first group
-	cfg := decide.Config{Routers: routers, Zone: 0, StaleReadPolicy: decide.RejectStale, AnswersCarryPosition: true, SessionTokens: true, HealthChecksReportRole: true, HealthChecks: true,
-		CancelAttempts: true, ParallelAttempts: true, MaxAttempts: 6, MaxRetryAfter: time.Second, SlowStartCapacity: 0.21, SlowStartDuration: 18 * time.Second,
-		OverloadFactor: 2, OverloadDuration: time.Second,
-		Classes: []decide.Class{{Name: "view", LatencyObjective: aimMs * time.Millisecond, Deadline: 1200 * time.Millisecond, PriorityWeight: 2, Consistency: decide.Bounded, MaxStaleness: 800 * time.Millisecond}}}
+	cfg := decide.Config{
+		Routers:                routers,
+		Zone:                   0,
+		StaleReadPolicy:        decide.RejectStale,
+		AnswersCarryPosition:   true,
+		SessionTokens:          true,
+		HealthChecksReportRole: true,
+		HealthChecks:           true,
+		CancelAttempts:         true,
+		ParallelAttempts:       true,
+		MaxAttempts:            6,
+		MaxRetryAfter:          time.Second,
+		SlowStartCapacity:      0.21,
+		SlowStartDuration:      18 * time.Second,
+		OverloadFactor:         2, OverloadDuration: time.Second,
+		Classes: []decide.Class{
+			{
+				Name:             "view",
+				LatencyObjective: aimMs * time.Millisecond,
+				Deadline:         1200 * time.Millisecond,
+				PriorityWeight:   2,
+				Consistency:      decide.Bounded,
+				MaxStaleness:     800 * time.Millisecond,
+			},
+		},
+	}
 	var names []string
 	for i := range routers {
 		names = append(names, fmt.Sprint("r", i))
@@ -202,7 +229,11 @@
 		if (host-1)%4 == 0 {
 			role = decide.RolePrimary
 		}
-		h.r.AttemptEnded(a, router.AttemptReport{Outcome: decide.OK, Row: &router.Row{}, Status: decide.ReplicationStatus{Role: role, Position: clock.Duration(f.loop.Now() - 8)}})
+		h.r.AttemptEnded(a, router.AttemptReport{
+			Outcome: decide.OK,
+			Row:     &router.Row{},
+			Status:  decide.ReplicationStatus{Role: role, Position: clock.Duration(f.loop.Now() - 8)},
+		})
 	})
 	return ref
 }
@@ -224,7 +255,10 @@
 		if (host-1)%4 == 0 {
 			role = decide.RolePrimary
 		}
-		h.r.HealthChecked(host, router.AttemptReport{Outcome: decide.OK, Status: decide.ReplicationStatus{Role: role, Position: clock.Duration(h.f.loop.Now() - 8)}})
+		h.r.HealthChecked(host, router.AttemptReport{
+			Outcome: decide.OK,
+			Status:  decide.ReplicationStatus{Role: role, Position: clock.Duration(h.f.loop.Now() - 8)},
+		})
 	})
 }
 
@@ -272,19 +306,27 @@
 // table of docs/shared-state.md (some minutes), with LOTUSBEND_FIGURES=DIR its
 // plot as well.
 func TestHungHostAloneAndTogether(t *testing.T) {
-	seeds, cases := uint64(4), []hangRow{{routers: 20}, {routers: 20, liars: 6, lie: faultinjection.Liar}, {routers: 20, liars: 6, lie: faultinjection.LiarWell}}
+	seeds, cases := uint64(4), []hangRow{
+		{routers: 20},
+		{routers: 20, liars: 6, lie: faultinjection.AllUnresponsive},
+		{routers: 20, liars: 6, lie: faultinjection.AllHealthy},
+	}
 	large := os.Getenv("LOTUSBEND_LARGE") == "1"
 	if large {
 		seeds, cases = 10, nil
 		for _, n := range []int{2, 20, 300} {
 			cases = append(cases, hangRow{routers: n})
-			for _, lie := range []faultinjection.Fault{faultinjection.Liar, faultinjection.LiarWell} {
+			for _, lie := range []faultinjection.Fault{faultinjection.AllUnresponsive, faultinjection.AllHealthy} {
 				cases = append(cases, hangRow{routers: n, liars: 1, lie: lie})
 				if n > 2 {
 					cases = append(cases, hangRow{routers: n, liars: n / 3, lie: lie})
 				}
 				if n == 20 {
-					cases = append(cases, hangRow{routers: n, liars: n / 2, lie: lie}, hangRow{routers: n, liars: n * 9 / 10, lie: lie})
+					cases = append(cases, hangRow{
+						routers: n,
+						liars:   n / 2,
+						lie:     lie,
+					}, hangRow{routers: n, liars: n * 9 / 10, lie: lie})
 				}
 			}
 		}
@@ -297,16 +339,20 @@
 		}
 		row := hangCase(c.routers, c.liars, c.lie, k)
 		rows = append(rows, row)
-		t.Logf("| %d | %d | %s | %d | %d | %.2f | %.2f |", row.routers, row.liars, row.lie, row.alone, row.together, float64(row.together)/float64(row.alone), row.wrong)
+		ratio := float64(row.together) / float64(row.alone)
+		t.Logf("| %d | %d | %s | %d | %d | %.2f | %.2f |",
+			row.routers, row.liars, row.lie, row.alone, row.together, ratio, row.wrong)
 		if row.alone == 0 {
 			t.Fatal("the hung host swallowed nothing: nothing is measured")
 		}
 		if row.routers >= 20 && row.liars == 0 && 3*row.together > row.alone {
-			t.Errorf("%d routers: %d requests lost together, %d alone: not down by two thirds", row.routers, row.together, row.alone)
+			t.Errorf("%d routers: %d requests lost together, %d alone: not down by two thirds",
+				row.routers, row.together, row.alone)
 		}
 		// A handful of losses differ by chance: the square root of their number.
 		if most := float64(row.alone) + 2*math.Sqrt(float64(row.alone)); float64(row.together) > most {
-			t.Errorf("%d routers, %d lying (%s): %d lost together, %d alone", row.routers, row.liars, row.lie, row.together, row.alone)
+			t.Errorf("%d routers, %d byzantine (%s): %d lost together, %d standalone",
+				row.routers, row.liars, row.lie, row.together, row.alone)
 		}
 		if row.wrong > fleetstate.Defaults().MaxEjectedFraction {
 			t.Errorf("%d routers, %d lying (%s): %.2f of a group wrongly passed over", row.routers, row.liars, row.lie, row.wrong)
@@ -328,7 +374,7 @@
 		y := float64(r.together) / float64(r.alone)
 		x := float64(r.liars) / float64(r.routers)
 		for lie, says := range map[faultinjection.Fault]string{
-			faultinjection.Liar: "every host hangs", faultinjection.LiarWell: "every host is well"} {
+			faultinjection.AllUnresponsive: "every host hangs", faultinjection.AllHealthy: "every host is well"} {
 			if r.lie == lie || r.liars == 0 {
 				k := fmt.Sprintf("%d routers, told that %s", r.routers, says)
 				lines[k] = append(lines[k], plotter.XY{X: x, Y: y})
@@ -336,7 +382,9 @@
 		}
 	}
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Requests lost to a hung host, told by peers", "share of the routers that lie", "lost together / lost alone"
+	p.Title.Text = "Requests lost to a hung host, told by peers"
+	p.X.Label.Text = "share of the routers that lie"
+	p.Y.Label.Text = "lost together / lost alone"
 	p.Y.Min, p.Y.Max, p.Legend.Top, p.Legend.Left = 0, 2, true, true
 	var args []any
 	for _, k := range slices.Sorted(maps.Keys(lines)) {
--- a/internal/fleetstate/health.go
+++ b/internal/fleetstate/health.go
@@ -12,11 +12,18 @@
 	Failing                                // it answers with errors, or cannot be reached
 	Slow                                   // its latency is several times the others'
 	Lagging                                // its position is further behind than any class allows
-	Primary                                // it told the reporter that it is its group's primary
+	Primary                                // it reported to be its group's primary
 	healthStatuses                         // their number, with 0 for none
 )
 
-var healthStatusNames = [healthStatuses]string{"", "healthy", "unresponsive", "failing", "slow", "lagging", "primary"}
+var healthStatusNames = [healthStatuses]string{
+	Healthy:      "healthy",
+	Unresponsive: "unresponsive",
+	Failing:      "failing",
+	Slow:         "slow",
+	Lagging:      "lagging",
+	Primary:      "primary",
+}
 
 // String is the status's name, as logs and the admin page show it.
 func (s HealthStatus) String() string { return healthStatusNames[min(s, Primary)] }
--- a/internal/fleetstate/lease_test.go
+++ b/internal/fleetstate/lease_test.go
@@ -33,7 +33,13 @@
 const host = "h"
 
 func newFleet(cfg Config, n int) *fleet {
-	f := &fleet{cfg: cfg, offset: make([]int64, n), step: make([]int64, n), leases: make([]*leaseTable, n), advised: make([]Quota, n)}
+	f := &fleet{
+		cfg:     cfg,
+		offset:  make([]int64, n),
+		step:    make([]int64, n),
+		leases:  make([]*leaseTable, n),
+		advised: make([]Quota, n),
+	}
 	for i := range n {
 		f.offset[i] = int64(i) * 1_000_000
 		f.boot(i)
--- a/internal/fleetstate/link/link_test.go
+++ b/internal/fleetstate/link/link_test.go
@@ -27,7 +27,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask, err := codec.Encode(fleetstate.Message{LeaseRequests: []fleetstate.LeaseRequest{{Key: "h", ID: 1, Wanted: 1, RequestedAt: 5}}})
+	ask, err := codec.Encode(fleetstate.Message{
+		LeaseRequests: []fleetstate.LeaseRequest{{Key: "h", ID: 1, Wanted: 1, RequestedAt: 5}},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleetstate/node.go
+++ b/internal/fleetstate/node.go
@@ -26,7 +26,7 @@
 	unknownSenders    uint64 // messages of routers outside the view
 }
 
-// Ready is what an event asks of the caller: messages to send and events to log.
+// Ready is what the caller is to do: messages to send and events to log.
 type Ready struct {
 	Messages []Envelope
 	Events   []Event
--- a/internal/fleetstate/node_test.go
+++ b/internal/fleetstate/node_test.go
@@ -18,7 +18,14 @@
 	for _, step := range []struct {
 		at         int64
 		size, want int
-	}{{0, 2, 4}, {1000, 9, 9}, {2000, 5, 9}, {1000 + n.cfg.CounterRetentionMs - 1, 5, 9}, {1000 + n.cfg.CounterRetentionMs, 5, 5}, {2000 + 3*n.cfg.CounterRetentionMs, 1, 4}} {
+	}{
+		{0, 2, 4},
+		{1000, 9, 9},
+		{2000, 5, 9},
+		{1000 + n.cfg.CounterRetentionMs - 1, 5, 9},
+		{1000 + n.cfg.CounterRetentionMs, 5, 5},
+		{2000 + 3*n.cfg.CounterRetentionMs, 1, 4},
+	} {
 		n.SetView([]string{"b"}, step.size, step.at)
 		if got := n.Advice(step.at).Routers; got != step.want {
 			t.Errorf("at %d, with %d seen, shares are cut by %d, want %d", step.at, step.size, got, step.want)
@@ -32,7 +39,13 @@
 	n := newTestNode("a", 4, 0)
 	now := n.cfg.LeaseMs + n.cfg.SkewMs
 	n.SetView([]string{"b", "c"}, 4, now)
-	n.Observe(Observation{Endpoints: []EndpointHealth{{Name: "h", Ready: true, WarmingUp: true, RequestsQueued: true}, {Name: "i", Group: 1, Ready: true}, {Name: "j", Group: 1, Ready: true}}})
+	n.Observe(Observation{
+		Endpoints: []EndpointHealth{
+			{Name: "h", Ready: true, WarmingUp: true, RequestsQueued: true},
+			{Name: "i", Group: 1, Ready: true},
+			{Name: "j", Group: 1, Ready: true},
+		},
+	})
 	var asked *LeaseRequest
 	for _, m := range n.Tick(now).Messages {
 		if m.To == "b" && len(m.Message.LeaseRequests) > 0 {
@@ -42,7 +55,11 @@
 	if asked == nil {
 		t.Fatal("a cold host that is needed is not asked for")
 	}
-	n.Receive("b", Message{LeaseGrants: []LeaseGrant{{Key: "h", ID: asked.ID, Amount: 0.125, RequestedAt: asked.RequestedAt, DurationMs: n.cfg.LeaseMs}}}, now+1)
+	n.Receive("b", Message{
+		LeaseGrants: []LeaseGrant{
+			{Key: "h", ID: asked.ID, Amount: 0.125, RequestedAt: asked.RequestedAt, DurationMs: n.cfg.LeaseMs},
+		},
+	}, now+1)
 	if early := newTestNode("a", 4, 0).Advice(1); early.RemainingStake != 0.5 {
 		t.Errorf("right after a start %g of each stake is used, want half", early.RemainingStake)
 	}
@@ -67,15 +84,21 @@
 	n.SetView([]string{"b"}, 2, 0)
 	n.Observe(Observation{Endpoints: []EndpointHealth{{Name: "h", Ready: true, WarmingUp: true}}})
 	now := n.cfg.LeaseMs + n.cfg.SkewMs
-	if n.Receive("x", Message{HealthReports: []HealthReport{{"h", Unresponsive, 0}}}, now); n.unknownSenders != 1 || len(n.outliers.suspicions) > 0 {
+	if n.Receive("x", Message{
+		HealthReports: []HealthReport{{"h", Unresponsive, 0}},
+	}, now); n.unknownSenders != 1 || len(n.outliers.suspicions) > 0 {
 		t.Error("a stranger was heard")
 	}
 	for i := range 3 * n.cfg.MaxCounterEntries {
 		n.Receive("b", Message{Counters: []CounterEntry{{Name: fmt.Sprint("x", i), Epoch: 1, Stamp: now, Counters: Counters{1}}},
-			LeaseRequests: []LeaseRequest{{Key: "h", ID: uint64(i), Wanted: 1e-9, RequestedAt: now}, {Key: fmt.Sprint("k", i), ID: 1, Wanted: 1, RequestedAt: now}}}, now)
+			LeaseRequests: []LeaseRequest{
+				{Key: "h", ID: uint64(i), Wanted: 1e-9, RequestedAt: now},
+				{Key: fmt.Sprint("k", i), ID: 1, Wanted: 1, RequestedAt: now},
+			}}, now)
 	}
-	if e, l := len(n.counters.entries), len(n.leases.lent["h"]); e > n.cfg.MaxCounterEntries || l > maxLeases || len(n.leases.lent) > 1 {
-		t.Errorf("%d entries, %d loans of h, %d budgets held", e, l, len(n.leases.lent))
+	entries, leases := len(n.counters.entries), len(n.leases.lent["h"])
+	if entries > n.cfg.MaxCounterEntries || leases > maxLeases || len(n.leases.lent) > 1 {
+		t.Errorf("%d entries, %d leases of h, %d budgets kept", entries, leases, len(n.leases.lent))
 	}
 }
 
@@ -86,7 +109,15 @@
 	var hosts []EndpointHealth
 	for i := range 300 {
 		peers = append(peers, fmt.Sprint("router-of-a-long-name-", i))
-		hosts = append(hosts, EndpointHealth{Name: fmt.Sprint("host-of-a-long-name-", i), Group: i / 3, Ready: true, Fault: Unresponsive, FaultAt: 1, WarmingUp: true, RequestsQueued: true})
+		hosts = append(hosts, EndpointHealth{
+			Name:           fmt.Sprint("host-of-a-long-name-", i),
+			Group:          i / 3,
+			Ready:          true,
+			Fault:          Unresponsive,
+			FaultAt:        1,
+			WarmingUp:      true,
+			RequestsQueued: true,
+		})
 	}
 	n.SetView(peers, 301, 0)
 	n.Observe(Observation{Endpoints: hosts})
--- a/internal/fleetstate/outlier_test.go
+++ b/internal/fleetstate/outlier_test.go
@@ -16,7 +16,11 @@
 }
 
 func group3() []EndpointHealth {
-	return []EndpointHealth{{Name: "a", Group: 1, Ready: true}, {Name: "b", Group: 1, Ready: true}, {Name: "c", Group: 1, Ready: true}}
+	return []EndpointHealth{
+		{Name: "a", Group: 1, Ready: true},
+		{Name: "b", Group: 1, Ready: true},
+		{Name: "c", Group: 1, Ready: true},
+	}
 }
 
 func judged(j *outlierDetector, now int64) (names string) {
@@ -205,7 +209,11 @@
 	var hosts []EndpointHealth
 	for g := range rapid.IntRange(1, 3).Draw(t, "groups") {
 		for i := range rapid.IntRange(1, 6).Draw(t, "members") {
-			hosts = append(hosts, EndpointHealth{Name: fmt.Sprintf("g%d-%d", g, i), Group: g, Ready: rapid.IntRange(0, 4).Draw(t, "ready") > 0})
+			hosts = append(hosts, EndpointHealth{
+				Name:  fmt.Sprintf("g%d-%d", g, i),
+				Group: g,
+				Ready: rapid.IntRange(0, 4).Draw(t, "ready") > 0,
+			})
 		}
 	}
 	j.observe(hosts)
@@ -230,7 +238,9 @@
 			for range rapid.IntRange(1, 12).Draw(t, "claims") {
 				j.receive(fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "peer")), HealthReport{
 					Endpoint: hosts[rapid.IntRange(0, len(hosts)-1).Draw(t, "of")].Name,
-					Status:   HealthStatus(rapid.IntRange(0, 8).Draw(t, "kind")), AgeMs: rapid.Int64Range(-10, 4000).Draw(t, "age")}, now)
+					Status:   HealthStatus(rapid.IntRange(0, 8).Draw(t, "kind")),
+					AgeMs:    rapid.Int64Range(-10, 4000).Draw(t, "age"),
+				}, now)
 			}
 		}
 		byHearsay, ready, sound, soundLeft := map[int]int{}, map[int]int{}, map[int]int{}, map[int]int{}
@@ -250,7 +260,8 @@
 				if w.status == Lagging {
 					since = h.FreshAt
 				}
-				fresh = fresh || w.status != Healthy && w.status != Primary && now-w.evidenceAt < cfg.ReportTTLMs && w.evidenceAt > since
+				ofFault := w.status != Healthy && w.status != Primary
+				fresh = fresh || ofFault && now-w.evidenceAt < cfg.ReportTTLMs && w.evidenceAt > since
 			}
 			if !fresh {
 				t.Fatalf("%+v rests on no evidence newer than the last answer here", x)
--- a/internal/fleetstate/scale_test.go
+++ b/internal/fleetstate/scale_test.go
@@ -37,7 +37,11 @@
 		j := newOutlierDetector(Defaults(), 0)
 		var valid []*peerReport
 		for n := range rng.IntN(40) {
-			w := &peerReport{peer: fmt.Sprint(n), status: []HealthStatus{Unresponsive, Failing, Slow, Healthy, Lagging}[rng.IntN(5)], firstEvidenceAt: 1 + rng.Int64N(12)}
+			w := &peerReport{
+				peer:            fmt.Sprint(n),
+				status:          []HealthStatus{Unresponsive, Failing, Slow, Healthy, Lagging}[rng.IntN(5)],
+				firstEvidenceAt: 1 + rng.Int64N(12),
+			}
 			w.evidenceAt = w.firstEvidenceAt + rng.Int64N(6)
 			j.reputation.byPeer[w.peer] = rng.Float64()
 			valid = append(valid, w)
@@ -48,7 +52,8 @@
 		}
 		for i := range want {
 			g, w := got[i], want[i]
-			if math.Abs(g.support-w.support) > 1e-9 || g.reporters != w.reporters || g.status != w.status || g.newestEvidence != w.newestEvidence {
+			sameReports := g.reporters == w.reporters && g.status == w.status && g.newestEvidence == w.newestEvidence
+			if math.Abs(g.support-w.support) > 1e-9 || !sameReports {
 				t.Fatalf("seed %d: moment %d is %+v, want %+v", seed, i, g, w)
 			}
 		}
--- a/internal/fleetstate/wire/characterization_test.go
+++ b/internal/fleetstate/wire/characterization_test.go
@@ -97,15 +97,63 @@
 		{"empty", fleetstate.Message{}},
 		{"part-1-zero", counts(fleetstate.CounterEntry{Name: "a"})},
 		{"part-1-no-cells", counts(fleetstate.CounterEntry{Name: "a", Counters: fleetstate.Counters{}})},
-		{"part-1-full", counts(fleetstate.CounterEntry{Name: "router-ä", Epoch: 1_700_000_000_000, Stamp: 1_700_000_001_000, Counters: fleetstate.Counters{0, 23, 24, 255, 256, 65_535, 65_536, 1 << 32}})},
-		{"part-1-largest", counts(fleetstate.CounterEntry{Name: longest, Epoch: math.MaxInt64, Stamp: math.MaxInt64, Counters: slices.Repeat(fleetstate.Counters{math.MaxUint64}, 20)})},
-		{"part-1-least", counts(fleetstate.CounterEntry{Name: "a", Epoch: math.MinInt64, Stamp: -1, Counters: fleetstate.Counters{0}})},
+		{
+			"part-1-full",
+			counts(fleetstate.CounterEntry{
+				Name:     "router-ä",
+				Epoch:    1_700_000_000_000,
+				Stamp:    1_700_000_001_000,
+				Counters: fleetstate.Counters{0, 23, 24, 255, 256, 65_535, 65_536, 1 << 32},
+			}),
+		},
+		{
+			"part-1-largest",
+			counts(fleetstate.CounterEntry{
+				Name:     longest,
+				Epoch:    math.MaxInt64,
+				Stamp:    math.MaxInt64,
+				Counters: slices.Repeat(fleetstate.Counters{math.MaxUint64}, 20),
+			}),
+		},
+		{
+			"part-1-least",
+			counts(fleetstate.CounterEntry{Name: "a", Epoch: math.MinInt64, Stamp: -1, Counters: fleetstate.Counters{0}}),
+		},
 		{"part-3-zero", asks(fleetstate.LeaseRequest{Key: "a", Wanted: math.SmallestNonzeroFloat64})},
-		{"part-3-full", asks(fleetstate.LeaseRequest{Key: "db-1", ID: 1000, Wanted: 1.0 / 3, RequestedAt: 1_700_000_000_000}, fleetstate.LeaseRequest{Key: fleetstate.RetryBudgetKey, ID: 24, Wanted: 0.5, RequestedAt: -5})},
-		{"part-3-largest", asks(fleetstate.LeaseRequest{Key: longest, ID: math.MaxUint64, Wanted: 1e9, RequestedAt: math.MaxInt64})},
+		{
+			"part-3-full",
+			asks(fleetstate.LeaseRequest{
+				Key:         "db-1",
+				ID:          1000,
+				Wanted:      1.0 / 3,
+				RequestedAt: 1_700_000_000_000,
+			}, fleetstate.LeaseRequest{Key: fleetstate.RetryBudgetKey, ID: 24, Wanted: 0.5, RequestedAt: -5}),
+		},
+		{
+			"part-3-largest",
+			asks(fleetstate.LeaseRequest{Key: longest, ID: math.MaxUint64, Wanted: 1e9, RequestedAt: math.MaxInt64}),
+		},
 		{"part-4-zero", grants(fleetstate.LeaseGrant{Key: "a", Amount: math.SmallestNonzeroFloat64})},
-		{"part-4-full", grants(fleetstate.LeaseGrant{Key: "db-1", ID: 1000, Amount: 1.0 / 3, RequestedAt: 1_700_000_000_000, DurationMs: 3000}, fleetstate.LeaseGrant{Key: fleetstate.RetryBudgetKey, ID: 24, Amount: 2, RequestedAt: -5, DurationMs: 1})},
-		{"part-4-largest", grants(fleetstate.LeaseGrant{Key: longest, ID: math.MaxUint64, Amount: 1e9, RequestedAt: math.MaxInt64, DurationMs: math.MaxUint32})},
+		{
+			"part-4-full",
+			grants(fleetstate.LeaseGrant{
+				Key:         "db-1",
+				ID:          1000,
+				Amount:      1.0 / 3,
+				RequestedAt: 1_700_000_000_000,
+				DurationMs:  3000,
+			}, fleetstate.LeaseGrant{Key: fleetstate.RetryBudgetKey, ID: 24, Amount: 2, RequestedAt: -5, DurationMs: 1}),
+		},
+		{
+			"part-4-largest",
+			grants(fleetstate.LeaseGrant{
+				Key:         longest,
+				ID:          math.MaxUint64,
+				Amount:      1e9,
+				RequestedAt: math.MaxInt64,
+				DurationMs:  math.MaxUint32,
+			}),
+		},
 	}
 	for kind := fleetstate.Healthy; kind <= fleetstate.Primary; kind++ {
 		claims := func(host string, ageMs int64) fleetstate.Message {
@@ -117,8 +165,14 @@
 			example{fmt.Sprintf("part-2-kind-%d-largest", kind), claims(longest, math.MaxUint32)})
 	}
 	return append(all, example{"every-part", fleetstate.Message{
-		Counters:      []fleetstate.CounterEntry{{Name: "a", Epoch: 1, Stamp: 2, Counters: fleetstate.Counters{3}}, {Name: "b", Epoch: 4, Stamp: 5, Counters: fleetstate.Counters{6, 7}}},
-		HealthReports: []fleetstate.HealthReport{{Endpoint: "c", Status: fleetstate.Unresponsive, AgeMs: 8}, {Endpoint: "d", Status: fleetstate.Primary, AgeMs: 9}},
+		Counters: []fleetstate.CounterEntry{
+			{Name: "a", Epoch: 1, Stamp: 2, Counters: fleetstate.Counters{3}},
+			{Name: "b", Epoch: 4, Stamp: 5, Counters: fleetstate.Counters{6, 7}},
+		},
+		HealthReports: []fleetstate.HealthReport{
+			{Endpoint: "c", Status: fleetstate.Unresponsive, AgeMs: 8},
+			{Endpoint: "d", Status: fleetstate.Primary, AgeMs: 9},
+		},
 		LeaseRequests: []fleetstate.LeaseRequest{{Key: "e", ID: 10, Wanted: 0.25, RequestedAt: 11}},
 		LeaseGrants:   []fleetstate.LeaseGrant{{Key: "f", ID: 12, Amount: 0.125, RequestedAt: 13, DurationMs: 14}},
 	}})
@@ -134,8 +188,10 @@
 	}{{"below zero", -1, 0}, {"above the largest", math.MaxUint32 + 1, math.MaxUint32}} {
 		t.Run(bound.name, func(t *testing.T) {
 			durations := func(ms int64) fleetstate.Message {
-				return fleetstate.Message{HealthReports: []fleetstate.HealthReport{{Endpoint: "a", Status: fleetstate.Healthy, AgeMs: ms}},
-					LeaseGrants: []fleetstate.LeaseGrant{{Key: "b", Amount: 1, DurationMs: ms}}}
+				return fleetstate.Message{
+					HealthReports: []fleetstate.HealthReport{{Endpoint: "a", Status: fleetstate.Healthy, AgeMs: ms}},
+					LeaseGrants:   []fleetstate.LeaseGrant{{Key: "b", Amount: 1, DurationMs: ms}},
+				}
 			}
 			encoded, err := codec.Encode(durations(bound.sent))
 			if err != nil {
--- a/internal/fleetstate/wire/wire_test.go
+++ b/internal/fleetstate/wire/wire_test.go
@@ -23,17 +23,35 @@
 		n := func(what string) int { return rapid.IntRange(0, 3).Draw(t, what) }
 		var m fleetstate.Message
 		for range n("entries") {
-			m.Counters = append(m.Counters, fleetstate.CounterEntry{Name: name.Draw(t, "name"), Epoch: rapid.Int64().Draw(t, "epoch"),
-				Stamp: rapid.Int64().Draw(t, "stamp"), Counters: rapid.SliceOfN(rapid.Uint64(), 1, 10).Draw(t, "cells")})
+			m.Counters = append(m.Counters, fleetstate.CounterEntry{
+				Name:  name.Draw(t, "name"),
+				Epoch: rapid.Int64().Draw(t, "epoch"),
+				Stamp: rapid.Int64().Draw(t, "stamp"), Counters: rapid.SliceOfN(rapid.Uint64(), 1, 10).Draw(t, "cells"),
+			})
 		}
 		for range n("claims") {
-			m.HealthReports = append(m.HealthReports, fleetstate.HealthReport{Endpoint: name.Draw(t, "host"), Status: fleetstate.HealthStatus(rapid.IntRange(1, 6).Draw(t, "kind")), AgeMs: int64(rapid.Uint32().Draw(t, "age"))})
+			m.HealthReports = append(m.HealthReports, fleetstate.HealthReport{
+				Endpoint: name.Draw(t, "host"),
+				Status:   fleetstate.HealthStatus(rapid.IntRange(1, 6).Draw(t, "kind")),
+				AgeMs:    int64(rapid.Uint32().Draw(t, "age")),
+			})
 		}
 		for range n("asks") {
-			m.LeaseRequests = append(m.LeaseRequests, fleetstate.LeaseRequest{Key: name.Draw(t, "key"), ID: rapid.Uint64().Draw(t, "id"), Wanted: amount.Draw(t, "want"), RequestedAt: rapid.Int64().Draw(t, "at")})
+			m.LeaseRequests = append(m.LeaseRequests, fleetstate.LeaseRequest{
+				Key:         name.Draw(t, "key"),
+				ID:          rapid.Uint64().Draw(t, "id"),
+				Wanted:      amount.Draw(t, "want"),
+				RequestedAt: rapid.Int64().Draw(t, "at"),
+			})
 		}
 		for range n("grants") {
-			m.LeaseGrants = append(m.LeaseGrants, fleetstate.LeaseGrant{Key: name.Draw(t, "key"), ID: rapid.Uint64().Draw(t, "id"), Amount: amount.Draw(t, "amount"), RequestedAt: rapid.Int64().Draw(t, "at"), DurationMs: int64(rapid.Uint32().Draw(t, "for"))})
+			m.LeaseGrants = append(m.LeaseGrants, fleetstate.LeaseGrant{
+				Key:         name.Draw(t, "key"),
+				ID:          rapid.Uint64().Draw(t, "id"),
+				Amount:      amount.Draw(t, "amount"),
+				RequestedAt: rapid.Int64().Draw(t, "at"),
+				DurationMs:  int64(rapid.Uint32().Draw(t, "for")),
+			})
 		}
 		b, err := c.Encode(m)
 		if err != nil {
@@ -61,8 +79,11 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	seed, err := c.Encode(fleetstate.Message{Counters: []fleetstate.CounterEntry{{Name: "a", Epoch: 1, Stamp: 2, Counters: fleetstate.Counters{1, 2}}},
-		HealthReports: []fleetstate.HealthReport{{Endpoint: "h", Status: fleetstate.Unresponsive, AgeMs: 5}}, LeaseRequests: []fleetstate.LeaseRequest{{Key: "h", ID: 1, Wanted: 0.5, RequestedAt: 9}}})
+	seed, err := c.Encode(fleetstate.Message{
+		Counters:      []fleetstate.CounterEntry{{Name: "a", Epoch: 1, Stamp: 2, Counters: fleetstate.Counters{1, 2}}},
+		HealthReports: []fleetstate.HealthReport{{Endpoint: "h", Status: fleetstate.Unresponsive, AgeMs: 5}},
+		LeaseRequests: []fleetstate.LeaseRequest{{Key: "h", ID: 1, Wanted: 0.5, RequestedAt: 9}},
+	})
 	if err != nil {
 		f.Fatal(err)
 	}
