--- a/internal/fleetstate/guide_test.go
+++ b/internal/fleetstate/adapter_test.go
@@ -8,13 +8,13 @@
 
 func at(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// What a guide was told ends by itself: a router that was paused acts on
-// nothing that has ended, before anything new was told.
-func TestAGuideEndsByItself(t *testing.T) {
+// Advice ends by itself: a router that was paused acts on nothing that has
+// expired, before new advice comes.
+func TestAdapterForgetsExpiredAdvice(t *testing.T) {
 	var g FleetAdapter
 	advised := g.Deprioritized(1, at(0)) || g.SuggestedPrimary(1, at(0))
 	if g.SlowStartRate(1, 5, 2, at(0)) != 5 || advised || g.RetryRate(at(0)) != 0 {
-		t.Fatal("a guide that was told nothing says something")
+		t.Fatal("an adapter without advice changes something")
 	}
 	id := func(name string) (uint32, bool) { return uint32(len(name)), name != "unknown" }
 	g.Set(Advice{
@@ -33,21 +33,21 @@
 		t.Errorf("past the lease the rate is %g, want half of its own", got)
 	}
 	if got := g.SlowStartRate(9, 6, 2, at(500)); got != 3 {
-		t.Errorf("of a host without a share the rate is %g, want what is left of every stake", got)
+		t.Errorf("of an endpoint without a quota the rate is %g, want what is left of every stake", got)
 	}
 	if a, b := g.RetryRate(at(999)), g.RetryRate(at(1000)); a != 0.8 || b != -0.2 {
-		t.Errorf("repeats %g within the lease and %g past it, want 0.8 and -0.2", a, b)
+		t.Errorf("retries %g within the lease and %g past it, want 0.8 and -0.2", a, b)
 	}
 	if !g.Deprioritized(2, at(699)) || g.Deprioritized(2, at(700)) {
-		t.Error("a judgement must hold until its end, and no longer")
+		t.Error("an ejection must hold until its end, and no longer")
 	}
 	if !g.SuggestedPrimary(3, at(1099)) || g.SuggestedPrimary(3, at(1100)) {
-		t.Error("a heard leader is asked first for a while, and no longer")
+		t.Error("a suggested primary is tried first for a while, and no longer")
 	}
 }
 
 // A lender gives up at least what the borrower gains, whatever their own rates.
-func TestLendingNeverAddsToWhatAColdHostIsSent(t *testing.T) {
+func TestLendingNeverRaisesTheRateOfAWarmingEndpoint(t *testing.T) {
 	id := func(string) (uint32, bool) { return 1, true }
 	for _, own := range []float64{2, 3, 10, 100} { // at least the stake's rate, which is 2
 		for _, lent := range []float64{0, 0.05, 0.125, 0.25} {
@@ -57,14 +57,14 @@
 			borrower.Set(Advice{Routers: 4, SlowStart: map[string]Quota{"h": {Own: stake, Borrowed: lent, Until: 1000}}}, id, 0)
 			sum := lender.SlowStartRate(1, own, one, at(1)) + borrower.SlowStartRate(1, own, one, at(1))
 			if sum > 2*own+1e-9 {
-				t.Errorf("own rate %g, lent %g: together %g, alone %g", own, lent, sum, 2*own)
+				t.Errorf("own rate %g, lent %g: together %g, standalone %g", own, lent, sum, 2*own)
 			}
 		}
 	}
 }
 
-// Advice and what was seen cross between two clocks without moving in time.
-func TestShiftedThereAndBack(t *testing.T) {
+// Advice and observations cross between two clocks without moving in time.
+func TestOnClockAheadShiftsTimes(t *testing.T) {
 	a := Advice{
 		SlowStart:  map[string]Quota{"h": {Own: 1, Borrowed: 1, Until: 500}, "i": {Own: 1, Until: math.MaxInt64}},
 		RetryQuota: Quota{Until: 90},
--- a/internal/fleetstate/lease_test.go
+++ b/internal/fleetstate/lease_test.go
@@ -13,24 +13,24 @@
 // fleet plays leases of one budget among routers: messages in flight that are
 // delivered in any order, twice or never, clocks far apart that also step by
 // up to a quarter of the skew either way, routers that pause, restart without
-// their state, and shares that are acted on as last advised.
+// their state, and quotas that are acted on as last advised.
 type fleet struct {
-	cfg     Config
-	true_   int64
-	offset  []int64 // of each clock
-	step    []int64 // within a quarter of the skew either way
-	leases  []*leaseTable
-	advised []Quota // what each router acts on, taken when it last ran
-	wire    []letter
+	cfg      Config
+	now      int64
+	offset   []int64 // of each clock
+	step     []int64 // within a quarter of the skew either way
+	leases   []*leaseTable
+	advised  []Quota // what each router acts on, taken when it last ran
+	inFlight []envelope
 }
 
-type letter struct {
+type envelope struct {
 	from, to int
-	ask      *LeaseRequest
+	request  *LeaseRequest
 	grant    *LeaseGrant
 }
 
-const host = "h"
+const endpoint = "h"
 
 func newFleet(cfg Config, n int) *fleet {
 	f := &fleet{
@@ -42,41 +42,41 @@
 	}
 	for i := range n {
 		f.offset[i] = int64(i) * 1_000_000
-		f.boot(i)
+		f.restart(i)
 	}
 	return f
 }
 
-func (f *fleet) clock(i int) int64 { return f.true_ + f.offset[i] + f.step[i] }
+func (f *fleet) clock(i int) int64 { return f.now + f.offset[i] + f.step[i] }
 
 func (f *fleet) stake() float64 { return 1 / float64(len(f.leases)) }
 
-// boot starts router i without state: nothing of an earlier life is known.
-func (f *fleet) boot(i int) {
+// restart starts router i without state: nothing of an earlier incarnation is known.
+func (f *fleet) restart(i int) {
 	f.leases[i] = newLeases(f.cfg, f.clock(i))
 	f.advise(i)
 }
 
 func (f *fleet) advise(i int) {
 	f.leases[i].expire(f.clock(i))
-	f.advised[i] = f.leases[i].quota(host, f.stake(), f.clock(i))
+	f.advised[i] = f.leases[i].quota(endpoint, f.stake(), f.clock(i))
 }
 
-func (f *fleet) ask(from, to int) {
-	if a, ok := f.leases[from].request(host, fmt.Sprint(to), f.stake(), f.clock(from)); ok {
-		f.wire = append(f.wire, letter{from: from, to: to, ask: &a})
+func (f *fleet) request(from, to int) {
+	if a, ok := f.leases[from].request(endpoint, fmt.Sprint(to), f.stake(), f.clock(from)); ok {
+		f.inFlight = append(f.inFlight, envelope{from: from, to: to, request: &a})
 	}
 }
 
 func (f *fleet) deliver(k int, twice bool) {
-	l := f.wire[k]
+	l := f.inFlight[k]
 	if !twice {
-		f.wire = slices.Delete(f.wire, k, k+1)
+		f.inFlight = slices.Delete(f.inFlight, k, k+1)
 	}
-	if l.ask != nil {
-		if g, ok := f.leases[l.to].grant(fmt.Sprint(l.from), *l.ask, f.stake(), false, f.clock(l.to)); ok {
-			f.advise(l.to) // the grant leaves once the router acts on what it has left
-			f.wire = append(f.wire, letter{from: l.to, to: l.from, grant: &g})
+	if l.request != nil {
+		if g, ok := f.leases[l.to].grant(fmt.Sprint(l.from), *l.request, f.stake(), false, f.clock(l.to)); ok {
+			f.advise(l.to) // the grant is sent once the router acts on what it has left
+			f.inFlight = append(f.inFlight, envelope{from: l.to, to: l.from, grant: &g})
 		}
 		return
 	}
@@ -92,122 +92,122 @@
 	return total
 }
 
-// TestSharesNeverPassTheBudget holds the invariant of the leases for any
-// order of events: at every moment the shares add up to the budget at most.
-func TestSharesNeverPassTheBudget(t *testing.T) {
+// TestQuotasNeverExceedTheBudget holds the invariant of the leases for any
+// order of events: at every moment the quotas add up to the budget at most.
+func TestQuotasNeverExceedTheBudget(t *testing.T) {
 	for range 10 { // ten times the usual number of cases: some guards show in one of a thousand
-		rapid.Check(t, func(t *rapid.T) { anyOrder(t) })
+		rapid.Check(t, func(t *rapid.T) { checkQuotasInAnyOrder(t) })
 	}
 }
 
-// A borrower that restarted numbers its asks anew: its ask must not be taken
-// for one of its earlier life, whose share ends sooner.
-func TestAnAskOfAnotherLifeIsAnother(t *testing.T) {
+// A borrower that restarted numbers its requests anew: its request must not be
+// taken for one of its earlier incarnation, whose lease expires sooner.
+func TestRequestOfAnotherIncarnationIsAnother(t *testing.T) {
 	f := newFleet(Defaults(), 3)
-	f.true_ += f.cfg.LeaseMs + f.cfg.SkewMs
+	f.now += f.cfg.LeaseMs + f.cfg.SkewMs
 	for i := range 3 {
 		f.advise(i)
 	}
-	f.ask(0, 1)
-	f.ask(0, 2)
+	f.request(0, 1)
+	f.request(0, 2)
 	f.deliver(0, false)
 	f.deliver(0, false)
-	f.wire = nil // the grants are lost, and the borrower's state with it
-	f.true_ += f.cfg.LeaseMs - 1
-	f.boot(0)
-	f.ask(0, 1)
-	f.ask(0, 2)
-	for len(f.wire) > 0 {
+	f.inFlight = nil // the grants are lost, and the borrower's state with it
+	f.now += f.cfg.LeaseMs - 1
+	f.restart(0)
+	f.request(0, 1)
+	f.request(0, 2)
+	for len(f.inFlight) > 0 {
 		f.deliver(0, false)
 	}
 	for range 100 {
-		f.true_ += 50
+		f.now += 50
 		for i := range 3 {
 			f.advise(i)
 		}
 		if s := f.sum(); s > 1+1e-9 {
-			t.Fatalf("the shares add up to %.3f", s)
+			t.Fatalf("the quotas add up to %.3f", s)
 		}
 	}
 }
 
 // The same search finds a lender that does not wait, and leases without end.
-func TestTheSearchFindsEachSabotageOfLeases(t *testing.T) {
+func TestInjectedLeaseFaultsExceedTheBudget(t *testing.T) {
 	for _, s := range []faultinjection.Fault{faultinjection.NoLeaseWait, faultinjection.NeverExpire} {
 		cfg := Defaults()
 		cfg.FaultInjection = s
 		f := newFleet(cfg, 2)
-		f.true_ += cfg.LeaseMs + cfg.SkewMs
+		f.now += cfg.LeaseMs + cfg.SkewMs
 		worst := 0.0
 		for range 50 {
-			f.ask(0, 1)
-			for len(f.wire) > 0 {
+			f.request(0, 1)
+			for len(f.inFlight) > 0 {
 				f.deliver(0, false)
 			}
-			f.true_ += 500
+			f.now += 500
 			f.advise(0)
 			f.advise(1)
 			worst = max(worst, f.sum())
 		}
 		if worst <= 1 {
-			t.Errorf("%s: the shares add up to %.2f at most", s, worst)
+			t.Errorf("%s: the quotas add up to %.2f at most", s, worst)
 		}
 	}
 }
 
-func anyOrder(t *rapid.T) {
+func checkQuotasInAnyOrder(t *rapid.T) {
 	cfg := Defaults()
 	f := newFleet(cfg, rapid.IntRange(2, 5).Draw(t, "routers"))
 	n := len(f.leases)
 	one := func(what string) int { return rapid.IntRange(0, n-1).Draw(t, what) }
-	f.true_ += rapid.SampledFrom([]int64{0, cfg.LeaseMs + cfg.SkewMs}).Draw(t, "warm")
+	f.now += rapid.SampledFrom([]int64{0, cfg.LeaseMs + cfg.SkewMs}).Draw(t, "warm")
 	for step := range rapid.IntRange(1, 120).Draw(t, "steps") {
 		switch ev := rapid.IntRange(0, 9).Draw(t, fmt.Sprint("event", step)); {
 		case ev < 3:
-			if from, to := one("asks"), one("asked"); from != to {
-				f.ask(from, to)
+			if from, to := one("borrower"), one("lender"); from != to {
+				f.request(from, to)
 			}
-		case ev < 6 && len(f.wire) > 0:
-			f.deliver(rapid.IntRange(0, len(f.wire)-1).Draw(t, "which"), rapid.Bool().Draw(t, "twice"))
-		case ev < 7 && len(f.wire) > 0:
-			k := rapid.IntRange(0, len(f.wire)-1).Draw(t, "lost")
-			f.wire = slices.Delete(f.wire, k, k+1)
+		case ev < 6 && len(f.inFlight) > 0:
+			f.deliver(rapid.IntRange(0, len(f.inFlight)-1).Draw(t, "which"), rapid.Bool().Draw(t, "twice"))
+		case ev < 7 && len(f.inFlight) > 0:
+			k := rapid.IntRange(0, len(f.inFlight)-1).Draw(t, "lost")
+			f.inFlight = slices.Delete(f.inFlight, k, k+1)
 		case ev < 8:
 			i := one("steps")
 			f.step[i] = rapid.Int64Range(-cfg.SkewMs/4, cfg.SkewMs/4).Draw(t, "by")
 		case ev < 9:
-			f.boot(one("restarts")) // what it lent is forgotten; its messages may still be under way
+			f.restart(one("restarts")) // what it lent is forgotten; its messages may still be under way
 		default:
-			f.true_ += rapid.Int64Range(1, 2*cfg.LeaseMs).Draw(t, "ms")
+			f.now += rapid.Int64Range(1, 2*cfg.LeaseMs).Draw(t, "ms")
 			for i := range n {
 				if !rapid.Bool().Draw(t, "paused") { // who is paused acts on what it was last advised
 					f.advise(i)
 				}
 			}
 		}
-		if len(f.wire) > 200 {
-			f.wire = f.wire[100:]
+		if len(f.inFlight) > 200 {
+			f.inFlight = f.inFlight[100:]
 		}
 		if s := f.sum(); s > 1+1e-9 {
-			t.Fatalf("after %d steps the shares add up to %.4f: %+v", step, s, f.advised)
+			t.Fatalf("after %d steps the quotas add up to %.4f: %+v", step, s, f.advised)
 		}
 	}
 }
 
-// TestExhaustiveTwoRoutersOneHost plays two routers over every sequence of
-// choices to a stated depth: either asks, a message in flight (the two oldest)
+// TestExhaustiveTwoRoutersOneEndpoint plays two routers over every sequence of
+// choices to a stated depth: either requests, a message in flight (the two oldest)
 // arrives or is lost or arrives and stays, the clock moves half a lease (both
-// advised, or either paused), either restarts, a cut that loses all, with
-// leases granted before the sequence begins. The shares must never pass the
+// advised, or either paused), either restarts, a partition that loses all, with
+// leases granted before the sequence begins. The quotas must never exceed the
 // budget, and after a lease and its skew in silence each must be back at its
 // own stake.
-func TestExhaustiveTwoRoutersOneHost(t *testing.T) {
+func TestExhaustiveTwoRoutersOneEndpoint(t *testing.T) {
 	depth := 6
 	count, played := 0, 0
 	worst := 0.0
 	choices := []func(f *fleet) bool{
-		func(f *fleet) bool { f.ask(0, 1); return true },
-		func(f *fleet) bool { f.ask(1, 0); return true },
+		func(f *fleet) bool { f.request(0, 1); return true },
+		func(f *fleet) bool { f.request(1, 0); return true },
 		func(f *fleet) bool { return f.oldest(0, false) },
 		func(f *fleet) bool { return f.oldest(0, true) },
 		func(f *fleet) bool { return f.oldest(1, false) },
@@ -215,18 +215,18 @@
 		func(f *fleet) bool { return f.pass(true, true) },
 		func(f *fleet) bool { return f.pass(true, false) },
 		func(f *fleet) bool { return f.pass(false, true) },
-		func(f *fleet) bool { f.boot(0); return true },
-		func(f *fleet) bool { f.boot(1); return true },
+		func(f *fleet) bool { f.restart(0); return true },
+		func(f *fleet) bool { f.restart(1); return true },
 	}
 	path := make([]int, depth)
 	for {
 		f := newFleet(Defaults(), 2)
 		f.pass(true, true)
-		f.true_ += f.cfg.SkewMs + f.cfg.LeaseMs
+		f.now += f.cfg.SkewMs + f.cfg.LeaseMs
 		f.pass(true, true)
-		f.ask(0, 1)
+		f.request(0, 1)
 		f.deliver(0, false)
-		f.deliver(0, false) // a lease is held as the sequence begins
+		f.deliver(0, false) // a lease is borrowed as the sequence begins
 		skip := depth
 		for k, c := range path {
 			if !choices[c](f) { // the choice does nothing here: so would all that begin like it
@@ -236,13 +236,13 @@
 			played++
 			s := f.sum()
 			if worst = max(worst, s); s > 1+1e-9 {
-				t.Fatalf("choices %v: after %d the shares add up to %.4f", path, k+1, s)
+				t.Fatalf("choices %v: after %d the quotas add up to %.4f", path, k+1, s)
 			}
 		}
 		if skip == depth {
 			count++
-			f.wire = nil // silence
-			f.true_ += 2 * (f.cfg.LeaseMs + f.cfg.SkewMs)
+			f.inFlight = nil // silence
+			f.now += 2 * (f.cfg.LeaseMs + f.cfg.SkewMs)
 			for i := range 2 {
 				f.advise(i)
 				if s := f.advised[i].At(f.clock(i)); s != f.stake() {
@@ -265,14 +265,14 @@
 			break
 		}
 	}
-	t.Logf("%d sequences of %d choices, %d played; the shares reach %.3f of the budget at most", count, depth, played, worst)
+	t.Logf("%d sequences of %d choices, %d played; the quotas reach %.3f of the budget at most", count, depth, played, worst)
 	if count == 0 || worst < 0.99 {
 		t.Errorf("%d sequences, at most %.3f of the budget: little was explored", count, worst)
 	}
 }
 
 func (f *fleet) oldest(k int, twice bool) bool {
-	if len(f.wire) <= k {
+	if len(f.inFlight) <= k {
 		return false
 	}
 	f.deliver(k, twice)
@@ -280,13 +280,13 @@
 }
 
 func (f *fleet) lose() bool {
-	lost := len(f.wire) > 0
-	f.wire = nil
+	lost := len(f.inFlight) > 0
+	f.inFlight = nil
 	return lost
 }
 
 func (f *fleet) pass(first, second bool) bool {
-	f.true_ += f.cfg.LeaseMs / 2
+	f.now += f.cfg.LeaseMs / 2
 	if first {
 		f.advise(0)
 	}
@@ -297,18 +297,18 @@
 }
 
 // A router paused past its lease must not act on it when it resumes, before
-// anything new was advised; nor one that hears nothing.
-func TestAPausedRouterHasNoMoreThanItsOwn(t *testing.T) {
+// anything new was advised; nor one that is partitioned.
+func TestPausedRouterLosesItsBorrowedQuota(t *testing.T) {
 	f := newFleet(Defaults(), 2)
-	f.true_ += f.cfg.LeaseMs + f.cfg.SkewMs
+	f.now += f.cfg.LeaseMs + f.cfg.SkewMs
 	f.advise(0)
-	f.ask(0, 1)
+	f.request(0, 1)
 	f.deliver(0, false)
 	f.deliver(0, false)
 	if s := f.advised[0].At(f.clock(0)); s != 0.75 {
 		t.Fatalf("the borrower has %.2f, want its half and half of the other's", s)
 	}
-	f.true_ += f.cfg.LeaseMs
+	f.now += f.cfg.LeaseMs
 	if s := f.advised[0].At(f.clock(0)); s != 0.5 {
 		t.Errorf("after the lease it acts on %.2f, want its own half", s)
 	}
--- a/internal/fleetstate/link/link_test.go
+++ b/internal/fleetstate/link/link_test.go
@@ -9,9 +9,9 @@
 	"lotusbend/internal/fleetstate/wire"
 )
 
-// A grant leaves only once the router acts on what the lender has left, and
+// A grant is sent only once the router acts on what the lender has left, and
 // bytes that no router sends are counted and change nothing.
-func TestAGrantWaitsForTheRouter(t *testing.T) {
+func TestGrantWaitsForTheRouter(t *testing.T) {
 	cfg := fleetstate.Defaults()
 	cfg.Name = "lender"
 	l, err := New(cfg, 2, 0, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -27,13 +27,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask, err := codec.Encode(fleetstate.Message{
+	request, err := codec.Encode(fleetstate.Message{
 		LeaseRequests: []fleetstate.LeaseRequest{{Key: "h", ID: 1, Wanted: 1, RequestedAt: 5}},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if out := l.Receive("peer", ask, now); len(out) > 0 {
+	if out := l.Receive("peer", request, now); len(out) > 0 {
 		t.Fatal("the grant left before the router could know")
 	}
 	grants := func() (n int) {
@@ -53,7 +53,7 @@
 	}
 	l.Applied(a.Seq)
 	if n := grants(); n != 1 {
-		t.Fatalf("%d grants left once the router acts on its smaller share, want 1", n)
+		t.Fatalf("%d grants left once the router acts on its smaller quota, want 1", n)
 	}
 	for _, b := range [][]byte{nil, {0xff}, make([]byte, 2000)} {
 		l.Receive("peer", b, now)
@@ -63,9 +63,9 @@
 	}
 }
 
-// What the router carried is told once, though it is offered more often than
+// What the router counted is taken once, though it is offered more often than
 // it is taken.
-func TestWhatWasCarriedIsTakenOnce(t *testing.T) {
+func TestObservedCountersAreTakenOnce(t *testing.T) {
 	cfg := fleetstate.Defaults()
 	cfg.Name = "me"
 	l, err := New(cfg, 1, 0, slog.New(slog.NewTextHandler(io.Discard, nil)))
--- a/internal/fleetstate/node_test.go
+++ b/internal/fleetstate/node_test.go
@@ -11,9 +11,9 @@
 	return New(cfg, fleet, now)
 }
 
-// The number that shares are cut by rises at once with the view and falls only
-// long after: who cannot be heard may be cut off, and sending.
-func TestTheFleetsSizeFallsLate(t *testing.T) {
+// The size of the fleet that stakes are computed from grows at once with the view
+// and shrinks long after: who cannot be heard may be partitioned, and sending.
+func TestFleetSizeShrinksLate(t *testing.T) {
 	n := newTestNode("a", 4, 0)
 	for _, step := range []struct {
 		at         int64
@@ -28,14 +28,14 @@
 	} {
 		n.SetView([]string{"b"}, step.size, step.at)
 		if got := n.Advice(step.at).Routers; got != step.want {
-			t.Errorf("at %d, with %d seen, shares are cut by %d, want %d", step.at, step.size, got, step.want)
+			t.Errorf("at %d, with %d seen, the fleet has %d, want %d", step.at, step.size, got, step.want)
 		}
 	}
 }
 
-// A router that hears nothing has its own stake alone once its leases ended,
-// and no judgement.
-func TestARouterThatHearsNothingIsAlone(t *testing.T) {
+// A router that receives nothing has only its own stake once its leases expired,
+// and no ejection.
+func TestPartitionedRouterKeepsOnlyItsStake(t *testing.T) {
 	n := newTestNode("a", 4, 0)
 	now := n.cfg.LeaseMs + n.cfg.SkewMs
 	n.SetView([]string{"b", "c"}, 4, now)
@@ -46,18 +46,18 @@
 			{Name: "j", Group: 1, Ready: true},
 		},
 	})
-	var asked *LeaseRequest
+	var requested *LeaseRequest
 	for _, m := range n.Tick(now).Messages {
 		if m.To == "b" && len(m.Message.LeaseRequests) > 0 {
-			asked = &m.Message.LeaseRequests[0]
+			requested = &m.Message.LeaseRequests[0]
 		}
 	}
-	if asked == nil {
-		t.Fatal("a cold host that is needed is not asked for")
+	if requested == nil {
+		t.Fatal("nothing is requested for a warming endpoint that is needed")
 	}
 	n.Receive("b", Message{
 		LeaseGrants: []LeaseGrant{
-			{Key: "h", ID: asked.ID, Amount: 0.125, RequestedAt: asked.RequestedAt, DurationMs: n.cfg.LeaseMs},
+			{Key: "h", ID: requested.ID, Amount: 0.125, RequestedAt: requested.RequestedAt, DurationMs: n.cfg.LeaseMs},
 		},
 	}, now+1)
 	if early := newTestNode("a", 4, 0).Advice(1); early.RemainingStake != 0.5 {
@@ -67,19 +67,19 @@
 		n.Receive(p, Message{HealthReports: []HealthReport{{"i", Unresponsive, 0}}}, now+1)
 	}
 	if a := n.Advice(now + 1); a.SlowStart["h"].At(now+1) != 0.375 || len(a.Ejections) != 1 {
-		t.Fatalf("advice %+v, want a share of 0.375 and one judgement", a)
+		t.Fatalf("advice %+v, want a quota of 0.375 and one ejection", a)
 	}
-	n.SetView(nil, 4, now+2) // it hears nobody any more
+	n.SetView(nil, 4, now+2) // it is partitioned
 	later := now + n.cfg.ReportTTLMs + n.cfg.LeaseMs
 	n.Tick(later)
 	if a := n.Advice(later); a.SlowStart["h"].At(later) != 0.25 || len(a.Ejections) > 0 {
-		t.Errorf("after silence advice %+v, want its stake and no judgement", a)
+		t.Errorf("after silence advice %+v, want its stake and no ejection", a)
 	}
 }
 
-// Strangers are not heard, and peers cannot make a node hold more than its
+// Messages of unknown senders are dropped, and peers cannot make a node keep more than its
 // bounds, whatever they send.
-func TestAPeersFloodIsBounded(t *testing.T) {
+func TestMemoryIsBoundedUnderAFloodOfMessages(t *testing.T) {
 	n := newTestNode("a", 4, 0)
 	n.SetView([]string{"b"}, 2, 0)
 	n.Observe(Observation{Endpoints: []EndpointHealth{{Name: "h", Ready: true, WarmingUp: true}}})
@@ -87,7 +87,7 @@
 	if n.Receive("x", Message{
 		HealthReports: []HealthReport{{"h", Unresponsive, 0}},
 	}, now); n.unknownSenders != 1 || len(n.outliers.suspicions) > 0 {
-		t.Error("a stranger was heard")
+		t.Error("the report of an unknown sender was taken")
 	}
 	for i := range 3 * n.cfg.MaxCounterEntries {
 		n.Receive("b", Message{Counters: []CounterEntry{{Name: fmt.Sprint("x", i), Epoch: 1, Stamp: now, Counters: Counters{1}}},
@@ -102,14 +102,14 @@
 	}
 }
 
-// No message is over its size, however much there is to tell.
-func TestMessagesKeepTheirSize(t *testing.T) {
+// No message is over its size, however much there is to send.
+func TestMessagesStayWithinTheirSize(t *testing.T) {
 	n := newTestNode("a", 300, 0)
 	var peers []string
-	var hosts []EndpointHealth
+	var endpoints []EndpointHealth
 	for i := range 300 {
 		peers = append(peers, fmt.Sprint("router-of-a-long-name-", i))
-		hosts = append(hosts, EndpointHealth{
+		endpoints = append(endpoints, EndpointHealth{
 			Name:           fmt.Sprint("host-of-a-long-name-", i),
 			Group:          i / 3,
 			Ready:          true,
@@ -120,7 +120,7 @@
 		})
 	}
 	n.SetView(peers, 301, 0)
-	n.Observe(Observation{Endpoints: hosts})
+	n.Observe(Observation{Endpoints: endpoints})
 	for i := range 300 {
 		n.counters.merge(CounterEntry{Name: peers[i], Epoch: 5, Counters: make(Counters, 20)}, 0)
 	}
@@ -134,13 +134,13 @@
 		}
 	}
 	if count == 0 {
-		t.Fatal("nothing was said")
+		t.Fatal("nothing was sent")
 	}
 }
 
-// Repeats that one router has saved and does not use are lent to one that has
+// Retries that one router has saved and does not use are lent to one that has
 // none left; what is borrowed and what was lent add up.
-func TestSpareRepeatsAreLent(t *testing.T) {
+func TestSurplusRetriesAreLent(t *testing.T) {
 	rich, poor := newTestNode("rich", 2, 0), newTestNode("poor", 2, 0)
 	now := rich.cfg.LeaseMs + rich.cfg.SkewMs
 	for _, n := range []*Node{rich, poor} {
@@ -155,7 +155,7 @@
 	}
 	a, b := rich.Advice(now).RetryQuota.At(now), poor.Advice(now).RetryQuota.At(now)
 	if a != -1 || b != 1 {
-		t.Errorf("repeats a second beside their own: %g and %g, want -1 lent and 1 borrowed", a, b)
+		t.Errorf("retries a second besides their own: %g and %g, want -1 lent and 1 borrowed", a, b)
 	}
 	if got := poor.Advice(now + rich.cfg.LeaseMs).RetryQuota.At(now + rich.cfg.LeaseMs); got != 0 {
 		t.Errorf("after the lease %g is left", got)
--- a/internal/fleetstate/scale_test.go
+++ b/internal/fleetstate/onset_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// sinceByPairs is since, by its definition: each moment against each witness.
-func (j *outlierDetector) sinceByPairs(valid []*peerReport) (out []onset) {
+// onsetsByPairs is onsets, by its definition: each moment against each report.
+func (d *outlierDetector) onsetsByPairs(valid []*peerReport) (out []onset) {
 	for _, began := range valid {
 		if began.status == Healthy {
 			continue
@@ -17,9 +17,9 @@
 		for _, w := range valid {
 			switch {
 			case w.status == Healthy && w.evidenceAt > began.firstEvidenceAt:
-				b.support -= j.reputation.of(w.peer)
+				b.support -= d.reputation.of(w.peer)
 			case w.status != Healthy && w.firstEvidenceAt >= began.firstEvidenceAt:
-				b.support += j.reputation.of(w.peer)
+				b.support += d.reputation.of(w.peer)
 				b.reporters++
 				if w.evidenceAt > b.newestEvidence {
 					b.status, b.newestEvidence = w.status, w.evidenceAt
@@ -31,10 +31,10 @@
 	return out
 }
 
-func TestDoubtsAreWeighedByTheirDefinition(t *testing.T) {
+func TestOnsetsFollowTheirDefinition(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		j := newOutlierDetector(Defaults(), 0)
+		detector := newOutlierDetector(Defaults(), 0)
 		var valid []*peerReport
 		for n := range rng.IntN(40) {
 			w := &peerReport{
@@ -43,10 +43,10 @@
 				firstEvidenceAt: 1 + rng.Int64N(12),
 			}
 			w.evidenceAt = w.firstEvidenceAt + rng.Int64N(6)
-			j.reputation.byPeer[w.peer] = rng.Float64()
+			detector.reputation.byPeer[w.peer] = rng.Float64()
 			valid = append(valid, w)
 		}
-		got, want := j.onsets(valid), j.sinceByPairs(valid)
+		got, want := detector.onsets(valid), detector.onsetsByPairs(valid)
 		if len(got) != len(want) {
 			t.Fatalf("seed %d: %d moments, want %d", seed, len(got), len(want))
 		}
@@ -60,29 +60,29 @@
 	}
 }
 
-// Each router of a large fleet may be heard on one host.
-func TestThousandsOfRoutersAreHeard(t *testing.T) {
+// Each router of a large fleet may report on one endpoint.
+func TestThousandsOfReportersCount(t *testing.T) {
 	const routers = 3000
 	cfg := Defaults()
-	j := newOutlierDetector(cfg, 0)
+	detector := newOutlierDetector(cfg, 0)
 	now := cfg.ReportTTLMs
-	j.observe([]EndpointHealth{{Name: "h", Group: 1, Ready: true}, {Name: "i", Group: 1, Ready: true}})
+	detector.observe([]EndpointHealth{{Name: "h", Group: 1, Ready: true}, {Name: "i", Group: 1, Ready: true}})
 	for n := range routers {
-		j.receive(fmt.Sprint("router-", n), HealthReport{"h", Unresponsive, 0}, now)
+		detector.receive(fmt.Sprint("router-", n), HealthReport{"h", Unresponsive, 0}, now)
 	}
-	if count := j.support(j.suspicions["h"], j.endpoint("h")).reporters; count != routers {
-		t.Errorf("%d of %d routers are heard", count, routers)
+	if count := detector.support(detector.suspicions["h"], detector.endpoint("h")).reporters; count != routers {
+		t.Errorf("%d of %d reporters count", count, routers)
 	}
 }
 
-func BenchmarkSupportOfThousands(b *testing.B) {
+func BenchmarkSupportOfThousandsOfReporters(b *testing.B) {
 	cfg := Defaults()
-	j := newOutlierDetector(cfg, 0)
-	j.observe([]EndpointHealth{{Name: "h", Group: 1, Ready: true}})
+	detector := newOutlierDetector(cfg, 0)
+	detector.observe([]EndpointHealth{{Name: "h", Group: 1, Ready: true}})
 	for n := range 3000 {
-		j.receive(fmt.Sprint("router-", n), HealthReport{"h", Unresponsive, int64(n % 100)}, cfg.ReportTTLMs)
+		detector.receive(fmt.Sprint("router-", n), HealthReport{"h", Unresponsive, int64(n % 100)}, cfg.ReportTTLMs)
 	}
 	for b.Loop() {
-		j.support(j.suspicions["h"], j.endpoint("h"))
+		detector.support(detector.suspicions["h"], detector.endpoint("h"))
 	}
 }
--- a/internal/fleetstate/outlier_test.go
+++ b/internal/fleetstate/outlier_test.go
@@ -9,13 +9,13 @@
 	"lotusbend/internal/fleetstate/faultinjection"
 )
 
-func judgeOf(hosts ...EndpointHealth) *outlierDetector {
-	j := newOutlierDetector(Defaults(), 0)
-	j.observe(hosts)
-	return j
+func detectorOf(endpoints ...EndpointHealth) *outlierDetector {
+	detector := newOutlierDetector(Defaults(), 0)
+	detector.observe(endpoints)
+	return detector
 }
 
-func group3() []EndpointHealth {
+func groupOfThree() []EndpointHealth {
 	return []EndpointHealth{
 		{Name: "a", Group: 1, Ready: true},
 		{Name: "b", Group: 1, Ready: true},
@@ -23,206 +23,206 @@
 	}
 }
 
-func judged(j *outlierDetector, now int64) (names string) {
-	for _, x := range j.eject(now) {
+func ejected(detector *outlierDetector, now int64) (names string) {
+	for _, x := range detector.eject(now) {
 		names += x.Endpoint
 	}
 	return names
 }
 
-func TestTwoWitnessesAreNeededAndAnAnswerHereOverridesThem(t *testing.T) {
-	j := judgeOf(group3()...)
-	j.receive("p", HealthReport{"b", Unresponsive, 0}, 1000)
-	if got := judged(j, 1000); got != "" {
-		t.Fatalf("one witness is enough for %q", got)
+func TestEjectionNeedsTwoReportersAndEndsWithAnAnswer(t *testing.T) {
+	detector := detectorOf(groupOfThree()...)
+	detector.receive("p", HealthReport{"b", Unresponsive, 0}, 1000)
+	if got := ejected(detector, 1000); got != "" {
+		t.Fatalf("one reporter is enough for %q", got)
 	}
-	j.receive("p", HealthReport{"b", Unresponsive, 0}, 1100) // the same one again is no second
-	if got := judged(j, 1100); got != "" {
-		t.Fatalf("one witness said it twice, enough for %q", got)
+	detector.receive("p", HealthReport{"b", Unresponsive, 0}, 1100) // the same one again is no second
+	if got := ejected(detector, 1100); got != "" {
+		t.Fatalf("one reporter sent it twice, enough for %q", got)
 	}
-	j.receive("q", HealthReport{"b", Unresponsive, 100}, 1100)
-	if got := judged(j, 1100); got != "b" {
-		t.Fatalf("two witnesses judge %q, want b", got)
+	detector.receive("q", HealthReport{"b", Unresponsive, 100}, 1100)
+	if got := ejected(detector, 1100); got != "b" {
+		t.Fatalf("two reporters eject %q, want b", got)
 	}
-	hosts := group3()
-	hosts[1].AnsweredSentAt, hosts[1].LastSentAt = 1150, 1150
-	j.observe(hosts)
-	if got := judged(j, 1200); got != "" {
-		t.Fatalf("b answered here after the evidence, and %q is passed over", got)
+	endpoints := groupOfThree()
+	endpoints[1].AnsweredSentAt, endpoints[1].LastSentAt = 1150, 1150
+	detector.observe(endpoints)
+	if got := ejected(detector, 1200); got != "" {
+		t.Fatalf("b answered here after the evidence, and %q is ejected", got)
 	}
 }
 
-// A claim with answers here shortly before and after its evidence was wrong:
-// its witness loses standing, and a third such claim in a row counts little.
-func TestClaimsThatProveWrongCostStanding(t *testing.T) {
-	hosts := group3()
-	hosts[1].AnsweredSentAt = 900
-	j := judgeOf(hosts...)
+// A report with answers here shortly before and after its evidence was refuted:
+// its reporter loses reputation, and a third such report in a row counts little.
+func TestRefutedReportsLowerReputation(t *testing.T) {
+	endpoints := groupOfThree()
+	endpoints[1].AnsweredSentAt = 900
+	detector := detectorOf(endpoints...)
 	for _, p := range []string{"p", "q"} {
-		j.receive(p, HealthReport{"b", Unresponsive, 0}, 1000)
+		detector.receive(p, HealthReport{"b", Unresponsive, 0}, 1000)
 	}
-	if got := judged(j, 1000); got != "b" {
-		t.Fatalf("judged %q, want b", got)
+	if got := ejected(detector, 1000); got != "b" {
+		t.Fatalf("ejected %q, want b", got)
 	}
-	hosts[1].AnsweredSentAt = 1100
-	j.observe(hosts)
-	judged(j, 1200)
-	if j.reputation.of("p") >= 0.6 || j.reputation.of("q") >= 0.6 {
-		t.Fatalf("standing %.2f and %.2f after a claim that proved wrong", j.reputation.of("p"), j.reputation.of("q"))
+	endpoints[1].AnsweredSentAt = 1100
+	detector.observe(endpoints)
+	ejected(detector, 1200)
+	if detector.reputation.of("p") >= 0.6 || detector.reputation.of("q") >= 0.6 {
+		t.Fatalf("reputation %.2f and %.2f after a refuted report", detector.reputation.of("p"), detector.reputation.of("q"))
 	}
 	for _, p := range []string{"p", "q"} {
-		j.receive(p, HealthReport{"c", Unresponsive, 0}, 1300)
+		detector.receive(p, HealthReport{"c", Unresponsive, 0}, 1300)
 	}
-	if got := judged(j, 1300); got != "" {
-		t.Errorf("two whose claims proved wrong judge %q", got)
+	if got := ejected(detector, 1300); got != "" {
+		t.Errorf("two whose reports were refuted eject %q", got)
 	}
-	if judged(j, 100_000); j.reputation.of("p") < 1 {
-		t.Errorf("standing is %.2f after long, want whole", j.reputation.of("p"))
+	if ejected(detector, 100_000); detector.reputation.of("p") < 1 {
+		t.Errorf("reputation is %.2f after long, want full", detector.reputation.of("p"))
 	}
 }
 
-func TestHearsayEndsWithoutRenewalAndUntriedHere(t *testing.T) {
-	j := judgeOf(group3()...)
-	say := func(now int64) {
-		j.receive("p", HealthReport{"b", Unresponsive, 0}, now)
-		j.receive("q", HealthReport{"b", Unresponsive, 0}, now)
+func TestGossipEjectionExpires(t *testing.T) {
+	detector := detectorOf(groupOfThree()...)
+	report := func(now int64) {
+		detector.receive("p", HealthReport{"b", Unresponsive, 0}, now)
+		detector.receive("q", HealthReport{"b", Unresponsive, 0}, now)
 	}
-	say(1000)
-	if got := j.eject(1000); len(got) != 1 || got[0].Until != 1000+j.cfg.EjectionMs {
-		t.Fatalf("judged %+v, want b until %d", got, 1000+j.cfg.EjectionMs)
+	report(1000)
+	if got := detector.eject(1000); len(got) != 1 || got[0].Until != 1000+detector.cfg.EjectionMs {
+		t.Fatalf("ejected %+v, want b until %d", got, 1000+detector.cfg.EjectionMs)
 	}
-	if got := judged(j, 1000+j.cfg.ReportTTLMs); got != "" {
-		t.Errorf("claims without renewal still judge %q", got)
+	if got := ejected(detector, 1000+detector.cfg.ReportTTLMs); got != "" {
+		t.Errorf("reports without renewal still eject %q", got)
 	}
-	j = judgeOf(group3()...)
+	detector = detectorOf(groupOfThree()...)
 	last := int64(0)
 	for now := int64(1000); now < 60_000; now += 100 {
-		say(now)
-		if judged(j, now) != "" {
+		report(now)
+		if ejected(detector, now) != "" {
 			last = now
 		}
 	}
-	if last > 1000+j.cfg.GossipEjectionMs {
-		t.Errorf("hearsay alone passed b over until %d, untried here, want %d at most", last, 1000+j.cfg.GossipEjectionMs)
+	if last > 1000+detector.cfg.GossipEjectionMs {
+		t.Errorf("gossip alone ejected b until %d, without an attempt here, want %d at most", last, 1000+detector.cfg.GossipEjectionMs)
 	}
 }
 
-// Fresher evidence of another puts off the next trial of a host found bad
+// Newer evidence of a peer defers the next trial of an endpoint with a fault
 // here, for a stated time.
-func TestOthersEvidencePutsATrialOffForAWhile(t *testing.T) {
-	hosts := group3()
-	hosts[1].Fault, hosts[1].FaultAt, hosts[1].LastSentAt = Unresponsive, 1000, 1000
-	j := judgeOf(hosts...)
-	if got := judged(j, 1100); got != "" {
-		t.Fatalf("nobody said anything, and %q is judged", got)
+func TestPeersEvidenceDefersTheTrialForAWhile(t *testing.T) {
+	endpoints := groupOfThree()
+	endpoints[1].Fault, endpoints[1].FaultAt, endpoints[1].LastSentAt = Unresponsive, 1000, 1000
+	detector := detectorOf(endpoints...)
+	if got := ejected(detector, 1100); got != "" {
+		t.Fatalf("no report came, and %q is ejected", got)
 	}
 	last := int64(0)
 	for now := int64(1200); now < 20_000; now += 100 {
-		j.receive("p", HealthReport{"b", Unresponsive, 0}, now)
-		for _, x := range j.eject(now) {
+		detector.receive("p", HealthReport{"b", Unresponsive, 0}, now)
+		for _, x := range detector.eject(now) {
 			if !x.ObservedHere {
-				t.Fatalf("judged %+v, which was seen here", x)
+				t.Fatalf("ejected %+v, which was observed here", x)
 			}
 			last = x.Until
 		}
 	}
-	if most := 1000 + 2*j.cfg.ReportTTLMs; last == 0 || last > most {
-		t.Errorf("trials were put off until %d, want some time up to %d", last, most)
+	if most := 1000 + 2*detector.cfg.ReportTTLMs; last == 0 || last > most {
+		t.Errorf("trials were deferred until %d, want some time up to %d", last, most)
 	}
 }
 
-// A primary's trials are never put off, and it is never passed over: nobody
+// A primary's trials are never deferred, and it is never ejected: nothing
 // takes its place.
-func TestAPrimaryIsNotJudgedByHearsay(t *testing.T) {
+func TestPrimaryIsNeverEjected(t *testing.T) {
 	for _, bad := range []HealthStatus{0, Unresponsive} {
-		hosts := group3()
-		hosts[1].Primary, hosts[1].Fault, hosts[1].FaultAt = true, bad, 1000
-		j := judgeOf(hosts...)
+		endpoints := groupOfThree()
+		endpoints[1].Primary, endpoints[1].Fault, endpoints[1].FaultAt = true, bad, 1000
+		detector := detectorOf(endpoints...)
 		for _, p := range []string{"p", "q", "r"} {
-			j.receive(p, HealthReport{"b", Unresponsive, 0}, 1200)
+			detector.receive(p, HealthReport{"b", Unresponsive, 0}, 1200)
 		}
-		if got := judged(j, 1200); got != "" {
-			t.Errorf("judged %q, the group's primary", got)
+		if got := ejected(detector, 1200); got != "" {
+			t.Errorf("ejected %q, the group's primary", got)
 		}
 	}
 }
 
-func TestAHeardLeaderIsOnlyForWhoSeeks(t *testing.T) {
-	hosts := group3()
-	j := judgeOf(hosts...)
-	j.receive("p", HealthReport{"c", Primary, 10}, 1000)
-	if got := j.suggestedPrimaries(); len(got) > 0 {
-		t.Fatalf("leaders %v though the primary is known here", got)
+func TestPrimaryIsSuggestedOnlyWhereUnknown(t *testing.T) {
+	endpoints := groupOfThree()
+	detector := detectorOf(endpoints...)
+	detector.receive("p", HealthReport{"c", Primary, 10}, 1000)
+	if got := detector.suggestedPrimaries(); len(got) > 0 {
+		t.Fatalf("suggested %v though the primary is known here", got)
 	}
-	for i := range hosts {
-		hosts[i].PrimaryUnknown = true
+	for i := range endpoints {
+		endpoints[i].PrimaryUnknown = true
 	}
-	j.observe(hosts)
-	if got := j.suggestedPrimaries(); got[1] != "c" {
-		t.Fatalf("leaders %v, want c", got)
+	detector.observe(endpoints)
+	if got := detector.suggestedPrimaries(); got[1] != "c" {
+		t.Fatalf("suggested %v, want c", got)
 	}
-	hosts[2].LastSentAt = 1100
-	j.observe(hosts)
-	if got := j.suggestedPrimaries(); len(got) > 0 {
-		t.Errorf("leaders %v though c was tried since", got)
+	endpoints[2].LastSentAt = 1100
+	detector.observe(endpoints)
+	if got := detector.suggestedPrimaries(); len(got) > 0 {
+		t.Errorf("suggested %v though it had an attempt since", got)
 	}
 }
 
-func TestPeersThatInventHostsHoldNoMemory(t *testing.T) {
-	j := judgeOf(group3()...)
+func TestReportsOnUnknownEndpointsTakeNoMemory(t *testing.T) {
+	detector := detectorOf(groupOfThree()...)
 	for i := range 1000 {
-		j.receive("p", HealthReport{fmt.Sprint("x", i), Unresponsive, 0}, 1000)
-		j.receive(fmt.Sprint("p", i), HealthReport{"a", Unresponsive, 0}, 1000)
+		detector.receive("p", HealthReport{fmt.Sprint("x", i), Unresponsive, 0}, 1000)
+		detector.receive(fmt.Sprint("p", i), HealthReport{"a", Unresponsive, 0}, 1000)
 	}
-	if len(j.suspicions) != 1 || len(j.suspicions["a"].reports) > maxReporters {
-		t.Errorf("%d hosts and %d witnesses held", len(j.suspicions), len(j.suspicions["a"].reports))
+	if len(detector.suspicions) != 1 || len(detector.suspicions["a"].reports) > maxReporters {
+		t.Errorf("%d endpoints and %d reports kept", len(detector.suspicions), len(detector.suspicions["a"].reports))
 	}
 }
 
-// TestNoClaimsPassTheBounds holds for any claims of any number of peers, and
-// any state of the hosts as seen here: of a group's ready members hearsay
-// passes over at most the stated share and never the last sound one; every
-// judgement ends within the stated time and rests on evidence newer than the
+// TestNoReportsExceedTheEjectionLimits holds for any reports of any number of peers, and
+// any state of the endpoints as observed here: of a group's ready endpoints gossip
+// ejects at most the stated fraction and never the last sound one; every
+// ejection ends within the stated time and rests on evidence newer than the
 // last answer here, not older than stated.
-func TestNoClaimsPassTheBounds(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { claimsWithinBounds(t) })
+func TestNoReportsExceedTheEjectionLimits(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { checkEjectionLimits(t) })
 }
 
-// The same search finds a judge that trusts one claim, whatever was seen.
-func TestTrustInOneIsFound(t *testing.T) {
+// The same search finds a detector that trusts one report, whatever was observed.
+func TestTrustInOneReporterExceedsTheLimits(t *testing.T) {
 	cfg := Defaults()
 	cfg.FaultInjection = faultinjection.TrustOne
-	j := newOutlierDetector(cfg, 0)
-	j.observe(group3())
+	detector := newOutlierDetector(cfg, 0)
+	detector.observe(groupOfThree())
 	for _, h := range []string{"a", "b", "c"} {
-		j.receive("p", HealthReport{h, Unresponsive, 0}, 1000)
+		detector.receive("p", HealthReport{h, Unresponsive, 0}, 1000)
 	}
-	if got := judged(j, 1000); len(got) < 3 {
-		t.Errorf("judged %q: the sabotage takes no guard out", got)
+	if got := ejected(detector, 1000); len(got) < 3 {
+		t.Errorf("ejected %q: the injected fault takes no guard out", got)
 	}
 }
 
-func claimsWithinBounds(t *rapid.T) {
+func checkEjectionLimits(t *rapid.T) {
 	cfg := Defaults()
-	j := newOutlierDetector(cfg, 0)
+	detector := newOutlierDetector(cfg, 0)
 	now := int64(10_000)
-	var hosts []EndpointHealth
+	var endpoints []EndpointHealth
 	for g := range rapid.IntRange(1, 3).Draw(t, "groups") {
 		for i := range rapid.IntRange(1, 6).Draw(t, "members") {
-			hosts = append(hosts, EndpointHealth{
+			endpoints = append(endpoints, EndpointHealth{
 				Name:  fmt.Sprintf("g%d-%d", g, i),
 				Group: g,
 				Ready: rapid.IntRange(0, 4).Draw(t, "ready") > 0,
 			})
 		}
 	}
-	j.observe(hosts)
+	detector.observe(endpoints)
 	for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 		switch rapid.IntRange(0, 3).Draw(t, fmt.Sprint("event", step)) {
 		case 0:
 			now += rapid.Int64Range(1, 3000).Draw(t, "ms")
 		case 1:
-			h := &hosts[rapid.IntRange(0, len(hosts)-1).Draw(t, "host")]
+			h := &endpoints[rapid.IntRange(0, len(endpoints)-1).Draw(t, "host")]
 			switch rapid.IntRange(0, 3).Draw(t, "saw") {
 			case 0:
 				h.AnsweredSentAt, h.LastSentAt, h.Fault = now, now, 0
@@ -233,48 +233,48 @@
 			case 3:
 				h.LastSentAt = now
 			}
-			j.observe(hosts)
+			detector.observe(endpoints)
 		default:
-			for range rapid.IntRange(1, 12).Draw(t, "claims") {
-				j.receive(fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "peer")), HealthReport{
-					Endpoint: hosts[rapid.IntRange(0, len(hosts)-1).Draw(t, "of")].Name,
+			for range rapid.IntRange(1, 12).Draw(t, "reports") {
+				detector.receive(fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "peer")), HealthReport{
+					Endpoint: endpoints[rapid.IntRange(0, len(endpoints)-1).Draw(t, "of")].Name,
 					Status:   HealthStatus(rapid.IntRange(0, 8).Draw(t, "kind")),
 					AgeMs:    rapid.Int64Range(-10, 4000).Draw(t, "age"),
 				}, now)
 			}
 		}
-		byHearsay, ready, sound, soundLeft := map[int]int{}, map[int]int{}, map[int]int{}, map[int]int{}
+		byGossip, ready, sound, soundLeft := map[int]int{}, map[int]int{}, map[int]int{}, map[int]int{}
 		in := map[string]Ejection{}
-		for _, x := range j.eject(now) {
+		for _, x := range detector.eject(now) {
 			in[x.Endpoint] = x
-			h := j.endpoint(x.Endpoint)
+			h := detector.endpoint(x.Endpoint)
 			if x.Until > now+cfg.EjectionMs {
 				t.Fatalf("%+v lasts longer than stated at %d", x, now)
 			}
 			if x.ObservedHere != (h.Fault != 0 && h.FaultAt > h.AnsweredSentAt) {
-				t.Fatalf("%+v is told as seen here, which is %+v", x, h)
+				t.Fatalf("%+v is given as observed here, which is %+v", x, h)
 			}
 			fresh := false
-			for _, w := range j.suspicions[x.Endpoint].reports {
+			for _, report := range detector.suspicions[x.Endpoint].reports {
 				since := h.AnsweredSentAt
-				if w.status == Lagging {
+				if report.status == Lagging {
 					since = h.FreshAt
 				}
-				ofFault := w.status != Healthy && w.status != Primary
-				fresh = fresh || ofFault && now-w.evidenceAt < cfg.ReportTTLMs && w.evidenceAt > since
+				ofFault := report.status != Healthy && report.status != Primary
+				fresh = fresh || ofFault && now-report.evidenceAt < cfg.ReportTTLMs && report.evidenceAt > since
 			}
 			if !fresh {
 				t.Fatalf("%+v rests on no evidence newer than the last answer here", x)
 			}
 		}
-		for _, h := range hosts {
+		for _, h := range endpoints {
 			if !h.Ready {
 				continue
 			}
 			ready[h.Group]++
 			x, is := in[h.Name]
 			if is && !x.ObservedHere {
-				byHearsay[h.Group]++
+				byGossip[h.Group]++
 			}
 			if h.Fault == 0 || h.AnsweredSentAt > h.FaultAt {
 				sound[h.Group]++
@@ -283,12 +283,12 @@
 				}
 			}
 		}
-		for g, k := range byHearsay {
+		for g, k := range byGossip {
 			if float64(k) > cfg.MaxEjectedFraction*float64(ready[g]) {
-				t.Fatalf("hearsay passes over %d of %d ready members", k, ready[g])
+				t.Fatalf("gossip ejects %d of %d ready endpoints", k, ready[g])
 			}
 			if sound[g] > 0 && soundLeft[g] == 0 {
-				t.Fatalf("hearsay passes over the last of %d sound members", sound[g])
+				t.Fatalf("gossip ejects the last of %d sound endpoints", sound[g])
 			}
 		}
 	}
--- a/internal/fleetstate/wire/characterization_test.go
+++ b/internal/fleetstate/wire/characterization_test.go
@@ -202,8 +202,8 @@
 	}
 }
 
-// TestCharacterizationOfRefusals holds which bytes are refused.
-func TestCharacterizationOfRefusals(t *testing.T) {
+// TestCharacterizationOfRejections holds which bytes are refused.
+func TestCharacterizationOfRejections(t *testing.T) {
 	codec := newCodec(t)
 	for name, message := range map[string]string{
 		"no bytes":                "",
--- a/internal/fleetstate/wire/wire_test.go
+++ b/internal/fleetstate/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"lotusbend/internal/fleetstate"
 )
 
-// Whatever a router says comes back as it was, within the bytes that the
+// Whatever a router sends comes back as it was, within the bytes that the
 // rules reckon with.
 func TestRoundTripWithinItsSize(t *testing.T) {
 	c, err := New()
@@ -29,14 +29,14 @@
 				Stamp: rapid.Int64().Draw(t, "stamp"), Counters: rapid.SliceOfN(rapid.Uint64(), 1, 10).Draw(t, "cells"),
 			})
 		}
-		for range n("claims") {
+		for range n("reports") {
 			m.HealthReports = append(m.HealthReports, fleetstate.HealthReport{
 				Endpoint: name.Draw(t, "host"),
 				Status:   fleetstate.HealthStatus(rapid.IntRange(1, 6).Draw(t, "kind")),
 				AgeMs:    int64(rapid.Uint32().Draw(t, "age")),
 			})
 		}
-		for range n("asks") {
+		for range n("borrower") {
 			m.LeaseRequests = append(m.LeaseRequests, fleetstate.LeaseRequest{
 				Key:         name.Draw(t, "key"),
 				ID:          rapid.Uint64().Draw(t, "id"),
@@ -96,12 +96,12 @@
 		}
 		for _, a := range m.LeaseRequests {
 			if !(a.Wanted > 0) || a.Key == "" {
-				t.Fatalf("an ask of %g for %q", a.Wanted, a.Key)
+				t.Fatalf("a request of %g for %q", a.Wanted, a.Key)
 			}
 		}
 		for _, x := range m.HealthReports {
 			if x.Status < fleetstate.Healthy || x.Status > fleetstate.Primary || x.Endpoint == "" {
-				t.Fatalf("a claim of kind %d", x.Status)
+				t.Fatalf("a report of status %d", x.Status)
 			}
 		}
 		n := fleetstate.New(func() fleetstate.Config { c := fleetstate.Defaults(); c.Name = "me"; return c }(), 3, 0)
@@ -112,7 +112,7 @@
 	})
 }
 
-// Each kind of error can be told apart by its type.
+// Each kind of error has its type.
 func TestDecodeErrorsAreTyped(t *testing.T) {
 	codec, err := New()
 	if err != nil {
