--- /dev/null
+++ b/internal/fleetstate/digest_test.go
@@ -0,0 +1,180 @@
+package fleetstate_test
+
+import (
+	"bufio"
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"hash"
+	"maps"
+	"math"
+	"slices"
+
+	"lotusbend/internal/fleetstate"
+)
+
+// digest is a running SHA-256 of numbers and byte strings.
+type digest struct {
+	hash     hash.Hash
+	buffered *bufio.Writer
+}
+
+func newDigest() *digest {
+	h := sha256.New()
+	return &digest{hash: h, buffered: bufio.NewWriter(h)}
+}
+
+func (d *digest) numbers(values ...int64) {
+	for _, v := range values {
+		d.buffered.Write(binary.BigEndian.AppendUint64(d.buffered.AvailableBuffer(), uint64(v)))
+	}
+}
+
+// amounts writes each value in steps of 1e-9: the last bits of a sum may differ
+// between processors, where one fuses multiplication and addition.
+func (d *digest) amounts(values ...float64) {
+	for _, v := range values {
+		d.numbers(int64(math.Round(v * 1e9)))
+	}
+}
+
+func (d *digest) flag(b bool) {
+	if b {
+		d.numbers(1)
+	} else {
+		d.numbers(0)
+	}
+}
+
+// texts writes each string after its length, so that no two lists collide.
+func (d *digest) texts(values ...string) {
+	for _, v := range values {
+		d.numbers(int64(len(v)))
+		d.buffered.WriteString(v)
+	}
+}
+
+func (d *digest) sum() string {
+	d.buffered.Flush()
+	return hex.EncodeToString(d.hash.Sum(nil))
+}
+
+// The functions from here to page turn the package's types into numbers and
+// bytes; a renamed field or type is adapted here.
+
+func (d *digest) counters(counters fleetstate.Counters) {
+	d.numbers(int64(len(counters)))
+	for _, v := range counters {
+		d.numbers(int64(v))
+	}
+}
+
+func (d *digest) entries(entries []fleetstate.CounterEntry) {
+	d.numbers(int64(len(entries)))
+	for _, e := range entries {
+		d.texts(e.Name)
+		d.numbers(e.Epoch, e.Stamp)
+		d.counters(e.Counters)
+	}
+}
+
+func (d *digest) message(m fleetstate.Message) {
+	d.numbers(int64(m.Size()))
+	d.entries(m.Counters)
+	d.numbers(int64(len(m.HealthReports)), int64(len(m.LeaseRequests)), int64(len(m.LeaseGrants)))
+	for _, c := range m.HealthReports {
+		d.texts(c.Endpoint)
+		d.numbers(int64(c.Status), c.AgeMs)
+	}
+	for _, a := range m.LeaseRequests {
+		d.texts(a.Key)
+		d.amounts(a.Wanted)
+		d.numbers(int64(a.ID), a.RequestedAt)
+	}
+	for _, g := range m.LeaseGrants {
+		d.texts(g.Key)
+		d.amounts(g.Amount)
+		d.numbers(int64(g.ID), g.RequestedAt, g.DurationMs)
+	}
+}
+
+func (d *digest) ready(r fleetstate.Ready) {
+	d.numbers(int64(len(r.Messages)))
+	for _, out := range r.Messages {
+		d.texts(out.To)
+		d.message(out.Message)
+	}
+	d.numbers(int64(len(r.Events)))
+	for _, e := range r.Events {
+		d.texts(e.Key, e.Peer)
+		d.numbers(int64(e.Kind), int64(e.Status))
+		d.amounts(e.Amount)
+		d.flag(e.Reason != "")
+	}
+}
+
+func (d *digest) quota(s fleetstate.Quota) {
+	d.amounts(s.Own, s.Borrowed)
+	d.numbers(s.Until)
+}
+
+func (d *digest) quotas(quotas map[string]fleetstate.Quota) {
+	d.numbers(int64(len(quotas)))
+	for _, key := range slices.Sorted(maps.Keys(quotas)) {
+		d.texts(key)
+		d.quota(quotas[key])
+	}
+}
+
+func (d *digest) ejections(ejections []fleetstate.Ejection) {
+	d.numbers(int64(len(ejections)))
+	for _, j := range ejections {
+		d.texts(j.Endpoint)
+		d.numbers(int64(j.Status), j.Until)
+		d.amounts(j.Support)
+		d.flag(j.ObservedHere)
+	}
+}
+
+func (d *digest) advice(a fleetstate.Advice) {
+	d.numbers(int64(a.Routers), int64(len(a.SuggestedPrimaries)))
+	d.quotas(a.SlowStart)
+	d.amounts(a.RemainingStake)
+	d.quota(a.RetryQuota)
+	d.ejections(a.Ejections)
+	for _, group := range slices.Sorted(maps.Keys(a.SuggestedPrimaries)) {
+		d.numbers(int64(group))
+		d.texts(a.SuggestedPrimaries[group])
+	}
+}
+
+func (d *digest) amountsByName(amounts map[string]float64) {
+	d.numbers(int64(len(amounts)))
+	for _, name := range slices.Sorted(maps.Keys(amounts)) {
+		d.texts(name)
+		d.amounts(amounts[name])
+	}
+}
+
+func (d *digest) endpoints(endpoints []fleetstate.EndpointHealth) {
+	for _, h := range endpoints {
+		d.texts(h.Name)
+		d.numbers(int64(h.Group), int64(h.Fault), h.PrimaryReportedAt, h.FaultAt, h.AnsweredSentAt, h.FreshAt, h.LastSentAt)
+		for _, b := range []bool{h.Ready, h.Primary, h.Overdue, h.WarmingUp, h.RequestsQueued, h.PrimaryUnknown} {
+			d.flag(b)
+		}
+	}
+}
+
+func (d *digest) page(p fleetstate.StatusPage) {
+	d.numbers(int64(p.Routers), int64(p.RejectedCounters), int64(p.UnknownSenders))
+	d.quotas(p.SlowStart)
+	d.amounts(p.Stake)
+	d.amountsByName(p.Lent)
+	d.amountsByName(p.Borrowed)
+	d.amountsByName(p.Reputation)
+	d.quota(p.RetryQuota)
+	d.counters(p.Totals)
+	d.entries(p.Counters)
+	d.ejections(p.Ejections)
+}
