--- a/internal/fleetstate/config.go
+++ b/internal/fleetstate/config.go
@@ -30,7 +30,7 @@
 	CounterRetentionMs int64 // counters not updated for this long are compacted into one total
 	MaxCounterEntries  int   // counters of routers and incarnations kept apart
 
-	ReportTTLMs        int64   // longest time from its evidence until a report expires: drawn from half of it on
+	ReportTTLMs        int64   // from its evidence on, a report counts for half of this to all of it, drawn
 	EjectionMs         int64   // an ejection ends after this unless renewed
 	GossipEjectionMs   int64   // for how long gossip alone ejects, before this router must try the endpoint
 	MaxEjectedFraction float64 // of a group's endpoints that gossip ejects at once
--- a/internal/fleetstate/counterstore_test.go
+++ b/internal/fleetstate/counterstore_test.go
@@ -17,7 +17,7 @@
 }
 
 // exchange sends every store's whole knowledge to every other, twice, in
-// an order and number drawn from pick.
+// the given order.
 func exchange(stores []*counterStore, now int64, order []int) {
 	for range 2 {
 		for _, i := range order {
@@ -34,95 +34,144 @@
 }
 
 // TestTotalsAreExactAfterAnyOrder holds for any order of counting, sending in
-// part, doubles, losses and restarts: nobody ever counts more than there
+// part, duplicates, losses and restarts: nobody ever counts more than there
 // was; after the partitions heal every total is the same, and without
 // restarts exactly what was counted; a restart loses only what it sent nobody.
 func TestTotalsAreExactAfterAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(2, 5).Draw(t, "routers")
-		now := int64(1000)
-		stores := make([]*counterStore, n)
-		for i := range stores {
-			stores[i] = newTestCounterStore(fmt.Sprint("r", i), int64(i))
-		}
-		type sentEntry struct {
-			to int
-			e  CounterEntry
+		routers := rapid.IntRange(2, 5).Draw(t, "routers")
+		search := newCounterSearch(routers)
+		for step := range rapid.IntRange(1, 100).Draw(t, "steps") {
+			search.now += 100
+			search.step(t, step)
+			search.checkTotals(t)
 		}
-		var inFlight []sentEntry
-		counted, ended, restarts, known := uint64(0), uint64(0), 0, 0
-		sum := func(c *counterStore) (s uint64) {
-			for _, v := range c.total() {
-				s += v
-			}
-			return s
+		order := rapid.Permutation([]int{0, 1, 2, 3, 4}[:routers]).Draw(t, "order")
+		exchange(search.stores, search.now, order)
+		search.checkHealed(t)
+	})
+}
+
+// counterSearch counts at random routers and sends their counters around.
+type counterSearch struct {
+	now       int64
+	stores    []*counterStore
+	inFlight  []counterMessage
+	counted   uint64 // by all routers
+	ended     uint64 // of it, by incarnations that ended
+	restarts  int
+	known     int             // restarts of routers whose counters another had
+	lastTotal []uint64        // by router
+	lastStore []*counterStore // by router, before its last restart
+}
+
+type counterMessage struct {
+	to    int
+	entry CounterEntry
+}
+
+func newCounterSearch(routers int) *counterSearch {
+	s := &counterSearch{now: 1000, lastTotal: make([]uint64, routers)}
+	for i := range routers {
+		s.stores = append(s.stores, newTestCounterStore(fmt.Sprint("r", i), int64(i)))
+	}
+	s.lastStore = slices.Clone(s.stores)
+	return s
+}
+
+// step lets one router count, send, receive or restart.
+func (s *counterSearch) step(t *rapid.T, step int) {
+	i := rapid.IntRange(0, len(s.stores)-1).Draw(t, "router")
+	switch event := rapid.IntRange(0, 9).Draw(t, fmt.Sprint("event", step)); {
+	case event < 4:
+		s.count(t, i)
+	case event < 6:
+		s.stores[i].tick(s.now)
+		for _, entry := range s.stores[i].page(rapid.IntRange(0, 400).Draw(t, "bytes")) {
+			to := rapid.IntRange(0, len(s.stores)-1).Draw(t, "to")
+			s.inFlight = append(s.inFlight, counterMessage{to: to, entry: entry})
 		}
-		last, was := make([]uint64, n), slices.Clone(stores)
-		for step := range rapid.IntRange(1, 100).Draw(t, "steps") {
-			now += 100
-			i := rapid.IntRange(0, n-1).Draw(t, "router")
-			switch ev := rapid.IntRange(0, 9).Draw(t, fmt.Sprint("event", step)); {
-			case ev < 4:
-				var cells Counters
-				k := uint64(rapid.IntRange(1, 9).Draw(t, "much"))
-				class := rapid.IntRange(0, 2).Draw(t, "class")
-				kind := rapid.IntRange(0, int(counterKinds)-1).Draw(t, "kind")
-				cells.Add(class, CounterKind(kind), k)
-				stores[i].record(cells)
-				counted += k
-			case ev < 6:
-				stores[i].tick(now)
-				for _, e := range stores[i].page(rapid.IntRange(0, 400).Draw(t, "room")) {
-					inFlight = append(inFlight, sentEntry{rapid.IntRange(0, n-1).Draw(t, "to"), e})
-				}
-			case ev < 9 && len(inFlight) > 0:
-				k := rapid.IntRange(0, len(inFlight)-1).Draw(t, "which")
-				stores[inFlight[k].to].merge(inFlight[k].e, now)
-				if rapid.Bool().Draw(t, "once") {
-					inFlight = slices.Delete(inFlight, k, k+1)
-				}
-			case ev == 9: // a restart: what nobody else has of its last incarnation is lost
-				restarts++
-				dies := stores[i].own
-				for _, v := range dies.Counters {
-					ended += v
-				}
-				for _, c := range stores {
-					if k, ok := c.find(dies.Name, dies.Epoch); ok && slices.Equal(c.entries[k].Counters, dies.Counters) {
-						known++
-						break
-					}
-				}
-				stores[i] = newTestCounterStore(dies.Name, now)
-			}
-			for k, c := range stores {
-				s := sum(c)
-				if s > counted {
-					t.Fatalf("%s totals %d of %d counted", c.own.Name, s, counted)
-				}
-				if s < last[k] && c == was[k] { // an old copy must not undo a newer one
-					t.Fatalf("%s totals %d after %d", c.own.Name, s, last[k])
-				}
-				last[k], was[k] = s, c
-			}
+	case event < 9 && len(s.inFlight) > 0:
+		k := rapid.IntRange(0, len(s.inFlight)-1).Draw(t, "which")
+		message := s.inFlight[k]
+		s.stores[message.to].merge(message.entry, s.now)
+		if rapid.Bool().Draw(t, "once") {
+			s.inFlight = slices.Delete(s.inFlight, k, k+1)
 		}
-		exchange(stores, now, rapid.Permutation([]int{0, 1, 2, 3, 4}[:n]).Draw(t, "order"))
-		first := sum(stores[0])
-		for _, c := range stores {
-			if !slices.Equal(c.total(), stores[0].total()) {
-				t.Fatalf("after the heal %s totals %v, %s %v", c.own.Name, c.total(), stores[0].own.Name, stores[0].total())
-			}
+	case event == 9:
+		s.restart(i)
+	}
+}
+
+func (s *counterSearch) count(t *rapid.T, i int) {
+	var counters Counters
+	n := uint64(rapid.IntRange(1, 9).Draw(t, "count"))
+	class := rapid.IntRange(0, 2).Draw(t, "class")
+	kind := rapid.IntRange(0, int(counterKinds)-1).Draw(t, "kind")
+	counters.Add(class, CounterKind(kind), n)
+	s.stores[i].record(counters)
+	s.counted += n
+}
+
+// restart begins another incarnation: what no other router has of the last one
+// is lost.
+func (s *counterSearch) restart(i int) {
+	s.restarts++
+	last := s.stores[i].own
+	for _, value := range last.Counters {
+		s.ended += value
+	}
+	for _, store := range s.stores {
+		k, ok := store.find(last.Name, last.Epoch)
+		if ok && slices.Equal(store.entries[k].Counters, last.Counters) {
+			s.known++
+			break
 		}
-		if restarts == 0 && first != counted {
-			t.Fatalf("totals are %d, counted %d, and nobody restarted", first, counted)
+	}
+	s.stores[i] = newTestCounterStore(last.Name, s.now)
+}
+
+// sumOf is the total over all classes and kinds.
+func sumOf(store *counterStore) (sum uint64) {
+	for _, value := range store.total() {
+		sum += value
+	}
+	return sum
+}
+
+// checkTotals holds that no router counts too much, nor less than before.
+func (s *counterSearch) checkTotals(t *rapid.T) {
+	for i, store := range s.stores {
+		total := sumOf(store)
+		if total > s.counted {
+			t.Fatalf("%s totals %d of %d counted", store.own.Name, total, s.counted)
 		}
-		if restarts == 1 && known == 1 && first != counted {
-			t.Fatalf("totals are %d, counted %d; the one that restarted had sent all", first, counted)
+		if total < s.lastTotal[i] && store == s.lastStore[i] { // an old copy must not undo a newer one
+			t.Fatalf("%s totals %d after %d", store.own.Name, total, s.lastTotal[i])
 		}
-		if first < counted-ended {
-			t.Fatalf("totals are %d, and %d was counted by incarnations that go on", first, counted-ended)
+		s.lastTotal[i], s.lastStore[i] = total, store
+	}
+}
+
+// checkHealed holds the totals against what was counted, once every router has
+// received everything.
+func (s *counterSearch) checkHealed(t *rapid.T) {
+	first := s.stores[0]
+	for _, store := range s.stores {
+		if !slices.Equal(store.total(), first.total()) {
+			t.Fatalf("after the heal %s totals %v, %s %v", store.own.Name, store.total(), first.own.Name, first.total())
 		}
-	})
+	}
+	total := sumOf(first)
+	if s.restarts == 0 && total != s.counted {
+		t.Fatalf("totals are %d, counted %d, and nobody restarted", total, s.counted)
+	}
+	if s.restarts == 1 && s.known == 1 && total != s.counted {
+		t.Fatalf("totals are %d, counted %d; the one that restarted had sent all", total, s.counted)
+	}
+	if total < s.counted-s.ended {
+		t.Fatalf("totals are %d, and %d was counted by incarnations that go on", total, s.counted-s.ended)
+	}
 }
 
 // A merge by addition counts duplicates twice: the same search would find it.
--- a/internal/fleetstate/lease_test.go
+++ b/internal/fleetstate/lease_test.go
@@ -202,75 +202,92 @@
 // budget, and after a lease and its skew in silence each must be back at its
 // own stake.
 func TestExhaustiveTwoRoutersOneEndpoint(t *testing.T) {
-	depth := 6
+	const depth = 6
 	count, played := 0, 0
 	worst := 0.0
-	choices := []func(f *fleet) bool{
-		func(f *fleet) bool { f.request(0, 1); return true },
-		func(f *fleet) bool { f.request(1, 0); return true },
-		func(f *fleet) bool { return f.oldest(0, false) },
-		func(f *fleet) bool { return f.oldest(0, true) },
-		func(f *fleet) bool { return f.oldest(1, false) },
-		func(f *fleet) bool { return f.lose() },
-		func(f *fleet) bool { return f.pass(true, true) },
-		func(f *fleet) bool { return f.pass(true, false) },
-		func(f *fleet) bool { return f.pass(false, true) },
-		func(f *fleet) bool { f.restart(0); return true },
-		func(f *fleet) bool { f.restart(1); return true },
-	}
 	path := make([]int, depth)
-	for {
-		f := newFleet(Defaults(), 2)
-		f.pass(true, true)
-		f.now += f.cfg.SkewMs + f.cfg.LeaseMs
-		f.pass(true, true)
-		f.request(0, 1)
-		f.deliver(0, false)
-		f.deliver(0, false) // a lease is borrowed as the sequence begins
-		skip := depth
-		for k, c := range path {
-			if !choices[c](f) { // the choice does nothing here: so would all that begin like it
-				skip = k
+	for more := true; more; {
+		f := fleetWithALease()
+		ended := depth
+		for step, choice := range path {
+			if !fleetChoices[choice](f) { // it does nothing here: so would all that begin like it
+				ended = step
 				break
 			}
 			played++
 			s := f.sum()
 			if worst = max(worst, s); s > 1+1e-9 {
-				t.Fatalf("choices %v: after %d the quotas add up to %.4f", path, k+1, s)
+				t.Fatalf("choices %v: after %d the quotas add up to %.4f", path, step+1, s)
 			}
 		}
-		if skip == depth {
+		if ended == depth {
 			count++
-			f.inFlight = nil // silence
-			f.now += 2 * (f.cfg.LeaseMs + f.cfg.SkewMs)
-			for i := range 2 {
-				f.advise(i)
-				if s := f.advised[i].At(f.clock(i)); s != f.stake() {
-					t.Fatalf("choices %v: router %d has %.4f after silence, want its stake %.4f", path, i, s, f.stake())
-				}
-			}
-			skip = depth - 1
-		}
-		for skip >= 0 {
-			if path[skip]++; path[skip] < len(choices) {
-				break
-			}
-			path[skip] = 0
-			skip--
-		}
-		for k := skip + 1; k < depth; k++ {
-			path[k] = 0
-		}
-		if skip < 0 {
-			break
+			f.checkSilence(t, path)
+			ended = depth - 1
 		}
+		more = nextPath(path, ended)
 	}
-	t.Logf("%d sequences of %d choices, %d played; the quotas reach %.3f of the budget at most", count, depth, played, worst)
+	t.Logf("%d sequences of %d choices, %d played; the quotas reach %.3f of the budget at most",
+		count, depth, played, worst)
 	if count == 0 || worst < 0.99 {
 		t.Errorf("%d sequences, at most %.3f of the budget: little was explored", count, worst)
 	}
 }
 
+// fleetChoices are what can happen in a step; false where it changes nothing.
+var fleetChoices = []func(f *fleet) bool{
+	func(f *fleet) bool { f.request(0, 1); return true },
+	func(f *fleet) bool { f.request(1, 0); return true },
+	func(f *fleet) bool { return f.oldest(0, false) },
+	func(f *fleet) bool { return f.oldest(0, true) },
+	func(f *fleet) bool { return f.oldest(1, false) },
+	func(f *fleet) bool { return f.lose() },
+	func(f *fleet) bool { return f.pass(true, true) },
+	func(f *fleet) bool { return f.pass(true, false) },
+	func(f *fleet) bool { return f.pass(false, true) },
+	func(f *fleet) bool { f.restart(0); return true },
+	func(f *fleet) bool { f.restart(1); return true },
+}
+
+// fleetWithALease is two routers, the first of which has borrowed.
+func fleetWithALease() *fleet {
+	f := newFleet(Defaults(), 2)
+	f.pass(true, true)
+	f.now += f.cfg.SkewMs + f.cfg.LeaseMs
+	f.pass(true, true)
+	f.request(0, 1)
+	f.deliver(0, false)
+	f.deliver(0, false)
+	return f
+}
+
+// checkSilence lets every lease expire without another message.
+func (f *fleet) checkSilence(t *testing.T, path []int) {
+	t.Helper()
+	f.inFlight = nil
+	f.now += 2 * (f.cfg.LeaseMs + f.cfg.SkewMs)
+	for i := range 2 {
+		f.advise(i)
+		if s := f.advised[i].At(f.clock(i)); s != f.stake() {
+			t.Fatalf("choices %v: router %d has %.4f after silence, want its stake %.4f", path, i, s, f.stake())
+		}
+	}
+}
+
+// nextPath counts up the choice at a step and returns false after the last
+// path. Later choices begin anew.
+func nextPath(path []int, step int) bool {
+	clear(path[step+1:])
+	for ; step >= 0; step-- {
+		path[step]++
+		if path[step] < len(fleetChoices) {
+			return true
+		}
+		path[step] = 0
+	}
+	return false
+}
+
 func (f *fleet) oldest(k int, twice bool) bool {
 	if len(f.inFlight) <= k {
 		return false
--- a/internal/fleetstate/outlier_test.go
+++ b/internal/fleetstate/outlier_test.go
@@ -103,7 +103,8 @@
 		}
 	}
 	if last > 1000+detector.cfg.GossipEjectionMs {
-		t.Errorf("gossip alone ejected b until %d, without an attempt here, want %d at most", last, 1000+detector.cfg.GossipEjectionMs)
+		most := 1000 + detector.cfg.GossipEjectionMs
+		t.Errorf("gossip alone ejected b until %d, without an attempt here, want %d at most", last, most)
 	}
 }
 
@@ -202,94 +203,121 @@
 	}
 }
 
+// ejectionSearch feeds a detector with random reports and observations.
+type ejectionSearch struct {
+	detector  *outlierDetector
+	endpoints []EndpointHealth
+	now       int64
+}
+
 func checkEjectionLimits(t *rapid.T) {
-	cfg := Defaults()
-	detector := newOutlierDetector(cfg, 0)
-	now := int64(10_000)
-	var endpoints []EndpointHealth
-	for g := range rapid.IntRange(1, 3).Draw(t, "groups") {
+	search := &ejectionSearch{detector: newOutlierDetector(Defaults(), 0), now: 10_000}
+	for group := range rapid.IntRange(1, 3).Draw(t, "groups") {
 		for i := range rapid.IntRange(1, 6).Draw(t, "members") {
-			endpoints = append(endpoints, EndpointHealth{
-				Name:  fmt.Sprintf("g%d-%d", g, i),
-				Group: g,
+			search.endpoints = append(search.endpoints, EndpointHealth{
+				Name:  fmt.Sprintf("g%d-%d", group, i),
+				Group: group,
 				Ready: rapid.IntRange(0, 4).Draw(t, "ready") > 0,
 			})
 		}
 	}
-	detector.observe(endpoints)
+	search.detector.observe(search.endpoints)
 	for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 		switch rapid.IntRange(0, 3).Draw(t, fmt.Sprint("event", step)) {
 		case 0:
-			now += rapid.Int64Range(1, 3000).Draw(t, "ms")
+			search.now += rapid.Int64Range(1, 3000).Draw(t, "ms")
 		case 1:
-			h := &endpoints[rapid.IntRange(0, len(endpoints)-1).Draw(t, "host")]
-			switch rapid.IntRange(0, 3).Draw(t, "saw") {
-			case 0:
-				h.AnsweredSentAt, h.LastSentAt, h.Fault = now, now, 0
-			case 1:
-				h.Fault, h.FaultAt, h.LastSentAt = Unresponsive, now, now
-			case 2:
-				h.Overdue = !h.Overdue
-			case 3:
-				h.LastSentAt = now
-			}
-			detector.observe(endpoints)
+			search.observe(t)
 		default:
-			for range rapid.IntRange(1, 12).Draw(t, "reports") {
-				detector.receive(fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "peer")), HealthReport{
-					Endpoint: endpoints[rapid.IntRange(0, len(endpoints)-1).Draw(t, "of")].Name,
-					Status:   HealthStatus(rapid.IntRange(0, 8).Draw(t, "kind")),
-					AgeMs:    rapid.Int64Range(-10, 4000).Draw(t, "age"),
-				}, now)
-			}
+			search.report(t)
 		}
-		byGossip, ready, sound, soundLeft := map[int]int{}, map[int]int{}, map[int]int{}, map[int]int{}
-		in := map[string]Ejection{}
-		for _, x := range detector.eject(now) {
-			in[x.Endpoint] = x
-			h := detector.endpoint(x.Endpoint)
-			if x.Until > now+cfg.EjectionMs {
-				t.Fatalf("%+v lasts longer than stated at %d", x, now)
-			}
-			if x.ObservedHere != (h.Fault != 0 && h.FaultAt > h.AnsweredSentAt) {
-				t.Fatalf("%+v is given as observed here, which is %+v", x, h)
-			}
-			fresh := false
-			for _, report := range detector.suspicions[x.Endpoint].reports {
-				since := h.AnsweredSentAt
-				if report.status == Lagging {
-					since = h.FreshAt
-				}
-				ofFault := report.status != Healthy && report.status != Primary
-				fresh = fresh || ofFault && now-report.evidenceAt < cfg.ReportTTLMs && report.evidenceAt > since
-			}
-			if !fresh {
-				t.Fatalf("%+v rests on no evidence newer than the last answer here", x)
-			}
+		ejections := map[string]Ejection{}
+		for _, ejection := range search.detector.eject(search.now) {
+			ejections[ejection.Endpoint] = ejection
+			search.checkEjection(t, ejection)
 		}
-		for _, h := range endpoints {
-			if !h.Ready {
-				continue
-			}
-			ready[h.Group]++
-			x, is := in[h.Name]
-			if is && !x.ObservedHere {
-				byGossip[h.Group]++
-			}
-			if h.Fault == 0 || h.AnsweredSentAt > h.FaultAt {
-				sound[h.Group]++
-				if !is {
-					soundLeft[h.Group]++
-				}
-			}
+		search.checkGroups(t, ejections)
+	}
+}
+
+// observe changes what was observed of one endpoint.
+func (s *ejectionSearch) observe(t *rapid.T) {
+	endpoint := &s.endpoints[rapid.IntRange(0, len(s.endpoints)-1).Draw(t, "endpoint")]
+	switch rapid.IntRange(0, 3).Draw(t, "observed") {
+	case 0:
+		endpoint.AnsweredSentAt, endpoint.LastSentAt, endpoint.Fault = s.now, s.now, 0
+	case 1:
+		endpoint.Fault, endpoint.FaultAt, endpoint.LastSentAt = Unresponsive, s.now, s.now
+	case 2:
+		endpoint.Overdue = !endpoint.Overdue
+	case 3:
+		endpoint.LastSentAt = s.now
+	}
+	s.detector.observe(s.endpoints)
+}
+
+// report delivers some reports of peers, valid or not.
+func (s *ejectionSearch) report(t *rapid.T) {
+	for range rapid.IntRange(1, 12).Draw(t, "reports") {
+		peer := fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "peer"))
+		s.detector.receive(peer, HealthReport{
+			Endpoint: s.endpoints[rapid.IntRange(0, len(s.endpoints)-1).Draw(t, "of")].Name,
+			Status:   HealthStatus(rapid.IntRange(0, 8).Draw(t, "status")),
+			AgeMs:    rapid.Int64Range(-10, 4000).Draw(t, "age"),
+		}, s.now)
+	}
+}
+
+// checkEjection holds one ejection against its limits.
+func (s *ejectionSearch) checkEjection(t *rapid.T, ejection Ejection) {
+	endpoint := s.detector.endpoint(ejection.Endpoint)
+	if ejection.Until > s.now+s.detector.cfg.EjectionMs {
+		t.Fatalf("%+v lasts longer than stated at %d", ejection, s.now)
+	}
+	if ejection.ObservedHere != (endpoint.Fault != 0 && endpoint.FaultAt > endpoint.AnsweredSentAt) {
+		t.Fatalf("%+v is given as observed here, which is %+v", ejection, endpoint)
+	}
+	fresh := false
+	for _, report := range s.detector.suspicions[ejection.Endpoint].reports {
+		since := endpoint.AnsweredSentAt
+		if report.status == Lagging {
+			since = endpoint.FreshAt
 		}
-		for g, k := range byGossip {
-			if float64(k) > cfg.MaxEjectedFraction*float64(ready[g]) {
-				t.Fatalf("gossip ejects %d of %d ready endpoints", k, ready[g])
-			}
-			if sound[g] > 0 && soundLeft[g] == 0 {
-				t.Fatalf("gossip ejects the last of %d sound endpoints", sound[g])
+		ofFault := report.status != Healthy && report.status != Primary
+		recent := s.now-report.evidenceAt < s.detector.cfg.ReportTTLMs
+		fresh = fresh || ofFault && recent && report.evidenceAt > since
+	}
+	if !fresh {
+		t.Fatalf("%+v rests on no evidence newer than the last answer here", ejection)
+	}
+}
+
+// checkGroups holds the ejections of each group against the group's limits.
+func (s *ejectionSearch) checkGroups(t *rapid.T, ejections map[string]Ejection) {
+	byGossip, ready := map[int]int{}, map[int]int{}
+	sound, soundLeft := map[int]int{}, map[int]int{}
+	for _, endpoint := range s.endpoints {
+		if !endpoint.Ready {
+			continue
+		}
+		ready[endpoint.Group]++
+		ejection, isEjected := ejections[endpoint.Name]
+		if isEjected && !ejection.ObservedHere {
+			byGossip[endpoint.Group]++
+		}
+		if endpoint.Fault == 0 || endpoint.AnsweredSentAt > endpoint.FaultAt {
+			sound[endpoint.Group]++
+			if !isEjected {
+				soundLeft[endpoint.Group]++
 			}
 		}
 	}
+	for group, count := range byGossip {
+		if float64(count) > s.detector.cfg.MaxEjectedFraction*float64(ready[group]) {
+			t.Fatalf("gossip ejects %d of %d ready endpoints", count, ready[group])
+		}
+		if sound[group] > 0 && soundLeft[group] == 0 {
+			t.Fatalf("gossip ejects the last of %d sound endpoints", sound[group])
+		}
+	}
 }
--- a/internal/fleetstate/unresponsive_test.go
+++ b/internal/fleetstate/unresponsive_test.go
@@ -1,22 +1,13 @@
 package fleetstate_test
 
 import (
-	"cmp"
 	"fmt"
-	"maps"
 	"math"
 	"math/rand/v2"
 	"os"
-	"path/filepath"
-	"slices"
 	"testing"
 	"time"
 
-	"gonum.org/v1/plot"
-	"gonum.org/v1/plot/plotter"
-	"gonum.org/v1/plot/plotutil"
-	"gonum.org/v1/plot/vg"
-
 	"lotusbend/decide"
 	"lotusbend/internal/clock"
 	"lotusbend/internal/fleetstate"
@@ -73,73 +64,30 @@
 		clk:    clock.Manual(1e6),
 		rng:    rand.New(rand.NewPCG(seed, 99)),
 		work:   [2]float64{15, 35},
-		from:   1e6 + hangStart, to: 1e6 + hangStart + hangFor,
+		from:   1e6 + hangStart,
+		to:     1e6 + hangStart + hangFor,
 	}
 	f.loop = clock.NewLoop(f.clk)
-	var endpoints []decide.Endpoint
-	for g := range hangGroup {
-		for i := range 4 {
-			endpoints = append(endpoints, decide.Endpoint{ID: uint32(4*g + i + 1), Group: g, State: decide.Ready, Primary: i == 0})
-		}
-	}
 	f.unresponsive = 2 + uint32(f.rng.IntN(3)) // a replica of the first group
-	cfg := decide.Config{
-		Routers:                routers,
-		Zone:                   0,
-		StaleReadPolicy:        decide.RejectStale,
-		AnswersCarryPosition:   true,
-		SessionTokens:          true,
-		HealthChecksReportRole: true,
-		HealthChecks:           true,
-		CancelAttempts:         true,
-		ParallelAttempts:       true,
-		MaxAttempts:            6,
-		MaxRetryAfter:          time.Second,
-		SlowStartCapacity:      0.21,
-		SlowStartDuration:      18 * time.Second,
-		OverloadFactor:         2, OverloadDuration: time.Second,
-		Classes: []decide.Class{
-			{
-				Name:             "view",
-				LatencyObjective: latencyObjectiveMs * time.Millisecond,
-				Deadline:         1200 * time.Millisecond,
-				PriorityWeight:   2,
-				Consistency:      decide.Bounded,
-				MaxStaleness:     800 * time.Millisecond,
-			},
-		},
-	}
-	var names []string
-	for i := range routers {
-		names = append(names, fmt.Sprint("r", i))
-	}
 	f.loop.Do(func() {
 		for i := range routers {
-			h := &hangRouter{f: f, name: names[i], byzantine: i < byzantine, sent: map[slotmap.Handle]*sentTo{},
-				come: rand.New(rand.NewPCG(seed, uint64(2*i+1))), take: rand.New(rand.NewPCG(seed, uint64(2*i+2)))}
-			r, err := router.New(f.loop, cfg, seed*1000+uint64(i))
+			h := &hangRouter{
+				f:         f,
+				name:      routerName(i),
+				byzantine: i < byzantine,
+				sent:      map[slotmap.Handle]*sentTo{},
+				come:      rand.New(rand.NewPCG(seed, uint64(2*i+1))),
+				take:      rand.New(rand.NewPCG(seed, uint64(2*i+2))),
+			}
+			r, err := router.New(f.loop, hangConfig(routers), seed*1000+uint64(i))
 			if err != nil {
 				panic(err)
 			}
 			h.r = r
 			if shared {
-				c := fleetstate.Defaults()
-				c.Name, c.Start, c.Seed = h.name, int64(f.loop.Now()), seed+uint64(i)
-				if h.byzantine {
-					c.FaultInjection = fault
-				}
-				h.node = fleetstate.New(c, routers, int64(f.loop.Now()))
-				var peers []string
-				for _, n := range names {
-					if n != h.name {
-						peers = append(peers, n)
-					}
-				}
-				h.node.SetView(peers, routers, int64(f.loop.Now()))
-				r.StartObserving()
-				r.JoinFleet(&h.adapter)
+				h.share(seed+uint64(i), routers, fault)
 			}
-			r.Start(h, endpoints)
+			r.Start(h, hangEndpoints())
 			f.routers = append(f.routers, h)
 			f.byName[h.name] = h
 		}
@@ -152,16 +100,91 @@
 			}
 		}
 	})
-	for end := f.to + 2000; ; {
+	f.run(f.to + 2000)
+	return f
+}
+
+// run fires the loop's events up to a time in ms.
+func (f *hangFleet) run(end float64) {
+	for {
 		at, ok := f.loop.Next()
 		if !ok || at > end {
-			return f
+			return
 		}
 		f.clk.Set(max(at, f.clk.Now()))
 		f.loop.Fire()
 	}
 }
 
+// share starts the shared state of a router.
+func (h *hangRouter) share(seed uint64, routers int, fault faultinjection.Fault) {
+	now := int64(h.f.loop.Now())
+	cfg := fleetstate.Defaults()
+	cfg.Name = h.name
+	cfg.Start = now
+	cfg.Seed = seed
+	if h.byzantine {
+		cfg.FaultInjection = fault
+	}
+	h.node = fleetstate.New(cfg, routers, now)
+	var peers []string
+	for i := range routers {
+		if peer := routerName(i); peer != h.name {
+			peers = append(peers, peer)
+		}
+	}
+	h.node.SetView(peers, routers, now)
+	h.r.StartObserving()
+	h.r.JoinFleet(&h.adapter)
+}
+
+func routerName(i int) string { return fmt.Sprint("r", i) }
+
+// hangEndpoints are groups of a primary and three replicas.
+func hangEndpoints() (endpoints []decide.Endpoint) {
+	for group := range hangGroup {
+		for i := range 4 {
+			endpoints = append(endpoints, decide.Endpoint{
+				ID:      uint32(4*group + i + 1),
+				Group:   group,
+				State:   decide.Ready,
+				Primary: i == 0,
+			})
+		}
+	}
+	return endpoints
+}
+
+func hangConfig(routers int) decide.Config {
+	return decide.Config{
+		Routers:                routers,
+		Zone:                   0,
+		StaleReadPolicy:        decide.RejectStale,
+		AnswersCarryPosition:   true,
+		SessionTokens:          true,
+		HealthChecksReportRole: true,
+		HealthChecks:           true,
+		CancelAttempts:         true,
+		ParallelAttempts:       true,
+		MaxAttempts:            6,
+		MaxRetryAfter:          time.Second,
+		SlowStartCapacity:      0.21,
+		SlowStartDuration:      18 * time.Second,
+		OverloadFactor:         2,
+		OverloadDuration:       time.Second,
+		Classes: []decide.Class{
+			{
+				Name:             "view",
+				LatencyObjective: latencyObjectiveMs * time.Millisecond,
+				Deadline:         1200 * time.Millisecond,
+				PriorityWeight:   2,
+				Consistency:      decide.Bounded,
+				MaxStaleness:     800 * time.Millisecond,
+			},
+		},
+	}
+}
+
 // arrive brings a request, 20 a second at each router, and the next one.
 func (h *hangRouter) arrive() {
 	f := h.f
@@ -354,49 +377,9 @@
 				row.routers, row.byzantine, row.fault, row.shared, row.standalone)
 		}
 		if row.wrong > fleetstate.Defaults().MaxEjectedFraction {
-			t.Errorf("%d routers, %d byzantine (%s): %.2f of a group wrongly ejected", row.routers, row.byzantine, row.fault, row.wrong)
+			t.Errorf("%d routers, %d byzantine (%s): %.2f of a group wrongly ejected",
+				row.routers, row.byzantine, row.fault, row.wrong)
 		}
 	}
 	plotHang(t, rows)
 }
-
-// plotHang draws requests lost with shared state as a fraction of those lost standalone,
-// against the fraction of byzantine routers, where LOTUSBEND_FIGURES names a
-// directory.
-func plotHang(t *testing.T, rows []hangResult) {
-	dir := os.Getenv("LOTUSBEND_FIGURES")
-	if dir == "" {
-		return
-	}
-	lines := map[string]plotter.XYs{}
-	for _, r := range rows {
-		y := float64(r.shared) / float64(r.standalone)
-		x := float64(r.byzantine) / float64(r.routers)
-		for fault, says := range map[faultinjection.Fault]string{
-			faultinjection.AllUnresponsive: "every endpoint is unresponsive", faultinjection.AllHealthy: "every endpoint is healthy"} {
-			if r.fault == fault || r.byzantine == 0 {
-				k := fmt.Sprintf("%d routers, reports that %s", r.routers, says)
-				lines[k] = append(lines[k], plotter.XY{X: x, Y: y})
-			}
-		}
-	}
-	p := plot.New()
-	p.Title.Text = "Requests lost to an unresponsive endpoint, with reports of peers"
-	p.X.Label.Text = "fraction of byzantine routers"
-	p.Y.Label.Text = "lost with shared state / lost standalone"
-	p.Y.Min, p.Y.Max, p.Legend.Top, p.Legend.Left = 0, 2, true, true
-	var args []any
-	for _, k := range slices.Sorted(maps.Keys(lines)) {
-		slices.SortFunc(lines[k], func(a, b plotter.XY) int { return cmp.Compare(a.X, b.X) })
-		args = append(args, k, lines[k])
-	}
-	err := plotutil.AddLinePoints(p, args...)
-	for _, ext := range []string{"svg", "png"} {
-		if err == nil {
-			err = p.Save(8*vg.Inch, 5*vg.Inch, filepath.Join(dir, "shared-hang."+ext))
-		}
-	}
-	if err != nil {
-		t.Error(err)
-	}
-}
