--- a/internal/fleetstate/scenarios_messages_test.go
+++ b/internal/fleetstate/scenarios_messages_test.go
@@ -13,8 +13,25 @@
 	c.databases[1].warmingUp = true
 	c.bootAll()
 	c.run(2500)
-	peer, host := c.routers[1].name, c.databases[1].name
-	for _, m := range []fleetstate.Message{
+	peer, endpoint := c.routers[1].name, c.databases[1].name
+	messages := slices.Concat(
+		oddCounters(c.routers[0].name, c.now),
+		oddReports(endpoint),
+		oddLeases(endpoint, c.now),
+	)
+	for _, m := range messages {
+		c.inject(peer, 0, m)
+		c.inject("stranger", 0, m)
+		c.run(300)
+	}
+	c.flood(peer)
+	c.run(5000)
+}
+
+// oddCounters are entries without a name, too large, too old, of the future, and of
+// the receiver itself.
+func oddCounters(receiver string, now int64) []fleetstate.Message {
+	return []fleetstate.Message{
 		{
 			Counters: []fleetstate.CounterEntry{
 				{},
@@ -24,65 +41,72 @@
 		},
 		{
 			Counters: []fleetstate.CounterEntry{
-				{Name: "y", Epoch: 1, Stamp: c.now + 1_000_000, Counters: fleetstate.Counters{300, 70_000, 1 << 33, 5}},
+				{Name: "y", Epoch: 1, Stamp: now + 1_000_000, Counters: fleetstate.Counters{300, 70_000, 1 << 33, 5}},
 			},
 		},
 		{
 			Counters: []fleetstate.CounterEntry{
-				{Name: "y", Epoch: 1, Stamp: c.now + 2_000_000, Counters: fleetstate.Counters{1, 80_000}},
+				{Name: "y", Epoch: 1, Stamp: now + 2_000_000, Counters: fleetstate.Counters{1, 80_000}},
 			},
 		},
 		{
 			Counters: []fleetstate.CounterEntry{
-				{Name: c.routers[0].name, Epoch: 1_000_000, Stamp: c.now, Counters: fleetstate.Counters{1 << 40}},
+				{Name: receiver, Epoch: 1_000_000, Stamp: now, Counters: fleetstate.Counters{1 << 40}},
 			},
 		},
+	}
+}
+
+// oddReports are on an unknown endpoint, of unknown statuses and ages, and reordered.
+func oddReports(endpoint string) []fleetstate.Message {
+	return []fleetstate.Message{
 		{
 			HealthReports: []fleetstate.HealthReport{
 				{Endpoint: "unknown", Status: fleetstate.Unresponsive},
-				{Endpoint: host},
-				{Endpoint: host, Status: 200},
-				{Endpoint: host, Status: fleetstate.Unresponsive, AgeMs: -1},
-				{Endpoint: host, Status: fleetstate.Unresponsive, AgeMs: 1 << 40},
+				{Endpoint: endpoint},
+				{Endpoint: endpoint, Status: 200},
+				{Endpoint: endpoint, Status: fleetstate.Unresponsive, AgeMs: -1},
+				{Endpoint: endpoint, Status: fleetstate.Unresponsive, AgeMs: 1 << 40},
 			},
 		},
 		{
 			HealthReports: []fleetstate.HealthReport{
-				{Endpoint: host, Status: fleetstate.Unresponsive, AgeMs: 10},
-				{Endpoint: host, Status: fleetstate.Unresponsive, AgeMs: 500},
-				{Endpoint: host, Status: fleetstate.Primary},
-				{Endpoint: host, Status: fleetstate.Healthy},
+				{Endpoint: endpoint, Status: fleetstate.Unresponsive, AgeMs: 10},
+				{Endpoint: endpoint, Status: fleetstate.Unresponsive, AgeMs: 500},
+				{Endpoint: endpoint, Status: fleetstate.Primary},
+				{Endpoint: endpoint, Status: fleetstate.Healthy},
 			},
 		},
+	}
+}
+
+// oddLeases are requests and grants of no amount, for an unknown endpoint,
+// duplicated, and not requested.
+func oddLeases(endpoint string, now int64) []fleetstate.Message {
+	return []fleetstate.Message{
 		{
 			LeaseRequests: []fleetstate.LeaseRequest{
-				{Key: "unknown", ID: 1, Wanted: 1, RequestedAt: c.now},
-				{Key: host, ID: 2, Wanted: 0, RequestedAt: c.now},
-				{Key: host, ID: 3, Wanted: -1, RequestedAt: c.now},
-				{Key: host, ID: 4, Wanted: math.NaN(), RequestedAt: c.now},
+				{Key: "unknown", ID: 1, Wanted: 1, RequestedAt: now},
+				{Key: endpoint, ID: 2, Wanted: 0, RequestedAt: now},
+				{Key: endpoint, ID: 3, Wanted: -1, RequestedAt: now},
+				{Key: endpoint, ID: 4, Wanted: math.NaN(), RequestedAt: now},
 			},
 		},
 		{
 			LeaseRequests: []fleetstate.LeaseRequest{
-				{Key: host, ID: 5, Wanted: 0.01, RequestedAt: c.now},
-				{Key: host, ID: 5, Wanted: 0.01, RequestedAt: c.now},
-				{Key: host, ID: 6, Wanted: 100, RequestedAt: c.now},
-				{Key: host, ID: 7, Wanted: 100, RequestedAt: c.now},
+				{Key: endpoint, ID: 5, Wanted: 0.01, RequestedAt: now},
+				{Key: endpoint, ID: 5, Wanted: 0.01, RequestedAt: now},
+				{Key: endpoint, ID: 6, Wanted: 100, RequestedAt: now},
+				{Key: endpoint, ID: 7, Wanted: 100, RequestedAt: now},
 			},
 		},
 		{
 			LeaseGrants: []fleetstate.LeaseGrant{
-				{Key: host, ID: 1, Amount: 0.5, RequestedAt: c.now, DurationMs: 1000},
+				{Key: endpoint, ID: 1, Amount: 0.5, RequestedAt: now, DurationMs: 1000},
 				{Key: "unknown", ID: 1, Amount: -1, DurationMs: 1 << 40},
 			},
 		},
-	} {
-		c.inject(peer, 0, m)
-		c.inject("stranger", 0, m)
-		c.run(300)
 	}
-	c.flood(peer)
-	c.run(5000)
 }
 
 // flood sends counters of many routers and requests quotas without end.
--- a/internal/fleetstate/wire/characterization_test.go
+++ b/internal/fleetstate/wire/characterization_test.go
@@ -84,22 +84,44 @@
 // with usual ones and with the largest, then all parts in one.
 func examples() []example {
 	longest := strings.Repeat("\U0010ffff", 32) // 128 bytes
-	counts := func(entries ...fleetstate.CounterEntry) fleetstate.Message {
-		return fleetstate.Message{Counters: entries}
-	}
-	asks := func(asks ...fleetstate.LeaseRequest) fleetstate.Message {
-		return fleetstate.Message{LeaseRequests: asks}
+	all := []example{{"empty", fleetstate.Message{}}}
+	all = append(all, counterExamples(longest)...)
+	all = append(all, requestExamples(longest)...)
+	all = append(all, grantExamples(longest)...)
+	for kind := fleetstate.Healthy; kind <= fleetstate.Primary; kind++ {
+		reports := func(endpoint string, ageMs int64) fleetstate.Message {
+			return fleetstate.Message{HealthReports: []fleetstate.HealthReport{{Endpoint: endpoint, Status: kind, AgeMs: ageMs}}}
+		}
+		all = append(all,
+			example{fmt.Sprintf("part-2-kind-%d-zero", kind), reports("a", 0)},
+			example{fmt.Sprintf("part-2-kind-%d-full", kind), reports("db-1", 300)},
+			example{fmt.Sprintf("part-2-kind-%d-largest", kind), reports(longest, math.MaxUint32)})
 	}
-	grants := func(grants ...fleetstate.LeaseGrant) fleetstate.Message {
-		return fleetstate.Message{LeaseGrants: grants}
+	return append(all, example{"every-part", fleetstate.Message{
+		Counters: []fleetstate.CounterEntry{
+			{Name: "a", Epoch: 1, Stamp: 2, Counters: fleetstate.Counters{3}},
+			{Name: "b", Epoch: 4, Stamp: 5, Counters: fleetstate.Counters{6, 7}},
+		},
+		HealthReports: []fleetstate.HealthReport{
+			{Endpoint: "c", Status: fleetstate.Unresponsive, AgeMs: 8},
+			{Endpoint: "d", Status: fleetstate.Primary, AgeMs: 9},
+		},
+		LeaseRequests: []fleetstate.LeaseRequest{{Key: "e", ID: 10, Wanted: 0.25, RequestedAt: 11}},
+		LeaseGrants:   []fleetstate.LeaseGrant{{Key: "f", ID: 12, Amount: 0.125, RequestedAt: 13, DurationMs: 14}},
+	}})
+}
+
+// counterExamples are counters of a router.
+func counterExamples(longest string) []example {
+	counters := func(entries ...fleetstate.CounterEntry) fleetstate.Message {
+		return fleetstate.Message{Counters: entries}
 	}
-	all := []example{
-		{"empty", fleetstate.Message{}},
-		{"part-1-zero", counts(fleetstate.CounterEntry{Name: "a"})},
-		{"part-1-no-cells", counts(fleetstate.CounterEntry{Name: "a", Counters: fleetstate.Counters{}})},
+	return []example{
+		{"part-1-zero", counters(fleetstate.CounterEntry{Name: "a"})},
+		{"part-1-no-cells", counters(fleetstate.CounterEntry{Name: "a", Counters: fleetstate.Counters{}})},
 		{
 			"part-1-full",
-			counts(fleetstate.CounterEntry{
+			counters(fleetstate.CounterEntry{
 				Name:     "router-ä",
 				Epoch:    1_700_000_000_000,
 				Stamp:    1_700_000_001_000,
@@ -108,7 +130,7 @@
 		},
 		{
 			"part-1-largest",
-			counts(fleetstate.CounterEntry{
+			counters(fleetstate.CounterEntry{
 				Name:     longest,
 				Epoch:    math.MaxInt64,
 				Stamp:    math.MaxInt64,
@@ -117,12 +139,21 @@
 		},
 		{
 			"part-1-least",
-			counts(fleetstate.CounterEntry{Name: "a", Epoch: math.MinInt64, Stamp: -1, Counters: fleetstate.Counters{0}}),
+			counters(fleetstate.CounterEntry{Name: "a", Epoch: math.MinInt64, Stamp: -1, Counters: fleetstate.Counters{0}}),
 		},
-		{"part-3-zero", asks(fleetstate.LeaseRequest{Key: "a", Wanted: math.SmallestNonzeroFloat64})},
+	}
+}
+
+// requestExamples are lease requests.
+func requestExamples(longest string) []example {
+	requests := func(requests ...fleetstate.LeaseRequest) fleetstate.Message {
+		return fleetstate.Message{LeaseRequests: requests}
+	}
+	return []example{
+		{"part-3-zero", requests(fleetstate.LeaseRequest{Key: "a", Wanted: math.SmallestNonzeroFloat64})},
 		{
 			"part-3-full",
-			asks(fleetstate.LeaseRequest{
+			requests(fleetstate.LeaseRequest{
 				Key:         "db-1",
 				ID:          1000,
 				Wanted:      1.0 / 3,
@@ -131,8 +162,17 @@
 		},
 		{
 			"part-3-largest",
-			asks(fleetstate.LeaseRequest{Key: longest, ID: math.MaxUint64, Wanted: 1e9, RequestedAt: math.MaxInt64}),
+			requests(fleetstate.LeaseRequest{Key: longest, ID: math.MaxUint64, Wanted: 1e9, RequestedAt: math.MaxInt64}),
 		},
+	}
+}
+
+// grantExamples are lease grants.
+func grantExamples(longest string) []example {
+	grants := func(grants ...fleetstate.LeaseGrant) fleetstate.Message {
+		return fleetstate.Message{LeaseGrants: grants}
+	}
+	return []example{
 		{"part-4-zero", grants(fleetstate.LeaseGrant{Key: "a", Amount: math.SmallestNonzeroFloat64})},
 		{
 			"part-4-full",
@@ -155,27 +195,6 @@
 			}),
 		},
 	}
-	for kind := fleetstate.Healthy; kind <= fleetstate.Primary; kind++ {
-		claims := func(host string, ageMs int64) fleetstate.Message {
-			return fleetstate.Message{HealthReports: []fleetstate.HealthReport{{Endpoint: host, Status: kind, AgeMs: ageMs}}}
-		}
-		all = append(all,
-			example{fmt.Sprintf("part-2-kind-%d-zero", kind), claims("a", 0)},
-			example{fmt.Sprintf("part-2-kind-%d-full", kind), claims("db-1", 300)},
-			example{fmt.Sprintf("part-2-kind-%d-largest", kind), claims(longest, math.MaxUint32)})
-	}
-	return append(all, example{"every-part", fleetstate.Message{
-		Counters: []fleetstate.CounterEntry{
-			{Name: "a", Epoch: 1, Stamp: 2, Counters: fleetstate.Counters{3}},
-			{Name: "b", Epoch: 4, Stamp: 5, Counters: fleetstate.Counters{6, 7}},
-		},
-		HealthReports: []fleetstate.HealthReport{
-			{Endpoint: "c", Status: fleetstate.Unresponsive, AgeMs: 8},
-			{Endpoint: "d", Status: fleetstate.Primary, AgeMs: 9},
-		},
-		LeaseRequests: []fleetstate.LeaseRequest{{Key: "e", ID: 10, Wanted: 0.25, RequestedAt: 11}},
-		LeaseGrants:   []fleetstate.LeaseGrant{{Key: "f", ID: 12, Amount: 0.125, RequestedAt: 13, DurationMs: 14}},
-	}})
 }
 
 // TestCharacterizationOfBounds holds that durations beyond what the format
@@ -202,7 +221,7 @@
 	}
 }
 
-// TestCharacterizationOfRejections holds which bytes are refused.
+// TestCharacterizationOfRejections holds which bytes are rejected.
 func TestCharacterizationOfRejections(t *testing.T) {
 	codec := newCodec(t)
 	for name, message := range map[string]string{
@@ -215,14 +234,14 @@
 		"1401 bytes":              strings.Repeat("00", 1401),
 		"counters without a name": "a2000101" + "8184600000" + "80",
 		"counters of long name":   "a2000101" + "81847881" + strings.Repeat("61", 129) + "000080",
-		"claim without a name":    "a2000102" + "8183600100",
-		"claim of kind 0":         "a2000102" + "818361610000",
-		"claim of kind 7":         "a2000102" + "818361610700",
-		"ask without a name":      "a2000103" + "81846000f93c0000",
-		"ask of 0":                "a2000103" + "8184616100f9000000",
-		"ask below 0":             "a2000103" + "8184616100f9bc0000",
-		"ask of no number":        "a2000103" + "8184616100f97e0000",
-		"ask of infinity":         "a2000103" + "8184616100f97c0000",
+		"report without a name":   "a2000102" + "8183600100",
+		"report of status 0":      "a2000102" + "818361610000",
+		"report of status 7":      "a2000102" + "818361610700",
+		"request without a name":  "a2000103" + "81846000f93c0000",
+		"request of 0":            "a2000103" + "8184616100f9000000",
+		"request below 0":         "a2000103" + "8184616100f9bc0000",
+		"request of no number":    "a2000103" + "8184616100f97e0000",
+		"request of infinity":     "a2000103" + "8184616100f97c0000",
 		"grant without a name":    "a2000104" + "81856000f93c000000",
 		"grant of 0":              "a2000104" + "8185616100f900000000",
 	} {
