--- a/internal/fleetstate/characterization_test.go
+++ b/internal/fleetstate/characterization_test.go
@@ -19,7 +19,7 @@
 
 var goldenFile = filepath.Join("testdata", "characterization.txt")
 
-// TestCharacterization replays seeded scenarios of routers that quota state
+// TestCharacterization replays seeded scenarios of routers that share state
 // over bad links and compares a digest of everything the nodes emitted with
 // the recorded one. The digests cover numbers, positions and bytes alone:
 // renaming a type, a field or a kind does not move them.
