--- a/cmd/lotusbend/fleet.go
+++ b/cmd/lotusbend/fleet.go
@@ -17,6 +17,7 @@
 	"lotusbend/internal/fleetstate"
 	"lotusbend/internal/fleetstate/link"
 	"lotusbend/internal/membership"
+	"lotusbend/internal/membership/faultinjection"
 	"lotusbend/internal/membership/udp"
 	"lotusbend/internal/operatorconfig"
 )
@@ -41,7 +42,15 @@
 	cfg.Start = int64(clk.Now())
 	cfg.Seed = c.Seed ^ xxhash.Sum64String(cfg.Name) ^ uint64(cfg.Start)
 	cfg.ProbeIntervalMs, cfg.ProbeTimeoutMs = m.PeriodMs, max(1, m.PeriodMs*2/5)
-	cfg.SuspicionMult, cfg.GossipBytesPerSecond, cfg.Sabotage = m.SuspicionMult, m.BudgetBytesS, m.Sabotage
+	cfg.SuspicionMult = m.SuspicionMult
+	cfg.GossipBytesPerSecond = m.BudgetBytesS
+	if m.Sabotage != "" { // in drills only
+		fault, err := faultinjection.Parse(m.Sabotage)
+		if err != nil {
+			return nil, err
+		}
+		cfg.FaultInjection = fault
+	}
 	var shared udp.SharedState // a nil *link.Link in it would not be nil
 	if opt.Shared != nil {
 		rules := opt.Shared.Rules
--- a/internal/membership/characterization_test.go
+++ b/internal/membership/characterization_test.go
@@ -17,6 +17,7 @@
 	"testing"
 
 	"lotusbend/internal/membership"
+	"lotusbend/internal/membership/faultinjection"
 )
 
 // update rewrites the expected digests. They pin what the package does, so
@@ -403,9 +404,9 @@
 	{name: "small-budget", seed: 14, processes: 16, config: smallBudget, script: badLinks},
 	{name: "fast-periods", seed: 15, config: fastPeriods, script: badLinks},
 	{name: "no-relays", seed: 16, config: func(c *membership.Config) { c.IndirectProbes = 0 }, script: oneWayCuts},
-	{name: "sabotage-1", seed: 17, config: sabotage("no-refute"), script: pauses},
-	{name: "sabotage-2", seed: 18, config: sabotage("no-pushpull"), script: splitAndHeal},
-	{name: "sabotage-3", seed: 19, config: sabotage("no-suspicion"), script: pauses},
+	{name: "sabotage-1", seed: 17, config: inject(faultinjection.NoRefutation), script: pauses},
+	{name: "sabotage-2", seed: 18, config: inject(faultinjection.NoPushPull), script: splitAndHeal},
+	{name: "sabotage-3", seed: 19, config: inject(faultinjection.NoSuspicion), script: pauses},
 	{name: "churn-1", seed: 20, config: quickForget, script: churn},
 	{name: "churn-2", seed: 21, config: smallBudget, script: churn},
 	{name: "churn-3", seed: 22, config: fastPeriods, script: churn},
@@ -423,8 +424,8 @@
 	c.SuspicionMult, c.SuspicionMaxMult, c.MaxAwareness, c.MaxPacketBytes = 5, 2, 3, 900
 }
 
-func sabotage(guard string) func(*membership.Config) {
-	return func(c *membership.Config) { c.Sabotage = guard }
+func inject(fault faultinjection.Fault) func(*membership.Config) {
+	return func(c *membership.Config) { c.FaultInjection = fault }
 }
 
 func calm(n *network) {
@@ -714,15 +715,21 @@
 		func(c *membership.Config) { c.MaxPacketBytes = 511 },
 		func(c *membership.Config) { c.MaxPacketBytes = 1401 },
 		func(c *membership.Config) { c.GossipBytesPerSecond = c.MaxPacketBytes - 1 },
-		func(c *membership.Config) { c.Sabotage = "unknown" },
-		func(c *membership.Config) { c.Addr = strings.Repeat("a", 261) },
-		func(c *membership.Config) { c.Addr = strings.Repeat("a", 262) },
 	} {
-		config := membership.Defaults()
-		config.Name = "a"
-		change(&config)
-		n.digest.flag(config.Check() == nil)
+		n.digest.flag(accepted(change))
 	}
+	_, err := faultinjection.Parse("unknown")
+	n.digest.flag(err == nil)
+	n.digest.flag(accepted(func(c *membership.Config) { c.Addr = strings.Repeat("a", 261) }))
+	n.digest.flag(accepted(func(c *membership.Config) { c.Addr = strings.Repeat("a", 262) }))
+}
+
+// accepted reports whether the default settings are accepted after a change.
+func accepted(change func(*membership.Config)) bool {
+	config := membership.Defaults()
+	config.Name = "a"
+	change(&config)
+	return config.Check() == nil
 }
 
 // stateTexts reads each state back from its text and hashes the number alone.
--- a/internal/membership/exhaustive_test.go
+++ b/internal/membership/exhaustive_test.go
@@ -6,6 +6,8 @@
 	"slices"
 	"strconv"
 	"testing"
+
+	"lotusbend/internal/membership/faultinjection"
 )
 
 // The exhaustive check: three members that have met, then every sequence of
@@ -25,7 +27,7 @@
 // and 2: 10,512 sequences in about 13 s; depth 10, 43,047 in 44 s).
 type explorer struct {
 	t             *testing.T
-	sabotage      string
+	fault         faultinjection.Fault
 	depth, window int
 	paths, leaves int
 	worst         int64  // ms, the longest calm settle seen
@@ -47,8 +49,8 @@
 
 // Each guard taken out is found by the same search, at a depth of 6.
 func TestExhaustiveFindsEachSabotage(t *testing.T) {
-	for _, s := range []string{"no-refute", "no-suspicion"} {
-		x := &explorer{t: t, sabotage: s, depth: 6, window: 2}
+	for _, s := range []faultinjection.Fault{faultinjection.NoRefutation, faultinjection.NoSuspicion} {
+		x := &explorer{t: t, fault: s, depth: 6, window: 2}
 		x.explore(nil)
 		if x.failed == "" {
 			t.Errorf("%s: %d sequences broke no rule", s, x.leaves)
@@ -67,7 +69,8 @@
 // met is three members that have joined through the first and agree.
 func (x *explorer) met() *net {
 	w := newNet(x.t, 1, 3, 1)
-	w.cfg.Sabotage, w.quiet = x.sabotage, true
+	w.cfg.FaultInjection = x.fault
+	w.quiet = true
 	w.start()
 	w.settle(bound(w.cfg, 3), nil)
 	w.run(2 * w.cfg.ProbeIntervalMs) // a settled view, with the join's gossip spent
@@ -117,7 +120,7 @@
 			return fmt.Errorf("%s holds %d others", p.name, len(p.node.members))
 		}
 		for name, e := range p.node.members {
-			if old, ok := held[i][name]; ok && old != e.Update && !supersedes(e.Update, old) {
+			if old, ok := held[i][name]; ok && old != e.Update && !e.Update.supersedes(old) {
 				return fmt.Errorf("%s went back on %s: %+v after %+v", p.name, name, e.Update, old)
 			}
 			held[i][name] = e.Update
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -5,120 +5,107 @@
 	"slices"
 )
 
-// broadcasts is the queue of rumors to piggy-back: one a member, the newest,
-// each sent on a bounded number of packets. It holds at most one entry a
-// member, so it is bounded by the view.
-type broadcasts struct {
-	items []broadcast
+// updateQueue holds the updates to piggy-back: the newest of each member, each
+// sent on a bounded number of packets. It has at most one entry a member, so it
+// is bounded by the view.
+type updateQueue struct {
+	entries []queuedUpdate
 }
 
-type broadcast struct {
-	r    Update
-	sent int
+// queuedUpdate is an update with the number of packets it was sent on.
+type queuedUpdate struct {
+	update        Update
+	transmissions int
 }
 
-// add queues r in place of anything said of the same name.
-func (q *broadcasts) add(r Update) {
-	q.drop(r.Name)
-	q.items = append(q.items, broadcast{r: r})
+// add queues an update in place of any other of the same name.
+func (q *updateQueue) add(update Update) {
+	q.drop(update.Name)
+	q.entries = append(q.entries, queuedUpdate{update: update})
 }
 
-func (q *broadcasts) drop(name string) {
-	q.items = slices.DeleteFunc(q.items, func(b broadcast) bool { return b.r.Name == name })
+// drop removes the update of a name.
+func (q *updateQueue) drop(name string) {
+	q.entries = slices.DeleteFunc(q.entries, func(e queuedUpdate) bool { return e.update.Name == name })
 }
 
-// limit is how many packets a rumor rides on: RetransmitMult x
-// ceil(log10(n+1)), which reaches all n members with high probability.
-func (n *Node) limit() int {
-	return n.cfg.RetransmitMult * int(math.Ceil(math.Log10(float64(len(n.members)+2))))
+// sortByTransmissions puts the least sent updates first.
+func (q *updateQueue) sortByTransmissions() {
+	slices.SortStableFunc(q.entries, func(a, b queuedUpdate) int { return a.transmissions - b.transmissions })
 }
 
-// fill refills the budget: BudgetBytesS a second, one second's worth at most.
-func (n *Node) fill(now int64) {
-	if now > n.filled {
-		n.tokens = math.Min(float64(n.cfg.GossipBytesPerSecond), n.tokens+float64(n.cfg.GossipBytesPerSecond)*float64(now-n.filled)/1000)
-		n.filled = now
-	}
+// dropSent removes the updates that were sent on limit packets.
+func (q *updateQueue) dropSent(limit int) {
+	q.entries = slices.DeleteFunc(q.entries, func(e queuedUpdate) bool { return e.transmissions >= limit })
 }
 
-// Carry sends a payload to a member of the view, for those who share state on
-// top of it, within the byte budget; half of a second's budget is left to
-// gossip and pages, which the view itself needs. It reports whether the
-// payload went.
-func (n *Node) SendUserData(to string, payload []byte, now int64) (Ready, bool) {
-	n.fill(now)
-	e, m := n.members[to], Message{Kind: UserData, Payload: payload}
-	if e == nil || e.State > Suspect || n.leaving {
-		return n.take(), false
-	}
-	if m.From = n.self.Name; m.size() > n.cfg.MaxPacketBytes || n.tokens-float64(m.size()) < float64(n.cfg.GossipBytesPerSecond)/2 {
-		n.stats.Throttled++
-		return n.take(), false
-	}
-	n.send(e.Addr, m, now, false)
-	return n.take(), true
+// retransmitLimit is how many packets an update is sent on: RetransmitMult x
+// ceil(log10(n+1)), which reaches all n members with high probability.
+func (n *Node) retransmitLimit() int {
+	return n.cfg.RetransmitMult * int(math.Ceil(math.Log10(float64(len(n.members)+2))))
 }
 
-// Peers are the names of the members alive or suspect, this one not among
-// them, and Size how many members there may be: this one and all that did not
-// leave, the dead too, who may be cut off.
-func (n *Node) Peers() (names []string, size int) {
-	size = 1
-	for _, name := range n.names {
-		switch n.members[name].State {
-		case Alive, Suspect:
-			names = append(names, name)
-			size++
-		case Dead:
-			size++
-		}
-	}
-	return names, size
+// sendProbe sends a packet of the failure detector, also when the byte budget is
+// spent: only the gossip on it is charged. The number of probe packets a period
+// is bounded. Charged, the probes of a short period spent the budget and
+// refutations waited: at 100 ms and 20% loss, 936 false deaths over 200 seeds of
+// 12 members, 24 without the charge.
+func (n *Node) sendProbe(to string, m Message, now int64) {
+	n.budget.refill(now)
+	m.From = n.self.Name
+	gossip := n.piggyBack(&m, 0)
+	n.budget.spend(gossip)
+	n.emit(to, m)
 }
 
-// send puts a packet out. A packet of the probe (protocol true) goes even when
-// the budget is spent, bare, and its own bytes are not charged: the budget is
-// for gossip and pages, beside a bounded number of probe packets a period.
-// Charged, the probes of a short period spent it and refutations waited: at
-// 100 ms and 20% loss, 936 false deaths over 200 seeds of 12 members, 24 so.
-// Gossip rides on a packet only within the budget and the packet's size,
-// least-sent rumors first.
-func (n *Node) send(to string, m Message, now int64, protocol bool) {
-	n.fill(now)
+// sendBudgeted sends any other packet if the byte budget allows it.
+func (n *Node) sendBudgeted(to string, m Message, now int64) {
+	n.budget.refill(now)
 	m.From = n.self.Name
 	size := m.size()
-	if !protocol && float64(size) > n.tokens {
+	if !n.budget.allows(size) {
 		n.stats.Throttled++
 		return
 	}
-	free := 0 // bytes not charged: a probe's own
-	if protocol {
-		free = size
+	gossip := n.piggyBack(&m, size)
+	n.budget.spend(size + gossip)
+	n.emit(to, m)
+}
+
+// emit hands a packet to the caller.
+func (n *Node) emit(to string, m Message) {
+	n.stats.PacketsOut++
+	n.stats.BytesOut += uint64(m.size())
+	n.out.Packets = append(n.out.Packets, Packet{To: to, Message: m})
+}
+
+// piggyBack adds the least sent updates of the queue to a message, within the
+// largest packet and the byte budget, of which the message itself takes charged
+// bytes. It returns the size of what it added.
+//
+// Joins leave one page's worth of the budget to the push-pull: when many members
+// join at once their updates would spend all of it and delay the pages that make
+// them redundant. Suspicions and refutations may use all of it.
+func (n *Node) piggyBack(m *Message, charged int) (added int) {
+	if m.isPage() || m.Kind == UserData || len(n.queue.entries) == 0 {
+		return 0
 	}
-	if m.Kind != Sync && m.Kind != SyncReply && m.Kind != UserData && len(n.queue.items) > 0 {
-		room := min(n.cfg.MaxPacketBytes-size, int(n.tokens)-size+free)
-		slices.SortStableFunc(n.queue.items, func(a, b broadcast) int { return a.sent - b.sent })
-		limit := n.limit()
-		for i := range n.queue.items {
-			b := &n.queue.items[i]
-			s := b.r.size()
-			// Joins leave one page's worth of the budget to pages: when many
-			// join at once they would take all of it, and hold back the pages
-			// that make them needless. Suspicions and refutations may use all.
-			if b.r.State == Alive && b.r.Incarnation == 0 && int(n.tokens)-size+free-s < n.cfg.MaxPacketBytes {
-				continue
-			}
-			if s <= room {
-				m.Updates = append(m.Updates, b.r)
-				room -= s
-				size += s
-				b.sent++
-			}
+	affordable := n.budget.available() - charged
+	free := min(n.cfg.MaxPacketBytes-m.size(), affordable)
+	n.queue.sortByTransmissions()
+	for i := range n.queue.entries {
+		entry := &n.queue.entries[i]
+		size := entry.update.size()
+		if entry.update.isJoin() && affordable-added-size < n.cfg.MaxPacketBytes {
+			continue
+		}
+		if added+size > free {
+			continue
 		}
-		n.queue.items = slices.DeleteFunc(n.queue.items, func(b broadcast) bool { return b.sent >= limit })
+		m.Updates = append(m.Updates, entry.update)
+		added += size
+		entry.transmissions++
 	}
-	n.tokens -= float64(size - free)
-	n.stats.PacketsOut++
-	n.stats.BytesOut += uint64(size)
-	n.out.Packets = append(n.out.Packets, Packet{To: to, Message: m})
+	n.queue.dropSent(n.retransmitLimit())
+	return added
 }
--- a/internal/membership/lastcall_test.go
+++ b/internal/membership/lastcall_test.go
@@ -14,7 +14,7 @@
 		n := New(cfg, 0)
 		n.Receive("at a", Message{Kind: Ack, Updates: []Update{{Name: "a", Addr: "at a", Start: 1}, {Name: "b", Addr: "at b", Start: 1}}}, 0)
 		n.Receive("at b", Message{Kind: Ack, Updates: []Update{{Name: "a", Addr: "at a", Start: 1, State: Suspect, Suspector: "b"}}}, 0)
-		ends, calls := n.members["a"].susp.ends(), 0
+		ends, calls := n.members["a"].suspicion.endsAt(), 0
 		for now := int64(20); now < ends+4*cfg.ProbeTimeoutMs; now += 20 {
 			for _, p := range n.Tick(now).Packets {
 				if p.To != "at a" || p.Message.Kind != Ping || now < ends || len(p.Message.Updates) == 0 || p.Message.Updates[0].State != Suspect {
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -1,44 +1,53 @@
 package membership
 
-// Kind is what a packet asks or answers.
+// Kind is the type of a message.
 type Kind uint8
 
-// The kinds of packet, in the order of a probe's life and then the push-pull.
+// The kinds of message: SWIM's failure detector, then the push-pull and user
+// data.
 const (
-	Ping      Kind = iota + 1 // are you there? answered by Ack
-	PingReq                   // probe Target at TargetAddr for me
-	Ack                       // I am there (or, relayed: Target is)
-	Nack                      // I asked Target for you and heard nothing: my links work
-	Sync                      // a page of my view, after the name After
-	SyncReply                 // a page of mine for the same names
-	UserData                  // Payload, of those who share state on top of the view
+	Ping      Kind = iota + 1 // answered by Ack
+	PingReq                   // request to ping Target at TargetAddr
+	Ack                       // the sender is alive, or the target of an indirect probe is
+	Nack                      // the target of an indirect probe sent no ack
+	Sync                      // a page of the sender's view, of the names after After
+	SyncReply                 // the receiver's page of the same names
+	UserData                  // Payload, of state shared on top of the view
 )
 
-// Message is one packet's content, whatever the codec. Rumors are the
+// Message is the content of one packet, whatever the codec. Updates are the
 // piggy-backed gossip, or for Sync and SyncReply the page.
 type Message struct {
 	Kind       Kind
-	Seq        uint64
+	Seq        uint64 // of a ping, repeated by its answers
 	From       string // the sender's name
-	Target     string // Ping: the name meant; PingReq, Ack and Nack: the probed
-	TargetAddr string // PingReq: where the probed is
-	After      string // Sync: the page holds names after this one
-	Count      int    // Sync and SyncReply: members that the sender's view holds
+	Target     string // Ping: the name pinged; PingReq, Ack and Nack: the member probed
+	TargetAddr string // PingReq: the address of Target
+	After      string // Sync and SyncReply: the page has the names after this one
+	Count      int    // Sync and SyncReply: other members in the sender's view
 	Updates    []Update
-	Payload    []byte // Carried: opaque to the rules
+	Payload    []byte // UserData: opaque to the protocol
 }
 
-// messageOverhead bounds a message's bytes besides its strings and rumors.
+// isPage reports whether the message is part of a push-pull.
+func (m *Message) isPage() bool { return m.Kind == Sync || m.Kind == SyncReply }
+
+// messageOverhead bounds a message's bytes besides its strings and updates.
 const messageOverhead = 40
 
+// size is the most bytes that the message takes in a packet.
 func (m *Message) size() int {
-	n := messageOverhead + len(m.From) + len(m.Target) + len(m.TargetAddr) + len(m.After) + len(m.Payload)
-	for _, r := range m.Updates {
-		n += r.size()
+	size := messageOverhead + len(m.From) + len(m.Target) + len(m.TargetAddr) + len(m.After) + len(m.Payload)
+	for _, update := range m.Updates {
+		size += update.size()
 	}
-	return n
+	return size
 }
 
+// PacketSize is the most bytes that m takes in a packet, as charged to the byte
+// budget.
+func PacketSize(m Message) int { return m.size() }
+
 // Packet is a message to send to an address.
 type Packet struct {
 	To      string
@@ -48,32 +57,30 @@
 // ChangeKind is what happened to a member in this view.
 type ChangeKind uint8
 
-// The kinds of change a view reports.
+// The kinds of change of a view.
 const (
-	Joined    ChangeKind = iota + 1 // first heard of, or a new instance of a name
-	Changed                         // its state or incarnation moved
-	Forgotten                       // dead or left long enough to be dropped
-	Conflict                        // another live instance claims this member's own name
+	Joined    ChangeKind = iota + 1 // a new name, or a new instance of a known one
+	Changed                         // its state or incarnation changed
+	Forgotten                       // dead or left for Config.ReclaimMs, and removed
+	Conflict                        // another live instance has this member's own name
 )
 
-// Change is one step of the view, for the log.
+// Change is one change of the view, for the log.
 type Change struct {
 	Kind     ChangeKind
 	Member   Update
 	Previous State
-	At       int64
+	At       int64 // ms
 }
 
-// Ready is what an event asks the caller to do: send the packets, log the
-// changes. The slices are the caller's.
+// Ready is what an event requires of the caller: to send the packets and to log
+// the changes. The slices belong to the caller.
 type Ready struct {
 	Packets []Packet
 	Changes []Change
-	// State is the payload of a Carried packet that came from the member From,
-	// from its own address; nil for any other event.
+
+	// UserData is the payload of a UserData packet of the member From, sent from
+	// its own address; nil for any other event.
 	UserData []byte
 	From     string
 }
-
-// PacketSize is the most bytes that m takes in a packet, as the rules reckon it.
-func PacketSize(m Message) int { return m.size() }
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -71,7 +71,7 @@
 			}
 			after := held()
 			for k, old := range before {
-				if r, ok := after[k]; ok && supersedes(old, r) {
+				if r, ok := after[k]; ok && old.supersedes(r) {
 					t.Fatalf("%s went back from %+v to %+v", k, old, r)
 				}
 			}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -1,168 +1,166 @@
 package membership
 
 import (
-	"maps"
+	"math/rand/v2"
 	"slices"
 )
 
-// probe is the one probe in flight: a ping, then if no ack comes in time,
-// pings through IndirectK others, until the period ends.
+// probe is the probe in flight: a ping, then, if no ack comes in time, indirect
+// pings through other members, until the period ends.
 type probe struct {
-	target   string
-	seq      uint64
-	deadline int64 // direct answer expected by then
-	end      int64 // the period's end: no ack by then, and the target is suspect
-	indirect bool
-	asked    int // members asked to probe for us: as many nacks are expected
-	nacks    int
-	acked    bool
+	target         string
+	sequence       uint64
+	ackDeadline    int64 // ms, for the direct ping's ack
+	endsAt         int64 // ms: without an ack by then the target is suspect
+	indirect       bool  // the indirect pings were requested
+	nacksExpected  int   // members requested to ping the target
+	nacksCollected int
 }
 
-// relayed is a ping that we carry for another member.
-type relayed struct {
-	origin    string // its address
-	originSeq uint64
-	target    string
-	deadline  int64 // a nack goes back then, if no ack came
+// probeSchedule is the order in which members are probed, and the probe in
+// flight.
+type probeSchedule struct {
+	order    []string // names, shuffled, and shuffled anew once used up
+	position int      // in order, of the next target
+	current  *probe   // nil for none
+	nextAt   int64    // ms, when the next probe starts
 }
 
-// Tick moves the protocol to now: timers of probes, relays, suspicions and
-// the push-pull. Call it at least every tenth of a period.
-func (n *Node) Tick(now int64) Ready {
-	n.fill(now)
-	for _, seq := range slices.Sorted(maps.Keys(n.relay)) { // each relay ends by one ack or one nack; sorted, so one seed gives one order
-		if r := n.relay[seq]; now >= r.deadline {
-			n.send(r.origin, Message{Kind: Nack, Seq: r.originSeq, Target: r.target}, now, false)
-			delete(n.relay, seq)
-		}
-	}
-	n.expire(now)
-	if n.leaving {
-		return n.take()
+// insert gives a new member a random place among those still to be probed, not
+// always the last one.
+func (s *probeSchedule) insert(name string, rng *rand.Rand) {
+	s.order = append(s.order, name)
+	if last := len(s.order) - 1; last > 0 {
+		place := s.position + rng.IntN(len(s.order)-s.position)
+		s.order[place], s.order[last] = s.order[last], s.order[place]
 	}
-	if p := n.probe; p != nil {
-		if !p.acked && !p.indirect && now >= p.deadline {
-			n.askOthers(p, now)
+}
+
+// reshuffle starts a new round over the names that keep accepts.
+func (s *probeSchedule) reshuffle(keep func(name string) bool, rng *rand.Rand) {
+	s.order = slices.DeleteFunc(s.order, func(name string) bool { return !keep(name) })
+	s.position = 0
+	rng.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
+}
+
+// localHealth is Lifeguard's local health multiplier: a member whose own probes
+// go unanswered, or that others suspect, probes more slowly.
+type localHealth struct {
+	score int // 0 is healthy
+	max   int
+}
+
+func (h *localHealth) improve() { h.score = max(0, h.score-1) }
+
+func (h *localHealth) worsen() { h.score = min(h.max, h.score+1) }
+
+// scale lengthens a duration by the local health.
+func (h *localHealth) scale(ms int64) int64 { return ms * int64(h.score+1) }
+
+// advanceProbe advances the probe in flight and starts the next one when due.
+func (n *Node) advanceProbe(now int64) {
+	if current := n.probes.current; current != nil {
+		if !current.indirect && now >= current.ackDeadline {
+			n.requestIndirectProbes(current, now)
 		}
-		if now >= p.end {
-			n.finish(p, now)
+		if now >= current.endsAt {
+			n.failProbe(current, now)
 		}
 	}
-	if n.probe == nil && now >= n.next {
-		n.start(now)
+	if n.probes.current == nil && now >= n.probes.nextAt {
+		n.startProbe(now)
 	}
-	if now >= n.nextSync && n.cfg.Sabotage != "no-pushpull" {
-		n.pushPull(now)
-	}
-	return n.take()
 }
 
-// scale is how much slower this member probes while it doubts itself.
-func (n *Node) scale(ms int64) int64 { return ms * int64(n.aware+1) }
-
-func (n *Node) doubt(by int) {
-	n.aware = max(0, min(n.cfg.MaxAwareness, n.aware+by))
+// startProbe pings the next member in the probe order. A suspect's ping reports
+// the suspicion to it (Lifeguard's buddy system), so that it refutes at once.
+func (n *Node) startProbe(now int64) {
+	n.probes.nextAt = now + n.health.scale(n.cfg.ProbeIntervalMs)
+	n.refutations.dropNotified()
+	n.sendRefutations(0, now)
+	target := n.nextProbeTarget()
+	if target == nil {
+		return
+	}
+	n.probes.current = &probe{
+		target:      target.Name,
+		sequence:    n.nextSequence(),
+		ackDeadline: now + n.health.scale(n.cfg.ProbeTimeoutMs),
+		endsAt:      n.probes.nextAt,
+	}
+	ping := Message{Kind: Ping, Seq: n.probes.current.sequence, Target: target.Name}
+	if target.State == Suspect {
+		ping.Updates = append(ping.Updates, target.Update)
+	}
+	n.sendProbe(target.Addr, ping, now)
 }
 
-// start probes the next member in the shuffled order; the order is drawn
-// anew once used up, so each member is probed within 2n periods.
-func (n *Node) start(now int64) {
-	n.next = now + n.scale(n.cfg.ProbeIntervalMs)
-	n.tell = slices.DeleteFunc(n.tell, func(a accuser) bool { return a.left <= 0 })
-	n.retell(0, now)
+// nextProbeTarget returns the next reachable member in the probe order, nil if
+// there is none. The order is shuffled anew once used up, so that each member is
+// probed within 2n periods.
+func (n *Node) nextProbeTarget() *member {
 	for range 2 {
-		for n.pos < len(n.order) {
-			name := n.order[n.pos]
-			n.pos++
-			e := n.members[name]
-			if e == nil || e.State >= Dead {
-				continue
-			}
-			n.seq++
-			n.probe = &probe{target: name, seq: n.seq,
-				deadline: now + n.scale(n.cfg.ProbeTimeoutMs), end: n.next}
-			m := Message{Kind: Ping, Seq: n.seq, Target: name}
-			if e.State == Suspect { // Lifeguard's buddy: tell it first, so it refutes at once
-				m.Updates = append(m.Updates, e.Update)
+		for n.probes.position < len(n.probes.order) {
+			candidate := n.members[n.probes.order[n.probes.position]]
+			n.probes.position++
+			if candidate != nil && candidate.reachable() {
+				return candidate
 			}
-			n.send(e.Addr, m, now, true)
-			return
 		}
-		n.reorder()
+		n.probes.reshuffle(func(name string) bool { return n.members[name] != nil }, n.rng)
 	}
+	return nil
 }
 
-// reorder drops forgotten names and shuffles the probe order.
-func (n *Node) reorder() {
-	kept := n.order[:0]
-	for _, name := range n.order {
-		if n.members[name] != nil {
-			kept = append(kept, name)
-		}
-	}
-	n.order, n.pos = kept, 0
-	n.rng.Shuffle(len(n.order), func(i, j int) { n.order[i], n.order[j] = n.order[j], n.order[i] })
-}
-
-func (n *Node) askOthers(p *probe, now int64) {
-	p.indirect = true
-	e := n.members[p.target]
-	if e == nil {
+// requestIndirectProbes requests other members to ping the target of a probe.
+func (n *Node) requestIndirectProbes(current *probe, now int64) {
+	current.indirect = true
+	target := n.members[current.target]
+	if target == nil {
 		return
 	}
-	for _, name := range n.pick(n.cfg.IndirectProbes, p.target, false) {
-		n.send(n.members[name].Addr, Message{Kind: PingReq, Seq: p.seq, Target: p.target, TargetAddr: e.Addr}, now, true)
-		p.asked++
+	request := Message{Kind: PingReq, Seq: current.sequence, Target: current.target, TargetAddr: target.Addr}
+	for _, name := range n.randomAlive(n.cfg.IndirectProbes, current.target) {
+		n.sendProbe(n.members[name].Addr, request, now)
+		current.nacksExpected++
 	}
 }
 
-// finish ends a probe: an ack makes this member trust itself a little more;
-// none makes the target suspect, and missing nacks make this member doubt
-// itself (its own links may be the bad ones).
-func (n *Node) finish(p *probe, now int64) {
-	n.probe = nil
-	if p.acked {
-		n.doubt(-1)
-		return
-	}
-	if p.nacks < p.asked {
-		n.doubt(+1)
-	}
-	e := n.members[p.target]
-	if e == nil || e.State != Alive {
+// failProbe ends a probe without an ack: its target becomes suspect. Missing
+// nacks worsen the local health, as this member's own links may be faulty.
+func (n *Node) failProbe(failed *probe, now int64) {
+	n.probes.current = nil
+	if failed.nacksCollected < failed.nacksExpected {
+		n.health.worsen()
+	}
+	target := n.members[failed.target]
+	if target == nil || target.State != Alive {
 		return
 	}
 	n.stats.Suspected++
-	r := Update{Name: e.Name, Addr: e.Addr, Zone: e.Zone, Start: e.Start, Incarnation: e.Incarnation, State: Suspect, Suspector: n.self.Name}
-	if n.cfg.Sabotage == "no-suspicion" {
-		r.State = Dead
+	update := target.Update
+	update.State = Suspect
+	update.Suspector = n.self.Name
+	if n.faults.SkipsSuspicion() {
+		update.State = Dead
 	}
-	n.apply(r, now)
+	n.apply(update, byGossip, now)
 }
 
-// acked takes an ack: of our probe, or of one we carry for another.
-func (n *Node) acked(m Message, now int64) {
-	if p := n.probe; p != nil && p.seq == m.Seq && m.Target == p.target {
-		p.acked = true
-		n.probe = nil
-		n.doubt(-1)
+// receiveAck takes the ack of this member's probe, or of an indirect probe,
+// whose originator then gets it.
+func (n *Node) receiveAck(m Message, now int64) {
+	if current := n.probes.current; current != nil && current.sequence == m.Seq && m.Target == current.target {
+		n.probes.current = nil
+		n.health.improve()
 		return
 	}
-	if r := n.relay[m.Seq]; r != nil {
-		n.send(r.origin, Message{Kind: Ack, Seq: r.originSeq, Target: r.target}, now, false)
-		delete(n.relay, m.Seq)
-	}
+	n.finishIndirectProbe(m.Seq, now)
 }
 
-// carry probes a member for another. Relays are bounded by the number of
-// members: a PingReq beyond that is dropped and counted.
-func (n *Node) carry(from string, m Message, now int64) {
-	if m.TargetAddr == "" || len(n.relay) > len(n.members) {
-		n.stats.Dropped++
-		return
+// receiveNack counts a nack of the probe in flight.
+func (n *Node) receiveNack(m Message) {
+	if current := n.probes.current; current != nil && current.sequence == m.Seq {
+		current.nacksCollected++
 	}
-	n.seq++
-	n.relay[n.seq] = &relayed{origin: from, originSeq: m.Seq, target: m.Target,
-		deadline: now + n.cfg.ProbeTimeoutMs*4/5}
-	n.send(m.TargetAddr, Message{Kind: Ping, Seq: n.seq, Target: m.Target}, now, true)
 }
--- a/internal/membership/settle_test.go
+++ b/internal/membership/settle_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"math"
 	"testing"
+
+	"lotusbend/internal/membership/faultinjection"
 )
 
 // bound is the stated bound on settling after one fault among p members:
@@ -178,17 +180,17 @@
 // split stays apart) and suspicion (loss kills members that run).
 func TestGuardsAreNeeded(t *testing.T) {
 	for _, c := range []struct {
-		sabotage string
-		fails    func(w *net) bool
+		fault faultinjection.Fault
+		fails func(w *net) bool
 	}{
-		{"no-refute", func(w *net) bool {
+		{faultinjection.NoRefutation, func(w *net) bool {
 			w.start()
 			w.settle(bound(w.cfg, 8), nil)
 			w.procs[5].paused = w.now + 2*bound(w.cfg, 8)
 			w.run(2 * bound(w.cfg, 8))
 			return !w.settles(2 * bound(w.cfg, 8))
 		}},
-		{"no-pushpull", func(w *net) bool {
+		{faultinjection.NoPushPull, func(w *net) bool {
 			w.start()
 			w.settle(bound(w.cfg, 8), nil)
 			w.cut = func(a, b *proc) bool { return a.zone != b.zone }
@@ -196,19 +198,19 @@
 			w.cut = nil
 			return !w.settles(3 * bound(w.cfg, 8))
 		}},
-		{"no-suspicion", func(w *net) bool {
+		{faultinjection.NoSuspicion, func(w *net) bool {
 			w.loss = 0.2
 			w.start()
 			w.run(60_000)
 			return w.falseDead > 0
 		}},
 	} {
-		for _, sabotage := range []string{"", c.sabotage} {
+		for _, fault := range []faultinjection.Fault{faultinjection.None, c.fault} {
 			w := newNet(t, 11, 8, 2)
-			w.quiet = sabotage != ""
-			w.cfg.Sabotage = sabotage
-			if failed, want := c.fails(w), sabotage != ""; failed != want {
-				t.Errorf("the check that %s guards: failed %v with sabotage %q, want %v", c.sabotage, failed, sabotage, want)
+			w.quiet = fault != faultinjection.None
+			w.cfg.FaultInjection = fault
+			if failed, want := c.fails(w), fault != faultinjection.None; failed != want {
+				t.Errorf("the check that %s disables: failed %v with fault %q, want %v", c.fault, failed, fault, want)
 			}
 		}
 	}
@@ -249,7 +251,7 @@
 
 // A second accuser, whose word comes when the first was refuted already, and
 // one whose first refutation got lost, hear it again: each accuser within
-// refuteTimes pings, and no more than accusers at a time.
+// refutationsPerSuspector pings, and no more than accusers at a time.
 func TestEachAccuserHearsTheRefutationAgain(t *testing.T) {
 	cfg := Defaults()
 	cfg.Name, cfg.Addr, cfg.Start = "me", "127.0.0.1:1", 1
@@ -273,10 +275,10 @@
 	for now := int64(0); now < 30*cfg.ProbeIntervalMs; now += 20 {
 		count(n.Tick(now))
 	}
-	if n.self.Incarnation != 1 || told["at a"] < refuteTimes || told["at b"] < refuteTimes {
-		t.Fatalf("incarnation %d, told %v; want 1 and at least %d each", n.self.Incarnation, told, refuteTimes)
+	if n.self.Incarnation != 1 || told["at a"] < refutationsPerSuspector || told["at b"] < refutationsPerSuspector {
+		t.Fatalf("incarnation %d, told %v; want 1 and at least %d each", n.self.Incarnation, told, refutationsPerSuspector)
 	}
-	if len(n.tell) > 0 {
-		t.Errorf("%d accusers are still told", len(n.tell))
+	if len(n.refutations.suspectors) > 0 {
+		t.Errorf("%d accusers are still told", len(n.refutations.suspectors))
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,31 +1,48 @@
 package membership
 
-import "slices"
+import (
+	"cmp"
+	"slices"
+)
 
 // Stats are counters since the start, for the metrics page.
 type Stats struct {
-	PacketsIn, PacketsOut, BytesOut uint64
-	Malformed                       uint64 // rumors or kinds that no member sends
-	Misdirected                     uint64 // pings for another name at our address
-	Stale                           uint64 // rumors older than what we hold
-	Dropped                         uint64 // relays beyond the bound
-	UnknownSenders                  uint64 // state packets of no member, or from another address
-	Throttled                       uint64 // gossip or pages the budget did not allow
-	Suspected                       uint64 // probes that failed, by us
-	DeclaredDead                    uint64 // suspicions of ours that became deaths
-	Refuted                         uint64 // suspicions or deaths of us, refuted
-	Conflicts                       uint64 // other live instances under our name
+	PacketsIn      uint64
+	PacketsOut     uint64
+	BytesOut       uint64
+	Malformed      uint64 // updates or messages that no member sends
+	Misdirected    uint64 // pings for another name at this member's address
+	Stale          uint64 // updates older than what is believed
+	Dropped        uint64 // ping-reqs and new names beyond their bounds
+	UnknownSenders uint64 // user data of no member, or from another address
+	Throttled      uint64 // packets that the byte budget did not allow
+	Suspected      uint64 // probes of this member that failed
+	DeclaredDead   uint64 // suspicions that became deaths here
+	Refuted        uint64 // suspicions or deaths of this member, refuted
+	Conflicts      uint64 // updates of another live instance under this member's name
 }
 
 // Size is an estimate of how many members there are, with its bounds: at
 // least those alive, at most those alive or suspect.
 type Size struct {
-	Low, High int
+	Low  int
+	High int
 }
 
-// View is what this member holds of the fleet, itself included.
+// add counts a member in a state.
+func (s *Size) add(state State) {
+	switch state {
+	case Alive:
+		s.Low++
+		s.High++
+	case Suspect:
+		s.High++
+	}
+}
+
+// View is what this member believes of the fleet, itself included.
 type View struct {
-	Version   uint64 // moves with every change
+	Version   uint64 // increases with every change
 	ChangedAt int64  // ms, the last change
 	Self      Update
 	Members   []Update // by name
@@ -37,36 +54,44 @@
 
 // View is a copy of this member's view; it shares nothing with the Node.
 func (n *Node) View() View {
-	v := View{Version: n.version, ChangedAt: n.changedAt, Self: n.self, Zones: map[string]Size{},
-		Awareness: n.aware, Stats: n.stats}
-	count := func(r Update) {
-		z := v.Zones[r.Zone]
-		switch r.State {
-		case Alive:
-			z.Low++
-			z.High++
-			v.Fleet.Low++
-			v.Fleet.High++
-		case Suspect:
-			z.High++
-			v.Fleet.High++
-		}
-		v.Zones[r.Zone] = z
+	view := View{
+		Version:   n.version,
+		ChangedAt: n.changedAt,
+		Self:      n.self,
+		Zones:     map[string]Size{},
+		Awareness: n.health.score,
+		Stats:     n.stats,
 	}
-	count(n.self)
-	v.Members = append(v.Members, n.self)
-	for _, e := range n.members {
-		v.Members = append(v.Members, e.Update)
-		count(e.Update)
+	view.add(n.self)
+	for _, known := range n.members {
+		view.add(known.Update)
 	}
-	slices.SortFunc(v.Members, func(a, b Update) int {
-		if a.Name < b.Name {
-			return -1
-		}
-		if a.Name > b.Name {
-			return 1
+	slices.SortFunc(view.Members, func(a, b Update) int { return cmp.Compare(a.Name, b.Name) })
+	return view
+}
+
+// add lists and counts a member.
+func (v *View) add(update Update) {
+	v.Members = append(v.Members, update)
+	v.Fleet.add(update.State)
+	zone := v.Zones[update.Zone]
+	zone.add(update.State)
+	v.Zones[update.Zone] = zone
+}
+
+// Peers returns the names of the members alive or suspect, without this one,
+// and how many members there may be: this one and all that did not leave. The
+// dead count too, as a partition may separate them.
+func (n *Node) Peers() (names []string, size int) {
+	size = 1
+	for _, name := range n.names {
+		switch n.members[name].State {
+		case Alive, Suspect:
+			names = append(names, name)
+			size++
+		case Dead:
+			size++
 		}
-		return 0
-	})
-	return v
+	}
+	return names, size
 }
--- a/internal/operatorconfig/membership.go
+++ b/internal/operatorconfig/membership.go
@@ -2,6 +2,8 @@
 
 import (
 	"net/netip"
+
+	"lotusbend/internal/membership/faultinjection"
 )
 
 // Membership switches the fleet's view between routers on: SWIM over UDP
@@ -44,7 +46,7 @@
 		"period_ms":      func(v *value) { m.PeriodMs = int64(v.integer(20, 60_000)) },
 		"suspicion_mult": func(v *value) { m.SuspicionMult = v.number(1, 100, false) },
 		"budget_bytes_s": func(v *value) { m.BudgetBytesS = v.integer(1400, 10<<20) },
-		"sabotage":       func(v *value) { m.Sabotage = v.choice("no-refute", "no-pushpull", "no-suspicion") },
+		"sabotage":       func(v *value) { m.Sabotage = v.choice(faultinjection.Names()...) },
 	}
 	t.section(fields)
 	if t.ok() && m.Bind == "" {
