--- a/cmd/lotusbend/fleet.go
+++ b/cmd/lotusbend/fleet.go
@@ -62,10 +62,18 @@
 		f.link, shared = l, l
 	}
 	var err error
-	if f.view, err = udp.Start(ctx, cfg, m.Bind, m.Seeds, shared, clk, log); err != nil {
+	f.view, err = udp.Start(ctx, udp.Options{
+		Config: cfg,
+		Bind:   m.Bind,
+		Seeds:  m.Seeds,
+		Shared: shared,
+		Clock:  clk,
+		Log:    log,
+	})
+	if err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
-	log.Info("membership: joining", "name", cfg.Name, "bind", f.view.Addr(), "seeds", m.Seeds, "shared", f.link != nil)
+	log.Info("joining", "component", "membership", "name", cfg.Name, "bind", f.view.Addr(), "seeds", m.Seeds, "shared", f.link != nil)
 	if m.Admin == "" {
 		return f, nil
 	}
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -97,7 +97,8 @@
 	case c.PushPullIntervalMs <= 0 || c.ReclaimMs <= 0:
 		return configError("sync_ms and reclaim_ms", "want above 0")
 	case c.MaxPacketBytes < minPacketBytes || c.MaxPacketBytes > maxPacketBytes:
-		return configError("max_packet", "%d, want %d to %d", c.MaxPacketBytes, minPacketBytes, maxPacketBytes)
+		return configError("max_packet", "%d, want %d to %d",
+			c.MaxPacketBytes, minPacketBytes, maxPacketBytes)
 	case c.GossipBytesPerSecond < c.MaxPacketBytes:
 		return configError("budget_bytes_s", "%d, want max_packet %d or more",
 			c.GossipBytesPerSecond, c.MaxPacketBytes)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -150,7 +150,8 @@
 // receiveAck takes the ack of this member's probe, or of an indirect probe,
 // whose originator then gets it.
 func (n *Node) receiveAck(m Message, now int64) {
-	if current := n.probes.current; current != nil && current.sequence == m.Seq && m.Target == current.target {
+	current := n.probes.current
+	if current != nil && current.sequence == m.Seq && current.target == m.Target {
 		n.probes.current = nil
 		n.health.improve()
 		return
--- a/internal/membership/udp/udp_test.go
+++ b/internal/membership/udp/udp_test.go
@@ -13,28 +13,33 @@
 	"lotusbend/internal/membership"
 )
 
-// TestThreeMembersMeetThroughAFlood starts three members on loopback, floods
+// TestThreeMembersJoinDuringAFlood starts three members on loopback, floods
 // one with garbage and oversized datagrams, and waits (bounded) for every
-// view to hold all three alive; the flood is counted, nothing panics.
-func TestThreeMembersMeetThroughAFlood(t *testing.T) {
+// view to have all three alive; the flood is counted, nothing panics.
+func TestThreeMembersJoinDuringAFlood(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
-	var ts []*Transport
+	var transports []*Transport
 	for i := range 3 {
 		cfg := membership.Defaults()
-		cfg.Name, cfg.Addr, cfg.Start, cfg.Seed, cfg.ProbeIntervalMs, cfg.ProbeTimeoutMs = fmt.Sprintf("m%d", i), "127.0.0.1:0", int64(i), uint64(i), 50, 20
+		cfg.Name = fmt.Sprintf("m%d", i)
+		cfg.Addr = "127.0.0.1:0"
+		cfg.Start = int64(i)
+		cfg.Seed = uint64(i)
+		cfg.ProbeIntervalMs = 50
+		cfg.ProbeTimeoutMs = 20
 		var seeds []string
 		if i > 0 {
-			seeds = []string{ts[0].Addr()}
+			seeds = []string{transports[0].Addr()}
 		}
-		tr, err := Start(ctx, cfg, "", seeds, nil, clock.System(), quiet)
+		transport, err := Start(ctx, Options{Config: cfg, Seeds: seeds, Clock: clock.System(), Log: quiet})
 		if err != nil {
 			t.Fatal(err)
 		}
-		ts = append(ts, tr)
+		transports = append(transports, transport)
 	}
-	flood, err := net.Dial("udp4", ts[1].Addr())
+	flood, err := net.Dial("udp4", transports[1].Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,28 +54,28 @@
 	defer tick.Stop()
 	for {
 		all := true
-		for _, tr := range ts {
-			all = all && tr.View().Fleet.Low == 3
+		for _, transport := range transports {
+			all = all && transport.View().Fleet.Low == 3
 		}
 		if all {
 			break
 		}
 		select {
 		case <-deadline:
-			t.Fatalf("views did not meet: %+v", ts[0].View().Fleet)
+			t.Fatalf("views did not meet: %+v", transports[0].View().Fleet)
 		case <-tick.C:
 		}
 	}
-	select { // the met views' count waits for the router, the latest only
-	case n := <-ts[2].Sizes():
-		if n != 3 {
-			t.Errorf("the size offered is %d once the view holds 3", n)
+	select { // the latest size is kept until it is received
+	case size := <-transports[2].Sizes():
+		if size != 3 {
+			t.Errorf("the size offered is %d once the view has 3", size)
 		}
 	default:
 		t.Error("no size is offered")
 	}
-	d := ts[1].Dropped()
-	if d["malformed"]+d["oversized"]+d["rate_limited"]+d["queue_full"] == 0 {
-		t.Fatalf("the flood was not counted: %v", d)
+	dropped := transports[1].Dropped()
+	if dropped["malformed"]+dropped["oversized"]+dropped["rate_limited"]+dropped["queue_full"] == 0 {
+		t.Fatalf("the flood was not counted: %v", dropped)
 	}
 }
