--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -7,12 +7,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestAnyOrderKeepsTheRules plays 3 to 5 members under arbitrary orders of
-// delivery, losses, duplicates and ticks, and holds after every event:
-// nothing panics; a member's own incarnation never falls; what a member holds
-// of another never goes back in (start, incarnation, state) unless forgotten;
-// only a member itself raises its incarnation above what it has said.
-func TestAnyOrderKeepsTheRules(t *testing.T) {
+// TestInvariantsUnderAnyEventOrder plays 3 to 5 members under arbitrary orders of
+// delivery, losses, duplicates and ticks, and checks after every event:
+// nothing panics; a member's own incarnation never falls; what a member
+// believes of another never goes back in (start, incarnation, state) unless forgotten;
+// only a member itself raises its incarnation above what it has stated.
+func TestInvariantsUnderAnyEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(3, 5).Draw(t, "members")
 		cfg := Defaults()
@@ -22,13 +22,16 @@
 		var now int64
 		for i := range nodes {
 			c := cfg
-			c.Name, c.Addr, c.Start, c.Seed = fmt.Sprint("m", i), addr(i), int64(i), uint64(i)
+			c.Name = fmt.Sprint("m", i)
+			c.Addr = addr(i)
+			c.Start = int64(i)
+			c.Seed = uint64(i)
 			nodes[i] = New(c, 0)
 		}
 		for i := 1; i < count; i++ {
 			wire = append(wire, nodes[i].Join([]string{addr(0)}, 0).Packets...)
 		}
-		held := func() map[string]Update {
+		beliefs := func() map[string]Update {
 			m := map[string]Update{}
 			for i, n := range nodes {
 				for name, e := range n.members {
@@ -37,9 +40,9 @@
 			}
 			return m
 		}
-		said := make([]uint64, count)
+		stated := make([]uint64, count)
 		for step := range rapid.IntRange(1, 300).Draw(t, "steps") {
-			before := held()
+			before := beliefs()
 			switch ev := rapid.IntRange(0, 9).Draw(t, fmt.Sprint("event", step)); {
 			case ev < 5 && len(wire) > 0: // deliver any packet, perhaps twice
 				k := rapid.IntRange(0, len(wire)-1).Draw(t, "which")
@@ -64,12 +67,12 @@
 				wire = wire[len(wire)-2000:]
 			}
 			for i, n := range nodes {
-				if n.self.Incarnation < said[i] {
-					t.Fatalf("m%d's incarnation fell from %d to %d", i, said[i], n.self.Incarnation)
+				if n.self.Incarnation < stated[i] {
+					t.Fatalf("m%d's incarnation fell from %d to %d", i, stated[i], n.self.Incarnation)
 				}
-				said[i] = n.self.Incarnation
+				stated[i] = n.self.Incarnation
 			}
-			after := held()
+			after := beliefs()
 			for k, old := range before {
 				if r, ok := after[k]; ok && old.supersedes(r) {
 					t.Fatalf("%s went back from %+v to %+v", k, old, r)
@@ -79,7 +82,8 @@
 				var i int
 				fmt.Sscanf(r.Name, "m%d", &i)
 				if r.Incarnation > nodes[i].self.Incarnation {
-					t.Fatalf("%s holds m%d at incarnation %d, which it never said (%d)", k, i, r.Incarnation, nodes[i].self.Incarnation)
+					t.Fatalf("%s believes m%d at incarnation %d, which it never stated (%d)",
+						k, i, r.Incarnation, nodes[i].self.Incarnation)
 				}
 			}
 		}
--- /dev/null
+++ b/internal/membership/pushpull_test.go
@@ -0,0 +1,39 @@
+package membership
+
+import (
+	"fmt"
+	"testing"
+)
+
+// A member that met a larger view requests a page every period, from where the
+// last reply ended, until nobody knows more.
+func TestMemberBehindRequestsPageAfterPage(t *testing.T) {
+	cfg := Defaults()
+	cfg.Name = "me"
+	cfg.Addr = "127.0.0.1:1"
+	n := New(cfg, 0)
+	page := Message{Kind: SyncReply, From: "m00", Count: 40}
+	for i := range 10 {
+		member := Update{Name: fmt.Sprintf("m%02d", i), Addr: fmt.Sprint("at ", i), Start: 1}
+		page.Updates = append(page.Updates, member)
+	}
+	n.Receive("at 0", page, 0)
+	requests := func(from, to int64) (count int, after string) {
+		for now := from; now < to; now += 20 {
+			for _, p := range n.Tick(now).Packets {
+				if p.Message.Kind == Sync {
+					count++
+					after = p.Message.After
+				}
+			}
+		}
+		return count, after
+	}
+	if count, after := requests(20, 1020); count < 4 || after != "m09" {
+		t.Errorf("behind: %d requests in a second, after %q; want one a period, after m09", count, after)
+	}
+	requests(1020, 4*cfg.PushPullIntervalMs)
+	if count, _ := requests(4*cfg.PushPullIntervalMs, 8*cfg.PushPullIntervalMs); count > 5 {
+		t.Errorf("with nobody who knows more: %d requests in 4 s, want one a second", count)
+	}
+}
--- /dev/null
+++ b/internal/membership/refutation_test.go
@@ -0,0 +1,68 @@
+package membership
+
+import "testing"
+
+// A member that would declare a death pings the suspect a last time, with the
+// suspicion. The refutation in the ack ends the suspicion; silence is a death.
+func TestLastPingBeforeDeath(t *testing.T) {
+	for _, answers := range []bool{true, false} {
+		cfg := Defaults()
+		cfg.Name = "me"
+		cfg.Addr = "127.0.0.1:1"
+		n := New(cfg, 0)
+		joins := []Update{{Name: "a", Addr: "at a", Start: 1}, {Name: "b", Addr: "at b", Start: 1}}
+		suspicion := Update{Name: "a", Addr: "at a", Start: 1, State: Suspect, Suspector: "b"}
+		refutation := Update{Name: "a", Addr: "at a", Start: 1, Incarnation: 1}
+		n.Receive("at a", Message{Kind: Ack, Updates: joins}, 0)
+		n.Receive("at b", Message{Kind: Ack, Updates: []Update{suspicion}}, 0)
+		endsAt := n.members["a"].suspicion.endsAt()
+		lastPings := 0
+		for now := int64(20); now < endsAt+4*cfg.ProbeTimeoutMs; now += 20 {
+			for _, p := range n.Tick(now).Packets {
+				if now < endsAt || p.To != "at a" || !isPingOfSuspect(p.Message) {
+					continue
+				}
+				lastPings++
+				if answers { // as a member answers a ping that suspects it
+					ack := Message{Kind: Ack, Seq: p.Message.Seq, Target: "a", Updates: []Update{refutation}}
+					n.Receive("at a", ack, now+1)
+				}
+			}
+		}
+		suspect := n.members["a"] // it may be suspected anew: its other probes go unanswered here
+		died := suspect.State == Dead
+		if lastPings == 0 || died == answers || answers && suspect.Incarnation != 1 {
+			t.Errorf("answers %v: the suspect is %v at incarnation %d after %d last pings",
+				answers, suspect.State, suspect.Incarnation, lastPings)
+		}
+	}
+}
+
+func isPingOfSuspect(m Message) bool {
+	return m.Kind == Ping && len(m.Updates) > 0 && m.Updates[0].State == Suspect
+}
+
+// The ack of a ping that suspects a member has its refutation.
+func TestAckOfSuspectingPingHasRefutation(t *testing.T) {
+	cfg := Defaults()
+	cfg.Name = "me"
+	cfg.Addr = "127.0.0.1:1"
+	cfg.Start = 1
+	n := New(cfg, 0)
+	suspicion := Update{Name: "me", Addr: cfg.Addr, Start: 1, State: Suspect, Suspector: "y"}
+	for i := range 50 { // long after gossip has stopped sending it
+		ping := Message{Kind: Ping, Seq: 7, Target: "me", From: "x", Updates: []Update{suspicion}}
+		ready := n.Receive("at x", ping, 0)
+		refuted := false
+		for _, p := range ready.Packets {
+			if p.To != "at x" || p.Message.Kind != Ack || len(p.Message.Updates) == 0 {
+				continue
+			}
+			first := p.Message.Updates[0]
+			refuted = refuted || first.Name == "me" && first.Incarnation == 1
+		}
+		if !refuted {
+			t.Fatalf("ping %d: no refutation with the ack: %+v", i+1, ready.Packets)
+		}
+	}
+}
--- a/internal/membership/scale_test.go
+++ b/internal/membership/scale_test.go
@@ -31,7 +31,7 @@
 		sizes = append(sizes, 1000)
 	}
 	for _, p := range sizes {
-		w := newNet(t, uint64(p), p, 2)
+		w := newSimulation(t, uint64(p), p, 2)
 		w.step = 20
 		w.start()
 		join := w.settle(20*bound(w.cfg, p), nil)
@@ -39,13 +39,13 @@
 		from := w.now
 		w.run(5000)
 		calm := float64(w.bytes) / float64(p) / (float64(w.now-from) / 1000)
-		for i := 1; i < len(w.procs); i += 10 {
-			w.kill(w.procs[i])
+		for i := 1; i < len(w.processes); i += 10 {
+			w.kill(w.processes[i])
 		}
 		w.bytes = 0
 		from = w.now
 		kill := w.settle(bound(w.cfg, p), nil)
-		busy := float64(w.bytes) / float64(len(w.procs)) / (float64(w.now-from+1) / 1000)
+		busy := float64(w.bytes) / float64(len(w.processes)) / (float64(w.now-from+1) / 1000)
 		t.Logf("| %d | %d | %d | %d | %.0f | %.0f |", p, join, kill, bound(w.cfg, p), calm, busy)
 		rows = append(rows, scaleRow{p, join, kill, bound(w.cfg, p), calm, busy})
 		// probes: a ping and an ack a period, each under 200 bytes, besides
@@ -60,9 +60,12 @@
 }
 
 type scaleRow struct {
-	members          int
-	join, kill, most int64 // ms
-	calm, busy       float64
+	members int
+	join    int64   // ms
+	kill    int64   // ms
+	bound   int64   // ms
+	calm    float64 // bytes a member a second
+	busy    float64 // bytes a member a second
 }
 
 // plotScale draws settle time and bytes against fleet size, on a log scale
@@ -89,7 +92,7 @@
 	bytes.X.Scale, bytes.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	err := plotutil.AddLinePoints(settle,
 		"settled", line(func(r scaleRow) float64 { return float64(r.kill) / 1000 }),
-		"bound", line(func(r scaleRow) float64 { return float64(r.most) / 1000 }))
+		"bound", line(func(r scaleRow) float64 { return float64(r.bound) / 1000 }))
 	if err == nil {
 		err = plotutil.AddLinePoints(bytes,
 			"calm", line(func(r scaleRow) float64 { return r.calm }),
--- a/internal/membership/wire/characterization_test.go
+++ b/internal/membership/wire/characterization_test.go
@@ -27,7 +27,7 @@
 var goldenFile = filepath.Join("testdata", "characterization.txt")
 
 // example is a message and the name of its line in the golden file, which
-// tells kinds by their numbers.
+// names kinds by their numbers.
 type example struct {
 	name    string
 	message membership.Message
@@ -90,16 +90,26 @@
 			all = append(all, example{fmt.Sprintf("kind-%d-%s", kind, e.name), e.message})
 		}
 	}
-	return append(all, example{"zero-rumor-fields", membership.Message{Kind: membership.Ping, From: "a", Updates: []membership.Update{{Name: "b"}}}},
-		example{"least-start", membership.Message{Kind: membership.Sync, Updates: []membership.Update{{Name: "b", Start: math.MinInt64}, {Name: "c", Start: -1}}}})
+	zeroFields := []membership.Update{{Name: "b"}}
+	negativeStarts := []membership.Update{{Name: "b", Start: math.MinInt64}, {Name: "c", Start: -1}}
+	return append(all,
+		example{"zero-rumor-fields", membership.Message{Kind: membership.Ping, From: "a", Updates: zeroFields}},
+		example{"least-start", membership.Message{Kind: membership.Sync, Updates: negativeStarts}})
 }
 
 func fullMessage() membership.Message {
 	m := membership.Message{Seq: 1000, From: "router-1", Target: "router-2", TargetAddr: "10.0.0.2:7000", After: "router-0",
 		Count: 300, Payload: []byte{0, 1, 2, 254, 255}}
 	for state := membership.Alive; state <= membership.Left; state++ {
-		m.Updates = append(m.Updates, membership.Update{Name: fmt.Sprint("router-", 3+int(state)), Addr: "10.0.0.3:7000", Zone: "zone-ä",
-			Start: 1_700_000_000_000, Incarnation: 24, State: state, Suspector: "router-9"})
+		m.Updates = append(m.Updates, membership.Update{
+			Name:        fmt.Sprint("router-", 3+int(state)),
+			Addr:        "10.0.0.3:7000",
+			Zone:        "zone-ä",
+			Start:       1_700_000_000_000,
+			Incarnation: 24,
+			State:       state,
+			Suspector:   "router-9",
+		})
 	}
 	return m
 }
@@ -108,25 +118,32 @@
 	text := func(length int) string { return strings.Repeat("\U0010ffff", length/4) }
 	return membership.Message{Seq: math.MaxUint64, From: text(128), Target: text(128), TargetAddr: text(64), After: text(128),
 		Count: math.MaxUint32, Payload: bytes.Repeat([]byte{255}, 256),
-		Updates: []membership.Update{{Name: text(128), Addr: text(64), Zone: text(64), Start: math.MaxInt64, Incarnation: math.MaxUint64,
-			State: membership.Left, Suspector: text(128)}}}
+		Updates: []membership.Update{{
+			Name:        text(128),
+			Addr:        text(64),
+			Zone:        text(64),
+			Start:       math.MaxInt64,
+			Incarnation: math.MaxUint64,
+			State:       membership.Left,
+			Suspector:   text(128),
+		}}}
 }
 
-// TestCharacterizationOfRefusals holds which bytes and messages are refused.
+// TestCharacterizationOfRefusals checks which bytes and messages are refused.
 func TestCharacterizationOfRefusals(t *testing.T) {
 	codec := newCodec(t)
 	for name, packet := range map[string]string{
-		"no bytes":       "",
-		"no version":     "a20101036161",
-		"version 2":      "a300020101036161",
-		"kind 0":         "a300010100036161",
-		"kind 8":         "a300010108036161",
-		"unknown field":  "a400010101036161186301",
-		"state 4":        "a4000101010361610781a20161620604",
-		"rumor nameless": "a4000101010361610781a10160",
-		"field twice":    "a4000101010102036161",
-		"trailing byte":  "a30001010103616100",
-		"1401 bytes":     strings.Repeat("00", wire.MaxPacket+1),
+		"no bytes":            "",
+		"no version":          "a20101036161",
+		"version 2":           "a300020101036161",
+		"kind 0":              "a300010100036161",
+		"kind 8":              "a300010108036161",
+		"unknown field":       "a400010101036161186301",
+		"state 4":             "a4000101010361610781a20161620604",
+		"update without name": "a4000101010361610781a10160",
+		"field twice":         "a4000101010102036161",
+		"trailing byte":       "a30001010103616100",
+		"1401 bytes":          strings.Repeat("00", wire.MaxPacket+1),
 	} {
 		if encoded, err := hex.DecodeString(packet); err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -139,7 +156,7 @@
 	}
 }
 
-// TestCharacterizationOfNegativeCount holds that a count below 0 is sent as 0.
+// TestCharacterizationOfNegativeCount checks that a count below 0 is sent as 0.
 func TestCharacterizationOfNegativeCount(t *testing.T) {
 	codec := newCodec(t)
 	negative, err := codec.Encode(membership.Message{Kind: membership.Sync, Count: -1})
--- a/internal/membership/wire/wire_test.go
+++ b/internal/membership/wire/wire_test.go
@@ -10,31 +10,41 @@
 	"lotusbend/internal/membership"
 )
 
-func genRumor() *rapid.Generator[membership.Update] {
+func genUpdate() *rapid.Generator[membership.Update] {
 	return rapid.Custom(func(t *rapid.T) membership.Update {
 		s := rapid.StringMatching(`[a-z0-9.:]{0,24}`)
-		return membership.Update{Name: rapid.StringMatching(`[a-z0-9]{1,24}`).Draw(t, "name"), Addr: s.Draw(t, "addr"),
-			Zone: s.Draw(t, "zone"), Start: rapid.Int64().Draw(t, "start"), Incarnation: rapid.Uint64().Draw(t, "inc"),
-			State: membership.State(rapid.IntRange(0, 3).Draw(t, "state")), Suspector: s.Draw(t, "by")}
+		return membership.Update{
+			Name:        rapid.StringMatching(`[a-z0-9]{1,24}`).Draw(t, "name"),
+			Addr:        s.Draw(t, "addr"),
+			Zone:        s.Draw(t, "zone"),
+			Start:       rapid.Int64().Draw(t, "start"),
+			Incarnation: rapid.Uint64().Draw(t, "incarnation"),
+			State:       membership.State(rapid.IntRange(0, 3).Draw(t, "state")),
+			Suspector:   s.Draw(t, "suspector"),
+		}
 	})
 }
 
-// TestRoundTrip holds every message that membership makes: decoded as it was
-// encoded, and within the size that the rules reckon with.
+// TestRoundTrip checks that messages are decoded as they were encoded, within the
+// size that is charged to the byte budget.
 func TestRoundTrip(t *testing.T) {
 	c, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		m := membership.Message{Kind: membership.Kind(rapid.IntRange(1, 6).Draw(t, "kind")), Seq: rapid.Uint64().Draw(t, "seq"),
-			From: rapid.StringMatching(`[a-z0-9]{1,24}`).Draw(t, "from"), Updates: rapid.SliceOfN(genRumor(), 0, 12).Draw(t, "rumors")}
+		m := membership.Message{
+			Kind:    membership.Kind(rapid.IntRange(1, 6).Draw(t, "kind")),
+			Seq:     rapid.Uint64().Draw(t, "seq"),
+			From:    rapid.StringMatching(`[a-z0-9]{1,24}`).Draw(t, "from"),
+			Updates: rapid.SliceOfN(genUpdate(), 0, 12).Draw(t, "updates"),
+		}
 		b, err := c.Encode(m)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(b) > membership.PacketSize(m) {
-			t.Fatalf("%d bytes, the rules reckon with %d", len(b), membership.PacketSize(m))
+			t.Fatalf("%d bytes, %d charged", len(b), membership.PacketSize(m))
 		}
 		back, err := c.Decode(b)
 		if err != nil {
@@ -67,7 +77,8 @@
 
 func FuzzDecode(f *testing.F) {
 	c, _ := New()
-	good, _ := c.Encode(membership.Message{Kind: membership.Sync, From: "r1", Updates: []membership.Update{{Name: "r2", Addr: "127.0.0.1:7000"}}})
+	updates := []membership.Update{{Name: "r2", Addr: "127.0.0.1:7000"}}
+	good, _ := c.Encode(membership.Message{Kind: membership.Sync, From: "r1", Updates: updates})
 	f.Add(good)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := c.Decode(b)
