--- a/internal/edge/timers/timers.go
+++ b/internal/edge/timers/timers.go
@@ -1,32 +1,34 @@
-// Package timers is a heap of deadlines for rules that have no clock: whoever
-// holds them asks for the next and tells the time. Times are Unix milliseconds.
+// Package timers is a heap of deadlines for modules without a clock: the owner
+// polls Next and calls Tick with the time. Times are Unix milliseconds. A Heap is
+// not safe for concurrent use.
 package timers
 
 import "container/heap"
 
-// Timer is one deadline. The zero Timer and nil are none.
+// Timer is one deadline. A nil Timer is none.
 type Timer struct {
-	at    float64
-	seq   uint64
-	index int // in the heap, -1 once it has run or was taken back
-	do    func(now float64)
+	at       float64 // ms
+	sequence uint64  // orders deadlines of the same time
+	index    int     // in the heap, -1 once it has run or was cancelled
+	do       func(now float64)
 }
 
-// Heap holds deadlines. The zero Heap is empty and ready.
+// Heap is a set of deadlines. The zero Heap is empty and ready to use.
 type Heap struct {
-	timers timers
-	seq    uint64
+	timers   timers
+	sequence uint64 // of the last deadline
 }
 
 // At runs do in the first Tick at or after the given time.
 func (h *Heap) At(at float64, do func(now float64)) *Timer {
-	h.seq++
-	t := &Timer{at: at, seq: h.seq, do: do}
-	heap.Push(&h.timers, t)
-	return t
+	h.sequence++
+	added := &Timer{at: at, sequence: h.sequence, do: do}
+	heap.Push(&h.timers, added)
+	return added
 }
 
-// Cancel takes a deadline back, if it has not run.
+// Cancel cancels a deadline that has not run. A nil timer, or one that has run, is
+// left as it is.
 func (h *Heap) Cancel(t *Timer) {
 	if t != nil && t.do != nil && t.index >= 0 {
 		heap.Remove(&h.timers, t.index)
@@ -34,10 +36,10 @@
 	}
 }
 
-// Len returns how many there are.
+// Len returns the number of scheduled deadlines.
 func (h *Heap) Len() int { return len(h.timers) }
 
-// Next returns when Tick is due, if it is.
+// Next returns the time of the first deadline, if there is one.
 func (h *Heap) Next() (float64, bool) {
 	if len(h.timers) == 0 {
 		return 0, false
@@ -45,36 +47,37 @@
 	return h.timers[0].at, true
 }
 
-// Tick runs what is due, in order.
+// Tick runs the deadlines that are due, in order.
 func (h *Heap) Tick(now float64) {
 	for len(h.timers) > 0 && h.timers[0].at <= now {
-		t := heap.Pop(&h.timers).(*Timer)
-		do := t.do
-		t.do = nil
+		due := heap.Pop(&h.timers).(*Timer)
+		do := due.do
+		due.do = nil
 		do(now)
 	}
 }
 
+// timers implements heap.Interface.
 type timers []*Timer
 
 func (h timers) Len() int { return len(h) }
 func (h timers) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
 func (h timers) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
 func (h *timers) Push(x any) {
-	t := x.(*Timer)
-	t.index = len(*h)
-	*h = append(*h, t)
+	pushed := x.(*Timer)
+	pushed.index = len(*h)
+	*h = append(*h, pushed)
 }
 func (h *timers) Pop() any {
 	old := *h
-	t := old[len(old)-1]
-	old[len(old)-1] = nil // let go of what it refers to
+	popped := old[len(old)-1]
+	old[len(old)-1] = nil // so that it can be garbage-collected
 	*h = old[:len(old)-1]
-	t.index = -1
-	return t
+	popped.index = -1
+	return popped
 }
--- a/internal/membership/budget.go
+++ b/internal/membership/budget.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// byteBudget is a token bucket of bytes, of one second's worth at most.
+// byteBudget is a token bucket of bytes, that holds at most one second's bytes.
 type byteBudget struct {
 	bytesPerSecond float64
 	tokens         float64 // bytes that may be sent now
@@ -26,8 +26,8 @@
 // allows reports whether a packet of size bytes is within the budget.
 func (b *byteBudget) allows(size int) bool { return float64(size) <= b.tokens }
 
-// allowsUserData reports whether a packet of size bytes leaves half of a
-// second's budget to gossip and push-pull.
+// allowsUserData reports whether a packet of size bytes keeps half of a
+// second's budget for gossip and push-pull.
 func (b *byteBudget) allowsUserData(size int) bool {
 	return b.tokens-float64(size) >= b.bytesPerSecond/2
 }
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -6,9 +6,9 @@
 	maxIndirectProbes = 16
 	minPacketBytes    = 512
 	maxPacketBytes    = 1400
-	// identityPacketShare: name, address and zone fit into this part of a packet,
+	// identityPacketDivisor: name, address and zone fit into this part of a packet,
 	// so that several updates do.
-	identityPacketShare = 4
+	identityPacketDivisor = 4
 )
 
 // Config is one member's settings, fixed for its lifetime. Times are in
@@ -102,7 +102,7 @@
 	case c.GossipBytesPerSecond < c.MaxPacketBytes:
 		return configError("budget_bytes_s", "%d, want max_packet %d or more",
 			c.GossipBytesPerSecond, c.MaxPacketBytes)
-	case c.identityBytes() > c.MaxPacketBytes/identityPacketShare:
+	case c.identityBytes() > c.MaxPacketBytes/identityPacketDivisor:
 		return configError("name, address and zone", "are too long for a packet")
 	}
 	return nil
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -83,7 +83,7 @@
 // largest packet and the byte budget, of which the message itself takes charged
 // bytes. It returns the size of what it added.
 //
-// Joins leave one page's worth of the budget to the push-pull: when many members
+// Joins leave one page's bytes of the budget to the push-pull: when many members
 // join at once their updates would spend all of it and delay the pages that make
 // them redundant. Suspicions and refutations may use all of it.
 func (n *Node) piggyBack(m *Message, charged int) (added int) {
--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -61,7 +61,7 @@
 // addMember takes an update of a name that is not in the view.
 func (n *Node) addMember(update Update, by origin, now int64) {
 	if update.State != Alive && update.State != Suspect {
-		return // the death of an unknown member leaves nothing to probe
+		return // the death of an unknown member is of no use: there is nothing to probe
 	}
 	if len(n.members) >= n.cfg.MaxMembers {
 		n.stats.Dropped++ // a peer that invents names must not grow the view without end
--- a/internal/membership/pushpull.go
+++ b/internal/membership/pushpull.go
@@ -13,8 +13,8 @@
 	// behindIntervals is for how many push-pull intervals a member requests pages
 	// quickly after it met one that knows more members.
 	behindIntervals = 3
-	// minReplyShare: a reply has at least this part of the largest packet.
-	minReplyShare = 3
+	// minReplyDivisor: a reply has at least this part of the largest packet.
+	minReplyDivisor = 3
 )
 
 // pushPullCursor is the progress of the push-pull.
@@ -140,7 +140,7 @@
 		reply.After = n.names[n.rng.IntN(len(n.names))]
 	}
 	n.budget.refill(now)
-	affordable := max(n.cfg.MaxPacketBytes/minReplyShare, n.budget.available()/2)
+	affordable := max(n.cfg.MaxPacketBytes/minReplyDivisor, n.budget.available()/2)
 	n.fillPage(&reply, from, min(n.cfg.MaxPacketBytes, affordable))
 	n.sendBudgeted(from, reply, now)
 }
--- a/internal/membership/refutation.go
+++ b/internal/membership/refutation.go
@@ -81,7 +81,7 @@
 }
 
 // notifySuspector sends the refutation to a suspector at once, and again in the
-// next periods. Gossip alone, or one packet that was lost, left suspectors whose
+// next periods. Mere gossip, or one packet that was lost, left suspectors whose
 // confirmed suspicion ended in a death of a running member. It also answers one
 // that repeats a suspicion already refuted, as a second suspector does. The
 // refutations cost at most maxSuspectors probe packets a period.
--- a/internal/membership/udp/udp.go
+++ b/internal/membership/udp/udp.go
@@ -50,7 +50,7 @@
 
 // SharedState is state that routers share on top of the view. Its messages are
 // sent within the byte budget of membership's packets. Its methods are called by
-// the transport's goroutine alone and must not block. Times are in milliseconds.
+// the transport's goroutine only and must not block. Times are in milliseconds.
 type SharedState interface {
 	// Fleet notifies of the names of the peers, and of how many routers there may
 	// be.
--- a/internal/netio/memory.go
+++ b/internal/netio/memory.go
@@ -1,22 +1,23 @@
 package netio
 
-// Memory is a budget of bytes that peers may make the process hold. It is part
-// of the owner's state.
+// Memory is a budget of the bytes that peers may make the process keep in memory.
+// It is not safe for concurrent use: it is part of its owner's state.
 type Memory struct {
-	limit, used int
+	limit int // bytes
+	used  int // bytes reserved
 }
 
-// Resize sets the budget. What is booked beyond it stays so.
+// Resize sets the limit in bytes. Reservations beyond it remain.
 func (m *Memory) Resize(limit int) { m.limit = limit }
 
-// Fits tells whether n more bytes are left.
+// Fits reports whether n more bytes are available.
 func (m *Memory) Fits(n int) bool { return m.used+n <= m.limit }
 
-// Exceeded tells whether more is booked than the budget holds.
+// Exceeded reports whether more than the limit is reserved.
 func (m *Memory) Exceeded() bool { return m.used > m.limit }
 
-// Book books n bytes, left or not; a negative n returns them.
+// Book reserves n bytes, available or not; a negative n releases them.
 func (m *Memory) Book(n int) { m.used += n }
 
-// Used returns how many bytes are booked.
+// Used returns how many bytes are reserved.
 func (m *Memory) Used() int { return m.used }
