--- a/internal/membership/exhaustive_test.go
+++ b/internal/membership/exhaustive_test.go
@@ -115,6 +115,11 @@
 	default:
 		w.kill(w.processes[c-2*n-1])
 	}
+	return checkInvariants(w, believed)
+}
+
+// checkInvariants checks what must hold after every choice.
+func checkInvariants(w *simulation, believed []map[string]Update) error {
 	for i, p := range w.processes {
 		if !p.running {
 			continue
--- a/internal/membership/udp/udp_test.go
+++ b/internal/membership/udp/udp_test.go
@@ -49,23 +49,7 @@
 		b[0] = byte(i)
 		_, _ = flood.Write(b)
 	}
-	deadline := time.After(10 * time.Second)
-	tick := time.NewTicker(20 * time.Millisecond)
-	defer tick.Stop()
-	for {
-		all := true
-		for _, transport := range transports {
-			all = all && transport.View().Fleet.Low == 3
-		}
-		if all {
-			break
-		}
-		select {
-		case <-deadline:
-			t.Fatalf("views did not meet: %+v", transports[0].View().Fleet)
-		case <-tick.C:
-		}
-	}
+	waitForViews(t, transports)
 	select { // the latest size is kept until it is received
 	case size := <-transports[2].Sizes():
 		if size != 3 {
@@ -79,3 +63,25 @@
 		t.Fatalf("the flood was not counted: %v", dropped)
 	}
 }
+
+// waitForViews waits, for a bounded time, until every view has all members alive.
+func waitForViews(t *testing.T, transports []*Transport) {
+	t.Helper()
+	deadline := time.After(10 * time.Second)
+	ticker := time.NewTicker(20 * time.Millisecond)
+	defer ticker.Stop()
+	for {
+		complete := true
+		for _, transport := range transports {
+			complete = complete && transport.View().Fleet.Low == len(transports)
+		}
+		if complete {
+			return
+		}
+		select {
+		case <-deadline:
+			t.Fatalf("the views are incomplete: %+v", transports[0].View().Fleet)
+		case <-ticker.C:
+		}
+	}
+}
--- a/internal/membership/wire/wire_test.go
+++ b/internal/membership/wire/wire_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"reflect"
 	"testing"
 
@@ -59,7 +60,8 @@
 	})
 }
 
-func TestRefusals(t *testing.T) {
+// TestDecodeRejects checks that packets which no member sends are not decoded.
+func TestDecodeRejects(t *testing.T) {
 	c, _ := New()
 	for name, b := range map[string][]byte{
 		"too large": bytes.Repeat([]byte{0}, MaxPacket+1),
@@ -91,3 +93,22 @@
 		}
 	})
 }
+
+// TestErrorTypes checks the errors that callers may tell apart.
+func TestErrorTypes(t *testing.T) {
+	c, err := New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := c.Decode(make([]byte, MaxPacket+1)); !errors.Is(err, ErrTooLarge) {
+		t.Errorf("a packet over the largest: %v", err)
+	}
+	if _, err := c.Encode(membership.Message{Payload: make([]byte, MaxPacket)}); !errors.Is(err, ErrTooLarge) {
+		t.Errorf("a message over the largest packet: %v", err)
+	}
+	var format *FormatError
+	version2 := []byte{0xa3, 0x00, 0x02, 0x01, 0x01, 0x03, 0x61, 'a'}
+	if _, err := c.Decode(version2); !errors.As(err, &format) {
+		t.Errorf("another version: %v", err)
+	}
+}
