--- /dev/null
+++ b/cmd/lotusbend/fleetcommand.go
@@ -0,0 +1,45 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"time"
+)
+
+const (
+	// fleetRequestTimeout bounds the request for the fleet page.
+	fleetRequestTimeout = 3 * time.Second
+	// maxFleetPageBytes bounds the page.
+	maxFleetPageBytes = 16 << 20
+)
+
+type fleetCmd struct {
+	Admin string `help:"The admin page of one router, address and port (membership.admin)." required:""`
+	JSON  bool   `help:"The page as JSON." name:"json"`
+}
+
+// Run implements the command: one router's view and totals, as a table.
+func (cmd fleetCmd) Run() error {
+	client := http.Client{Timeout: fleetRequestTimeout}
+	response, err := client.Get("http://" + cmd.Admin + "/fleet")
+	if err != nil {
+		return fmt.Errorf("requesting the admin page: %w", err)
+	}
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxFleetPageBytes))
+	if err != nil {
+		return fmt.Errorf("reading the admin page: %w", err)
+	}
+	var page fleetPage
+	if err := json.Unmarshal(body, &page); err != nil {
+		return fmt.Errorf("%s/fleet is no fleet page: %w", cmd.Admin, err)
+	}
+	if cmd.JSON {
+		_, err = os.Stdout.Write(body)
+		return err
+	}
+	return page.print(os.Stdout, time.Now())
+}
--- /dev/null
+++ b/cmd/lotusbend/fleetpage.go
@@ -0,0 +1,109 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"text/tabwriter"
+	"time"
+
+	"lotusbend/internal/deployconfig"
+	"lotusbend/internal/fleetstate"
+	"lotusbend/internal/membership"
+)
+
+// fleetPage is the content of GET /fleet.
+type fleetPage struct {
+	View    membership.View
+	Shared  *fleetstate.StatusPage `json:",omitempty"` // nil where no state is shared
+	Classes []string
+}
+
+// adminHandler serves the view, the counters and the fleet page.
+func (f *fleet) adminHandler(config *deployconfig.Config) http.Handler {
+	var classes []string
+	for _, class := range config.Settings.Config.Classes {
+		classes = append(classes, class.Name)
+	}
+	mux := http.NewServeMux()
+	if f.link == nil {
+		mux.Handle("/", f.view.Handler())
+	} else {
+		mux.Handle("/", f.view.Handler(func() map[string]uint64 { return f.link.Metrics(classes) }))
+	}
+	mux.HandleFunc("GET /fleet", func(w http.ResponseWriter, _ *http.Request) {
+		page := fleetPage{View: f.view.View(), Classes: classes}
+		if f.link != nil {
+			status := f.link.StatusPage()
+			page.Shared = &status
+		}
+		w.Header().Set("Content-Type", "application/json")
+		_ = json.NewEncoder(w).Encode(page)
+	})
+	return mux
+}
+
+// print writes the page for people.
+func (p fleetPage) print(to io.Writer, now time.Time) error {
+	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+	p.printView(w, now)
+	if p.Shared == nil {
+		fmt.Fprintln(w, "\nshared state is off")
+		return w.Flush()
+	}
+	p.printTotals(w)
+	p.printShared(w)
+	return w.Flush()
+}
+
+func (p fleetPage) printView(w io.Writer, now time.Time) {
+	view := p.View
+	unchanged := now.Sub(time.UnixMilli(view.ChangedAt)).Round(time.Second)
+	fmt.Fprintf(w, "%d to %d routers, version %d, unchanged for %s\n\n",
+		view.Fleet.Low, view.Fleet.High, view.Version, unchanged)
+	fmt.Fprintln(w, "ROUTER\tZONE\tSTATE\tINCARNATION\tSTARTED\tADDRESS")
+	for _, m := range view.Members {
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\n",
+			m.Name, m.Zone, m.State, m.Incarnation, timestamp(m.Start), m.Addr)
+	}
+}
+
+// printTotals writes the fleet's totals, a line a class.
+func (p fleetPage) printTotals(w io.Writer) {
+	kinds := fleetstate.CounterKindNames()
+	fmt.Fprint(w, "\nCLASS")
+	for _, kind := range kinds {
+		fmt.Fprintf(w, "\t%s", kind)
+	}
+	fmt.Fprintln(w)
+	for i, class := range p.Classes {
+		fmt.Fprint(w, class)
+		for kind := range kinds {
+			fmt.Fprintf(w, "\t%d", p.Shared.Totals.Get(i, fleetstate.CounterKind(kind)))
+		}
+		fmt.Fprintln(w)
+	}
+}
+
+func (p fleetPage) printShared(w io.Writer) {
+	s := p.Shared
+	fmt.Fprintf(w, "\nstake 1/%d of each warming endpoint's rate; ", s.Routers)
+	fmt.Fprintf(w, "retries lent %.2f, borrowed %.2f a second\n",
+		s.Lent[fleetstate.RetryBudgetKey], s.Borrowed[fleetstate.RetryBudgetKey])
+	for endpoint, quota := range s.SlowStart {
+		fmt.Fprintf(w, "warming endpoint %s: own quota %.4f, borrowed %.4f\n",
+			endpoint, quota.Own, quota.Borrowed)
+	}
+	for _, ejection := range s.Ejections {
+		fmt.Fprintf(w, "endpoint %s: %s, by a reputation of %.2f, observed here %v, until %s\n",
+			ejection.Endpoint, ejection.Status, ejection.Support, ejection.ObservedHere,
+			timestamp(ejection.Until))
+	}
+	for peer, reputation := range s.Reputation {
+		fmt.Fprintf(w, "peer %s: reputation %.2f\n", peer, reputation)
+	}
+}
+
+// timestamp formats a time in Unix milliseconds.
+func timestamp(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
--- a/internal/operatorconfig/options.go
+++ b/internal/operatorconfig/options.go
@@ -9,8 +9,6 @@
 	"log/slog"
 	"os"
 	"strings"
-
-	rules "lotusbend/internal/membership"
 )
 
 // Options is the file's contents, checked.
@@ -44,13 +42,10 @@
 	}
 	options := &Options{}
 	root.section(map[string]func(*value){
-		"log":  options.parseLog,
-		"edge": func(v *value) { options.Edge = parseEdge(v) },
-		"membership": func(v *value) {
-			d := rules.Defaults()
-			options.Membership = membership(v, d.ProbeIntervalMs, d.SuspicionMult, d.GossipBytesPerSecond)
-		},
-		"shared": func(v *value) { options.Shared = shared(v) },
+		"log":        options.parseLog,
+		"edge":       func(v *value) { options.Edge = parseEdge(v) },
+		"membership": func(v *value) { options.Membership = parseMembership(v) },
+		"shared":     func(v *value) { options.Shared = parseShared(v) },
 	})
 	if root.ok() && options.Shared != nil && options.Membership == nil {
 		root.fail("shared needs membership")
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -79,7 +79,7 @@
 	ended.inFlight = false
 	r.loop.Cancel(ended.timeout)
 	request.inFlight--
-	r.observer.attemptEnded(request.Class, ended, report.Outcome, r.loop.Now())
+	r.observer.attemptEnded(request.Class, ended, report.Outcome)
 	if report.Outcome == decide.OK {
 		r.answer(request, Answer{Verdict: Served, Row: report.Row})
 	}
@@ -106,7 +106,7 @@
 }
 
 // endAttempts cancels the attempts of a request that are in flight.
-func (r *Router) endAttempts(handle slotmap.Handle, request *trackedRequest, outcome decide.Outcome) {
+func (r *Router) endAttempts(request *trackedRequest, outcome decide.Outcome) {
 	for number := range request.attempts {
 		if request.attempts[number].inFlight {
 			r.endAttempt(request, number, AttemptReport{Outcome: r.cancelAttempt(request, number, outcome)})
--- a/internal/router/observer.go
+++ b/internal/router/observer.go
@@ -117,7 +117,7 @@
 
 // attemptEnded counts an attempt of which the endpoint may have received
 // something, and records what its outcome shows of the endpoint.
-func (o *Observer) attemptEnded(class int, ended *attempt, outcome decide.Outcome, now float64) {
+func (o *Observer) attemptEnded(class int, ended *attempt, outcome decide.Outcome) {
 	if o == nil {
 		return
 	}
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -119,7 +119,7 @@
 	request.answered = true
 	r.pending--
 	r.decider.ClientCancelled(r.now(), request.id)
-	r.endAttempts(handle, request, decide.Cancelled)
+	r.endAttempts(request, decide.Cancelled)
 	r.release(handle, request)
 }
 
@@ -136,7 +136,7 @@
 	if request == nil {
 		return
 	}
-	r.endAttempts(handle, request, decide.TimedOut)
+	r.endAttempts(request, decide.TimedOut)
 	if !request.answered {
 		r.answer(request, Answer{Verdict: Failed})
 		r.decider.ClientCancelled(r.now(), request.id)
