--- a/internal/edge/mqtt/publish.go
+++ b/internal/edge/mqtt/publish.go
@@ -64,7 +64,7 @@
 
 // Answer ends a message that was delivered. valid is false for one that held
 // no readings.
-func (s *Server) Answer(now float64, token uint64, results []batch.Result, valid bool) {
+func (s *Server) Answer(_ float64, token uint64, results []batch.Result, valid bool) {
 	p, found := s.tokens[token]
 	if !found {
 		return
--- a/internal/pooling/lease.go
+++ b/internal/pooling/lease.go
@@ -190,7 +190,7 @@
 }
 
 // serve gives w a connection that is idle, if it may have one.
-func (l *Leases) serve(now float64, h *hostState, w *Want) bool {
+func (l *Leases) serve(_ float64, h *hostState, w *Want) bool {
 	q := l.idle[w.Place]
 	if q == nil || !w.Write && l.reserved(h) {
 		return false
