--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 SIZED = decide cmd/lotusbend cmd/lotusbend-sim internal/clock internal/deployconfig \
 	internal/discovery internal/fleetstate internal/membership internal/netio \
 	internal/operatorconfig internal/postgres internal/router internal/routingconfig \
-	internal/simprotocol internal/slotmap
+	internal/simprotocol internal/slotmap internal/timerheap
 
 .PHONY: build test lint run up drill sites
 
--- a/internal/clock/loop.go
+++ b/internal/clock/loop.go
@@ -1,10 +1,11 @@
 package clock
 
 import (
-	"container/heap"
 	"context"
 	"sync"
 	"time"
+
+	"lotusbend/internal/timerheap"
 )
 
 // Loop is the event loop that owns the program's state: whatever touches the
@@ -17,11 +18,10 @@
 	clock *Clock
 	wake  chan struct{} // the first deadline has changed
 
-	mu       sync.Mutex
-	now      float64 // ms, of the event in progress
-	due      deadlines
-	sequence uint64 // of the last deadline
-	posted   []func()
+	mu        sync.Mutex
+	now       float64 // ms, of the event in progress
+	deadlines timerheap.Heap[func()]
+	posted    []func()
 }
 
 // NewLoop returns a Loop whose time is that of c.
@@ -56,39 +56,27 @@
 func (l *Loop) Now() float64 { return l.now }
 
 // Deadline is a function that At has scheduled. A nil Deadline is none.
-type Deadline struct {
-	at       float64 // ms
-	sequence uint64  // orders deadlines of the same time
-	fn       func()
-	index    int // in the heap, -1 once it has run or was cancelled
-}
+type Deadline = timerheap.Timer[func()]
 
 // At runs fn inside Do at a time in milliseconds, unless it is cancelled. Call it
 // inside Do.
 func (l *Loop) At(at float64, fn func()) *Deadline {
-	l.sequence++
-	d := &Deadline{at: at, sequence: l.sequence, fn: fn}
-	heap.Push(&l.due, d)
-	if d.index == 0 {
+	deadline, first := l.deadlines.Schedule(at, fn)
+	if first {
 		select {
 		case l.wake <- struct{}{}:
 		default:
 		}
 	}
-	return d
+	return deadline
 }
 
 // Cancel cancels a deadline that has not run, and releases what its function refers
 // to. A nil deadline, or one that has run, is left as it is. Call it inside Do.
-func (l *Loop) Cancel(d *Deadline) {
-	if d != nil && d.index >= 0 && d.fn != nil {
-		heap.Remove(&l.due, d.index)
-		d.fn = nil
-	}
-}
+func (l *Loop) Cancel(deadline *Deadline) { l.deadlines.Cancel(deadline) }
 
 // Pending returns the number of scheduled deadlines. Call it inside Do.
-func (l *Loop) Pending() int { return len(l.due) }
+func (l *Loop) Pending() int { return l.deadlines.Len() }
 
 // After returns a channel that is closed after so many milliseconds.
 func (l *Loop) After(ms float64) <-chan struct{} {
@@ -100,8 +88,12 @@
 // Fire runs every deadline that is due, in order.
 func (l *Loop) Fire() {
 	l.Do(func() {
-		for len(l.due) > 0 && l.due[0].at <= l.now {
-			heap.Pop(&l.due).(*Deadline).fn()
+		for {
+			fn, due := l.deadlines.PopDue(l.now)
+			if !due {
+				return
+			}
+			fn()
 			l.drain()
 		}
 	})
@@ -111,10 +103,7 @@
 func (l *Loop) Next() (float64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.due) == 0 {
-		return 0, false
-	}
-	return l.due[0].at, true
+	return l.deadlines.Next()
 }
 
 // Run fires deadlines when they are due until ctx ends. Its caller owns the
@@ -135,28 +124,3 @@
 		}
 	}
 }
-
-// deadlines implements heap.Interface.
-type deadlines []*Deadline
-
-func (d deadlines) Len() int { return len(d) }
-func (d deadlines) Less(i, j int) bool {
-	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].sequence < d[j].sequence
-}
-func (d deadlines) Swap(i, j int) {
-	d[i], d[j] = d[j], d[i]
-	d[i].index, d[j].index = i, j
-}
-func (d *deadlines) Push(x any) {
-	pushed := x.(*Deadline)
-	pushed.index = len(*d)
-	*d = append(*d, pushed)
-}
-func (d *deadlines) Pop() any {
-	old := *d
-	popped := old[len(old)-1]
-	old[len(old)-1] = nil // so that it can be garbage-collected
-	*d = old[:len(old)-1]
-	popped.index = -1
-	return popped
-}
