--- a/internal/edge/actions.go
+++ b/internal/edge/actions.go
@@ -28,7 +28,7 @@
 		return
 	}
 	r := &m.results[to.Index]
-	r.Status, r.Wait = uint8(ans.Status), uint32(math.Ceil(ans.Wait))
+	r.Status, r.Wait = uint8(ans.Status), uint32(math.Ceil(ans.RetryAfter))
 	if m.left--; m.left == 0 {
 		e.loop.Post(func() { e.finish(ref) })
 	}
@@ -49,7 +49,7 @@
 }
 
 // Forget implements intake.Actions.
-func (a *actions) Forget(id intake.ID) { a.store.Forget(id) }
+func (a *actions) Delete(id intake.ID) { a.store.Delete(id) }
 
 // Quarantine implements intake.Actions.
 func (a *actions) Quarantine(r *intake.Reading) {
@@ -71,7 +71,7 @@
 }
 
 // Submit implements intake.Actions.
-func (a *actions) Submit(id intake.ID, n uint64, w intake.Work, r *intake.Reading, group int, wait float64) {
+func (a *actions) Submit(id intake.ID, n uint64, w intake.Operation, r *intake.Reading, group int, wait float64) {
 	e := (*Edge)(a)
 	rt := &e.routes[e.routeOf(r.Route)]
 	class, name := rt.write, rt.Write
@@ -152,7 +152,7 @@
 		case served:
 			e.intake.Served(now, j.number, value)
 		case refused:
-			e.intake.Refused(now, j.number, wait)
+			e.intake.Rejected(now, j.number, wait)
 		default:
 			e.intake.Failed(now, j.number)
 		}
@@ -182,7 +182,7 @@
 		return
 	}
 	if e.reads >= maxReads || e.stopping {
-		e.loop.Post(func() { e.answerRead(proto, token, intake.Refused, e.opt.Intake.RetryMin, nil) })
+		e.loop.Post(func() { e.answerRead(proto, token, intake.Rejected, e.opt.Intake.MinRetryAfter, nil) })
 		return
 	}
 	e.reads++
@@ -193,7 +193,7 @@
 	if len(rt.Groups) > 1 {
 		group = intake.GroupOf(rt.Groups, arg)
 	}
-	e.submit(&job{read: &read{proto, token}}, rt.read, rt.Read, text, "", group, e.opt.Intake.CheckWait)
+	e.submit(&job{read: &read{proto, token}}, rt.read, rt.Read, text, "", group, e.opt.Intake.CheckTimeout)
 }
 
 // plain tells whether s may stand in a statement.
@@ -213,9 +213,9 @@
 	case served:
 		e.answerRead(r.proto, r.token, intake.Recorded, 0, value)
 	case refused:
-		e.answerRead(r.proto, r.token, intake.Refused, max(wait, e.opt.Intake.RetryMin), nil)
+		e.answerRead(r.proto, r.token, intake.Rejected, max(wait, e.opt.Intake.MinRetryAfter), nil)
 	default:
-		e.answerRead(r.proto, r.token, intake.Unknown, e.opt.Intake.RetryMin, nil)
+		e.answerRead(r.proto, r.token, intake.Unknown, e.opt.Intake.MinRetryAfter, nil)
 	}
 }
 
@@ -266,7 +266,7 @@
 		switch s := intake.Status(r.Status); {
 		case s.Done():
 			return codes.Changed, 0
-		case s == intake.Refused, s == intake.Unknown:
+		case s == intake.Rejected, s == intake.Unknown:
 			refused = true
 			maxAge = max(maxAge, float64(r.Wait))
 		case s == intake.Conflict:
@@ -303,7 +303,7 @@
 	}
 	var notBefore float64
 	if b.Elapsed != nil {
-		notBefore = intake.Since(greeted, *b.Elapsed)
+		notBefore = intake.SentAfter(greeted, *b.Elapsed)
 	}
 	e.deliver(protoMQTT, token, topic, b, notBefore, again, c.peer)
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -111,9 +111,9 @@
 	e.partial = progress.New(limits)
 	e.mqtt = mqtt.New(mqtt.Limits{
 		Sessions: opt.MaxSessions, SessionMs: opt.SessionExpiryMs, KeepAliveMs: opt.IdleTimeoutMs,
-		ReceiveMax: min(opt.Intake.PerDevice, 65535), MessageBytes: opt.MaxMessageBytes,
+		ReceiveMax: min(opt.Intake.MaxPerDevice, 65535), MessageBytes: opt.MaxMessageBytes,
 	}, e.codec, (*mqttOut)(e))
-	e.frames = frames.New(frames.Limits{Window: opt.Intake.PerDevice, IdleMs: opt.IdleTimeoutMs}, e.codec, (*framesOut)(e))
+	e.frames = frames.New(frames.Limits{Window: opt.Intake.MaxPerDevice, IdleMs: opt.IdleTimeoutMs}, e.codec, (*framesOut)(e))
 	e.coap = coap.New(coap.Limits{Exchanges: opt.MaxExchanges, MessageBytes: opt.MaxMessageBytes, Progress: limits}, key, seed, (*coapOut)(e))
 	if err := e.listen(); err != nil {
 		return nil, errors.Join(err, e.closeSockets())
@@ -154,7 +154,7 @@
 		bound.intake = -1
 		if r.Write != "" {
 			bound.intake = len(rules)
-			rules = append(rules, intake.Route{KeyTTL: bound.write.IdempotencyWindow, Groups: r.Groups})
+			rules = append(rules, intake.Route{IdempotencyWindow: bound.write.IdempotencyWindow, Groups: r.Groups})
 		}
 		e.byMatch[r.Match] = len(e.routes)
 		e.routes = append(e.routes, bound)
@@ -294,13 +294,13 @@
 		m.results[i].Seq = r.Seq
 		origin := intake.Origin{Peer: ref.ID(), Index: uint16(i)}
 		if e.stopping {
-			(*actions)(e).Answer(origin, intake.Answer{Status: intake.Refused, Wait: e.opt.Intake.RetryMin})
+			(*actions)(e).Answer(origin, intake.Answer{Status: intake.Rejected, RetryAfter: e.opt.Intake.MinRetryAfter})
 			continue
 		}
 		e.intake.Offer(now, intake.Reading{
 			ID:    intake.ID{Device: b.Device, Epoch: b.Epoch, Seq: r.Seq},
 			Route: e.routes[at].intake, Value: r.Value, Urgent: r.Urgent,
-		}, intake.Claim{First: r.Sent == 0 && !again, NotBefore: notBefore}, origin, network)
+		}, intake.DeclaredHistory{FirstCopy: r.Sent == 0 && !again, NotBefore: notBefore}, origin, network)
 	}
 }
 
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -475,7 +475,7 @@
 		"a stale check":        func(o *edgeoptions.Edge) { o.Routes[0].Check = "park-view" },
 		"a write as read":      func(o *edgeoptions.Edge) { o.Routes[1].Read = "ledger-write" },
 		"a match twice":        func(o *edgeoptions.Edge) { o.Routes[1].Match = "readings" },
-		"a key that ends soon": func(o *edgeoptions.Edge) { o.Intake.MayRun = 4900 },
+		"a key that ends soon": func(o *edgeoptions.Edge) { o.Intake.MaxOverrun = 4900 },
 	} {
 		o, err := edgeoptions.Parse("test", []byte(`{"edge": {"frames": "127.0.0.1:0", "routes": [
 			{"match": "readings", "groups": [1], "write": "ledger-write", "check": "invoice-check"}, {"match": "values", "groups": [1], "read": "park-view"}]}}`))
--- a/internal/edge/frames/characterization_test.go
+++ b/internal/edge/frames/characterization_test.go
@@ -205,7 +205,7 @@
 		c.send(someReadings(1, 0))
 		c.send(frames.Read{Kind: frames.KindRead, ID: 2, Route: "limits", Arg: "x"})
 		c.server.Stop()
-		c.server.Value(c.tokens[1], intake.Refused, 5, nil)
+		c.server.Value(c.tokens[1], intake.Rejected, 5, nil)
 		c.server.Answer(c.now, c.tokens[0], []batch.Result{{Seq: 1}})
 	},
 	"stopping-idle": func(c *connection) { c.hello(); c.server.Stop() },
--- a/internal/edge/frames/frames.go
+++ b/internal/edge/frames/frames.go
@@ -306,7 +306,7 @@
 		if f.Mark > 0 {
 			notBefore = f.Mark
 			if f.Batch.Elapsed != nil {
-				notBefore = intake.Since(f.Mark, *f.Batch.Elapsed)
+				notBefore = intake.SentAfter(f.Mark, *f.Batch.Elapsed)
 			}
 		}
 		s.out.Deliver(token, c.id, f.Route, &f.Batch, notBefore)
--- a/internal/edge/frames/frames_test.go
+++ b/internal/edge/frames/frames_test.go
@@ -66,7 +66,7 @@
 	if at := w.Mark + 100; p.notBefore > at || p.notBefore < at-1 {
 		t.Errorf("not before %v, it was sent at %v", p.notBefore, at)
 	}
-	results := []batch.Result{{Seq: 4}, {Seq: 5}, {Seq: 6, Status: uint8(intake.Refused), Wait: 9}, {Seq: 7}, {Seq: 0}}
+	results := []batch.Result{{Seq: 4}, {Seq: 5}, {Seq: 6, Status: uint8(intake.Rejected), Wait: 9}, {Seq: 7}, {Seq: 0}}
 	p.s.Answer(p.now, p.tokens[0], results)
 	var a Answer
 	p.last(&a)
--- a/internal/edge/intake/characterization_test.go
+++ b/internal/edge/intake/characterization_test.go
@@ -34,50 +34,53 @@
 	devices  int // that send readings
 	urgent   float64
 	maxValue int     // bytes of a value
-	offers   float64 // fraction of the events that bring a reading, the rest being shared by the others
+	offers   float64 // fraction of the events that bring a reading, the other kinds make up the rest
 	config   func(*intake.Config)
-	restart  func(*intake.Config) // changes the settings for every life but the first
+	restart  func(*intake.Config) // changes the settings for every incarnation but the first
 	routes   []intake.Route
 }
 
 var (
-	oneRoute  = []intake.Route{{KeyTTL: 5000, Groups: []int{1}}}
-	twoRoutes = []intake.Route{{KeyTTL: 5000, Groups: []int{1, 2}}, {KeyTTL: 60000, Groups: []int{3, 4, 5}}}
+	oneRoute  = []intake.Route{{IdempotencyWindow: 5000, Groups: []int{1}}}
+	twoRoutes = []intake.Route{
+		{IdempotencyWindow: 5000, Groups: []int{1, 2}},
+		{IdempotencyWindow: 60000, Groups: []int{3, 4, 5}},
+	}
 )
 
 var scenarios = []scenario{
 	{name: "defaults", seed: 1, events: 6000, devices: 30, urgent: 0.2, maxValue: 20, offers: 0.25, routes: twoRoutes},
 	{name: "few-devices", seed: 2, events: 6000, devices: 3, urgent: 0.1, maxValue: 20, offers: 0.25, routes: oneRoute,
-		config: func(c *intake.Config) { c.Recent = 4; c.MaxWindow = 3 }},
+		config: func(c *intake.Config) { c.MaxRecent = 4; c.MaxWindow = 3 }},
 	{name: "crowded", seed: 3, events: 6000, devices: 12, urgent: 0.3, maxValue: 20, offers: 0.5, routes: oneRoute,
-		config: small},
+		config: smallConfig},
 	{name: "many-devices", seed: 4, events: 6000, devices: 40, urgent: 0.1, maxValue: 20, offers: 0.4, routes: twoRoutes,
-		config: func(c *intake.Config) { small(c); c.MaxReadings = 100 }},
+		config: func(c *intake.Config) { smallConfig(c); c.MaxReadings = 100 }},
 	{name: "short-of-bytes", seed: 5, events: 6000, devices: 12, urgent: 0.2, maxValue: 2000, offers: 0.5, routes: twoRoutes,
 		config: func(c *intake.Config) { c.MaxBytes = 20000 }},
 	{name: "short-of-networks", seed: 6, events: 6000, devices: 12, urgent: 0.2, maxValue: 20, offers: 0.5, routes: twoRoutes,
-		config: func(c *intake.Config) { c.PerNetwork = 5 }},
+		config: func(c *intake.Config) { c.MaxPerNetwork = 5 }},
 	{name: "without-trust", seed: 7, events: 6000, devices: 10, urgent: 0.2, maxValue: 20, offers: 0.3, routes: twoRoutes,
-		config: func(c *intake.Config) { small(c); c.TrustFirst = false }},
+		config: func(c *intake.Config) { smallConfig(c); c.TrustFirstCopies = false }},
 	{name: "durable", seed: 8, events: 6000, devices: 10, urgent: 0.2, maxValue: 20, offers: 0.25, routes: twoRoutes,
 		config: func(c *intake.Config) { c.Durable = true }},
 	{name: "durable-crowded", seed: 9, events: 6000, devices: 12, urgent: 0.3, maxValue: 20, offers: 0.4, routes: oneRoute,
-		config: func(c *intake.Config) { small(c); c.Durable = true }},
+		config: func(c *intake.Config) { smallConfig(c); c.Durable = true }},
 	{name: "durable-fewer-devices", seed: 12, events: 6000, devices: 12, urgent: 0.3, maxValue: 20, offers: 0.3, routes: twoRoutes,
 		config:  func(c *intake.Config) { c.Durable = true },
 		restart: func(c *intake.Config) { c.MaxDevices = 3 }},
 	{name: "wide-window", seed: 10, events: 8000, devices: 50, urgent: 0.2, maxValue: 20, offers: 0.4, routes: oneRoute,
-		config: func(c *intake.Config) { c.MaxWindow = 12; c.Ramp = 2000; c.AnswerWithin = 60000 }},
+		config: func(c *intake.Config) { c.MaxWindow = 12; c.RecoveryRamp = 2000; c.AnswerTimeout = 60000 }},
 	{name: "long-keys", seed: 13, events: 6000, devices: 10, urgent: 0.2, maxValue: 20, offers: 0.25,
-		routes: []intake.Route{{KeyTTL: 1e9, Groups: []int{1}}}},
+		routes: []intake.Route{{IdempotencyWindow: 1e9, Groups: []int{1}}}},
 	{name: "short-answers", seed: 11, events: 6000, devices: 10, urgent: 0.2, maxValue: 20, offers: 0.3, routes: twoRoutes,
-		config: func(c *intake.Config) { small(c); c.AnswerWithin = 700; c.Waiters = 2 }},
+		config: func(c *intake.Config) { smallConfig(c); c.AnswerTimeout = 700; c.MaxWaiters = 2 }},
 }
 
-// small leaves room for a few readings only, so that the bounds are met often.
-func small(c *intake.Config) {
-	c.MaxReadings, c.PerDevice, c.MaxDevices, c.Recent, c.MaxWindow = 12, 8, 6, 4, 3
-	c.RetryMax, c.AnswerWithin = 3000, 9000
+// smallConfig has capacity for a few readings only, so that the bounds are met often.
+func smallConfig(c *intake.Config) {
+	c.MaxReadings, c.MaxPerDevice, c.MaxDevices, c.MaxRecent, c.MaxWindow = 12, 8, 6, 4, 3
+	c.MaxRetryAfter, c.AnswerTimeout = 3000, 9000
 }
 
 // TestCharacterization replays seeded event streams and compares a digest of
@@ -100,12 +103,17 @@
 func settingsDigest() string {
 	d := newDigest()
 	c := intake.Defaults()
-	d.bool(c.TrustFirst)
+	d.bool(c.TrustFirstCopies)
 	d.bool(c.Durable)
-	for _, v := range []int{c.MaxReadings, c.MaxBytes, c.PerDevice, c.PerNetwork, c.MaxDevices, c.Recent, c.Waiters, c.MaxWindow} {
+	for _, v := range []int{
+		c.MaxReadings, c.MaxBytes, c.MaxPerDevice, c.MaxPerNetwork, c.MaxDevices, c.MaxRecent, c.MaxWaiters, c.MaxWindow,
+	} {
 		d.int(v)
 	}
-	for _, v := range []float64{c.WriteWait, c.CheckWait, c.MayRun, c.Margin, c.AnswerWithin, c.RetryMin, c.RetryMax, c.Ramp} {
+	for _, v := range []float64{
+		c.WriteTimeout, c.CheckTimeout, c.MaxOverrun, c.ClockMargin, c.AnswerTimeout, c.MinRetryAfter, c.MaxRetryAfter,
+		c.RecoveryRamp,
+	} {
 		d.float(v)
 	}
 	d.int(intake.MaxDevice)
@@ -114,17 +122,18 @@
 		d.bool(intake.Status(status).Done())
 	}
 	for _, elapsed := range []float64{-1, 0, 1, 1000, 1e9} {
-		d.float(intake.Since(1e6, elapsed))
+		d.float(intake.SentAfter(1e6, elapsed))
 	}
 	return d.sum()
 }
 
-// startDigest covers which routes are refused at the start.
+// startDigest covers which routes are rejected at the start.
 func startDigest() string {
 	d := newDigest()
 	for _, ttl := range []float64{0, 3400, 3449, 3450, math.Nextafter(3450, 4000), 5000} {
 		for _, groups := range [][]int{nil, {1}} {
-			_, err := intake.New(intake.Defaults(), []intake.Route{oneRoute[0], {KeyTTL: ttl, Groups: groups}}, 1, nil)
+			routes := []intake.Route{oneRoute[0], {IdempotencyWindow: ttl, Groups: groups}}
+			_, err := intake.New(intake.Defaults(), routes, 1, nil)
 			d.bool(err != nil)
 		}
 	}
@@ -151,7 +160,7 @@
 const (
 	healthy mode = iota
 	outage       // every submission fails
-	refusing
+	rejecting
 	modes
 )
 
@@ -159,7 +168,7 @@
 type submission struct {
 	number uint64
 	id     intake.ID
-	work   intake.Work
+	work   intake.Operation
 	value  []byte
 	until  float64
 }
@@ -169,14 +178,14 @@
 // order of a map.
 type router struct {
 	scenario
-	t        *testing.T
-	random   *rand.Rand
-	digest   digest
-	intake   *intake.Intake
-	settings intake.Config
-	lives    uint64
-	now      float64
-	mode     mode
+	t            *testing.T
+	random       *rand.Rand
+	digest       digest
+	intake       *intake.Intake
+	settings     intake.Config
+	incarnations uint64
+	now          float64
+	mode         mode
 
 	out      []submission
 	storing  []intake.Reading // on their way to the disk
@@ -212,12 +221,12 @@
 	return r.digest.sum()
 }
 
-// start begins a new life, which recovers what the disk holds.
+// start begins a new incarnation, which recovers what the disk holds.
 func (r *router) start() {
-	if r.lives++; r.lives > 1 && r.restart != nil {
+	if r.incarnations++; r.incarnations > 1 && r.restart != nil {
 		r.restart(&r.settings)
 	}
-	in, err := intake.New(r.settings, r.routes, r.lives, r)
+	in, err := intake.New(r.settings, r.routes, r.incarnations, r)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -256,7 +265,7 @@
 // offer sends a new reading, a copy of an earlier one, or one at fault.
 func (r *router) offer() {
 	var reading intake.Reading
-	claim := intake.Claim{First: true, NotBefore: r.now - 1000*r.random.Float64()}
+	declared := intake.DeclaredHistory{FirstCopy: true, NotBefore: r.now - 1000*r.random.Float64()}
 	switch n := r.random.IntN(100); {
 	case n < 60 || len(r.sent) == 0:
 		reading = r.newReading()
@@ -266,7 +275,7 @@
 			back = len(r.sent)
 		}
 		reading = r.sent[len(r.sent)-1-r.random.IntN(back)]
-		claim.First = false
+		declared.FirstCopy = false
 	case n < 96: // another value under the same identity, as by a second device of that name
 		reading = r.sent[len(r.sent)-1-r.random.IntN(min(50, len(r.sent)))]
 		reading.Value = append([]byte("other "), reading.Value...)
@@ -274,11 +283,11 @@
 		reading = r.atFault(r.newReading())
 	}
 	if r.random.IntN(10) == 0 {
-		claim.NotBefore = []float64{0, r.now - 4400, r.now + 500}[r.random.IntN(3)]
+		declared.NotBefore = []float64{0, r.now - 4400, r.now + 500}[r.random.IntN(3)]
 	}
 	from := intake.Origin{Peer: uint64(reading.Seq), Message: r.messages, Index: uint16(r.messages % 7)}
 	r.messages++
-	r.intake.Offer(r.now, reading, claim, from, r.network())
+	r.intake.Offer(r.now, reading, declared, from, r.network())
 }
 
 func (r *router) newReading() intake.Reading {
@@ -344,12 +353,12 @@
 	s := r.out[i]
 	r.out = slices.Delete(r.out, i, i+1)
 	r.ended = s.number
-	failed, refused := 0.1, 0.05
+	failed, rejected := 0.1, 0.05
 	switch r.mode {
 	case outage:
 		failed = 1
-	case refusing:
-		refused = 0.5
+	case rejecting:
+		rejected = 0.5
 	}
 	switch n := r.random.Float64(); {
 	case n < failed:
@@ -360,9 +369,9 @@
 			r.pass(max(s.until-r.now, 0))
 		}
 		r.intake.Failed(r.now, s.number)
-	case n < failed+refused:
+	case n < failed+rejected:
 		advice := []float64{0, 0, 50, 400, 1e6}[r.random.IntN(5)]
-		r.intake.Refused(r.now, s.number, advice)
+		r.intake.Rejected(r.now, s.number, advice)
 	default:
 		if s.work == intake.Write {
 			r.execute(s)
@@ -385,7 +394,7 @@
 // endUnknown ends a submission that is not out, in every way.
 func (r *router) endUnknown() {
 	r.intake.Served(r.now, r.ended, nil)
-	r.intake.Refused(r.now, r.ended, 100)
+	r.intake.Rejected(r.now, r.ended, 100)
 	r.intake.Failed(r.now, 1<<40)
 }
 
@@ -447,12 +456,12 @@
 func (r *router) observe() {
 	s := r.intake.Stats()
 	for _, v := range []uint64{
-		s.Offered, s.Recorded, s.Proven, s.Stored, s.Conflicts, s.Refused, s.Unknown, s.Invalid,
-		s.Replayed, s.Joined, s.Ancient, s.Evicted, s.Writes, s.Checks, s.Rewrites,
+		s.Offered, s.Recorded, s.FoundRecorded, s.Stored, s.Conflicts, s.Rejected, s.Unknown, s.Invalid,
+		s.Duplicates, s.Coalesced, s.PastEpoch, s.Evicted, s.Writes, s.Checks, s.WriteRetries,
 	} {
 		r.digest.uint(v)
 	}
-	for _, v := range []int{s.Open, s.Bytes, s.Devices} {
+	for _, v := range []int{s.InProgress, s.Bytes, s.Devices} {
 		r.digest.int(v)
 	}
 	at, ok := r.intake.Next()
@@ -460,7 +469,7 @@
 	r.digest.bool(ok)
 }
 
-func (r *router) Submit(id intake.ID, n uint64, w intake.Work, reading *intake.Reading, group int, wait float64) {
+func (r *router) Submit(id intake.ID, n uint64, w intake.Operation, reading *intake.Reading, group int, wait float64) {
 	r.digest.int(1)
 	r.digest.id(id)
 	r.digest.uint(n)
@@ -477,7 +486,7 @@
 	r.digest.uint(uint64(to.Message))
 	r.digest.uint(uint64(to.Index))
 	r.digest.uint(uint64(a.Status))
-	r.digest.float(a.Wait)
+	r.digest.float(a.RetryAfter)
 }
 
 func (r *router) Persist(reading *intake.Reading) {
@@ -486,7 +495,7 @@
 	r.storing = append(r.storing, *reading)
 }
 
-func (r *router) Forget(id intake.ID) {
+func (r *router) Delete(id intake.ID) {
 	r.digest.int(4)
 	r.digest.id(id)
 	r.erase(id)
--- a/internal/edge/intake/device.go
+++ b/internal/edge/intake/device.go
@@ -5,149 +5,170 @@
 	"container/list"
 )
 
-// finished is a reading that is recorded.
-type finished struct {
-	epoch, seq uint64
-	digest     uint64 // of the value that is recorded
+// recordedReading is a reading that is known to be recorded.
+type recordedReading struct {
+	epoch  uint64
+	seq    uint64
+	digest uint64 // of the recorded value
 }
 
 // device is what is remembered of one device.
 type device struct {
 	name  string
 	epoch uint64 // the highest seen
-	// sure tells that a reading of this epoch was found or recorded here, past
-	// doubt; doubted that another value stood under one of its identities.
-	sure, doubted bool
-	floor         uint64 // the first sequence of the epoch above all that were forgotten
-	open          map[number]*entry
-	recent        []finished // a ring; at is its next place
-	at            int
-	lines         []*line // one for each group that it has readings for
-	held          int     // readings that may be evicted: queued, never sent, not stored
-	index         int     // in holders, -1 if it holds none
-	idle          *list.Element
+	// confirmed is set once a reading of this epoch was recorded or found
+	// recorded here, conflicted once another value was found under an ID of it.
+	confirmed   bool
+	conflicted  bool
+	trustedFrom uint64 // the first sequence number of the epoch above all forgotten ones
+
+	inProgress  map[localID]*entry
+	recent      []recordedReading // a ring
+	recentNext  int               // the place in it that is overwritten next
+	queues      []*deviceQueue    // one for each replica group that it has readings for
+	evictable   int               // readings that may be evicted: queued, never submitted, not stored
+	heapIndex   int               // in Intake.evictable, -1 if evictable is 0
+	idleElement *list.Element     // in Intake.idleDevices, nil while readings are in progress
 }
 
-func (d *device) recall(n number) (digest uint64, ok bool) {
-	for _, f := range d.recent {
-		if f.epoch == n.epoch && f.seq == n.seq {
-			return f.digest, true
+// recall returns the digest of the recorded value, if the reading is remembered.
+func (d *device) recall(id localID) (digest uint64, ok bool) {
+	for _, recorded := range d.recent {
+		if recorded.epoch == id.epoch && recorded.seq == id.seq {
+			return recorded.digest, true
 		}
 	}
 	return 0, false
 }
 
-func (d *device) remember(n number, sum uint64, most int) {
-	f := finished{n.epoch, n.seq, sum}
-	if len(d.recent) < most {
-		d.recent = append(d.recent, f)
+// remember adds a recorded reading, in place of the oldest beyond limit.
+func (d *device) remember(id localID, sum uint64, limit int) {
+	recorded := recordedReading{epoch: id.epoch, seq: id.seq, digest: sum}
+	if len(d.recent) < limit {
+		d.recent = append(d.recent, recorded)
 		return
 	}
-	if old := d.recent[d.at]; old.epoch == d.epoch {
-		d.floor = max(d.floor, old.seq+1)
+	if oldest := d.recent[d.recentNext]; oldest.epoch == d.epoch {
+		d.trustedFrom = max(d.trustedFrom, oldest.seq+1)
 	}
-	d.recent[d.at] = f
-	d.at = (d.at + 1) % most
+	d.recent[d.recentNext] = recorded
+	d.recentNext = (d.recentNext + 1) % limit
 }
 
-// begin takes note of an epoch. A new one starts without trust.
-func (d *device) begin(epoch uint64) {
-	if epoch > d.epoch {
-		d.epoch, d.sure, d.doubted, d.floor = epoch, false, false, 0
+// observeEpoch takes note of an epoch. Declarations of a new one are not
+// trusted at first.
+func (d *device) observeEpoch(epoch uint64) {
+	if epoch <= d.epoch {
+		return
 	}
+	d.epoch = epoch
+	d.confirmed = false
+	d.conflicted = false
+	d.trustedFrom = 0
 }
 
-// trusts tells whether the claim that a reading was never sent before may be
-// believed. A device that lost its counter, or a second one of the same name,
-// claims it of what is long recorded: so not of the first reading of an epoch
-// that is seen here, of none at or below what was forgotten, and of nothing
-// once another value was found.
-func (d *device) trusts(n number) bool {
-	return n.epoch == d.epoch && d.sure && !d.doubted && n.seq >= d.floor
+// trustsFirstCopy reports whether a device's declaration that a reading was
+// never sent before may be trusted. A device that lost its counter, or a second
+// one of the same name, declares it of readings that are long recorded. It is
+// therefore not trusted for the first reading of an epoch seen here, nor at or
+// below a forgotten sequence number, nor after a conflict.
+func (d *device) trustsFirstCopy(id localID) bool {
+	return id.epoch == d.epoch && d.confirmed && !d.conflicted && id.seq >= d.trustedFrom
 }
 
-// lru lists the devices without readings, the longest idle first.
+// lru lists devices without readings in progress, least recently used first.
 type lru struct{ list.List }
 
-// device returns a device by its name, a new one if it is not known and there
-// is room: the longest idle one is forgotten for it, whose next reading will
-// be checked rather than recalled.
+// device returns a device by its name. An unknown one is added; at MaxDevices
+// it replaces the one idle for longest, whose next reading will be checked
+// rather than recalled. It returns nil if no device is idle.
 func (in *Intake) device(name string) *device {
 	if d := in.devices[name]; d != nil {
 		return d
 	}
 	if len(in.devices) >= in.cfg.MaxDevices {
-		oldest := in.idle.Front()
+		oldest := in.idleDevices.Front()
 		if oldest == nil {
 			return nil
 		}
-		in.idle.Remove(oldest)
+		in.idleDevices.Remove(oldest)
 		delete(in.devices, oldest.Value.(*device).name)
 	}
 	return in.newDevice(name)
 }
 
 func (in *Intake) newDevice(name string) *device {
-	d := &device{name: name, index: -1}
+	d := &device{name: name, heapIndex: -1}
 	in.devices[name] = d
 	return d
 }
 
-// settle files a device among the idle ones if it has nothing under way.
-func (in *Intake) settle(d *device) {
-	if len(d.open) > 0 || in.devices[d.name] != d {
+// markIdle lists a device as idle if it has no readings in progress.
+func (in *Intake) markIdle(d *device) {
+	if len(d.inProgress) > 0 || in.devices[d.name] != d {
 		return
 	}
-	d.open, d.lines = nil, nil
-	if d.idle == nil {
-		d.idle = in.idle.PushBack(d)
+	d.inProgress = nil
+	d.queues = nil
+	if d.idleElement == nil {
+		d.idleElement = in.idleDevices.PushBack(d)
 	} else {
-		in.idle.MoveToBack(d.idle)
+		in.idleDevices.MoveToBack(d.idleElement)
 	}
 }
 
-// busy takes a device off the idle ones.
-func (in *Intake) busy(d *device) {
-	if d.idle != nil {
-		in.idle.Remove(d.idle)
-		d.idle = nil
+// markBusy takes a device off the idle ones.
+func (in *Intake) markBusy(d *device) {
+	if d.idleElement != nil {
+		in.idleDevices.Remove(d.idleElement)
+		d.idleElement = nil
 	}
 }
 
-// holders orders devices by how many readings they hold that may be evicted.
-type holders []*device
+// evictionHeap orders devices by their number of evictable readings, the
+// largest first. It implements heap.Interface.
+type evictionHeap []*device
 
-// hold counts e into or out of what its device holds.
-func (in *Intake) holds(d *device, by int) {
-	d.held += by
+// countEvictable changes a device's number of evictable readings.
+func (in *Intake) countEvictable(d *device, change int) {
+	d.evictable += change
+	listed := d.heapIndex >= 0
 	switch {
-	case d.index < 0 && d.held > 0:
-		heap.Push(&in.holders, d)
-	case d.index >= 0 && d.held == 0:
-		heap.Remove(&in.holders, d.index)
-	case d.index >= 0:
-		heap.Fix(&in.holders, d.index)
+	case !listed && d.evictable > 0:
+		heap.Push(&in.evictable, d)
+	case listed && d.evictable == 0:
+		heap.Remove(&in.evictable, d.heapIndex)
+	case listed:
+		heap.Fix(&in.evictable, d.heapIndex)
 	}
 }
 
-func (h holders) Len() int { return len(h) }
-func (h holders) Less(i, j int) bool {
-	return h[i].held > h[j].held || h[i].held == h[j].held && h[i].name < h[j].name
+func (h evictionHeap) Len() int { return len(h) }
+
+func (h evictionHeap) Less(i, j int) bool {
+	if h[i].evictable != h[j].evictable {
+		return h[i].evictable > h[j].evictable
+	}
+	return h[i].name < h[j].name
 }
-func (h holders) Swap(i, j int) {
+
+func (h evictionHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
-func (h *holders) Push(x any) {
+
+func (h *evictionHeap) Push(x any) {
 	d := x.(*device)
-	d.index = len(*h)
+	d.heapIndex = len(*h)
 	*h = append(*h, d)
 }
-func (h *holders) Pop() any {
-	old := *h
-	d := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	d.index = -1
+
+func (h *evictionHeap) Pop() any {
+	last := len(*h) - 1
+	d := (*h)[last]
+	(*h)[last] = nil // for the garbage collector
+	*h = (*h)[:last]
+	d.heapIndex = -1
 	return d
 }
--- a/internal/edge/intake/reading.go
+++ b/internal/edge/intake/reading.go
@@ -15,10 +15,10 @@
 type ID struct {
 	Device string
 	Epoch  uint64 // of the device's counter: a larger one after each restart that lost it
-	Seq    uint64
+	Seq    uint64 // sequence number within the epoch
 }
 
-// MaxDevice is how long a device's name may be, and MaxValue a value.
+// The longest name of a device and the largest value, in bytes.
 const (
 	MaxDevice = 64
 	MaxValue  = 32 << 10
@@ -27,48 +27,54 @@
 // Reading is one reading as a device sent it.
 type Reading struct {
 	ID
-	Route  int
+	Route  int // index in the routes given to New
 	Value  []byte
 	Urgent bool
 }
 
-func (r *Reading) valid(routes int) bool {
-	return len(r.Device) > 0 && len(r.Device) <= MaxDevice && len(r.Value) > 0 && len(r.Value) <= MaxValue &&
-		r.Route >= 0 && r.Route < routes
+func (reading *Reading) valid(routes int) bool {
+	validDevice := len(reading.Device) > 0 && len(reading.Device) <= MaxDevice
+	validValue := len(reading.Value) > 0 && len(reading.Value) <= MaxValue
+	return validDevice && validValue && reading.Route >= 0 && reading.Route < routes
 }
 
-// Row returns the id of the reading's row, and Key its idempotency key: 128
-// bits of SHA-256, so that no device can choose a name that meets another's.
-// Every router and every restart gives the same.
+// Row returns the id of the reading's row, 32 hexadecimal digits. Every router
+// derives the same one, also after a restart. It is 128 bits of SHA-256, so
+// that no device can choose a name that collides with another's.
 func (id ID) Row() string { return id.hash("row") }
 
-// Key returns the reading's idempotency key.
+// Key returns the reading's idempotency key, derived as Row is.
 func (id ID) Key() string { return id.hash("key") }
 
-func (id ID) hash(kind string) string {
+func (id ID) hash(purpose string) string {
 	b := make([]byte, 0, 128)
-	b = append(append(b, kind...), 0)
+	b = append(b, purpose...)
+	b = append(b, 0)
 	b = binary.BigEndian.AppendUint64(b, id.Epoch)
 	b = binary.BigEndian.AppendUint64(b, id.Seq)
-	sum := sha256.Sum256(append(b, id.Device...)) // the name comes last: it has no fixed length
+	b = append(b, id.Device...) // last, because it has no fixed length
+	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:16])
 }
 
-// number is an ID within its device.
-type number struct{ epoch, seq uint64 }
+// localID is an ID within its device.
+type localID struct {
+	epoch uint64
+	seq   uint64
+}
 
-func (id ID) number() number { return number{id.Epoch, id.Seq} }
+func (id ID) local() localID { return localID{epoch: id.Epoch, seq: id.Seq} }
 
-// digest tells values apart.
+// digest distinguishes values.
 func digest(value []byte) uint64 {
 	sum := sha256.Sum256(value)
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// group draws a device's group, the same at every router.
+// group returns a device's replica group, the same at every router.
 func (r *Route) group(device string) int { return GroupOf(r.Groups, device) }
 
-// GroupOf draws one of several groups by a name.
+// GroupOf returns one of several groups, by the hash of a name.
 func GroupOf(groups []int, name string) int {
 	return groups[xxhash.Sum64String(name)%uint64(len(groups))]
 }
@@ -76,39 +82,52 @@
 type phase uint8
 
 const (
-	queued   phase = iota // waits for its turn
-	again                 // its rest is over: it goes before others
-	storing               // on its way to the disk
-	writing               // a write is out
-	checking              // a read is out
-	resting               // until wake
+	queued     phase = iota // in its device's queue
+	retryReady              // its backoff is over: it goes before queued ones
+	storing                 // on its way to the disk
+	writing                 // a write is in flight
+	checking                // a check is in flight
+	backingOff              // until retryTimer
 )
 
-// entryCost is what an entry takes in memory beside its value, in bytes.
+// entryCost is the memory of an entry beside its value and name, in bytes.
 const entryCost = 512
 
-// entry is a reading under way.
+// entry is a reading in progress. Times are Unix milliseconds.
 type entry struct {
 	Reading
-	digest  uint64
-	device  *device
-	network netip.Prefix
-	group   *group
-	line    *line
-	waiters []Origin
-	phase   phase
-	stored  bool          // on the disk
-	over    bool          // off the books
-	cover   float64       // until then a write cannot run twice; 0: a read must come first
-	sent    bool          // a write of ours may have run
-	deadAt  float64       // when no attempt of ours can be running any more
-	number  uint64        // of the submission that is out
-	asked   float64       // when it went out
-	until   float64       // its deadline
-	tries   int           // without an answer that helped
-	since   float64       // when it came
-	wake    *timers.Timer // of resting
-	answer  *timers.Timer // of the latest time for its answer
+	digest    uint64 // of the value
+	device    *device
+	network   netip.Prefix
+	group     *group
+	queue     *deviceQueue
+	waiters   []Origin // copies that are not answered yet
+	phase     phase
+	stored    bool // on the disk
+	removed   bool
+	arrivedAt float64
+
+	safeUntil     float64 // until then a write cannot run twice; 0: a check must come first
+	writeSent     bool    // a write of ours may have run
+	attemptsEndBy float64 // when no attempt of ours can be running any more
+	failures      int     // submissions rejected or failed since the last useful answer
+
+	submission  uint64 // number of the one in flight
+	submittedAt float64
+	deadline    float64 // of the submission
+
+	retryTimer  *timers.Timer // while backingOff
+	answerTimer *timers.Timer // for the waiters
 }
 
+// cost is the entry's part of MaxBytes, in bytes.
 func (e *entry) cost() int { return len(e.Value) + len(e.Device) + entryCost }
+
+// unwanted reports whether nobody depends on the entry: no copy waits, so that
+// the device will send it again, and it is not stored.
+func (e *entry) unwanted() bool { return len(e.waiters) == 0 && !e.stored }
+
+// evictable reports whether e may be rejected although it was admitted.
+func (e *entry) evictable() bool {
+	return e.phase == queued && !e.Urgent && !e.stored && !e.writeSent && e.failures == 0
+}
--- /dev/null
+++ b/internal/edge/intake/reading_test.go
@@ -0,0 +1,31 @@
+package intake
+
+import (
+	"net/netip"
+	"strings"
+	"testing"
+)
+
+func TestInvalidReadings(t *testing.T) {
+	s := newScript(t, nil)
+	s.offer("", 1, true)
+	s.offer(strings.Repeat("x", MaxDevice+1), 2, true)
+	s.offerValue("a", 1, 3, "", true)
+	s.offerValue("a", 1, 4, strings.Repeat("x", MaxValue+1), true)
+	unknownRoute := Reading{ID: ID{"a", 1, 5}, Route: 1, Value: []byte("v")}
+	s.in.Offer(s.now, unknownRoute, DeclaredHistory{}, Origin{Index: 5}, netip.Prefix{})
+	s.want("invalid1 invalid2 invalid3 invalid4 invalid5")
+}
+
+func TestRowsAndKeysDoNotCollide(t *testing.T) {
+	seen := map[string]ID{}
+	ids := []ID{{"a", 1, 2}, {"a", 2, 1}, {"a", 1, 1}, {"b", 1, 2}, {"a\x00", 1, 2}, {"", 0, 0}, {"a", 0, 1 << 32}}
+	for _, id := range ids {
+		for _, name := range []string{id.Row(), id.Key()} {
+			if other, ok := seen[name]; ok || len(name) != 32 {
+				t.Errorf("%v and %v: %s", id, other, name)
+			}
+			seen[name] = id
+		}
+	}
+}
--- a/internal/edge/mqtt/characterization_test.go
+++ b/internal/edge/mqtt/characterization_test.go
@@ -257,7 +257,7 @@
 	"quality-0": func(e *endpoint) {
 		e.connect(1, "a", 20, 0)
 		e.publish(1, 0, 0, "batch")
-		e.answer(intake.Refused)
+		e.answer(intake.Rejected)
 		e.publish(1, 0, 0, "batch", again)
 	},
 	"quality-1": func(e *endpoint) {
@@ -267,7 +267,7 @@
 		e.answer(intake.Recorded, intake.Stored)
 		e.answer(intake.Recorded) // once only
 		e.publish(1, 1, 5, "batch", again)
-		e.answer(intake.Recorded, intake.Refused, intake.Unknown)
+		e.answer(intake.Recorded, intake.Rejected, intake.Unknown)
 		e.control(1, packets.Puback, 9)
 	},
 	"quality-2": func(e *endpoint) {
@@ -290,8 +290,8 @@
 	"statuses": func(e *endpoint) {
 		e.connect(1, "a", 20, 0)
 		e.subscribe(1, packets.Subscribe, 1, mqtt.AnswersTopic+"a")
-		for number, statuses := range [][]intake.Status{{}, {intake.Recorded}, {intake.Stored}, {intake.Conflict}, {intake.Refused}, {intake.Unknown}, {intake.Invalid},
-			{intake.Refused, intake.Conflict, intake.Recorded}, {intake.Invalid, intake.Refused}} {
+		for number, statuses := range [][]intake.Status{{}, {intake.Recorded}, {intake.Stored}, {intake.Conflict}, {intake.Rejected}, {intake.Unknown}, {intake.Invalid},
+			{intake.Rejected, intake.Conflict, intake.Recorded}, {intake.Invalid, intake.Rejected}} {
 			e.publish(1, byte(1+number%2), uint16(100+number), "batch")
 			e.answer(statuses...)
 			e.control(1, packets.Pubrel, uint16(100+number))
@@ -308,7 +308,7 @@
 		e.connect(1, "a", 20, 30)
 		e.subscribe(1, packets.Subscribe, 1, mqtt.AnswersTopic+"a", mqtt.AnswersTopic+"b", "#")
 		e.publish(1, 0, 0, "batch")
-		e.answer(intake.Recorded, intake.Refused)
+		e.answer(intake.Recorded, intake.Rejected)
 		e.subscribe(1, packets.Unsubscribe, 2, mqtt.AnswersTopic+"a", mqtt.AnswersTopic+"a", "#")
 		e.publish(1, 0, 0, "batch")
 		e.answer(intake.Recorded)
--- a/internal/edge/mqtt/mqtt_test.go
+++ b/internal/edge/mqtt/mqtt_test.go
@@ -206,14 +206,14 @@
 	p.publish(1, 1, 1, "a", false)
 	p.publish(1, 2, 2, "b", false)
 	p.publish(1, 1, 3, "no batch", false)
-	p.answer(0, intake.Recorded, intake.Refused)
+	p.answer(0, intake.Recorded, intake.Rejected)
 	p.answer(1, intake.Conflict)
 	p.answer(2)
 	p.want(1, "connack puback1!97(1 recorded 7)(2 refused 7) pubrec2!83(1 conflict 7) puback3!99")
 	// Version 3.1.1 has no reasons: the connection ends, or its answers tell.
 	p.connect(2, version311, "n", true, 10)
 	p.publish(2, 1, 1, "a", false)
-	p.answer(3, intake.Refused)
+	p.answer(3, intake.Rejected)
 	p.want(2, "connack close")
 	p.connect(3, version311, "o", true, 10)
 	sub := packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Subscribe, Qos: 1}, ProtocolVersion: version311, PacketID: 9,
--- a/internal/edge/mqtt/publish.go
+++ b/internal/edge/mqtt/publish.go
@@ -104,7 +104,7 @@
 	for _, r := range results {
 		n, c := 0, byte(0)
 		switch intake.Status(r.Status) {
-		case intake.Refused, intake.Unknown:
+		case intake.Rejected, intake.Unknown:
 			n, c = 1, packets.ErrQuotaExceeded.Code
 		case intake.Conflict:
 			n, c = 2, packets.ErrImplementationSpecificError.Code
--- a/internal/edge/store/characterization_test.go
+++ b/internal/edge/store/characterization_test.go
@@ -147,9 +147,9 @@
 		first, last, bare, twice, reading("meter-4", 1, 2), binary, long, reading("m", 1, 1), reading("meter-10", 1, 1), reading("gone", 1, 1)} {
 		put(t, s, r)
 	}
-	s.Forget(recorded.ID)
-	s.Forget(intake.ID{Device: "gone", Epoch: 1, Seq: 1})
-	s.Forget(intake.ID{Device: "never there", Epoch: 1, Seq: 1})
+	s.Delete(recorded.ID)
+	s.Delete(intake.ID{Device: "gone", Epoch: 1, Seq: 1})
+	s.Delete(intake.ID{Device: "never there", Epoch: 1, Seq: 1})
 	aside.Urgent = true
 	s.Quarantine(aside)
 	s.Quarantine(reading("meter-5", 3, 9))
@@ -225,7 +225,7 @@
 		if n == 3 {
 			closeStore(t, s)
 			closeStore(t, s)
-			s.Forget(intake.ID{Device: "a"})
+			s.Delete(intake.ID{Device: "a"})
 			s.Quarantine(reading("a", 1, 1))
 		}
 		done := make(chan error, 1)
@@ -292,18 +292,18 @@
 
 type submission struct {
 	number  uint64
-	work    intake.Work
+	work    intake.Operation
 	reading *intake.Reading
 }
 
-func (d *database) Submit(id intake.ID, n uint64, w intake.Work, r *intake.Reading, group int, wait float64) {
+func (d *database) Submit(id intake.ID, n uint64, w intake.Operation, r *intake.Reading, group int, wait float64) {
 	d.note(0, id, n, uint64(w), uint64(group), uint64(wait))
 	d.actions[len(d.actions)-1] += " " + id.Row() + " " + id.Key() + " " + readingText(r)
 	d.submissions = append(d.submissions, submission{n, w, r})
 }
 func (d *database) Answer(intake.Origin, intake.Answer) { d.actions = append(d.actions, "1") }
 func (d *database) Persist(r *intake.Reading)           { d.note(2, r.ID) }
-func (d *database) Forget(id intake.ID)                 { d.note(3, id) }
+func (d *database) Delete(id intake.ID)                 { d.note(3, id) }
 func (d *database) Quarantine(r *intake.Reading)        { d.note(4, r.ID) }
 
 func (d *database) note(kind int, id intake.ID, numbers ...uint64) {
@@ -320,7 +320,7 @@
 	const now, keyTTL = 1.7e12, 60000
 	var routes [math.MaxUint16 + 1]intake.Route
 	for i := range routes {
-		routes[i] = intake.Route{KeyTTL: keyTTL, Groups: []int{0, 1, 2}}
+		routes[i] = intake.Route{IdempotencyWindow: keyTTL, Groups: []int{0, 1, 2}}
 	}
 	config := intake.Defaults()
 	config.Durable = true
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -156,7 +156,7 @@
 
 // Forget removes a reading that is recorded. One that comes back after a crash
 // is recorded already, which a check finds.
-func (s *Store) Forget(id intake.ID) {
+func (s *Store) Delete(id intake.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.closed {
--- a/internal/edge/store/store_test.go
+++ b/internal/edge/store/store_test.go
@@ -57,7 +57,7 @@
 		t.Fatal(held)
 	}
 	put(t, s, reading("b", 1, "x"), reading("a", 2, "y"), reading("a", 1, "z"), reading("a\x00", 1, "w"), reading("c", 1, "v"))
-	s.Forget(intake.ID{Device: "b", Epoch: 1, Seq: 1})
+	s.Delete(intake.ID{Device: "b", Epoch: 1, Seq: 1})
 	s.Quarantine(reading("c", 1, "v"))
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/operatorconfig/edge.go
+++ b/internal/operatorconfig/edge.go
@@ -115,21 +115,21 @@
 	return map[string]func(*value){
 		"readings":        count(&c.MaxReadings, maxCount),
 		"bytes":           count(&c.MaxBytes, maxBytes),
-		"per_device":      count(&c.PerDevice, maxCount),
-		"per_network":     count(&c.PerNetwork, maxCount),
+		"per_device":      count(&c.MaxPerDevice, maxCount),
+		"per_network":     count(&c.MaxPerNetwork, maxCount),
 		"devices":         count(&c.MaxDevices, maxCount),
-		"recent":          count(&c.Recent, 4096),
-		"waiters":         count(&c.Waiters, 64),
+		"recent":          count(&c.MaxRecent, 4096),
+		"waiters":         count(&c.MaxWaiters, 64),
 		"window":          count(&c.MaxWindow, 10000),
-		"trust_first":     func(v *value) { c.TrustFirst = v.boolean() },
-		"write_wait_ms":   milliseconds(&c.WriteWait),
-		"check_wait_ms":   milliseconds(&c.CheckWait),
-		"may_run_ms":      milliseconds(&c.MayRun),
-		"clock_margin_ms": milliseconds(&c.Margin),
-		"answer_ms":       milliseconds(&c.AnswerWithin),
-		"retry_min_ms":    milliseconds(&c.RetryMin),
-		"retry_max_ms":    milliseconds(&c.RetryMax),
-		"ramp_ms":         milliseconds(&c.Ramp),
+		"trust_first":     func(v *value) { c.TrustFirstCopies = v.boolean() },
+		"write_wait_ms":   milliseconds(&c.WriteTimeout),
+		"check_wait_ms":   milliseconds(&c.CheckTimeout),
+		"may_run_ms":      milliseconds(&c.MaxOverrun),
+		"clock_margin_ms": milliseconds(&c.ClockMargin),
+		"answer_ms":       milliseconds(&c.AnswerTimeout),
+		"retry_min_ms":    milliseconds(&c.MinRetryAfter),
+		"retry_max_ms":    milliseconds(&c.MaxRetryAfter),
+		"ramp_ms":         milliseconds(&c.RecoveryRamp),
 	}
 }
 
@@ -142,10 +142,10 @@
 	if len(e.Routes) == 0 {
 		section.fail("routes are needed")
 	}
-	if limits.RetryMin > limits.RetryMax {
+	if limits.MinRetryAfter > limits.MaxRetryAfter {
 		section.fail("retry_min_ms is over retry_max_ms")
 	}
-	if limits.PerDevice > limits.MaxReadings || limits.PerNetwork > limits.MaxReadings {
+	if limits.MaxPerDevice > limits.MaxReadings || limits.MaxPerNetwork > limits.MaxReadings {
 		section.fail("per_device and per_network must not be over readings")
 	}
 	if e.MaxMessageBytes > e.UnfinishedBytes {
--- a/internal/operatorconfig/options_test.go
+++ b/internal/operatorconfig/options_test.go
@@ -26,7 +26,7 @@
 	}
 	e := o.Edge
 	if o.Level != slog.LevelDebug || !o.JSON || e.MQTT != "127.0.0.1:1883" || e.CoAP != "" || e.Intake.MaxReadings != 5000 ||
-		!e.Intake.Durable || len(e.Routes) != 2 || e.Routes[0].Table != "items" || e.Intake.WriteWait != 1200 {
+		!e.Intake.Durable || len(e.Routes) != 2 || e.Routes[0].Table != "items" || e.Intake.WriteTimeout != 1200 {
 		t.Errorf("%+v", o)
 	}
 	if o, err = Parse("f", []byte("{}")); err != nil || o.Edge != nil || o.Level != slog.LevelInfo || o.JSON {
