--- a/cmd/lotusbend/shutdown.go
+++ b/cmd/lotusbend/shutdown.go
@@ -65,7 +65,7 @@
 
 // edgePending reports whether devices still wait for answers, within bounds.
 func (s *shutdown) edgePending(now float64) bool {
-	return s.edge != nil && s.edge.Owes() && now < s.beganAt+edgeAnswerMs
+	return s.edge != nil && s.edge.HasPending() && now < s.beganAt+edgeAnswerMs
 }
 
 // longestWaitMs is the longest that a client waits by the settings; settings
--- a/internal/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -22,11 +22,11 @@
 // them with -cpu 1 for readings a second on one core. What idle devices cost in
 // memory is measured on the router itself: lotuslab measure edge.
 
-func (w *world) live(b *testing.B) {
+func (w *testEdge) followSystemClock(b *testing.B) {
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
 	w.clock.Set(float64(time.Now().UnixMilli()))
-	go func() { // the edge's own deadlines, by the machine's clock
+	go func() { // the edge's own timers, by the system's clock
 		for ctx.Err() == nil {
 			w.clock.Set(float64(time.Now().UnixMilli()))
 			w.loop.Fire()
@@ -36,18 +36,19 @@
 }
 
 func reading(seq uint64, elapsed float64) *batch.Batch {
-	return &batch.Batch{Device: "meter", Epoch: 1, Elapsed: &elapsed, Readings: []batch.Reading{{Seq: seq, Value: []byte("12.5 kWh")}}}
+	readings := []batch.Reading{{Seq: seq, Value: []byte("12.5 kWh")}}
+	return &batch.Batch{Device: "meter", Epoch: 1, Elapsed: &elapsed, Readings: readings}
 }
 
-func benchWorld(b *testing.B) *world {
-	w := newWorld(b, nil)
-	w.live(b)
+func newBenchEdge(b *testing.B) *testEdge {
+	w := newTestEdge(b, nil)
+	w.followSystemClock(b)
 	b.ReportAllocs()
 	return w
 }
 
 func BenchmarkFrames(b *testing.B) {
-	w := benchWorld(b)
+	w := newBenchEdge(b)
 	p := w.dial().hello()
 	began := time.Now()
 	b.ResetTimer()
@@ -62,7 +63,7 @@
 }
 
 func BenchmarkMQTT(b *testing.B) {
-	w := benchWorld(b)
+	w := newBenchEdge(b)
 	_, address, _ := w.edge.Addresses()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -74,9 +75,14 @@
 	b.ResetTimer()
 	in := make([]byte, 256)
 	for i := range b.N {
-		pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Publish, Qos: 1}, ProtocolVersion: 4, TopicName: "readings",
-			PacketID: uint16(i%65535 + 1), Payload: w.codec.Encode(reading(uint64(i), 0))}
-		if _, err := c.Write(mqtt.Encode(&pk)); err != nil {
+		packet := packets.Packet{
+			FixedHeader:     packets.FixedHeader{Type: packets.Publish, Qos: 1},
+			ProtocolVersion: 4,
+			TopicName:       "readings",
+			PacketID:        uint16(i%65535 + 1),
+			Payload:         w.codec.Encode(reading(uint64(i), 0)),
+		}
+		if _, err := c.Write(mqtt.Encode(&packet)); err != nil {
 			b.Fatal(err)
 		}
 		if n, err := c.Read(in); err != nil || in[0] != packets.Puback<<4 {
@@ -99,7 +105,7 @@
 }
 
 func BenchmarkCoAP(b *testing.B) {
-	w := benchWorld(b)
+	w := newBenchEdge(b)
 	address, _, _ := w.edge.Addresses()
 	c, err := net.Dial("udp", address)
 	if err != nil {
@@ -109,7 +115,13 @@
 	var echo []byte
 	in, out := make([]byte, 2048), make([]byte, 2048)
 	post := func(i int) codes.Code {
-		m := coapmessage.Message{Type: coapmessage.Confirmable, Code: codes.POST, MessageID: int32(i % 65536), Token: []byte{1, 2}, Payload: w.codec.Encode(reading(uint64(i), 0))}
+		m := coapmessage.Message{
+			Type:      coapmessage.Confirmable,
+			Code:      codes.POST,
+			MessageID: int32(i % 65536),
+			Token:     []byte{1, 2},
+			Payload:   w.codec.Encode(reading(uint64(i), 0)),
+		}
 		m.Options = m.Options.Add(coapmessage.Option{ID: coapmessage.URIPath, Value: []byte("readings")})
 		if echo != nil {
 			m.Options = m.Options.Add(coapmessage.Option{ID: coapmessage.Echo, Value: echo})
--- /dev/null
+++ b/internal/edge/datagrams.go
@@ -0,0 +1,84 @@
+package edge
+
+import (
+	"errors"
+	"net"
+	"net/netip"
+	"sync"
+)
+
+const (
+	// maxQueuedDatagrams bounds the datagrams that wait for the socket.
+	maxQueuedDatagrams = 1024
+	// maxDatagram is the size of the read buffer, in bytes.
+	maxDatagram = 1 << 16
+)
+
+// datagrams is the UDP socket. One goroutine reads and one writes, until close.
+type datagrams struct {
+	socket *net.UDPConn
+	queue  chan datagram
+	closed chan struct{}
+	once   sync.Once
+}
+
+type datagram struct {
+	to      netip.AddrPort
+	payload []byte
+}
+
+func newDatagrams(socket *net.UDPConn) *datagrams {
+	return &datagrams{
+		socket: socket,
+		queue:  make(chan datagram, maxQueuedDatagrams),
+		closed: make(chan struct{}),
+	}
+}
+
+// send queues a datagram. It is lost if the queue is full: CoAP retransmits.
+func (d *datagrams) send(to netip.AddrPort, payload []byte) {
+	select {
+	case d.queue <- datagram{to: to, payload: payload}:
+	default:
+	}
+}
+
+// close ends both goroutines.
+func (d *datagrams) close() (err error) {
+	d.once.Do(func() {
+		err = d.socket.Close()
+		close(d.closed)
+	})
+	return err
+}
+
+// write sends the queued datagrams until close.
+func (d *datagrams) write() {
+	for {
+		select {
+		case next := <-d.queue:
+			_, _ = d.socket.WriteToUDPAddrPort(next.payload, next.to) // a lost one is retransmitted
+		case <-d.closed:
+			return
+		}
+	}
+}
+
+// readDatagrams delivers datagrams to the rules until the socket is closed.
+func (e *Edge) readDatagrams() {
+	buffer := make([]byte, maxDatagram)
+	for {
+		n, from, err := e.udp.socket.ReadFromUDPAddrPort(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			continue // an ICMP error for an earlier answer is reported here
+		}
+		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
+		e.loop.Do(func() {
+			e.coap.Datagram(e.loop.Now(), from, buffer[:n])
+			e.loop.Post(e.arm)
+		})
+	}
+}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,8 +1,11 @@
-// Package edge takes readings from devices over CoAP, MQTT and a framed stream
-// and hands them to the router as ordinary requests. It owns the sockets, the
-// messages that wait for their answers and the text of the statements; the
-// rules are in the packages below it, and which host a statement goes to is
-// decided where it is for every client. All state lives in the loop.
+// Package edge accepts readings from devices over CoAP, MQTT and a framed
+// stream and submits them to the router as ordinary requests. It owns the
+// sockets, the messages that wait for their answers and the text of the
+// statements. The rules are in the packages below it, and the endpoint of a
+// statement is selected where it is for every client.
+//
+// All state belongs to the clock.Loop: methods say where they run inside its
+// Do. Goroutines beside it read and write sockets and enter the loop to report.
 package edge
 
 import (
@@ -11,7 +14,6 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"net/netip"
 
 	"lotusbend/internal/clock"
 	"lotusbend/internal/edge/batch"
@@ -27,245 +29,229 @@
 	"lotusbend/internal/slotmap"
 )
 
-// Requests is what statements go to, inside the loop's Do.
+// Requests is the router to which statements are submitted, inside the loop's
+// Do.
 type Requests interface {
 	Class(name []byte) (router.Class, bool)
 	Submit(r router.Request, from router.Client, client slotmap.Handle) slotmap.Handle
 }
 
-// maxReads bounds the reads of all devices that are under way.
-const maxReads = 256
-
 // Edge is the edge of one router.
 type Edge struct {
 	loop     *clock.Loop
 	log      *slog.Logger
-	opt      *operatorconfig.Edge
+	options  *operatorconfig.Edge
 	budget   *netio.DescriptorBudget
 	requests Requests
 	codec    *batch.Codec
-	routes   []route
-	byMatch  map[string]int
-	intake   *intake.Intake
-	store    *store.Store // nil without a lasting disk
-	mqtt     *mqtt.Server
-	frames   *frames.Server
-	coap     *coap.Server
-	partial  *progress.Ledger
-	udp      *datagrams
-	tcp      []*listener
-	incoming chan chunk
-	spare    chan *[]byte // read buffers
-	conns    slotmap.Table[conn]
-	open     int
-	messages slotmap.Table[message]
-	jobs     slotmap.Table[job]
-	reads    int
-	boot     uint64 // tells this process's statements from another's
-	serial   uint64
-	armed    *clock.Deadline
-	armedAt  float64
-	stopping bool
-}
 
-type route struct {
-	operatorconfig.Route
-	write, check, read router.Class
-	intake             int // its number in the rules, -1 for a route of reads
-}
+	routes       []route
+	routeByMatch map[string]int // index in routes
 
-// message is one that waits until each of its readings has its answer.
-type message struct {
-	proto   protocol
-	token   uint64
-	results []batch.Result
-	left    int
-}
+	intake     *intake.Intake
+	store      *store.Store // nil without a disk
+	mqtt       *mqtt.Server
+	frames     *frames.Server
+	coap       *coap.Server
+	unfinished *progress.Ledger // messages over TCP
 
-type protocol uint8
+	udp             *datagrams // nil if there is no CoAP address
+	listeners       []*listener
+	incoming        chan input
+	spareBuffers    chan *[]byte // for the next connection that reads
+	connections     slotmap.Table[connection]
+	openConnections int
 
-const (
-	protoCoAP protocol = iota
-	protoMQTT
-	protoFrames
-)
+	messages      slotmap.Table[message]
+	statements    slotmap.Table[statement]
+	readsInFlight int
+	bootID        uint64 // distinguishes this process's statements from another's
+	lastSerial    uint64 // of statements
+
+	timer    *clock.Deadline // for the earliest timer of all rules
+	timerAt  float64         // Unix milliseconds
+	draining bool
+}
+
+// The most that an MQTT property states as its receive maximum.
+const maxReceiveMaximum = 65535
 
-// New puts an edge together; it takes devices once started. An error is of
-// one line.
-func New(opt *operatorconfig.Edge, loop *clock.Loop, log *slog.Logger, budget *netio.DescriptorBudget, requests Requests, seed uint64) (*Edge, error) {
-	e := &Edge{loop: loop, log: log, opt: opt, budget: budget, requests: requests, codec: batch.NewCodec(),
-		incoming: make(chan chunk), spare: make(chan *[]byte, maxSpare)}
-	rules, err := e.bindAll()
+// New returns an edge that listens; it accepts devices from Start on. An error
+// is a single line.
+func New(
+	options *operatorconfig.Edge, loop *clock.Loop, log *slog.Logger,
+	budget *netio.DescriptorBudget, requests Requests, seed uint64,
+) (*Edge, error) {
+	e := &Edge{
+		loop:         loop,
+		log:          log.With("component", "edge"),
+		options:      options,
+		budget:       budget,
+		requests:     requests,
+		codec:        batch.NewCodec(),
+		incoming:     make(chan input),
+		spareBuffers: make(chan *[]byte, maxSpareBuffers),
+		bootID:       newBootID(),
+	}
+	readingRoutes, err := e.bindRoutes()
 	if err != nil {
 		return nil, err
 	}
-	if e.intake, err = intake.New(opt.Intake, rules, seed, (*actions)(e)); err != nil {
+	e.intake, err = intake.New(options.Intake, readingRoutes, seed, (*actions)(e))
+	if err != nil {
 		return nil, fmt.Errorf("edge: %w", err)
 	}
-	var key [32]byte
-	var boot [8]byte
-	_, _ = rand.Read(key[:]) // never fails
-	_, _ = rand.Read(boot[:])
-	e.boot = binary.BigEndian.Uint64(boot[:])
-	limits := progress.Limits{Window: opt.ProgressWindowMs, Least: opt.MinProgressBytes, Bytes: opt.UnfinishedBytes}
-	e.partial = progress.New(limits)
-	e.mqtt = mqtt.New(mqtt.Limits{
-		Sessions: opt.MaxSessions, SessionMs: opt.SessionExpiryMs, KeepAliveMs: opt.IdleTimeoutMs,
-		ReceiveMax: min(opt.Intake.MaxPerDevice, 65535), MessageBytes: opt.MaxMessageBytes,
-	}, e.codec, (*mqttOut)(e))
-	e.frames = frames.New(frames.Limits{Window: opt.Intake.MaxPerDevice, IdleMs: opt.IdleTimeoutMs}, e.codec, (*framesOut)(e))
-	e.coap = coap.New(coap.Limits{Exchanges: opt.MaxExchanges, MessageBytes: opt.MaxMessageBytes, Progress: limits}, key, seed, (*coapOut)(e))
+	e.newServers(seed)
 	if err := e.listen(); err != nil {
 		return nil, errors.Join(err, e.closeSockets())
 	}
-	if opt.Store != "" {
-		if err := e.restore(); err != nil {
-			return nil, errors.Join(err, e.closeSockets())
-		}
+	if options.Store == "" {
+		return e, nil
+	}
+	if err := e.restore(); err != nil {
+		return nil, errors.Join(err, e.closeSockets())
 	}
 	return e, nil
 }
 
-// Check tells whether an edge with these settings could start, but for its
-// sockets and its store.
-func Check(opt *operatorconfig.Edge, requests Requests) error {
-	e := &Edge{opt: opt, requests: requests}
-	rules, err := e.bindAll()
-	if err == nil {
-		_, err = intake.New(opt.Intake, rules, 0, (*actions)(e))
-	}
-	if err != nil {
-		return fmt.Errorf("edge: %w", err)
-	}
-	return nil
+func newBootID() uint64 {
+	var id [8]byte
+	_, _ = rand.Read(id[:]) // never fails
+	return binary.BigEndian.Uint64(id[:])
 }
 
-// bindAll fills in the routes and returns those of readings for the rules.
-func (e *Edge) bindAll() (rules []intake.Route, err error) {
-	e.byMatch = map[string]int{}
-	for i, r := range e.opt.Routes {
-		bound, err := bind(r, e.requests)
-		if err != nil {
-			return nil, fmt.Errorf("edge.routes[%d].%w", i, err)
-		}
-		if _, twice := e.byMatch[r.Match]; twice {
-			return nil, fmt.Errorf("edge.routes[%d].match: %q is given twice", i, r.Match)
-		}
-		bound.intake = -1
-		if r.Write != "" {
-			bound.intake = len(rules)
-			rules = append(rules, intake.Route{IdempotencyWindow: bound.write.IdempotencyWindow, Groups: r.Groups})
-		}
-		e.byMatch[r.Match] = len(e.routes)
-		e.routes = append(e.routes, bound)
+// newServers makes the rules of the protocols.
+func (e *Edge) newServers(seed uint64) {
+	limits := progress.Limits{
+		Window: e.options.ProgressWindowMs,
+		Least:  e.options.MinProgressBytes,
+		Bytes:  e.options.UnfinishedBytes,
 	}
-	return rules, nil
+	e.unfinished = progress.New(limits)
+	e.mqtt = mqtt.New(mqtt.Limits{
+		Sessions:     e.options.MaxSessions,
+		SessionMs:    e.options.SessionExpiryMs,
+		KeepAliveMs:  e.options.IdleTimeoutMs,
+		ReceiveMax:   min(e.options.Intake.MaxPerDevice, maxReceiveMaximum),
+		MessageBytes: e.options.MaxMessageBytes,
+	}, e.codec, (*mqttOut)(e))
+	e.frames = frames.New(frames.Limits{
+		Window: e.options.Intake.MaxPerDevice,
+		IdleMs: e.options.IdleTimeoutMs,
+	}, e.codec, (*framesOut)(e))
+	var echoKey [32]byte
+	_, _ = rand.Read(echoKey[:]) // never fails
+	e.coap = coap.New(coap.Limits{
+		Exchanges:    e.options.MaxExchanges,
+		MessageBytes: e.options.MaxMessageBytes,
+		Progress:     limits,
+	}, echoKey, seed, (*coapOut)(e))
 }
 
-// bind finds a route's classes and checks that they keep the promise.
-func bind(r operatorconfig.Route, requests Requests) (b route, err error) {
-	b.Route = r
-	class := func(name, what string, fits func(router.Class) bool, need string) (c router.Class) {
-		c, ok := requests.Class([]byte(name))
-		switch {
-		case err != nil:
-		case !ok:
-			err = fmt.Errorf("%s: there is no class %q", what, name)
-		case !fits(c):
-			err = fmt.Errorf("%s: class %q is no class of %s", what, name, need)
-		}
-		return c
-	}
-	if r.Write != "" {
-		b.write = class(r.Write, "write", func(c router.Class) bool { return c.Write && c.NeedsIdempotencyKey }, "writes with a key")
-		b.check = class(r.Check, "check", func(c router.Class) bool { return c.Fresh }, "reads that see all that was written")
+// Check reports whether an edge with these options could start, except for its
+// sockets and its store.
+func Check(options *operatorconfig.Edge, requests Requests) error {
+	e := &Edge{options: options, requests: requests}
+	readingRoutes, err := e.bindRoutes()
+	if err == nil {
+		_, err = intake.New(options.Intake, readingRoutes, 0, (*actions)(e))
 	}
-	if r.Read != "" {
-		b.read = class(r.Read, "read", func(c router.Class) bool { return !c.Write }, "reads")
+	if err != nil {
+		return fmt.Errorf("edge: %w", err)
 	}
-	return b, err
+	return nil
 }
 
-// restore opens the store; what it holds is delivered once started.
+// restore opens the store and posts the delivery of the readings in it.
 func (e *Edge) restore() error {
-	s, held, err := store.Open(e.opt.Store, e.opt.MaxStoreBytes)
+	opened, readings, err := store.Open(e.options.Store, e.options.MaxStoreBytes)
 	if err != nil {
 		return err
 	}
-	e.store = s
+	e.store = opened
 	e.loop.Do(func() {
-		for _, r := range held {
-			if r.Route >= len(e.routes) {
-				r.Route = 0 // its route has gone from the settings
+		for _, reading := range readings {
+			if reading.Route >= len(e.routes) {
+				reading.Route = 0 // its route was removed from the settings
 			}
-			e.loop.Post(func() { e.intake.Recover(e.loop.Now(), r) })
+			e.loop.Post(func() { e.intake.Recover(e.loop.Now(), reading) })
 		}
 		e.loop.Post(e.arm)
 	})
-	e.log.Info("edge store opened", "file", e.opt.Store, "readings", len(held))
+	e.log.Info("store opened", "file", e.options.Store, "readings", len(readings))
 	return nil
 }
 
-// arm keeps one deadline for the next of all rules.
+// arm sets one timer for the earliest of all rules. It runs inside Do.
 func (e *Edge) arm() {
-	next, ok := 0.0, false
-	for _, of := range []interface{ Next() (float64, bool) }{e.intake, e.mqtt, e.frames, e.coap, e.partial} {
-		if at, due := of.Next(); due && (!ok || at < next) {
-			next, ok = at, true
-		}
-	}
-	if !ok || e.armed != nil && e.armedAt <= next {
+	next, due := e.nextTimer()
+	if !due || e.timer != nil && e.timerAt <= next {
 		return
 	}
-	e.loop.Cancel(e.armed)
-	e.armedAt = next
-	e.armed = e.loop.At(next, e.tick)
+	e.loop.Cancel(e.timer)
+	e.timerAt = next
+	e.timer = e.loop.At(next, e.tick)
+}
+
+// nextTimer returns the earliest timer of all rules, in Unix milliseconds.
+func (e *Edge) nextTimer() (next float64, due bool) {
+	rules := []interface{ Next() (float64, bool) }{e.intake, e.mqtt, e.frames, e.coap, e.unfinished}
+	for _, rule := range rules {
+		at, ok := rule.Next()
+		if ok && (!due || at < next) {
+			next = at
+			due = true
+		}
+	}
+	return next, due
 }
 
 func (e *Edge) tick() {
-	e.armed = nil
+	e.timer = nil
 	now := e.loop.Now()
 	e.intake.Tick(now)
 	e.mqtt.Tick(now)
 	e.frames.Tick(now)
 	e.coap.Tick(now)
-	for _, owner := range e.partial.Tick(now) {
-		e.stalled(owner)
+	for _, owner := range e.unfinished.Tick(now) {
+		e.closeStalled(owner)
 	}
 	e.arm()
 }
 
-// reportEvery is how often the counts are logged, in milliseconds.
-const reportEvery = 60000
+// statisticsInterval is how often the counters are logged, in milliseconds.
+const statisticsInterval = 60000
 
-// report logs the counts while there is something to tell.
-func (e *Edge) report(last intake.Stats) {
-	e.loop.At(e.loop.Now()+reportEvery, func() {
-		now := e.intake.Stats()
-		if now != last {
-			e.log.Info("edge", "connections", e.open, "partial_bytes", e.partial.Bytes(), "counts", now)
+// logStatistics logs the counters at every interval in which they change.
+func (e *Edge) logStatistics(last intake.Stats) {
+	e.loop.At(e.loop.Now()+statisticsInterval, func() {
+		current := e.intake.Stats()
+		if current != last {
+			e.log.Info("statistics", "connections", e.openConnections,
+				"partial_bytes", e.unfinished.Bytes(), "counts", current)
 		}
-		e.report(now)
+		e.logStatistics(current)
 	})
 }
 
-// Drain begins to stop: nothing new is taken, what is under way is answered.
-// It runs inside Do.
+// Drain begins a graceful shutdown: nothing new is accepted, messages in
+// progress are answered. It runs inside Do.
 func (e *Edge) Drain() {
-	e.stopping = true
+	e.draining = true
 	e.mqtt.Stop()
 	e.frames.Stop()
 }
 
-// Owes tells whether a device still waits for an answer. It runs inside Do.
-func (e *Edge) Owes() bool {
-	owes := e.reads > 0
-	e.messages.Each(func(slotmap.Handle, *message) { owes = true })
-	return owes
+// HasPending reports whether a device still waits for an answer. It runs inside
+// Do.
+func (e *Edge) HasPending() bool {
+	pending := e.readsInFlight > 0
+	e.messages.Each(func(slotmap.Handle, *message) { pending = true })
+	return pending
 }
 
-// Close ends the sockets and the store, after all that was promised is on the
-// disk.
+// Close closes the sockets and the store, once every change to the store is on
+// the disk.
 func (e *Edge) Close() error {
 	err := e.closeSockets()
 	if e.store != nil {
@@ -274,63 +260,5 @@
 	return err
 }
 
-// Stats returns the counts of the rules. It runs inside Do.
+// Stats returns the counters of the rules for readings. It runs inside Do.
 func (e *Edge) Stats() intake.Stats { return e.intake.Stats() }
-
-// deliver offers each reading of a message. Its answers go to the protocol
-// together, under the token.
-func (e *Edge) deliver(proto protocol, token uint64, match string, b *batch.Batch, notBefore float64, again bool, from netip.Addr) {
-	at, ok := e.byMatch[match]
-	if !ok || e.routes[at].intake < 0 {
-		e.loop.Post(func() { e.invalid(proto, token, !ok) })
-		return
-	}
-	m := &message{proto: proto, token: token, left: len(b.Readings), results: make([]batch.Result, len(b.Readings))}
-	ref := e.messages.Add(m)
-	network := networkOf(from)
-	now := e.loop.Now()
-	for i := range b.Readings {
-		r := &b.Readings[i]
-		m.results[i].Seq = r.Seq
-		origin := intake.Origin{Peer: ref.ID(), Index: uint16(i)}
-		if e.stopping {
-			(*actions)(e).Answer(origin, intake.Answer{Status: intake.Rejected, RetryAfter: e.opt.Intake.MinRetryAfter})
-			continue
-		}
-		e.intake.Offer(now, intake.Reading{
-			ID:    intake.ID{Device: b.Device, Epoch: b.Epoch, Seq: r.Seq},
-			Route: e.routes[at].intake, Value: r.Value, Urgent: r.Urgent,
-		}, intake.DeclaredHistory{FirstCopy: r.Sent == 0 && !again, NotBefore: notBefore}, origin, network)
-	}
-}
-
-// networkOf is the part of an address that one owner holds.
-func networkOf(a netip.Addr) netip.Prefix {
-	a = a.Unmap()
-	bits := 24
-	if a.Is6() {
-		bits = 48
-	}
-	p, _ := a.Prefix(bits) // the zero Prefix for no address
-	return p
-}
-
-// finish gives a message's answers to its protocol.
-func (e *Edge) finish(ref slotmap.Handle) {
-	m := e.messages.Get(ref)
-	if m == nil || m.left > 0 {
-		return
-	}
-	e.messages.Remove(ref)
-	now := e.loop.Now()
-	switch m.proto {
-	case protoCoAP:
-		code, age := coapCode(m.results)
-		e.coap.Answer(now, m.token, code, e.codec.Encode(batch.Reply{Results: m.results}), age)
-	case protoMQTT:
-		e.mqtt.Answer(now, m.token, m.results, true)
-	case protoFrames:
-		e.frames.Answer(now, m.token, m.results)
-	}
-	e.arm()
-}
--- /dev/null
+++ b/internal/edge/messages.go
@@ -0,0 +1,153 @@
+package edge
+
+import (
+	"net/netip"
+
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+
+	"lotusbend/internal/edge/batch"
+	"lotusbend/internal/edge/intake"
+	"lotusbend/internal/slotmap"
+)
+
+// message is a message of readings until each of them has its answer.
+type message struct {
+	protocol   protocol
+	token      uint64 // of the protocol's rules
+	results    []batch.Result
+	unanswered int // of results
+}
+
+// delivery is a decoded message as a protocol delivers it.
+type delivery struct {
+	protocol      protocol
+	token         uint64
+	match         string // selects the route
+	batch         *batch.Batch
+	notBefore     float64 // the message was sent after that, Unix milliseconds; 0 if not known
+	retransmitted bool    // its sender says that it sent it before
+	from          netip.Addr
+}
+
+// deliver offers each reading of a message to intake. The answers go to the
+// protocol together, under the token. It runs inside Do.
+func (e *Edge) deliver(d delivery) {
+	index, known := e.routeByMatch[d.match]
+	if !known || e.routes[index].intakeIndex < 0 {
+		e.loop.Post(func() { e.answerInvalid(d.protocol, d.token, !known) })
+		return
+	}
+	m := &message{
+		protocol:   d.protocol,
+		token:      d.token,
+		results:    make([]batch.Result, len(d.batch.Readings)),
+		unanswered: len(d.batch.Readings),
+	}
+	handle := e.messages.Add(m)
+	network := networkOf(d.from)
+	now := e.loop.Now()
+	for i := range d.batch.Readings {
+		reading := &d.batch.Readings[i]
+		m.results[i].Seq = reading.Seq
+		origin := intake.Origin{Peer: handle.ID(), Index: uint16(i)}
+		if e.draining {
+			rejection := intake.Answer{Status: intake.Rejected, RetryAfter: e.options.Intake.MinRetryAfter}
+			(*actions)(e).Answer(origin, rejection)
+			continue
+		}
+		offered := intake.Reading{
+			ID:     intake.ID{Device: d.batch.Device, Epoch: d.batch.Epoch, Seq: reading.Seq},
+			Route:  e.routes[index].intakeIndex,
+			Value:  reading.Value,
+			Urgent: reading.Urgent,
+		}
+		declared := intake.DeclaredHistory{
+			FirstCopy: reading.Sent == 0 && !d.retransmitted,
+			NotBefore: d.notBefore,
+		}
+		e.intake.Offer(now, offered, declared, origin, network)
+	}
+}
+
+// The length of the prefix that one owner of addresses usually has, in bits.
+const (
+	ipv4NetworkBits = 24
+	ipv6NetworkBits = 48
+)
+
+// networkOf returns the network of an address, the zero Prefix for none.
+func networkOf(address netip.Addr) netip.Prefix {
+	address = address.Unmap()
+	bits := ipv4NetworkBits
+	if address.Is6() {
+		bits = ipv6NetworkBits
+	}
+	prefix, _ := address.Prefix(bits) // fails only for the zero Addr
+	return prefix
+}
+
+// finish gives a message's answers to its protocol.
+func (e *Edge) finish(handle slotmap.Handle) {
+	m := e.messages.Get(handle)
+	if m == nil || m.unanswered > 0 {
+		return
+	}
+	e.messages.Remove(handle)
+	now := e.loop.Now()
+	switch m.protocol {
+	case protocolCoAP:
+		code, maxAge := responseCode(m.results)
+		reply := e.codec.Encode(batch.Reply{Results: m.results})
+		e.coap.Answer(now, m.token, code, reply, maxAge)
+	case protocolMQTT:
+		e.mqtt.Answer(now, m.token, m.results, true)
+	case protocolFrames:
+		e.frames.Answer(now, m.token, m.results)
+	}
+	e.arm()
+}
+
+// answerInvalid answers a message that is not delivered to a route.
+func (e *Edge) answerInvalid(proto protocol, token uint64, unknownRoute bool) {
+	now := e.loop.Now()
+	switch proto {
+	case protocolCoAP:
+		code := codes.BadRequest
+		if unknownRoute {
+			code = codes.NotFound
+		}
+		e.coap.Answer(now, token, code, nil, 0)
+	case protocolMQTT:
+		e.mqtt.Answer(now, token, nil, false)
+	case protocolFrames:
+		e.frames.Answer(now, token, []batch.Result{{Status: uint8(intake.Invalid)}})
+	}
+	e.arm()
+}
+
+// responseCode returns a message's CoAP response code: 2.04 if any reading is
+// recorded or stored, else the code of the mildest status. maxAge, in
+// milliseconds, is set for 5.03.
+func responseCode(results []batch.Result) (code codes.Code, maxAge float64) {
+	retry := false
+	conflict := false
+	for _, result := range results {
+		status := intake.Status(result.Status)
+		switch {
+		case status.Done():
+			return codes.Changed, 0
+		case status == intake.Rejected, status == intake.Unknown:
+			retry = true
+			maxAge = max(maxAge, float64(result.Wait))
+		case status == intake.Conflict:
+			conflict = true
+		}
+	}
+	switch {
+	case retry:
+		return codes.ServiceUnavailable, maxAge
+	case conflict:
+		return codes.Conflict, 0
+	}
+	return codes.BadRequest, 0
+}
--- /dev/null
+++ b/internal/edge/protocols_test.go
@@ -0,0 +1,121 @@
+package edge
+
+import (
+	"bytes"
+	"context"
+	"testing"
+	"time"
+
+	paho "github.com/eclipse/paho.mqtt.golang"
+	coapmessage "github.com/plgd-dev/go-coap/v3/message"
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+	"github.com/plgd-dev/go-coap/v3/options"
+	"github.com/plgd-dev/go-coap/v3/udp"
+
+	"lotusbend/internal/edge/batch"
+	"lotusbend/internal/edge/intake"
+)
+
+// go-coap's client: it is challenged for an Echo value, sends that, and each
+// reading has its own answer; a duplicate records nothing more.
+func TestCoAPClientRecordsAndReads(t *testing.T) {
+	w := newTestEdge(t, nil)
+	address, _, _ := w.edge.Addresses()
+	c, err := udp.Dial(address, options.WithContext(t.Context()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	payload := w.encodeBatch("meter", 1, 2)
+	post := func(echo []byte) (codes.Code, []byte, *batch.Reply) {
+		t.Helper()
+		var more []coapmessage.Option
+		if echo != nil {
+			more = append(more, coapmessage.Option{ID: coapmessage.Echo, Value: echo})
+		}
+		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
+		defer cancel()
+		m, err := c.Post(ctx, "/readings", coapmessage.AppCBOR, bytes.NewReader(payload), more...)
+		if err != nil {
+			t.Fatal(err)
+		}
+		body, err := m.ReadBody()
+		if err != nil {
+			t.Fatal(err)
+		}
+		fresh, err := m.Options().GetBytes(coapmessage.Echo)
+		if err != nil {
+			t.Fatal(err)
+		}
+		reply := &batch.Reply{}
+		if len(body) > 0 {
+			if err := w.codec.Decode(body, reply); err != nil {
+				t.Fatal(err)
+			}
+		}
+		return m.Code(), fresh, reply
+	}
+	code, echo, _ := post(nil)
+	if code != codes.Unauthorized || w.router.rowCount() != 0 {
+		t.Fatalf("%v without an Echo value, %d recorded", code, w.router.rowCount())
+	}
+	for range 3 {
+		var reply *batch.Reply
+		code, echo, reply = post(echo)
+		if code != codes.Changed || len(reply.Results) != 2 || reply.Results[1].Status != uint8(intake.Recorded) {
+			t.Fatalf("%v %+v", code, reply)
+		}
+	}
+	if w.router.rowCount() != 2 || len(w.router.writesByKey) != 2 {
+		t.Errorf("%d rows, %d keys", w.router.rowCount(), len(w.router.writesByKey))
+	}
+	id := intake.ID{Device: "meter", Epoch: 1, Seq: 2}
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
+	defer cancel()
+	m, err := c.Get(ctx, "/values/"+id.Row(), coapmessage.Option{ID: coapmessage.Echo, Value: echo})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if body, err := m.ReadBody(); err != nil || m.Code() != codes.Content || string(body) != "meter 2" {
+		t.Errorf("%v %q, %v", m.Code(), body, err)
+	}
+	before := w.router.statementCount()
+	m, err = c.Get(ctx, "/values/x%27--", coapmessage.Option{ID: coapmessage.Echo, Value: echo})
+	if err != nil || m.Code() == codes.Content || w.router.statementCount() != before {
+		t.Errorf("a name that may not stand in a statement: %v, %v", m.Code(), err)
+	}
+}
+
+// paho's client, at each quality of service.
+func TestMQTTClientAtEachQoS(t *testing.T) {
+	w := newTestEdge(t, nil)
+	_, address, _ := w.edge.Addresses()
+	answers := make(chan []byte, 10)
+	options := paho.NewClientOptions().AddBroker("tcp://" + address).SetClientID("gateway")
+	c := paho.NewClient(options.SetCleanSession(false).SetAutoReconnect(false))
+	wait := func(what string, token paho.Token) {
+		t.Helper()
+		if !token.WaitTimeout(10*time.Second) || token.Error() != nil {
+			t.Fatalf("%s: %v", what, token.Error())
+		}
+	}
+	wait("connect", c.Connect())
+	wait("subscribe", c.Subscribe("answers/gateway", 0, func(_ paho.Client, m paho.Message) { answers <- m.Payload() }))
+	for qos := range byte(3) {
+		wait("publish", c.Publish("readings", qos, false, w.encodeBatch("meter", uint64(qos))))
+		var reply batch.Reply
+		select {
+		case b := <-answers:
+			err := w.codec.Decode(b, &reply)
+			if err != nil || len(reply.Results) != 1 || reply.Results[0].Status != uint8(intake.Recorded) {
+				t.Errorf("%+v, %v", reply, err)
+			}
+		case <-time.After(10 * time.Second):
+			t.Fatal("no answer")
+		}
+	}
+	c.Disconnect(100)
+	if w.router.rowCount() != 3 {
+		t.Errorf("%d rows", w.router.rowCount())
+	}
+}
--- /dev/null
+++ b/internal/edge/reads.go
@@ -0,0 +1,96 @@
+package edge
+
+import (
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+
+	"lotusbend/internal/edge/intake"
+	"lotusbend/internal/router"
+)
+
+const (
+	// maxReadsInFlight bounds the reads of all devices.
+	maxReadsInFlight = 256
+	// maxCoAPValue is the longest value in a CoAP response, in bytes: one
+	// datagram must carry it.
+	maxCoAPValue = 1024
+	// maxRowName is the longest name of a row that may be read, in bytes.
+	maxRowName = 64
+)
+
+// read is a device's request for a value.
+type read struct {
+	protocol protocol
+	token    uint64 // of the protocol's rules
+}
+
+// startRead submits a read of the row that a device names. It runs inside Do.
+func (e *Edge) startRead(proto protocol, token uint64, match, row string) {
+	index, known := e.routeByMatch[match]
+	if !known || e.routes[index].Read == "" || !isRowName(row) {
+		e.loop.Post(func() { e.answerRead(proto, token, intake.Invalid, 0, nil) })
+		return
+	}
+	if e.readsInFlight >= maxReadsInFlight || e.draining {
+		e.loop.Post(func() {
+			e.answerRead(proto, token, intake.Rejected, e.options.Intake.MinRetryAfter, nil)
+		})
+		return
+	}
+	e.readsInFlight++
+	rt := &e.routes[index]
+	text := []byte("SELECT doc FROM " + rt.Table + " WHERE id = '" + row + "'")
+	group := rt.Groups[0]
+	if len(rt.Groups) > 1 {
+		group = intake.GroupOf(rt.Groups, row)
+	}
+	s := &statement{read: &read{protocol: proto, token: token}}
+	e.submit(s, rt.read, rt.Read, text, "", group, e.options.Intake.CheckTimeout)
+}
+
+// isRowName reports whether a device's text may stand in a statement.
+func isRowName(name string) bool {
+	for _, c := range name {
+		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
+		digit := c >= '0' && c <= '9'
+		if !letter && !digit && c != '-' && c != '_' {
+			return false
+		}
+	}
+	return len(name) > 0 && len(name) <= maxRowName
+}
+
+// finishRead answers a read whose statement has ended.
+func (e *Edge) finishRead(r *read, end outcome) {
+	e.readsInFlight--
+	minRetryAfter := e.options.Intake.MinRetryAfter
+	switch end.verdict {
+	case router.Served:
+		e.answerRead(r.protocol, r.token, intake.Recorded, 0, end.value)
+	case router.Rejected:
+		e.answerRead(r.protocol, r.token, intake.Rejected, max(end.retryAfter, minRetryAfter), nil)
+	default:
+		e.answerRead(r.protocol, r.token, intake.Unknown, minRetryAfter, nil)
+	}
+}
+
+// answerRead gives a read's answer to its protocol; retryAfter is in
+// milliseconds.
+func (e *Edge) answerRead(
+	proto protocol, token uint64, status intake.Status, retryAfter float64, value []byte,
+) {
+	if proto == protocolFrames {
+		e.frames.Value(token, status, retryAfter, value)
+		return
+	}
+	code := codes.Content
+	switch {
+	case status == intake.Invalid:
+		code = codes.NotFound
+	case status != intake.Recorded:
+		code = codes.ServiceUnavailable
+	case len(value) > maxCoAPValue:
+		code = codes.NotImplemented // its answer would need blocks
+		value = nil
+	}
+	e.coap.Answer(e.loop.Now(), token, code, value, retryAfter)
+}
--- /dev/null
+++ b/internal/edge/statements.go
@@ -0,0 +1,86 @@
+package edge
+
+import (
+	"bytes"
+	"encoding/hex"
+	"fmt"
+	"strconv"
+
+	"lotusbend/internal/router"
+	"lotusbend/internal/slotmap"
+)
+
+// statement is a statement that the router executes.
+type statement struct {
+	submission uint64 // of intake, 0 for a read
+	read       *read  // nil for a submission of intake
+}
+
+// outcome is the end of a statement.
+type outcome struct {
+	verdict    router.Verdict
+	value      []byte  // if Served
+	retryAfter float64 // milliseconds, if Rejected
+}
+
+// submit appends the routing comment to a statement's text and submits it to
+// the router; timeout is in milliseconds. It runs inside Do.
+func (e *Edge) submit(
+	s *statement, class router.Class, className string, text []byte, key string, group int, timeout float64,
+) {
+	e.lastSerial++
+	text = fmt.Appendf(text, " /* id=%016x%016x,c=%s,d=", e.bootID, e.lastSerial, className)
+	waitFrom := len(text)
+	text = strconv.AppendInt(text, int64(timeout), 10)
+	waitTo := len(text)
+	if key != "" {
+		text = append(text, ",k="+key...)
+	}
+	text = fmt.Appendf(text, ",cluster=%d */", group)
+	e.requests.Submit(router.Request{
+		Statement: router.Statement{Text: text, WaitFrom: waitFrom, WaitTo: waitTo},
+		Class:     class.Number,
+		Group:     group,
+		TimeLeft:  timeout,
+	}, e, e.statements.Add(s))
+}
+
+// Answer implements router.Client. It may come from within Submit, so that the
+// rules learn of it after the event in progress.
+func (e *Edge) Answer(client slotmap.Handle, answer router.Answer) {
+	s := e.statements.Get(client)
+	if s == nil {
+		return
+	}
+	e.statements.Remove(client)
+	end := outcome{verdict: answer.Verdict, retryAfter: answer.RetryAfter}
+	if answer.Verdict == router.Served {
+		value, ok := document(answer.Row) // a copy: the row is valid only during this call
+		end.value = value
+		if !ok {
+			end.verdict = router.Failed
+		}
+	}
+	e.loop.Post(func() {
+		if s.read != nil {
+			e.finishRead(s.read, end)
+		} else {
+			e.answerStatement(s.submission, end)
+		}
+		e.arm()
+	})
+}
+
+// document returns a copy of a row's value, which is bytes in binary format or
+// PostgreSQL's hexadecimal text.
+func document(row *router.Row) (value []byte, ok bool) {
+	if row.Binary {
+		return append([]byte{}, row.Value...), true
+	}
+	digits, isHex := bytes.CutPrefix(row.Value, []byte(`\x`))
+	if !isHex {
+		return append([]byte{}, row.Value...), true
+	}
+	value, err := hex.DecodeString(string(digits))
+	return value, err == nil
+}
