--- a/internal/edge/store/characterization_test.go
+++ b/internal/edge/store/characterization_test.go
@@ -23,7 +23,8 @@
 
 // update rewrites the expected values. They may change only with a deliberate
 // change of behaviour, which the commit has to name.
-var update = flag.Bool("update", false, "rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
+var update = flag.Bool("update", false,
+	"rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
 
 const expectedFile = "testdata/characterization.txt"
 
@@ -32,8 +33,8 @@
 // found. -update makes it only where there is none.
 const storeFile = "testdata/store.db"
 
-// most is how many bytes of readings the stores of these tests may hold.
-const most = 1 << 20
+// limit is the most bytes of readings in the stores of these tests.
+const limit = 1 << 20
 
 // TestCharacterization pins what is read of a file of an earlier version, what
 // an intake makes of it, and what is written today.
@@ -43,8 +44,8 @@
 		writeStore(t, storeFile)
 	}
 	path := copyOfStore(t)
-	held := readStore(t, got, "old", path)
-	recoverReadings(t, got, held)
+	readings := readStore(t, got, "old", path)
+	recoverReadings(t, got, readings)
 
 	writeStore(t, path) // behind what is there
 	readStore(t, got, "old-and-new", path)
@@ -53,8 +54,8 @@
 	writeStore(t, path)
 	readStore(t, got, "new", path)
 	readEntries(t, got, path)
-	got["errors"] = refusals(t)
-	got["spoilt-files"] = spoiltFiles(t)
+	got["errors"] = putErrors(t)
+	got["spoilt-files"] = corruptedFiles(t)
 	compareExpected(t, got)
 }
 
@@ -110,11 +111,11 @@
 
 func open(t *testing.T, path string) (*store.Store, []intake.Reading) {
 	t.Helper()
-	s, held, err := store.Open(path, most)
+	s, readings, err := store.Open(path, limit)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s, held
+	return s, readings
 }
 
 func closeStore(t *testing.T, s *store.Store) {
@@ -126,25 +127,33 @@
 
 // reading returns a reading whose value tells which it is.
 func reading(device string, epoch, seq uint64) *intake.Reading {
-	return &intake.Reading{ID: intake.ID{Device: device, Epoch: epoch, Seq: seq}, Route: 1, Value: fmt.Appendf(nil, "%s/%d/%d", device, epoch, seq)}
+	id := intake.ID{Device: device, Epoch: epoch, Seq: seq}
+	return &intake.Reading{ID: id, Route: 1, Value: fmt.Appendf(nil, "%s/%d/%d", device, epoch, seq)}
 }
 
-// writeStore leaves readings in every state: held, urgent or not, at the bounds
-// of their numbers and names, written twice, recorded, and kept aside as a
-// conflict while they were held and while they were not.
+// writeStore leaves readings in every state: stored, urgent or not, at the bounds
+// of their numbers and names, written twice, recorded, and quarantined as a
+// conflict while they were stored and while they were not.
 func writeStore(t *testing.T, path string) {
 	t.Helper()
 	s, _ := open(t, path)
-	urgent, first, last := reading("meter-2", 1, 4), reading("meter-3", 0, 0), reading("meter-3", math.MaxUint64, math.MaxUint64)
-	urgent.Urgent, first.Route, last.Route = true, 0, math.MaxUint16
+	urgent := reading("meter-2", 1, 4)
+	urgent.Urgent = true
+	first := reading("meter-3", 0, 0)
+	first.Route = 0
+	last := reading("meter-3", math.MaxUint64, math.MaxUint64)
+	last.Route = math.MaxUint16
 	bare, twice := reading("meter-4", 1, 1), reading("meter-4", 1, 2)
 	bare.Value, twice.Value = nil, []byte("the first value")
 	binary := reading("\x00\xff\x00a\x00", 1, 1)
 	binary.Value = []byte{0, 1, 0xfe, 0xff}
 	long := reading(strings.Repeat("n", intake.MaxDevice), 1, 1)
 	recorded, aside := reading("meter-1", 1, 1), reading("meter-1", 1, 2)
-	for _, r := range []*intake.Reading{recorded, aside, reading("meter-1", 1, 3), reading("meter-1", 2, 1), reading("meter-1", 1, 256), urgent,
-		first, last, bare, twice, reading("meter-4", 1, 2), binary, long, reading("m", 1, 1), reading("meter-10", 1, 1), reading("gone", 1, 1)} {
+	for _, r := range []*intake.Reading{
+		recorded, aside, reading("meter-1", 1, 3), reading("meter-1", 2, 1), reading("meter-1", 1, 256), urgent,
+		first, last, bare, twice, reading("meter-4", 1, 2), binary, long,
+		reading("m", 1, 1), reading("meter-10", 1, 1), reading("gone", 1, 1),
+	} {
 		put(t, s, r)
 	}
 	s.Delete(recorded.ID)
@@ -165,12 +174,12 @@
 	}
 }
 
-// readStore adds what the store at path holds to the scenarios.
-func readStore(t *testing.T, got map[string]string, name, path string) (held []intake.Reading) {
+// readStore adds the readings in the store at path to the scenarios.
+func readStore(t *testing.T, got map[string]string, name, path string) (readings []intake.Reading) {
 	t.Helper()
-	s, held := open(t, path)
+	s, readings := open(t, path)
 	defer closeStore(t, s)
-	for i, r := range held {
+	for i, r := range readings {
 		got[fmt.Sprintf("%s-held-%02d", name, i)] = readingText(&r)
 	}
 	conflicts, err := s.Conflicts()
@@ -181,7 +190,7 @@
 		got[fmt.Sprintf("%s-conflict-%02d", name, i)] = readingText(&r)
 	}
 	got[name+"-bytes"] = fmt.Sprint(s.Bytes())
-	return held
+	return readings
 }
 
 // readingText writes a reading's device, epoch, sequence, route, urgency and
@@ -213,11 +222,11 @@
 	}
 }
 
-// refusals writes for each of some calls whether it failed, and with ErrFull.
-func refusals(t *testing.T) (text string) {
+// putErrors writes for each of some calls whether it failed, and with ErrFull.
+func putErrors(t *testing.T) (text string) {
 	t.Helper()
-	const room = 60 // for one reading
-	s, _, err := store.Open(filepath.Join(t.TempDir(), "store"), room)
+	const limit = 60 // for one reading
+	s, _, err := store.Open(filepath.Join(t.TempDir(), "store"), limit)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -243,9 +252,9 @@
 	return 0
 }
 
-// spoiltFiles reads copies of the old file with a few bytes changed, and some
+// corruptedFiles reads copies of the old file with a few bytes changed, and some
 // that were cut, and returns the digest of what was found.
-func spoiltFiles(t *testing.T) string {
+func corruptedFiles(t *testing.T) string {
 	t.Helper()
 	const copies = 250
 	whole, err := os.ReadFile(storeFile)
@@ -270,9 +279,9 @@
 		if err := os.WriteFile(path, file, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, held, err := store.Open(path, most)
-		fmt.Fprintln(found, digit(err != nil), len(held))
-		for _, r := range held {
+		s, readings, err := store.Open(path, limit)
+		fmt.Fprintln(found, digit(err != nil), len(readings))
+		for _, r := range readings {
 			fmt.Fprintln(found, readingText(&r))
 		}
 		if err == nil {
@@ -283,7 +292,7 @@
 }
 
 // database is the actions of an intake, answered in the order in which they
-// were asked for: no row is there yet, a write is done, and one is not, since
+// were submitted: no row is there yet, a write is done, and one is not, since
 // another value is there.
 type database struct {
 	actions     []string
@@ -291,15 +300,15 @@
 }
 
 type submission struct {
-	number  uint64
-	work    intake.Operation
-	reading *intake.Reading
+	number    uint64
+	operation intake.Operation
+	reading   *intake.Reading
 }
 
-func (d *database) Submit(id intake.ID, n uint64, w intake.Operation, r *intake.Reading, group int, wait float64) {
-	d.note(0, id, n, uint64(w), uint64(group), uint64(wait))
+func (d *database) Submit(id intake.ID, n uint64, operation intake.Operation, r *intake.Reading, group int, timeout float64) {
+	d.note(0, id, n, uint64(operation), uint64(group), uint64(timeout))
 	d.actions[len(d.actions)-1] += " " + id.Row() + " " + id.Key() + " " + readingText(r)
-	d.submissions = append(d.submissions, submission{n, w, r})
+	d.submissions = append(d.submissions, submission{n, operation, r})
 }
 func (d *database) Answer(intake.Origin, intake.Answer) { d.actions = append(d.actions, "1") }
 func (d *database) Persist(r *intake.Reading)           { d.note(2, r.ID) }
@@ -314,13 +323,13 @@
 	d.actions = append(d.actions, action)
 }
 
-// recoverReadings adds what an intake asks for after a start with the readings.
-func recoverReadings(t *testing.T, got map[string]string, held []intake.Reading) {
+// recoverReadings adds the actions of an intake after a start with the readings.
+func recoverReadings(t *testing.T, got map[string]string, readings []intake.Reading) {
 	t.Helper()
-	const now, keyTTL = 1.7e12, 60000
+	const now, window = 1.7e12, 60000
 	var routes [math.MaxUint16 + 1]intake.Route
 	for i := range routes {
-		routes[i] = intake.Route{IdempotencyWindow: keyTTL, Groups: []int{0, 1, 2}}
+		routes[i] = intake.Route{IdempotencyWindow: window, Groups: []int{0, 1, 2}}
 	}
 	config := intake.Defaults()
 	config.Durable = true
@@ -329,14 +338,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range held {
+	for _, r := range readings {
 		in.Recover(now, r)
 	}
 	for len(d.submissions) > 0 {
 		s := d.submissions[0]
 		d.submissions = d.submissions[1:]
 		switch {
-		case s.work == intake.Check:
+		case s.operation == intake.Check:
 			in.Served(now, s.number, nil)
 		case s.reading.Device == "m":
 			in.Served(now, s.number, []byte("another value"))
--- a/internal/edge/store/store_test.go
+++ b/internal/edge/store/store_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -15,10 +16,11 @@
 )
 
 func reading(device string, seq uint64, value string) *intake.Reading {
-	return &intake.Reading{ID: intake.ID{Device: device, Epoch: 1, Seq: seq}, Route: 2, Value: []byte(value), Urgent: seq%2 == 0}
+	id := intake.ID{Device: device, Epoch: 1, Seq: seq}
+	return &intake.Reading{ID: id, Route: 2, Value: []byte(value), Urgent: seq%2 == 0}
 }
 
-// put stores readings in one commit, or more, and waits for all.
+// put stores readings in one commit or more, and waits for all.
 func put(t *testing.T, s *Store, rs ...*intake.Reading) {
 	t.Helper()
 	done := make(chan error, len(rs))
@@ -32,9 +34,9 @@
 	}
 }
 
-func names(held []intake.Reading) string {
+func names(readings []intake.Reading) string {
 	var out []string
-	for _, r := range held {
+	for _, r := range readings {
 		out = append(out, fmt.Sprintf("%s%d=%s", r.Device, r.Seq, r.Value))
 	}
 	return strings.Join(out, " ")
@@ -42,19 +44,19 @@
 
 func reopen(t *testing.T, path string) (*Store, []intake.Reading) {
 	t.Helper()
-	s, held, err := Open(path, 1<<20)
+	s, readings, err := Open(path, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = s.Close() })
-	return s, held
+	return s, readings
 }
 
-func TestWhatIsConfirmedIsThereAgain(t *testing.T) {
+func TestConfirmedReadingsSurviveReopening(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
-	s, held := reopen(t, path)
-	if len(held) != 0 {
-		t.Fatal(held)
+	s, readings := reopen(t, path)
+	if len(readings) != 0 {
+		t.Fatal(readings)
 	}
 	put(t, s, reading("b", 1, "x"), reading("a", 2, "y"), reading("a", 1, "z"), reading("a\x00", 1, "w"), reading("c", 1, "v"))
 	s.Delete(intake.ID{Device: "b", Epoch: 1, Seq: 1})
@@ -64,22 +66,23 @@
 	}
 	s.Put(reading("d", 1, "late"), func(err error) {
 		if err == nil {
-			t.Error("a closed store took a reading")
+			t.Error("a closed store accepted a reading")
 		}
 	})
-	s, held = reopen(t, path)
-	if got := names(held); got != "a1=z a2=y a\x001=w" || held[1].Route != 2 || !held[1].Urgent || held[0].Urgent {
+	s, readings = reopen(t, path)
+	wrongFields := len(readings) < 2 || readings[1].Route != 2 || !readings[1].Urgent || readings[0].Urgent
+	if got := names(readings); got != "a1=z a2=y a\x001=w" || wrongFields {
 		t.Errorf("%q", got)
 	}
-	if kept, err := s.Conflicts(); err != nil || names(kept) != "c1=v" {
-		t.Errorf("%v, %v", kept, err)
+	if conflicts, err := s.Conflicts(); err != nil || names(conflicts) != "c1=v" {
+		t.Errorf("%v, %v", conflicts, err)
 	}
 	if want := 3*(18+11+1) + 4 + 1; s.Bytes() != want {
-		t.Errorf("%d bytes are held, %d are there", s.Bytes(), want)
+		t.Errorf("%d bytes are counted, %d are there", s.Bytes(), want)
 	}
 }
 
-func TestAFullStoreSaysSo(t *testing.T) {
+func TestFullStoreReturnsErrFull(t *testing.T) {
 	s, _, err := Open(filepath.Join(t.TempDir(), "store"), 70)
 	if err != nil {
 		t.Fatal(err)
@@ -88,14 +91,14 @@
 	put(t, s, reading("a", 1, "x"), reading("a", 2, "x"))
 	done := make(chan error, 1)
 	s.Put(reading("a", 3, "x"), func(err error) { done <- err })
-	if err := <-done; err != ErrFull {
+	if err := <-done; !errors.Is(err, ErrFull) {
 		t.Errorf("%v", err)
 	}
 }
 
 // A process that is killed leaves the writes of its commit up to some page:
-// each such file must open, and hold either what was there before or all of it.
-func TestACommitCutAtEveryPageIsWholeOrNotThere(t *testing.T) {
+// each such file must open, and contain either the state before or all of it.
+func TestInterruptedCommitIsAtomic(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "store")
 	s, _ := reopen(t, path)
@@ -107,7 +110,7 @@
 	const size = 4096
 	store := func(rs ...*intake.Reading) (queue []change) {
 		for _, r := range rs {
-			queue = append(queue, change{readingsBucket, r.ID, encode(r), nil})
+			queue = append(queue, change{kind: putReading, id: r.ID, encoded: encode(r)})
 		}
 		return queue
 	}
@@ -115,10 +118,14 @@
 	for seq := range uint64(200) {
 		many = append(many, reading("e", seq, strings.Repeat("v", 100)))
 	}
-	gone := change{id: intake.ID{Device: "a", Epoch: 1, Seq: 1}}
-	for step, queue := range [][]change{ // of a device's life, each one commit
-		store(reading("c", 1, "three")), store(reading("d", 1, strings.Repeat("long", 3000))), store(many...),
-		append(store(reading("f", 1, "last")), gone), {{conflictBucket, many[7].ID, encode(many[7]), nil}, gone},
+	deletion := change{kind: deleteReading, id: intake.ID{Device: "a", Epoch: 1, Seq: 1}}
+	quarantine := change{kind: quarantineReading, id: many[7].ID, encoded: encode(many[7])}
+	for step, queue := range [][]change{ // each one commit
+		store(reading("c", 1, "three")),
+		store(reading("d", 1, strings.Repeat("long", 3000))),
+		store(many...),
+		append(store(reading("f", 1, "last")), deletion),
+		{quarantine, deletion},
 	} {
 		s.commit(queue)
 		after, err := os.ReadFile(path)
@@ -128,7 +135,8 @@
 		old, whole := opened(t, dir, before), opened(t, dir, after)
 		var changed []int
 		for at := 0; at < len(after); at += size {
-			if at >= len(before) || !bytes.Equal(before[at:min(at+size, len(before))], after[at:min(at+size, len(after))]) {
+			newPage := after[at:min(at+size, len(after))]
+			if at >= len(before) || !bytes.Equal(before[at:min(at+size, len(before))], newPage) {
 				changed = append(changed, at)
 			}
 		}
@@ -176,19 +184,19 @@
 	if err := os.WriteFile(path, file, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, held, err := Open(path, 1<<20)
+	s, readings, err := Open(path, 1<<20)
 	if err != nil {
 		t.Fatalf("a cut file does not open: %v", err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return names(held)
+	return names(readings)
 }
 
 // A damaged or foreign file ends in one line, never in a panic, and is left
 // as it is.
-func TestATornOrForeignFileIsRefused(t *testing.T) {
+func TestOpenRejectsDamagedOrForeignFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "store")
 	s, _ := reopen(t, path)
@@ -202,12 +210,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	spoilt := append([]byte(nil), good...)
-	for at := 2 * 4096; at < len(spoilt); at++ {
-		spoilt[at] ^= 0x5a
+	corrupted := append([]byte(nil), good...)
+	for at := 2 * 4096; at < len(corrupted); at++ {
+		corrupted[at] ^= 0x5a
 	}
 	bad := map[string][]byte{
-		"text": []byte(strings.Repeat("this is a letter\n", 1000)), "short": good[:5000], "spoilt pages": spoilt,
+		"text": []byte(strings.Repeat("this is a letter\n", 1000)), "short": good[:5000], "corrupted pages": corrupted,
 		"one meta page": good[:4096], "zeros": make([]byte, 20000),
 	}
 	for name, file := range bad {
@@ -217,7 +225,7 @@
 		s, _, err := Open(path, 1<<20)
 		if err == nil {
 			_ = s.Close()
-			t.Errorf("%s: it was taken", name)
+			t.Errorf("%s: it was accepted", name)
 			continue
 		}
 		if now, _ := os.ReadFile(path); !bytes.Equal(now, file) {
@@ -226,8 +234,8 @@
 	}
 }
 
-// Whatever bytes are off, the file is refused or gives what was stored.
-func TestAFileWithSpoiltBytesNeverEndsTheProgram(t *testing.T) {
+// Whatever bytes are changed, the file is rejected or its readings are as stored.
+func TestOpenOfCorruptedFileNeverPanics(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "store")
 	s, _ := reopen(t, path)
@@ -251,11 +259,11 @@
 		if err := os.WriteFile(path, file, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, held, err := Open(path, 1<<20)
+		s, readings, err := Open(path, 1<<20)
 		if err != nil {
 			return
 		}
-		for _, r := range held {
+		for _, r := range readings {
 			if string(r.Value) != strings.Repeat("x", 100) {
 				t.Fatalf("a reading came back as %q", r.Value)
 			}
@@ -266,7 +274,7 @@
 	})
 }
 
-func TestKeysKeepTheirOrderAndReadBack(t *testing.T) {
+func TestKeysKeepOrderAndRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := rapid.Custom(func(t *rapid.T) intake.ID {
 			return intake.ID{Device: rapid.StringN(1, 8, 16).Draw(t, "device"), Epoch: rapid.Uint64Max(3).Draw(t, "epoch"),
--- a/internal/edge/store/verify.go
+++ b/internal/edge/store/verify.go
@@ -9,149 +9,169 @@
 	"os"
 )
 
-// The file's form, as bbolt documents it: pages of one size, of which the
-// first two are meta pages; branches and leaves of trees of keys.
+// The file's layout, as bbolt documents it: pages of one size, of which the
+// first two are meta pages; branches and leaves of B+ trees; numbers are
+// little-endian. Sizes and offsets are in bytes.
 const (
-	boltMagic    = 0xED0CDAED
-	boltVersion  = 2
-	pageHeader   = 16
-	metaLen      = 64
-	branchFlag   = 0x01
-	leafFlag     = 0x02
-	metaFlag     = 0x04
-	bucketFlag   = 0x01 // of a leaf's element
-	elementLen   = 16
-	bucketHeader = 16
-	maxDepth     = 32
-)
+	firstTreePage    = 2
+	pageHeaderSize   = 16
+	pageFlagsOffset  = 8
+	pageCountOffset  = 10
+	overflowOffset   = 12 // how many pages continue this one
+	elementSize      = 16
+	bucketHeaderSize = 16
+
+	branchPage    = 0x01
+	leafPage      = 0x02
+	bucketElement = 0x01 // flag of a leaf's element
 
-var errForeign = errors.New("the file is no store of readings of this program")
+	metaMagic          = 0xED0CDAED
+	metaVersion        = 2
+	metaSize           = 64
+	metaVersionOffset  = 4
+	metaPageSizeOffset = 8
+	metaRootOffset     = 16
+	metaPagesOffset    = 40
+	metaTxOffset       = 48
+	metaChecksumOffset = 56
+
+	minPageSize = 1024
+	maxPageSize = 65536
+	maxDepth    = 32 // of a tree, against pages that refer to each other
+)
 
-// verify walks every page of the file's newest tree before bbolt sees it:
+// verify walks every page of the file's newest tree before bbolt opens it:
 // bbolt ends the process at a page that contradicts itself.
 func verify(path string) error {
 	file, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	var v *walk
-	// The page size stands in the meta page; the second one is a page further.
-	for _, at := range []int{0, 4096, 8192, 16384, 65536} {
-		if m, ok := readMeta(file, at); ok && (v == nil || m.tx > v.meta.tx) && (at == 0 || at == m.pageSize) {
-			v = &walk{file: file, meta: m, seen: map[uint64]bool{}}
-		}
-	}
-	if v == nil {
+	newest, found := newestMeta(file)
+	if !found {
 		return errForeign
 	}
-	if uint64(len(file)) < v.meta.pages*uint64(v.meta.pageSize) {
-		return fmt.Errorf("the file is damaged: it ends before page %d", v.meta.pages)
+	if uint64(len(file)) < newest.pages*uint64(newest.pageSize) {
+		return fmt.Errorf("%w: it ends before page %d", errDamaged, newest.pages)
 	}
-	if err := v.tree(v.meta.root, span{}, 0); err != nil {
-		return fmt.Errorf("the file is damaged: %w", err)
+	v := &verifier{file: file, meta: newest, visited: map[uint64]bool{}}
+	if err := v.tree(newest.root, keyRange{}, 0); err != nil {
+		return fmt.Errorf("%w: %w", errDamaged, err)
 	}
 	return nil
 }
 
+// meta is the content of a meta page.
 type meta struct {
-	pageSize        int
-	root, pages, tx uint64
+	pageSize int    // bytes
+	root     uint64 // page of the root bucket
+	pages    uint64 // in the file
+	tx       uint64 // the transaction that wrote it
+}
+
+// newestMeta finds the valid meta page of the last transaction. The second one
+// follows the first by a page size, which only they state.
+func newestMeta(file []byte) (newest meta, found bool) {
+	for _, offset := range []int{0, 4096, 8192, 16384, 65536} {
+		m, ok := readMeta(file, offset)
+		if !ok || offset != 0 && offset != m.pageSize {
+			continue
+		}
+		if !found || m.tx > newest.tx {
+			newest = m
+			found = true
+		}
+	}
+	return newest, found
 }
 
-// readMeta reads a meta page, if a whole one stands there.
-func readMeta(file []byte, at int) (m meta, ok bool) {
-	if len(file) < at+pageHeader+metaLen {
+// readMeta reads a meta page, if a valid one is at the offset.
+func readMeta(file []byte, offset int) (m meta, ok bool) {
+	if len(file) < offset+pageHeaderSize+metaSize {
 		return m, false
 	}
-	b := file[at+pageHeader : at+pageHeader+metaLen]
-	sum := fnv.New64a()
-	_, _ = sum.Write(b[:metaLen-8]) // never fails
-	le := binary.LittleEndian
-	if le.Uint32(b) != boltMagic || le.Uint32(b[4:]) != boltVersion || le.Uint64(b[56:]) != sum.Sum64() {
+	b := file[offset+pageHeaderSize : offset+pageHeaderSize+metaSize]
+	checksum := fnv.New64a()
+	_, _ = checksum.Write(b[:metaChecksumOffset]) // never fails
+	valid := binary.LittleEndian.Uint32(b) == metaMagic &&
+		binary.LittleEndian.Uint32(b[metaVersionOffset:]) == metaVersion &&
+		binary.LittleEndian.Uint64(b[metaChecksumOffset:]) == checksum.Sum64()
+	if !valid {
 		return m, false
 	}
-	m = meta{int(le.Uint32(b[8:])), le.Uint64(b[16:]), le.Uint64(b[40:]), le.Uint64(b[48:])}
-	return m, m.pageSize >= 1024 && m.pageSize <= 65536 && m.pageSize&(m.pageSize-1) == 0
+	m = meta{
+		pageSize: int(binary.LittleEndian.Uint32(b[metaPageSizeOffset:])),
+		root:     binary.LittleEndian.Uint64(b[metaRootOffset:]),
+		pages:    binary.LittleEndian.Uint64(b[metaPagesOffset:]),
+		tx:       binary.LittleEndian.Uint64(b[metaTxOffset:]),
+	}
+	powerOfTwo := m.pageSize&(m.pageSize-1) == 0
+	return m, m.pageSize >= minPageSize && m.pageSize <= maxPageSize && powerOfTwo
 }
 
-type walk struct {
-	file []byte
-	meta meta
-	seen map[uint64]bool
+// keyRange is where a page's keys must lie, from its branch's entry to the next
+// one; nil for no bound.
+type keyRange struct {
+	from   []byte
+	before []byte
 }
 
-// span is where a page's keys must lie, from its branch's entry to the next
-// one; nil for no bound.
-type span struct{ from, before []byte }
+func (r keyRange) contains(key []byte) bool {
+	if bytes.Compare(key, r.from) < 0 {
+		return false
+	}
+	return r.before == nil || bytes.Compare(key, r.before) < 0
+}
 
-func (s span) holds(key []byte) bool {
-	return bytes.Compare(key, s.from) >= 0 && (s.before == nil || bytes.Compare(key, s.before) < 0)
+// verifier walks the trees of a file.
+type verifier struct {
+	file    []byte
+	meta    meta
+	visited map[uint64]bool // pages
 }
 
-// tree checks the page and all below it.
-func (w *walk) tree(id uint64, keys span, depth int) error {
-	if id < 2 || id >= w.meta.pages || depth > maxDepth {
+// tree verifies the page and all below it.
+func (v *verifier) tree(id uint64, keys keyRange, depth int) error {
+	if id < firstTreePage || id >= v.meta.pages || depth > maxDepth {
 		return fmt.Errorf("page %d is out of range", id)
 	}
-	at := int(id) * w.meta.pageSize
-	le := binary.LittleEndian
-	head := w.file[at : at+pageHeader]
-	overflow := uint64(le.Uint32(head[12:]))
-	if le.Uint64(head) != id || overflow >= w.meta.pages-id {
+	start := int(id) * v.meta.pageSize
+	header := v.file[start : start+pageHeaderSize]
+	overflow := uint64(binary.LittleEndian.Uint32(header[overflowOffset:]))
+	if binary.LittleEndian.Uint64(header) != id || overflow >= v.meta.pages-id {
 		return fmt.Errorf("page %d says it is another", id)
 	}
 	for n := id; n <= id+overflow; n++ {
-		if w.seen[n] {
+		if v.visited[n] {
 			return fmt.Errorf("page %d is used twice", n)
 		}
-		w.seen[n] = true
+		v.visited[n] = true
 	}
-	return w.page(w.file[at:at+int(overflow+1)*w.meta.pageSize], fmt.Sprint("page ", id), keys, depth)
+	end := start + int(overflow+1)*v.meta.pageSize
+	p, err := newPage(fmt.Sprint("page ", id), v.file[start:end])
+	if err != nil {
+		return err
+	}
+	return v.page(p, keys, depth)
 }
 
-// page checks a branch or a leaf, which may also stand inside a value.
-func (w *walk) page(b []byte, name string, keys span, depth int) error {
-	le := binary.LittleEndian
-	flags, count := le.Uint16(b[8:]), int(le.Uint16(b[10:]))
-	if flags != branchFlag && flags != leafFlag || pageHeader+count*elementLen > len(b) || flags == branchFlag && count == 0 {
-		return fmt.Errorf("%s is neither branch nor leaf", name)
-	}
-	entry := func(i int) (e, key, value []byte, err error) {
-		from := pageHeader + i*elementLen
-		e = b[from : from+elementLen]
-		var pos, ksize, vsize uint64
-		if flags == branchFlag {
-			pos, ksize = uint64(le.Uint32(e)), uint64(le.Uint32(e[4:]))
-		} else {
-			pos, ksize, vsize = uint64(le.Uint32(e[4:])), uint64(le.Uint32(e[8:])), uint64(le.Uint32(e[12:]))
-		}
-		at := uint64(from) + pos
-		if pos < elementLen || at+ksize+vsize > uint64(len(b)) {
-			return nil, nil, nil, fmt.Errorf("%s: an entry beyond its end", name)
-		}
-		return e, b[at : at+ksize], b[at+ksize : at+ksize+vsize], nil
-	}
+// page verifies the entries of a page and all below them.
+func (v *verifier) page(p page, keys keyRange, depth int) error {
 	var last []byte
-	for i := range count {
-		e, key, value, err := entry(i)
+	for i := range p.count {
+		e, err := p.entry(i)
 		if err != nil {
 			return err
 		}
-		if i > 0 && bytes.Compare(last, key) >= 0 || !keys.holds(key) {
-			return fmt.Errorf("%s: entries out of order", name)
+		if i > 0 && bytes.Compare(last, e.key) >= 0 || !keys.contains(e.key) {
+			return fmt.Errorf("%s: entries out of order", p.name)
 		}
-		last = key
+		last = e.key
 		switch {
-		case flags == branchFlag:
-			below := span{key, keys.before}
-			if i+1 < count {
-				if _, below.before, _, err = entry(i + 1); err != nil {
-					return err
-				}
-			}
-			err = w.tree(le.Uint64(e[8:]), below, depth+1)
-		case le.Uint32(e)&bucketFlag != 0:
-			err = w.bucket(value, depth)
+		case p.branch:
+			err = v.child(p, i, e, keys, depth)
+		case e.bucket:
+			err = v.bucket(e.value, depth)
 		}
 		if err != nil {
 			return err
@@ -160,17 +180,36 @@
 	return nil
 }
 
-// bucket checks a tree within a tree: its root's number, or all of it inline.
-func (w *walk) bucket(value []byte, depth int) error {
-	if len(value) < bucketHeader {
+// child verifies the subtree of a branch's entry. Its keys lie before those of
+// the next entry.
+func (v *verifier) child(p page, index int, e entry, keys keyRange, depth int) error {
+	below := keyRange{from: e.key, before: keys.before}
+	if index+1 < p.count {
+		next, err := p.entry(index + 1)
+		if err != nil {
+			return err
+		}
+		below.before = next.key
+	}
+	return v.tree(e.child, below, depth+1)
+}
+
+// bucket verifies a tree within a tree: the value holds its root's number, or
+// all of it inline.
+func (v *verifier) bucket(value []byte, depth int) error {
+	if len(value) < bucketHeaderSize {
 		return errors.New("a bucket without its root")
 	}
 	if root := binary.LittleEndian.Uint64(value); root != 0 {
-		return w.tree(root, span{}, depth+1)
+		return v.tree(root, keyRange{}, depth+1)
 	}
-	inline := value[bucketHeader:]
-	if len(inline) < pageHeader || binary.LittleEndian.Uint16(inline[8:]) != leafFlag || depth > maxDepth {
+	inline := value[bucketHeaderSize:]
+	if len(inline) < pageHeaderSize || pageFlags(inline) != leafPage || depth > maxDepth {
 		return errors.New("a bucket without its page")
 	}
-	return w.page(inline, "an inline page", span{}, depth+1)
+	p, err := newPage("an inline page", inline)
+	if err != nil {
+		return err
+	}
+	return v.page(p, keyRange{}, depth+1)
 }
