--- a/internal/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -22,14 +22,14 @@
 // them with -cpu 1 for readings a second on one core. What idle devices cost in
 // memory is measured on the router itself: lotuslab measure edge.
 
-func (w *testEdge) followSystemClock(b *testing.B) {
+func (test *testEdge) followSystemClock(b *testing.B) {
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
-	w.clock.Set(float64(time.Now().UnixMilli()))
+	test.clock.Set(float64(time.Now().UnixMilli()))
 	go func() { // the edge's own timers, by the system's clock
 		for ctx.Err() == nil {
-			w.clock.Set(float64(time.Now().UnixMilli()))
-			w.loop.Fire()
+			test.clock.Set(float64(time.Now().UnixMilli()))
+			test.loop.Fire()
 			time.Sleep(5 * time.Millisecond)
 		}
 	}()
@@ -41,21 +41,21 @@
 }
 
 func newBenchEdge(b *testing.B) *testEdge {
-	w := newTestEdge(b, nil)
-	w.followSystemClock(b)
+	test := newTestEdge(b, nil)
+	test.followSystemClock(b)
 	b.ReportAllocs()
-	return w
+	return test
 }
 
 func BenchmarkFrames(b *testing.B) {
-	w := newBenchEdge(b)
-	p := w.dial().hello()
+	test := newBenchEdge(b)
+	gateway := test.dial().hello()
 	began := time.Now()
 	b.ResetTimer()
 	for i := range b.N {
-		p.send(frames.Readings{Kind: frames.KindReadings, ID: uint32(i), Route: "readings", Batch: *reading(uint64(i), 0)})
+		gateway.send(frames.Readings{Kind: frames.KindReadings, ID: uint32(i), Route: "readings", Batch: *reading(uint64(i), 0)})
 		var a frames.Answer
-		if err := p.receive(&a); err != nil || a.Ranges[0].Status != 0 {
+		if err := gateway.receive(&a); err != nil || a.Ranges[0].Status != 0 {
 			b.Fatal(a, err)
 		}
 	}
@@ -63,8 +63,8 @@
 }
 
 func BenchmarkMQTT(b *testing.B) {
-	w := newBenchEdge(b)
-	_, address, _ := w.edge.Addresses()
+	test := newBenchEdge(b)
+	_, address, _ := test.edge.Addresses()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		b.Fatal(err)
@@ -80,7 +80,7 @@
 			ProtocolVersion: 4,
 			TopicName:       "readings",
 			PacketID:        uint16(i%65535 + 1),
-			Payload:         w.codec.Encode(reading(uint64(i), 0)),
+			Payload:         test.codec.Encode(reading(uint64(i), 0)),
 		}
 		if _, err := c.Write(mqtt.Encode(&packet)); err != nil {
 			b.Fatal(err)
@@ -105,8 +105,8 @@
 }
 
 func BenchmarkCoAP(b *testing.B) {
-	w := newBenchEdge(b)
-	address, _, _ := w.edge.Addresses()
+	test := newBenchEdge(b)
+	address, _, _ := test.edge.Addresses()
 	c, err := net.Dial("udp", address)
 	if err != nil {
 		b.Fatal(err)
@@ -120,7 +120,7 @@
 			Code:      codes.POST,
 			MessageID: int32(i % 65536),
 			Token:     []byte{1, 2},
-			Payload:   w.codec.Encode(reading(uint64(i), 0)),
+			Payload:   test.codec.Encode(reading(uint64(i), 0)),
 		}
 		m.Options = m.Options.Add(coapmessage.Option{ID: coapmessage.URIPath, Value: []byte("readings")})
 		if echo != nil {
--- a/internal/edge/coap/block.go
+++ b/internal/edge/coap/block.go
@@ -7,77 +7,113 @@
 	"github.com/plgd-dev/go-coap/v3/message/codes"
 )
 
+// The Block1 option (RFC 7959, 2.2).
+const (
+	blockNumberShift  = 4
+	blockMoreFlag     = 8
+	blockExponentMask = 7
+	reservedExponent  = 7
+	minBlockExponent  = 4 // added to the option's exponent of the size
+)
+
+// minGlobalTag is the length in bytes from which a Request-Tag names a transfer
+// under any address: eight random bytes cannot be guessed.
+const minGlobalTag = 8
+
 // transfer is a message that comes in blocks (RFC 7959).
 type transfer struct {
-	name  string
-	owner uint64 // in the ledger
-	next  uint32 // the number of the block that must come
-	size  int    // of a block
-	bytes []byte
+	key       string
+	owner     uint64 // in Server.unfinished
+	nextBlock uint32
+	blockSize int // bytes
+	received  []byte
 }
 
-// blockwise takes one block and returns the whole message with the last one,
-// or what to answer meanwhile. A transfer that was interrupted goes on where
-// it stood, under a Request-Tag of eight bytes also from another address.
-func (s *Server) blockwise(now float64, id exchangeID, path string, m *message.Message, v uint32) ([]byte, codes.Code) {
-	number, more, szx := v>>4, v&8 != 0, v&7
-	if szx == 7 {
+// handleBlock takes one block. It returns the whole message with the last one,
+// else the code to respond with. An interrupted transfer resumes at its next
+// block, under a Request-Tag of minGlobalTag also from another address.
+func (s *Server) handleBlock(
+	now float64, id exchangeID, path string, m *message.Message, block1 uint32,
+) (payload []byte, code codes.Code) {
+	number := block1 >> blockNumberShift
+	more := block1&blockMoreFlag != 0
+	exponent := block1 & blockExponentMask
+	if exponent == reservedExponent {
 		return nil, codes.BadRequest
 	}
-	size := 1 << (szx + 4)
+	size := 1 << (exponent + minBlockExponent)
 	if more && len(m.Payload) != size || len(m.Payload) > size {
 		return nil, codes.BadRequest
 	}
-	tag, _ := m.Options.GetBytes(message.RequestTag)
-	name := path + "\x00" + string(tag)
-	if len(tag) < freeTag {
-		name += "\x00" + id.peer.String() + "\x00" + strconv.Itoa(len(tag))
-	}
-	t := s.transfers[name]
+	key := transferKey(id, path, m)
 	if number == 0 {
 		if !more { // a message of one block
-			s.endTransfer(t)
-			return m.Payload, 0
-		}
-		if t != nil && t.next > 1 { // begun anew
-			s.endTransfer(t)
-			t = nil
-		}
-		if t == nil {
-			s.next++
-			t = &transfer{name: name, owner: s.next, size: size}
-			s.transfers[name], s.byOwner[t.owner] = t, t
+			s.endTransfer(s.transfers[key])
+			return m.Payload, noError
 		}
+		s.beginTransfer(key, size)
 	}
+	t := s.transfers[key]
 	switch {
-	case t == nil || number > t.next || size != t.size:
+	case t == nil || number > t.nextBlock || size != t.blockSize:
 		return nil, codes.RequestEntityIncomplete
-	case number < t.next: // a repeat of a block that is there
+	case number < t.nextBlock: // a duplicate
 		return nil, codes.Continue
-	case len(t.bytes)+len(m.Payload) > s.lim.MessageBytes:
+	case len(t.received)+len(m.Payload) > s.limits.MessageBytes:
 		s.endTransfer(t)
 		return nil, codes.RequestEntityTooLarge
 	}
-	t.next++
-	t.bytes = append(t.bytes, m.Payload...)
+	t.nextBlock++
+	t.received = append(t.received, m.Payload...)
 	if !more {
 		s.endTransfer(t)
-		return t.bytes, 0
+		return t.received, noError
+	}
+	return nil, s.accountFor(now, t, len(m.Payload))
+}
+
+func transferKey(id exchangeID, path string, m *message.Message) string {
+	tag, _ := m.Options.GetBytes(message.RequestTag) // an absent one is empty
+	key := path + "\x00" + string(tag)
+	if len(tag) < minGlobalTag {
+		key += "\x00" + id.peer.String() + "\x00" + strconv.Itoa(len(tag))
 	}
-	for _, owner := range s.ledger.Grow(now, t.owner, len(m.Payload)) {
+	return key
+}
+
+// beginTransfer begins a transfer, or begins it anew if it is past its first
+// block.
+func (s *Server) beginTransfer(key string, blockSize int) {
+	t := s.transfers[key]
+	if t != nil && t.nextBlock <= 1 {
+		return // the first block is a duplicate
+	}
+	s.endTransfer(t)
+	s.lastToken++
+	t = &transfer{key: key, owner: s.lastToken, blockSize: blockSize}
+	s.transfers[key] = t
+	s.transferByOwner[t.owner] = t
+}
+
+// accountFor adds a block's bytes to those of all transfers, which may end the
+// slowest. It returns the code to respond with.
+func (s *Server) accountFor(now float64, t *transfer, blockBytes int) codes.Code {
+	for _, owner := range s.unfinished.Grow(now, t.owner, blockBytes) {
 		s.stats.Stalled++
-		s.endTransfer(s.byOwner[owner])
+		s.endTransfer(s.transferByOwner[owner])
 	}
-	if s.transfers[name] != t { // it was itself the slowest
-		return nil, codes.ServiceUnavailable
+	if s.transfers[t.key] != t { // it was the slowest
+		return codes.ServiceUnavailable
 	}
-	return nil, codes.Continue
+	return codes.Continue
 }
 
+// endTransfer removes a transfer, unless it is nil.
 func (s *Server) endTransfer(t *transfer) {
-	if t != nil {
-		delete(s.transfers, t.name)
-		delete(s.byOwner, t.owner)
-		s.ledger.End(t.owner)
+	if t == nil {
+		return
 	}
+	delete(s.transfers, t.key)
+	delete(s.transferByOwner, t.owner)
+	s.unfinished.End(t.owner)
 }
--- a/internal/edge/coap/characterization_test.go
+++ b/internal/edge/coap/characterization_test.go
@@ -20,12 +20,13 @@
 
 // update rewrites the expected values. They may change only with a deliberate
 // change of behaviour, which the commit has to name.
-var update = flag.Bool("update", false, "rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
+var update = flag.Bool("update", false,
+	"rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
 
 const expectedFile = "testdata/characterization.txt"
 
 // TestCharacterization pins every datagram that is sent in answer to those of
-// clients, and what is handed on.
+// clients, and what is delivered.
 func TestCharacterization(t *testing.T) {
 	got := map[string]string{}
 	for name, run := range exchanges {
@@ -35,7 +36,7 @@
 			got[fmt.Sprintf("%s-%02d", name, i)] = event
 		}
 		s := e.server.Stats()
-		got[name+"-counts"] = fmt.Sprint(s.Datagrams, s.Malformed, s.Repeats, s.Challenges, s.Evicted, s.Stalled, s.Separate)
+		got[name+"-counts"] = fmt.Sprint(s.Datagrams, s.Malformed, s.Duplicates, s.Challenges, s.Evicted, s.Stalled, s.Separate)
 	}
 	compareExpected(t, got)
 }
@@ -79,8 +80,7 @@
 
 var home, away = netip.MustParseAddrPort("10.0.0.1:5683"), netip.MustParseAddrPort("[2001:db8::1]:1024")
 
-// endpoint is a server's clients, and all that it asks for, as numbers and
-// bytes.
+// endpoint is a server's clients, and all its actions, as numbers and bytes.
 type endpoint struct {
 	t      *testing.T
 	server *coap.Server
@@ -124,7 +124,7 @@
 	e.note("3 %d %x %x %x", token, from.Addr().AsSlice(), path, arg)
 }
 
-// pass lets time pass and does what is due meanwhile.
+// pass lets time pass and runs the timers due meanwhile.
 func (e *endpoint) pass(ms float64) {
 	end := e.now + ms
 	for due, ok := e.server.Next(); ok && due <= end; due, ok = e.server.Next() {
@@ -157,7 +157,7 @@
 
 func (e *endpoint) datagram(from netip.AddrPort, b []byte) { e.server.Datagram(e.now, from, b) }
 
-// proof returns the option that proves an address, which it asks for first.
+// proof returns the option that proves an address, which it requests first.
 func (e *endpoint) proof(from netip.AddrPort) message.Option {
 	e.t.Helper()
 	if e.echo[from] == nil {
@@ -204,17 +204,18 @@
 		stale := e.proof(home)
 		e.pass(120001)
 		e.datagram(home, e.request(message.Confirmable, codes.POST, "readings", part, stale))
-		e.datagram(home, e.request(message.Confirmable, codes.POST, "readings", part, message.Option{ID: message.Echo, Value: []byte("0123456789abcdef")}))
+		forged := message.Option{ID: message.Echo, Value: []byte("0123456789abcdef")}
+		e.datagram(home, e.request(message.Confirmable, codes.POST, "readings", part, forged))
 	},
 	"piggybacked": func(e *endpoint) {
 		sent := e.post(message.Confirmable, "batch")
-		e.datagram(home, sent) // a repeat before the answer
+		e.datagram(home, sent) // a duplicate before the answer
 		e.pass(300)
 		e.server.Answer(e.now, e.tokens[0], codes.Changed, []byte{0xa1, 1, 0x80}, 0)
 		e.datagram(home, sent)
 		e.server.Answer(e.now, e.tokens[0], codes.Changed, nil, 0) // once only
 		e.pass(250000)
-		e.datagram(home, sent) // forgotten, and its proof is old
+		e.datagram(home, sent) // expired, and so is its proof
 	},
 	"not-confirmable": func(e *endpoint) {
 		sent := e.post(message.NonConfirmable, "batch")
@@ -228,7 +229,7 @@
 		e.datagram(home, sent)
 		e.server.Answer(e.now, e.tokens[0], codes.Changed, []byte("reply"), 0)
 		e.datagram(home, sent)
-		e.pass(100000) // repeated until it is given up
+		e.pass(100000) // retransmitted until the last attempt
 	},
 	"separate-and-acknowledged": func(e *endpoint) {
 		for kind := message.Acknowledgement; kind <= message.Reset; kind++ {
@@ -253,8 +254,11 @@
 			code    codes.Code
 			payload string
 			maxAge  float64
-		}{{codes.Changed, "", 0}, {codes.Content, "value", 0}, {codes.Content, "value", 60000}, {codes.ServiceUnavailable, "", 1}, {codes.ServiceUnavailable, "busy", 300001},
-			{codes.BadRequest, "no", 0}, {codes.RequestEntityTooLarge, "", 0}} {
+		}{
+			{codes.Changed, "", 0}, {codes.Content, "value", 0}, {codes.Content, "value", 60000},
+			{codes.ServiceUnavailable, "", 1}, {codes.ServiceUnavailable, "busy", 300001},
+			{codes.BadRequest, "no", 0}, {codes.RequestEntityTooLarge, "", 0},
+		} {
 			e.post(message.Confirmable, "batch")
 			e.server.Answer(e.now, e.tokens[len(e.tokens)-1], a.code, []byte(a.payload), a.maxAge)
 		}
@@ -291,15 +295,18 @@
 		e.post(message.Confirmable, part, block(0, true), tag("12345678"))
 		e.post(message.Confirmable, "end", block(2, false), tag("12345678"))
 		e.post(message.Confirmable, part, block(0, true), tag("12345678"))
-		e.datagram(away, e.request(message.Confirmable, codes.POST, "readings", part, block(1, true), tag("12345678"), e.proof(away)))
+		elsewhere := []message.Option{block(1, true), tag("12345678"), e.proof(away)}
+		e.datagram(away, e.request(message.Confirmable, codes.POST, "readings", part, elsewhere...))
 		e.post(message.Confirmable, part, block(1, true), tag("12345678"))
 		e.post(message.Confirmable, "end", block(2, false), tag("12345678"))
 		e.server.Answer(e.now, e.tokens[len(e.tokens)-1], codes.Changed, []byte("reply"), 0)
 	},
 	"blocks-of-two-clients": func(e *endpoint) {
 		for n := range 2 {
-			e.datagram(home, e.request(message.Confirmable, codes.POST, "readings", part, block(n, n == 0), tag("short"), e.proof(home)))
-			e.datagram(away, e.request(message.Confirmable, codes.POST, "readings", part, block(n, n == 0), tag("short"), e.proof(away)))
+			for _, from := range []netip.AddrPort{home, away} {
+				options := []message.Option{block(n, n == 0), tag("short"), e.proof(from)}
+				e.datagram(from, e.request(message.Confirmable, codes.POST, "readings", part, options...))
+			}
 		}
 	},
 	"blocks-begun-anew": func(e *endpoint) {
--- /dev/null
+++ b/internal/edge/coap/exchange.go
@@ -0,0 +1,114 @@
+package coap
+
+import (
+	"net/netip"
+
+	"github.com/plgd-dev/go-coap/v3/message"
+
+	"lotusbend/internal/edge/timers"
+)
+
+// emptyAckDelay is how long a confirmable request waits for a piggybacked
+// response, in milliseconds: well before its client's first retransmission.
+const emptyAckDelay = 1000
+
+// noBlock is the block1 of an exchange without blocks.
+const noBlock = -1
+
+type exchangeID struct {
+	peer      netip.AddrPort
+	messageID uint16
+}
+
+// exchange is one request and its response.
+type exchange struct {
+	id           exchangeID
+	token        uint64 // of Out, 0 if nothing was delivered
+	clientToken  []byte
+	confirmable  bool
+	acknowledged bool // by an empty message
+	response     []byte
+	block1       int64 // the request's Block1, which the response repeats, or noBlock
+
+	separateID      uint16        // message ID of a separate response, 0 for none
+	retransmissions int           // of it
+	timer           *timers.Timer // of the empty acknowledgement, then of retransmissions
+	expiryTimer     *timers.Timer
+	removed         bool
+}
+
+// register remembers an exchange, so that duplicates of it are recognized.
+func (s *Server) register(now float64, x *exchange) {
+	for len(s.exchanges) >= s.limits.Exchanges {
+		s.evict()
+	}
+	s.exchanges[x.id] = x
+	s.byAge = append(s.byAge, x)
+	lifetime := float64(nonLifetime)
+	if x.confirmable {
+		lifetime = exchangeLifetime
+	}
+	x.expiryTimer = s.timers.At(now+lifetime, func(float64) { s.remove(x) })
+}
+
+// evict removes the oldest exchange. That is safe: a duplicate is then a new
+// request, and the readings in it are recognized by their IDs.
+func (s *Server) evict() {
+	s.stats.Evicted++
+	for _, x := range s.byAge {
+		if !x.removed {
+			s.remove(x)
+			return
+		}
+	}
+}
+
+func (s *Server) remove(x *exchange) {
+	x.removed = true
+	s.timers.Cancel(x.timer)
+	s.timers.Cancel(x.expiryTimer)
+	delete(s.exchanges, x.id)
+	delete(s.pending, x.token)
+	if x.separateID != 0 {
+		delete(s.unacknowledged, exchangeID{peer: x.id.peer, messageID: x.separateID})
+	}
+	s.removed++
+	s.compact()
+}
+
+// compact takes removed exchanges out of byAge: those at its head, and all once
+// they are more than half of it.
+func (s *Server) compact() {
+	for len(s.byAge) > 0 && s.byAge[0].removed {
+		s.byAge[0] = nil // for the garbage collector
+		s.byAge = s.byAge[1:]
+		s.removed--
+	}
+	if s.removed <= len(s.byAge)/2 {
+		return
+	}
+	kept := make([]*exchange, 0, len(s.exchanges))
+	for _, x := range s.byAge {
+		if !x.removed {
+			kept = append(kept, x)
+		}
+	}
+	s.byAge = kept
+	s.removed = 0
+}
+
+// awaitAnswer gives x a token for its answer. A confirmable request that waits
+// for long is acknowledged meanwhile.
+func (s *Server) awaitAnswer(now float64, x *exchange) {
+	s.lastToken++
+	x.token = s.lastToken
+	s.pending[x.token] = x
+	if !x.confirmable {
+		return
+	}
+	x.timer = s.timers.At(now+emptyAckDelay, func(float64) {
+		x.acknowledged = true
+		s.stats.Separate++
+		s.sendEmpty(x.id.peer, message.Acknowledgement, x.id.messageID)
+	})
+}
--- /dev/null
+++ b/internal/edge/coap/request_test.go
@@ -0,0 +1,41 @@
+package coap
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/plgd-dev/go-coap/v3/message"
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+)
+
+func TestMalformedAndUnsupportedRequests(t *testing.T) {
+	client := newTestClient(t)
+	echo := client.withEcho(home)
+	firstBlock := block(0, true)
+	critical := message.Option{ID: 9, Value: []byte{1}}
+	long := strings.Repeat("x", 201)
+	for name, c := range map[string]struct {
+		b    []byte
+		kind message.Type
+		code codes.Code
+	}{
+		"malformed":       {[]byte{1<<6 | 9, 2, 9, 1}, message.Reset, codes.Empty},
+		"a ping":          {[]byte{1 << 6, 0, 9, 2}, message.Reset, codes.Empty},
+		"a response":      {[]byte{1 << 6, 69, 9, 3}, message.Reset, codes.Empty},
+		"a method":        {[]byte{1 << 6, 4, 9, 4}, message.Acknowledgement, codes.MethodNotAllowed},
+		"no path":         {[]byte{1 << 6, 2, 9, 5}, message.Acknowledgement, codes.NotFound},
+		"critical option": {client.post(message.Confirmable, "x", critical), message.Acknowledgement, codes.BadOption},
+		"too long":        {client.post(message.Confirmable, long, echo), message.Acknowledgement, codes.RequestEntityTooLarge},
+		"a bad block":     {client.post(message.Confirmable, "x", echo, firstBlock), message.Acknowledgement, codes.BadRequest},
+	} {
+		client.server.Datagram(client.now, home, c.b)
+		if m := client.last(); m.Type != c.kind || m.Code != c.code || len(client.delivered) > 0 {
+			t.Errorf("%s: %v", name, m)
+		}
+	}
+	client.server.Datagram(client.now, home, []byte{1<<6 | 1<<4 | 9, 2, 0, 1}) // not confirmable: ignored
+	client.server.Datagram(client.now, home, nil)
+	if len(client.sent) != 0 {
+		t.Errorf("%v", client.sent)
+	}
+}
--- /dev/null
+++ b/internal/edge/coap/response_test.go
@@ -0,0 +1,47 @@
+package coap
+
+import (
+	"bytes"
+	"testing"
+
+	"github.com/plgd-dev/go-coap/v3/message"
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+)
+
+func TestSeparateResponseIsRetransmittedUntilAcknowledged(t *testing.T) {
+	client := newTestClient(t)
+	b := client.post(message.Confirmable, "batch", client.withEcho(home))
+	client.server.Datagram(client.now, home, b)
+	client.advance(emptyAckDelay)
+	if m := client.last(); m.Type != message.Acknowledgement || m.Code != codes.Empty {
+		t.Fatalf("%v", m)
+	}
+	client.server.Datagram(client.now, home, b) // a duplicate meanwhile
+	if m := client.last(); m.Type != message.Acknowledgement || m.Code != codes.Empty {
+		t.Fatalf("%v", m)
+	}
+	client.server.Answer(client.now, client.delivered[0].token, codes.Changed, []byte("ok"), 0)
+	first := client.last()
+	if first.Type != message.Confirmable || first.MessageID == client.lastMessageID || !bytes.Equal(first.Token, []byte{7, 7}) {
+		t.Fatalf("%v", first)
+	}
+	client.advance(3100)
+	if m := client.last(); m.MessageID != first.MessageID {
+		t.Errorf("%v is no retransmission of %v", m, first)
+	}
+	ack := []byte{1<<6 | byte(message.Acknowledgement)<<4, 0, byte(first.MessageID >> 8), byte(first.MessageID)}
+	client.server.Datagram(client.now, home, ack)
+	client.advance(60000)
+	if len(client.sent) != 0 || len(client.server.unacknowledged) != 0 {
+		t.Errorf("%d messages after the acknowledgement", len(client.sent))
+	}
+	// One that is not acknowledged ends by itself.
+	client.server.Datagram(client.now, home, client.post(message.Confirmable, "batch", client.withEcho(home)))
+	client.advance(emptyAckDelay)
+	client.server.Answer(client.now, client.delivered[1].token, codes.Changed, nil, 0)
+	client.sent = nil
+	client.advance(100000)
+	if n := len(client.sent); n != maxRetransmit || len(client.server.unacknowledged) != 0 {
+		t.Errorf("%d retransmissions, %d separate responses kept", n, len(client.server.unacknowledged))
+	}
+}
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -9,14 +9,14 @@
 )
 
 func TestDrainEndsIdleConnections(t *testing.T) {
-	w := newTestEdge(t, nil)
-	p := w.dial().hello()
-	w.loop.Do(w.edge.Drain)
+	test := newTestEdge(t, nil)
+	gateway := test.dial().hello()
+	test.loop.Do(test.edge.Drain)
 	var bye frames.Bye
-	if err := p.receive(&bye); err != nil || bye.Kind != frames.KindBye {
+	if err := gateway.receive(&bye); err != nil || bye.Kind != frames.KindBye {
 		t.Errorf("%+v, %v", bye, err)
 	}
-	if !p.closed() {
+	if !gateway.closed() {
 		t.Error("it stays")
 	}
 }
@@ -26,17 +26,17 @@
 func TestStoredReadingIsDeliveredAfterRestart(t *testing.T) {
 	path := t.TempDir() + "/store"
 	durable := func(o *edgeoptions.Edge) { o.Store, o.Intake.Durable = path, true }
-	w := newTestEdge(t, durable)
-	w.router.silent = true // nothing can be delivered
-	p := w.dial().hello()
-	p.sendReading(1, "d", 1)
+	test := newTestEdge(t, durable)
+	test.router.silent = true // nothing can be delivered
+	gateway := test.dial().hello()
+	gateway.sendReading(1, "d", 1)
 	var a frames.Answer
-	if err := p.receive(&a); err != nil || a.Ranges[0].Status != uint8(intake.Stored) {
+	if err := gateway.receive(&a); err != nil || a.Ranges[0].Status != uint8(intake.Stored) {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	if err := w.edge.Close(); err != nil {
+	if err := test.edge.Close(); err != nil {
 		t.Fatal(err)
 	}
-	w = newTestEdge(t, durable)
-	w.waitFor("its delivery", func() bool { return w.router.rowCount() == 1 && w.edge.store.Bytes() == 0 })
+	test = newTestEdge(t, durable)
+	test.waitFor("its delivery", func() bool { return test.router.rowCount() == 1 && test.edge.store.Bytes() == 0 })
 }
--- a/internal/edge/fixture_test.go
+++ b/internal/edge/fixture_test.go
@@ -110,54 +110,54 @@
 	if change != nil {
 		change(options.Edge)
 	}
-	w := &testEdge{
+	test := &testEdge{
 		t:      t,
 		clock:  clock.Manual(1767225600000),
 		router: &stubRouter{rows: map[string][]byte{}, writesByKey: map[string]int{}},
 		codec:  batch.NewCodec(),
 	}
-	w.loop = clock.NewLoop(w.clock)
+	test.loop = clock.NewLoop(test.clock)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	w.edge, err = New(options.Edge, w.loop, log, netio.NewDescriptorBudget(100000), w.router, 1)
+	test.edge, err = New(options.Edge, test.loop, log, netio.NewDescriptorBudget(100000), test.router, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.edge.Start()
-	t.Cleanup(func() { _ = w.edge.Close() })
-	return w
+	test.edge.Start()
+	t.Cleanup(func() { _ = test.edge.Close() })
+	return test
 }
 
 // advance sets the clock forward, timer by timer.
-func (w *testEdge) advance(ms float64) {
-	end := w.clock.Now() + ms
-	for at, ok := w.loop.Next(); ok && at <= end; at, ok = w.loop.Next() {
-		w.clock.Set(max(at, w.clock.Now()))
-		w.loop.Fire()
+func (test *testEdge) advance(ms float64) {
+	end := test.clock.Now() + ms
+	for at, ok := test.loop.Next(); ok && at <= end; at, ok = test.loop.Next() {
+		test.clock.Set(max(at, test.clock.Now()))
+		test.loop.Fire()
 	}
-	w.clock.Set(end)
+	test.clock.Set(end)
 }
 
 // waitFor waits until the edge is in the state that holds checks.
-func (w *testEdge) waitFor(what string, holds func() bool) {
-	w.t.Helper()
+func (test *testEdge) waitFor(what string, holds func() bool) {
+	test.t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; runtime.Gosched() {
 		ok := false
-		w.loop.Do(func() { ok = holds() })
+		test.loop.Do(func() { ok = holds() })
 		if ok {
 			return
 		}
 		if time.Now().After(end) {
-			w.t.Fatalf("never came: %s", what)
+			test.t.Fatalf("never came: %s", what)
 		}
 	}
 }
 
-func (w *testEdge) encodeBatch(device string, seqs ...uint64) []byte {
+func (test *testEdge) encodeBatch(device string, seqs ...uint64) []byte {
 	b := &batch.Batch{Device: device, Epoch: 1}
 	for _, s := range seqs {
 		b.Readings = append(b.Readings, batch.Reading{Seq: s, Value: fmt.Appendf(nil, "%s %d", device, s)})
 	}
-	return w.codec.Encode(b)
+	return test.codec.Encode(b)
 }
 
 // testGateway is a gateway of the framed stream.
@@ -167,28 +167,28 @@
 	codec *batch.Codec
 }
 
-func (w *testEdge) dial() *testGateway {
-	w.t.Helper()
-	_, _, address := w.edge.Addresses()
+func (test *testEdge) dial() *testGateway {
+	test.t.Helper()
+	_, _, address := test.edge.Addresses()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
-		w.t.Fatal(err)
+		test.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { _ = c.Close() })
-	return &testGateway{w.t, c, w.codec}
+	test.t.Cleanup(func() { _ = c.Close() })
+	return &testGateway{test.t, c, test.codec}
 }
 
-func (p *testGateway) send(frame any) {
-	p.t.Helper()
-	if _, err := p.Write(frames.Append(nil, p.codec, frame)); err != nil {
-		p.t.Fatal(err)
+func (gateway *testGateway) send(frame any) {
+	gateway.t.Helper()
+	if _, err := gateway.Write(frames.Append(nil, gateway.codec, frame)); err != nil {
+		gateway.t.Fatal(err)
 	}
 }
 
-func (p *testGateway) receive(to any) error {
-	_ = p.SetReadDeadline(time.Now().Add(20 * time.Second)) // only so that a test ends
+func (gateway *testGateway) receive(to any) error {
+	_ = gateway.SetReadDeadline(time.Now().Add(20 * time.Second)) // only so that a test ends
 	head := make([]byte, frames.HeaderLen)
-	if _, err := io.ReadFull(p, head); err != nil {
+	if _, err := io.ReadFull(gateway, head); err != nil {
 		return err
 	}
 	n, err := frames.Frame(head, 1<<20)
@@ -196,32 +196,32 @@
 		return err
 	}
 	body := make([]byte, n-frames.HeaderLen)
-	if _, err := io.ReadFull(p, body); err != nil {
+	if _, err := io.ReadFull(gateway, body); err != nil {
 		return err
 	}
-	return p.codec.Decode(body, to)
+	return gateway.codec.Decode(body, to)
 }
 
-func (p *testGateway) hello() *testGateway {
-	p.t.Helper()
-	p.send(frames.Hello{Kind: frames.KindHello, Version: frames.Version, Name: "g"})
+func (gateway *testGateway) hello() *testGateway {
+	gateway.t.Helper()
+	gateway.send(frames.Hello{Kind: frames.KindHello, Version: frames.Version, Name: "g"})
 	var welcome frames.Welcome
-	if err := p.receive(&welcome); err != nil || welcome.Kind != frames.KindWelcome {
-		p.t.Fatalf("%+v, %v", welcome, err)
+	if err := gateway.receive(&welcome); err != nil || welcome.Kind != frames.KindWelcome {
+		gateway.t.Fatalf("%+v, %v", welcome, err)
 	}
-	return p
+	return gateway
 }
 
-func (p *testGateway) sendReading(id uint32, device string, seq uint64) {
-	p.t.Helper()
-	p.send(frames.Readings{Kind: frames.KindReadings, ID: id, Route: "readings",
+func (gateway *testGateway) sendReading(id uint32, device string, seq uint64) {
+	gateway.t.Helper()
+	gateway.send(frames.Readings{Kind: frames.KindReadings, ID: id, Route: "readings",
 		Batch: batch.Batch{Device: device, Epoch: 1, Readings: []batch.Reading{{Seq: seq, Value: []byte("v")}}}})
 }
 
 // closed waits for the connection's end.
-func (p *testGateway) closed() bool {
-	_ = p.SetReadDeadline(time.Now().Add(20 * time.Second))
-	_, err := io.Copy(io.Discard, p)
+func (gateway *testGateway) closed() bool {
+	_ = gateway.SetReadDeadline(time.Now().Add(20 * time.Second))
+	_, err := io.Copy(io.Discard, gateway)
 	var failure net.Error
 	return err == nil || !errors.As(err, &failure) || !failure.Timeout()
 }
--- a/internal/edge/intake/admission_test.go
+++ b/internal/edge/intake/admission_test.go
@@ -8,42 +8,42 @@
 )
 
 func TestEvictionFromDeviceWithMostReadings(t *testing.T) {
-	s := newScript(t, func(c *Config) { c.MaxReadings, c.MaxWindow, c.MaxPerDevice = 6, 1, 5 })
+	script := newScript(t, func(c *Config) { c.MaxReadings, c.MaxWindow, c.MaxPerDevice = 6, 1, 5 })
 	for seq := uint64(1); seq <= 5; seq++ {
-		s.offer("greedy", seq, false)
+		script.offer("greedy", seq, false)
 	}
-	s.want("check1")
-	s.offer("greedy", 6, false)
-	s.want("rejected6") // its own limit
-	s.offer("b", 11, false)
-	s.want("")
-	s.offer("c", 12, false)
-	s.want("rejected5") // the newest of the device with the most
-	s.offer("b", 13, false)
-	s.want("rejected4")
-	s.offer("b", 14, false) // now b would have as many
-	s.want("rejected14")
-	if n := s.in.Stats().Evicted; n != 2 {
+	script.want("check1")
+	script.offer("greedy", 6, false)
+	script.want("rejected6") // its own limit
+	script.offer("b", 11, false)
+	script.want("")
+	script.offer("c", 12, false)
+	script.want("rejected5") // the newest of the device with the most
+	script.offer("b", 13, false)
+	script.want("rejected4")
+	script.offer("b", 14, false) // now b would have as many
+	script.want("rejected14")
+	if n := script.in.Stats().Evicted; n != 2 {
 		t.Errorf("%d evicted", n)
 	}
 	urgent := Reading{ID: ID{"b", 1, 15}, Value: []byte("v"), Urgent: true}
-	s.in.Offer(s.now, urgent, DeclaredHistory{}, Origin{Index: 15}, netip.Prefix{})
-	if s.want("rejected13"); s.in.Stats().InProgress != 6 {
-		t.Errorf("%+v", s.in.Stats())
+	script.in.Offer(script.now, urgent, DeclaredHistory{}, Origin{Index: 15}, netip.Prefix{})
+	if script.want("rejected13"); script.in.Stats().InProgress != 6 {
+		t.Errorf("%+v", script.in.Stats())
 	}
-	s.serve("v") // the urgent one goes first, though it came last
-	s.want("recorded1 check15")
+	script.serve("v") // the urgent one goes first, though it came last
+	script.want("recorded1 check15")
 }
 
 func TestLimitsPerNetworkAndOfBytes(t *testing.T) {
-	s := newScript(t, func(c *Config) { c.MaxPerNetwork = 2 })
+	script := newScript(t, func(c *Config) { c.MaxPerNetwork = 2 })
 	for i, want := range []string{"check0", "check1", "rejected2"} {
-		s.offer(fmt.Sprint("d", i), uint64(i), false)
-		s.want(want)
+		script.offer(fmt.Sprint("d", i), uint64(i), false)
+		script.want(want)
 	}
-	s = newScript(t, func(c *Config) { c.MaxBytes = 3 * (entryCost + 100) })
+	script = newScript(t, func(c *Config) { c.MaxBytes = 3 * (entryCost + 100) })
 	for i, want := range []string{"check0", "check1", "check2", "rejected3"} {
-		s.offerValue(fmt.Sprint("d", i), 1, uint64(i), strings.Repeat("x", 90), false)
-		s.want(want)
+		script.offerValue(fmt.Sprint("d", i), 1, uint64(i), strings.Repeat("x", 90), false)
+		script.want(want)
 	}
 }
--- a/internal/edge/intake/device_test.go
+++ b/internal/edge/intake/device_test.go
@@ -6,77 +6,77 @@
 )
 
 func TestDeclarationOfDeviceThatLostItsCounterIsNotTrusted(t *testing.T) {
-	s := newScript(t, func(c *Config) { c.MaxRecent = 4 })
-	s.confirmEpoch("a")
+	script := newScript(t, func(c *Config) { c.MaxRecent = 4 })
+	script.confirmEpoch("a")
 	for seq := uint64(1); seq <= 6; seq++ {
-		s.offer("a", seq, true)
-		s.want(fmt.Sprintf("write%d", seq))
-		s.serve("v")
-		s.actions = nil
+		script.offer("a", seq, true)
+		script.want(fmt.Sprintf("write%d", seq))
+		script.serve("v")
+		script.actions = nil
 	}
-	s.offerValue("a", 1, 0, "other", true) // no longer remembered
-	s.want("check0")
-	s.serve("v")
-	s.want("conflict0")
-	s.offerValue("a", 1, 6, "other", true) // remembered
-	s.want("conflict6")
-	s.offer("a", 6, true)
-	s.want("recorded6")
-	s.offer("a", 9, true) // this epoch is not trusted any more
-	s.want("check9")
-	s.offerValue("a", 2, 0, "fresh", true) // a new epoch, seen for the first time
-	s.want("check0")
-	s.serve("fresh")
-	s.want("recorded0")
-	s.offerValue("a", 2, 1, "fresh", true)
-	s.want("write1")
-	s.offerValue("a", 1, 12, "old", true) // of an epoch that has passed
-	s.want("check12")
+	script.offerValue("a", 1, 0, "other", true) // no longer remembered
+	script.want("check0")
+	script.serve("v")
+	script.want("conflict0")
+	script.offerValue("a", 1, 6, "other", true) // remembered
+	script.want("conflict6")
+	script.offer("a", 6, true)
+	script.want("recorded6")
+	script.offer("a", 9, true) // this epoch is not trusted any more
+	script.want("check9")
+	script.offerValue("a", 2, 0, "fresh", true) // a new epoch, seen for the first time
+	script.want("check0")
+	script.serve("fresh")
+	script.want("recorded0")
+	script.offerValue("a", 2, 1, "fresh", true)
+	script.want("write1")
+	script.offerValue("a", 1, 12, "old", true) // of an epoch that has passed
+	script.want("check12")
 }
 
 func TestConflictBetweenDevicesOfOneName(t *testing.T) {
-	s := newScript(t, nil)
-	s.confirmEpoch("a")
-	s.offerValue("a", 1, 1, "one", true)
-	s.want("write1")
-	s.offerValue("a", 1, 1, "two", true) // while the first is in progress
-	s.want("conflict1")
-	s.offerValue("a", 1, 1, "one", false)
-	s.want("")
-	s.serve("one")
-	s.want("recorded1 recorded1")
+	script := newScript(t, nil)
+	script.confirmEpoch("a")
+	script.offerValue("a", 1, 1, "one", true)
+	script.want("write1")
+	script.offerValue("a", 1, 1, "two", true) // while the first is in progress
+	script.want("conflict1")
+	script.offerValue("a", 1, 1, "one", false)
+	script.want("")
+	script.serve("one")
+	script.want("recorded1 recorded1")
 	// At another router the key drops the second within the window: what is
 	// recorded is the other's.
-	s.offerValue("a", 1, 2, "two", true)
-	s.want("write2")
-	s.serve("one")
-	s.want("conflict2")
+	script.offerValue("a", 1, 2, "two", true)
+	script.want("write2")
+	script.serve("one")
+	script.want("conflict2")
 }
 
 func TestWithoutTrustFirstCopiesEveryReadingIsChecked(t *testing.T) {
-	s := newScript(t, func(c *Config) { c.TrustFirstCopies = false })
+	script := newScript(t, func(c *Config) { c.TrustFirstCopies = false })
 	for seq := uint64(0); seq < 3; seq++ {
-		s.offer("a", seq, true)
-		s.want(fmt.Sprintf("check%d", seq))
-		s.serve("")
-		s.serve("v")
-		s.actions = nil
+		script.offer("a", seq, true)
+		script.want(fmt.Sprintf("check%d", seq))
+		script.serve("")
+		script.serve("v")
+		script.actions = nil
 	}
 }
 
 func TestLimitOfRememberedDevices(t *testing.T) {
-	s := newScript(t, func(c *Config) { c.MaxDevices, c.MaxRecent = 3, 2 })
+	script := newScript(t, func(c *Config) { c.MaxDevices, c.MaxRecent = 3, 2 })
 	for i := range 50 {
-		s.offer(fmt.Sprint("d", i), 0, false)
-		s.serve("v")
+		script.offer(fmt.Sprint("d", i), 0, false)
+		script.serve("v")
 	}
-	s.actions = nil
-	if n := s.in.Stats().Devices; n > 3 {
+	script.actions = nil
+	if n := script.in.Stats().Devices; n > 3 {
 		t.Errorf("%d devices", n)
 	}
 	for i := range 3 {
-		s.offer(fmt.Sprint("busy", i), 0, false)
+		script.offer(fmt.Sprint("busy", i), 0, false)
 	}
-	s.offer("one too many", 1, false)
-	s.want("check0 check0 check0 rejected1")
+	script.offer("one too many", 1, false)
+	script.want("check0 check0 check0 rejected1")
 }
--- a/internal/edge/intake/reading_test.go
+++ b/internal/edge/intake/reading_test.go
@@ -7,14 +7,14 @@
 )
 
 func TestInvalidReadings(t *testing.T) {
-	s := newScript(t, nil)
-	s.offer("", 1, true)
-	s.offer(strings.Repeat("x", MaxDevice+1), 2, true)
-	s.offerValue("a", 1, 3, "", true)
-	s.offerValue("a", 1, 4, strings.Repeat("x", MaxValue+1), true)
+	script := newScript(t, nil)
+	script.offer("", 1, true)
+	script.offer(strings.Repeat("x", MaxDevice+1), 2, true)
+	script.offerValue("a", 1, 3, "", true)
+	script.offerValue("a", 1, 4, strings.Repeat("x", MaxValue+1), true)
 	unknownRoute := Reading{ID: ID{"a", 1, 5}, Route: 1, Value: []byte("v")}
-	s.in.Offer(s.now, unknownRoute, DeclaredHistory{}, Origin{Index: 5}, netip.Prefix{})
-	s.want("invalid1 invalid2 invalid3 invalid4 invalid5")
+	script.in.Offer(script.now, unknownRoute, DeclaredHistory{}, Origin{Index: 5}, netip.Prefix{})
+	script.want("invalid1 invalid2 invalid3 invalid4 invalid5")
 }
 
 func TestRowsAndKeysDoNotCollide(t *testing.T) {
--- a/internal/edge/intake/retryafter_test.go
+++ b/internal/edge/intake/retryafter_test.go
@@ -8,13 +8,13 @@
 
 // Rejected devices return spread out, within the longest wait.
 func TestRetryAfterIsSpread(t *testing.T) {
-	s := newScript(t, func(c *Config) { c.MaxPerNetwork = 1 })
-	s.offer("a", 0, false)
+	script := newScript(t, func(c *Config) { c.MaxPerNetwork = 1 })
+	script.offer("a", 0, false)
 	for i := range 500 {
-		s.offer(fmt.Sprint("b", i), uint64(i), false)
+		script.offer(fmt.Sprint("b", i), uint64(i), false)
 	}
 	var waits []float64
-	for _, a := range s.answers {
+	for _, a := range script.answers {
 		waits = append(waits, a.RetryAfter)
 	}
 	slices.Sort(waits)
--- a/internal/edge/intake/script_test.go
+++ b/internal/edge/intake/script_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// script drives an Intake and records its actions, one word each.
-type script struct {
+// scriptedIntake drives an Intake and records its actions, one word each.
+type scriptedIntake struct {
 	t              *testing.T
 	in             *Intake
 	now            float64
@@ -19,80 +19,84 @@
 	answers        []Answer
 }
 
-func newScript(t *testing.T, change func(*Config)) *script {
+func newScript(t *testing.T, change func(*Config)) *scriptedIntake {
 	cfg := Defaults()
 	if change != nil {
 		change(&cfg)
 	}
-	s := &script{t: t, now: 1e6}
-	in, err := New(cfg, []Route{{IdempotencyWindow: 5000, Groups: []int{1}}}, 1, s)
+	script := &scriptedIntake{t: t, now: 1e6}
+	in, err := New(cfg, []Route{{IdempotencyWindow: 5000, Groups: []int{1}}}, 1, script)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.in = in
-	return s
+	script.in = in
+	return script
 }
 
-func (s *script) record(format string, args ...any) {
-	s.actions = append(s.actions, fmt.Sprintf(format, args...))
+func (script *scriptedIntake) record(format string, args ...any) {
+	script.actions = append(script.actions, fmt.Sprintf(format, args...))
 }
 
-func (s *script) Submit(id ID, n uint64, w Operation, _ *Reading, _ int, wait float64) {
-	s.lastSubmission, s.lastTimeout = n, wait
+func (script *scriptedIntake) Submit(id ID, n uint64, w Operation, _ *Reading, _ int, wait float64) {
+	script.lastSubmission, script.lastTimeout = n, wait
 	if w == Write {
-		s.writeDeadline = s.now + wait
+		script.writeDeadline = script.now + wait
 	}
-	s.record("%s%d", [...]string{"write", "check"}[w], id.Seq)
+	script.record("%s%d", [...]string{"write", "check"}[w], id.Seq)
 }
 
-func (s *script) Answer(to Origin, a Answer) {
-	s.answers = append(s.answers, a)
-	s.record("%s%d", [...]string{"recorded", "stored", "conflict", "rejected", "unknown", "invalid"}[a.Status], to.Index)
+func (script *scriptedIntake) Answer(to Origin, a Answer) {
+	script.answers = append(script.answers, a)
+	script.record("%s%d", [...]string{"recorded", "stored", "conflict", "rejected", "unknown", "invalid"}[a.Status], to.Index)
 }
 
-func (s *script) Persist(reading *Reading) { s.record("persist%d", reading.Seq) }
+func (script *scriptedIntake) Persist(reading *Reading) { script.record("persist%d", reading.Seq) }
 
-func (s *script) Delete(id ID) { s.record("delete%d", id.Seq) }
+func (script *scriptedIntake) Delete(id ID) { script.record("delete%d", id.Seq) }
 
-func (s *script) Quarantine(reading *Reading) { s.record("quarantine%d", reading.Seq) }
+func (script *scriptedIntake) Quarantine(reading *Reading) {
+	script.record("quarantine%d", reading.Seq)
+}
 
 // want compares the actions since the last call.
-func (s *script) want(words string) {
-	s.t.Helper()
-	if got := strings.Join(s.actions, " "); got != words {
-		s.t.Fatalf("got %q, want %q", got, words)
+func (script *scriptedIntake) want(words string) {
+	script.t.Helper()
+	if got := strings.Join(script.actions, " "); got != words {
+		script.t.Fatalf("got %q, want %q", got, words)
 	}
-	s.actions = nil
+	script.actions = nil
 }
 
 // advance moves the clock, timer by timer.
-func (s *script) advance(ms float64) {
-	end := s.now + ms
-	for at, ok := s.in.Next(); ok && at <= end; at, ok = s.in.Next() {
-		s.now = max(at, s.now)
-		s.in.Tick(s.now)
+func (script *scriptedIntake) advance(ms float64) {
+	end := script.now + ms
+	for at, ok := script.in.Next(); ok && at <= end; at, ok = script.in.Next() {
+		script.now = max(at, script.now)
+		script.in.Tick(script.now)
 	}
-	s.now = end
+	script.now = end
 }
 
-func (s *script) offer(device string, seq uint64, first bool) {
-	s.offerValue(device, 1, seq, "v", first)
+func (script *scriptedIntake) offer(device string, seq uint64, first bool) {
+	script.offerValue(device, 1, seq, "v", first)
 }
 
-func (s *script) offerValue(device string, epoch, seq uint64, value string, first bool) {
+func (script *scriptedIntake) offerValue(device string, epoch, seq uint64, value string, first bool) {
 	reading := Reading{ID: ID{device, epoch, seq}, Value: []byte(value)}
-	declared := DeclaredHistory{FirstCopy: first, NotBefore: s.now}
-	s.in.Offer(s.now, reading, declared, Origin{Index: uint16(seq)}, netip.MustParsePrefix("10.0.0.0/24"))
+	declared := DeclaredHistory{FirstCopy: first, NotBefore: script.now}
+	script.in.Offer(script.now, reading, declared, Origin{Index: uint16(seq)}, netip.MustParsePrefix("10.0.0.0/24"))
 }
 
-func (s *script) serve(value string) { s.in.Served(s.now, s.lastSubmission, []byte(value)) }
+func (script *scriptedIntake) serve(value string) {
+	script.in.Served(script.now, script.lastSubmission, []byte(value))
+}
 
 // confirmEpoch makes a device's epoch one whose declarations are trusted.
-func (s *script) confirmEpoch(device string) {
-	s.offer(device, 0, true)
-	s.want("check0")
-	s.serve("")
-	s.want("write0")
-	s.serve("v")
-	s.want("recorded0")
+func (script *scriptedIntake) confirmEpoch(device string) {
+	script.offer(device, 0, true)
+	script.want("check0")
+	script.serve("")
+	script.want("write0")
+	script.serve("v")
+	script.want("recorded0")
 }
--- a/internal/edge/protocols_test.go
+++ b/internal/edge/protocols_test.go
@@ -19,14 +19,14 @@
 // go-coap's client: it is challenged for an Echo value, sends that, and each
 // reading has its own answer; a duplicate records nothing more.
 func TestCoAPClientRecordsAndReads(t *testing.T) {
-	w := newTestEdge(t, nil)
-	address, _, _ := w.edge.Addresses()
+	test := newTestEdge(t, nil)
+	address, _, _ := test.edge.Addresses()
 	c, err := udp.Dial(address, options.WithContext(t.Context()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	payload := w.encodeBatch("meter", 1, 2)
+	payload := test.encodeBatch("meter", 1, 2)
 	post := func(echo []byte) (codes.Code, []byte, *batch.Reply) {
 		t.Helper()
 		var more []coapmessage.Option
@@ -49,15 +49,15 @@
 		}
 		reply := &batch.Reply{}
 		if len(body) > 0 {
-			if err := w.codec.Decode(body, reply); err != nil {
+			if err := test.codec.Decode(body, reply); err != nil {
 				t.Fatal(err)
 			}
 		}
 		return m.Code(), fresh, reply
 	}
 	code, echo, _ := post(nil)
-	if code != codes.Unauthorized || w.router.rowCount() != 0 {
-		t.Fatalf("%v without an Echo value, %d recorded", code, w.router.rowCount())
+	if code != codes.Unauthorized || test.router.rowCount() != 0 {
+		t.Fatalf("%v without an Echo value, %d recorded", code, test.router.rowCount())
 	}
 	for range 3 {
 		var reply *batch.Reply
@@ -66,8 +66,8 @@
 			t.Fatalf("%v %+v", code, reply)
 		}
 	}
-	if w.router.rowCount() != 2 || len(w.router.writesByKey) != 2 {
-		t.Errorf("%d rows, %d keys", w.router.rowCount(), len(w.router.writesByKey))
+	if test.router.rowCount() != 2 || len(test.router.writesByKey) != 2 {
+		t.Errorf("%d rows, %d keys", test.router.rowCount(), len(test.router.writesByKey))
 	}
 	id := intake.ID{Device: "meter", Epoch: 1, Seq: 2}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -79,17 +79,17 @@
 	if body, err := m.ReadBody(); err != nil || m.Code() != codes.Content || string(body) != "meter 2" {
 		t.Errorf("%v %q, %v", m.Code(), body, err)
 	}
-	before := w.router.statementCount()
+	before := test.router.statementCount()
 	m, err = c.Get(ctx, "/values/x%27--", coapmessage.Option{ID: coapmessage.Echo, Value: echo})
-	if err != nil || m.Code() == codes.Content || w.router.statementCount() != before {
+	if err != nil || m.Code() == codes.Content || test.router.statementCount() != before {
 		t.Errorf("a name that may not stand in a statement: %v, %v", m.Code(), err)
 	}
 }
 
 // paho's client, at each quality of service.
 func TestMQTTClientAtEachQoS(t *testing.T) {
-	w := newTestEdge(t, nil)
-	_, address, _ := w.edge.Addresses()
+	test := newTestEdge(t, nil)
+	_, address, _ := test.edge.Addresses()
 	answers := make(chan []byte, 10)
 	options := paho.NewClientOptions().AddBroker("tcp://" + address).SetClientID("gateway")
 	c := paho.NewClient(options.SetCleanSession(false).SetAutoReconnect(false))
@@ -102,11 +102,11 @@
 	wait("connect", c.Connect())
 	wait("subscribe", c.Subscribe("answers/gateway", 0, func(_ paho.Client, m paho.Message) { answers <- m.Payload() }))
 	for qos := range byte(3) {
-		wait("publish", c.Publish("readings", qos, false, w.encodeBatch("meter", uint64(qos))))
+		wait("publish", c.Publish("readings", qos, false, test.encodeBatch("meter", uint64(qos))))
 		var reply batch.Reply
 		select {
 		case b := <-answers:
-			err := w.codec.Decode(b, &reply)
+			err := test.codec.Decode(b, &reply)
 			if err != nil || len(reply.Results) != 1 || reply.Results[0].Status != uint8(intake.Recorded) {
 				t.Errorf("%+v, %v", reply, err)
 			}
@@ -115,7 +115,7 @@
 		}
 	}
 	c.Disconnect(100)
-	if w.router.rowCount() != 3 {
-		t.Errorf("%d rows", w.router.rowCount())
+	if test.router.rowCount() != 3 {
+		t.Errorf("%d rows", test.router.rowCount())
 	}
 }
