--- a/internal/edge/connection.go
+++ b/internal/edge/connection.go
@@ -142,9 +142,9 @@
 		e.openConnections--
 		e.budget.GiveClient()
 		if c.protocol == protocolMQTT {
-			e.mqtt.Gone(e.loop.Now(), id)
+			e.mqtt.Closed(e.loop.Now(), id)
 		} else {
-			e.frames.Gone(id)
+			e.frames.Closed(id)
 		}
 		e.loop.Post(e.arm)
 	})
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -238,8 +238,8 @@
 // progress are answered. It runs inside Do.
 func (e *Edge) Drain() {
 	e.draining = true
-	e.mqtt.Stop()
-	e.frames.Stop()
+	e.mqtt.Drain()
+	e.frames.Drain()
 }
 
 // HasPending reports whether a device still waits for an answer. It runs inside
--- a/internal/edge/fixture_test.go
+++ b/internal/edge/fixture_test.go
@@ -191,7 +191,7 @@
 	if _, err := io.ReadFull(gateway, head); err != nil {
 		return err
 	}
-	n, err := frames.Frame(head, 1<<20)
+	n, err := frames.FrameLength(head, 1<<20)
 	if err != nil {
 		return err
 	}
--- a/internal/edge/frames/characterization_test.go
+++ b/internal/edge/frames/characterization_test.go
@@ -204,16 +204,16 @@
 		c.hello()
 		c.send(someReadings(1, 0))
 		c.send(frames.Read{Kind: frames.KindRead, ID: 2, Route: "limits", Arg: "x"})
-		c.server.Stop()
+		c.server.Drain()
 		c.server.Value(c.tokens[1], intake.Rejected, 5, nil)
 		c.server.Answer(c.now, c.tokens[0], []batch.Result{{Seq: 1}})
 	},
-	"stopping-idle": func(c *connection) { c.hello(); c.server.Stop() },
+	"stopping-idle": func(c *connection) { c.hello(); c.server.Drain() },
 	"gone": func(c *connection) {
 		c.hello()
 		c.send(someReadings(1, 0))
-		c.server.Gone(1)
-		c.server.Gone(1)
+		c.server.Closed(1)
+		c.server.Closed(1)
 		c.server.Answer(c.now, c.tokens[0], []batch.Result{{Seq: 1}})
 		c.send(frames.Signal{Kind: frames.KindPing})
 	},
@@ -253,7 +253,7 @@
 // lengths writes what is made of a frame's length.
 func lengths() (text string) {
 	for _, b := range []string{"", "\x00\x00\x00", "\x00\x00\x00\x05", "\x00\x00\x00\x64", "\x00\x00\x00\x65", "\x00\x00\x00\x00", "\xff\xff\xff\xff"} {
-		n, err := frames.Frame([]byte(b), 100)
+		n, err := frames.FrameLength([]byte(b), 100)
 		failed := 0
 		if err != nil {
 			failed = 1
--- a/internal/edge/frames/frames.go
+++ b/internal/edge/frames/frames.go
@@ -160,17 +160,17 @@
 
 // Server is the state of all connections.
 type Server struct {
-	lim      Limits
+	limits      Limits
 	out      Out
 	codec    *batch.Codec
-	conns    map[uint64]*conn
-	tokens   map[uint64]pending
-	next     uint64
+	connections    map[uint64]*connection
+	pending   map[uint64]pending
+	lastToken     uint64
 	timers   timers.Heap
-	stopping bool
+	draining bool
 }
 
-type conn struct {
+type connection struct {
 	id      uint64
 	greeted float64 // 0 before Hello
 	heard   float64
@@ -179,13 +179,13 @@
 }
 
 type pending struct {
-	conn *conn
+	conn *connection
 	id   uint32
 }
 
 // New returns a server without connections.
 func New(lim Limits, codec *batch.Codec, out Out) *Server {
-	return &Server{lim: lim, out: out, codec: codec, conns: map[uint64]*conn{}, tokens: map[uint64]pending{}}
+	return &Server{limits: lim, out: out, codec: codec, connections: map[uint64]*connection{}, pending: map[uint64]pending{}}
 }
 
 // Next returns when Tick is due, if it is.
@@ -194,9 +194,9 @@
 // Tick does what is due.
 func (s *Server) Tick(now float64) { s.timers.Tick(now) }
 
-// Frame returns the length of the frame at the beginning of b with its header,
+// FrameLength returns the length of the frame at the beginning of b with its header,
 // 0 if more of it must come first.
-func Frame(b []byte, most int) (int, error) {
+func FrameLength(b []byte, most int) (int, error) {
 	if len(b) < HeaderLen {
 		return 0, nil
 	}
@@ -214,20 +214,20 @@
 }
 
 // Open takes a new connection.
-func (s *Server) Open(now float64, id uint64) { s.conns[id] = &conn{id: id, heard: now} }
+func (s *Server) Open(now float64, id uint64) { s.connections[id] = &connection{id: id, heard: now} }
 
-// Gone learns that a connection has ended.
-func (s *Server) Gone(id uint64) {
-	if c := s.conns[id]; c != nil {
-		delete(s.conns, id)
+// Closed unregisters a connection that has ended.
+func (s *Server) Closed(id uint64) {
+	if c := s.connections[id]; c != nil {
+		delete(s.connections, id)
 		s.timers.Cancel(c.timer)
 	}
 }
 
-// Stop lets every gateway go, after the answers that it waits for.
-func (s *Server) Stop() {
-	s.stopping = true
-	for _, c := range s.conns {
+// Drain disconnects every gateway, after the answers that it waits for.
+func (s *Server) Drain() {
+	s.draining = true
+	for _, c := range s.connections {
 		if len(c.open) == 0 {
 			s.end(c, "the router is stopping")
 		}
@@ -237,7 +237,7 @@
 // Packet takes one whole frame with its header. It may be kept only until the
 // call returns.
 func (s *Server) Packet(now float64, id uint64, b []byte) {
-	c := s.conns[id]
+	c := s.connections[id]
 	if c == nil || len(b) <= HeaderLen {
 		return
 	}
@@ -247,15 +247,15 @@
 	}
 }
 
-func (s *Server) end(c *conn, reason string) {
+func (s *Server) end(c *connection, reason string) {
 	s.send(c, Bye{Kind: KindBye, Reason: reason})
 	s.out.Close(c.id)
 }
 
-func (s *Server) send(c *conn, frame any) { s.out.Send(c.id, Append(nil, s.codec, frame)) }
+func (s *Server) send(c *connection, frame any) { s.out.Send(c.id, Append(nil, s.codec, frame)) }
 
 // frame takes one frame's body. An error ends the connection.
-func (s *Server) frame(now float64, c *conn, body []byte) error {
+func (s *Server) frame(now float64, c *connection, body []byte) error {
 	var parts []cbor.RawMessage
 	if err := s.codec.Decode(body, &parts); err != nil || len(parts) == 0 {
 		return fmt.Errorf("no frame: an array is expected")
@@ -283,7 +283,7 @@
 			return fmt.Errorf("version %d is not spoken, %d is", f.Version, Version)
 		}
 		c.greeted = now
-		s.send(c, Welcome{Kind: KindWelcome, Mark: now, Window: uint32(s.lim.Window)})
+		s.send(c, Welcome{Kind: KindWelcome, Mark: now, Window: uint32(s.limits.Window)})
 		s.listen(now, c)
 	case KindPing:
 		s.send(c, Signal{Kind: KindPong})
@@ -333,32 +333,32 @@
 }
 
 // await books a frame that waits for its answer.
-func (s *Server) await(c *conn, id uint32) (token uint64, err error) {
+func (s *Server) await(c *connection, id uint32) (token uint64, err error) {
 	switch {
 	case c.open[id]:
 		return 0, fmt.Errorf("frame %d waits for its answer already", id)
-	case len(c.open) >= s.lim.Window:
-		return 0, fmt.Errorf("more than %d frames without their answer", s.lim.Window)
+	case len(c.open) >= s.limits.Window:
+		return 0, fmt.Errorf("more than %d frames without their answer", s.limits.Window)
 	}
 	if c.open == nil {
 		c.open = map[uint32]bool{}
 	}
 	c.open[id] = true
-	s.next++
-	s.tokens[s.next] = pending{c, id}
-	return s.next, nil
+	s.lastToken++
+	s.pending[s.lastToken] = pending{c, id}
+	return s.lastToken, nil
 }
 
 // ended takes a frame off the books and returns where its answer goes, nil if
 // that has gone.
-func (s *Server) ended(token uint64) (*conn, uint32) {
-	p, ok := s.tokens[token]
+func (s *Server) ended(token uint64) (*connection, uint32) {
+	p, ok := s.pending[token]
 	if !ok {
 		return nil, 0
 	}
-	delete(s.tokens, token)
+	delete(s.pending, token)
 	delete(p.conn.open, p.id)
-	if s.conns[p.conn.id] != p.conn {
+	if s.connections[p.conn.id] != p.conn {
 		return nil, 0
 	}
 	return p.conn, p.id
@@ -381,17 +381,17 @@
 }
 
 // last lets a connection go whose last answer this was.
-func (s *Server) last(c *conn) {
-	if s.stopping && len(c.open) == 0 {
+func (s *Server) last(c *connection) {
+	if s.draining && len(c.open) == 0 {
 		s.end(c, "the router is stopping")
 	}
 }
 
 // listen ends a connection that is silent for too long. The timer looks when
 // something was heard last, so that a frame costs none.
-func (s *Server) listen(now float64, c *conn) {
-	c.timer = s.timers.At(max(c.heard+s.lim.IdleMs, now), func(now float64) {
-		if now < c.heard+s.lim.IdleMs {
+func (s *Server) listen(now float64, c *connection) {
+	c.timer = s.timers.At(max(c.heard+s.limits.IdleMs, now), func(now float64) {
+		if now < c.heard+s.limits.IdleMs {
 			s.listen(now, c)
 			return
 		}
--- a/internal/edge/frames/frames_test.go
+++ b/internal/edge/frames/frames_test.go
@@ -142,7 +142,7 @@
 	p = newScript(t)
 	p.hello()
 	p.send(readings(1, 0))
-	p.s.Stop()
+	p.s.Drain()
 	if p.closed {
 		t.Fatal("let go before its answer")
 	}
@@ -150,20 +150,20 @@
 	if !p.closed {
 		t.Error("it stays after its answer")
 	}
-	p.s.Gone(1)
-	if len(p.s.conns)+len(p.s.tokens)+p.s.timers.Len() != 0 {
+	p.s.Closed(1)
+	if len(p.s.connections)+len(p.s.pending)+p.s.timers.Len() != 0 {
 		t.Error("something is left")
 	}
 }
 
 func TestFrameLengths(t *testing.T) {
 	for in, want := range map[string]int{"": 0, "\x00\x00\x00": 0, "\x00\x00\x00\x05": 9} {
-		if n, err := Frame([]byte(in), 100); err != nil || n != want {
+		if n, err := FrameLength([]byte(in), 100); err != nil || n != want {
 			t.Errorf("%q: %d, %v", in, n, err)
 		}
 	}
 	for _, in := range []string{"\x00\x00\x00\x00", "\xff\xff\xff\xff", "\x00\x00\x00\x65"} {
-		if _, err := Frame([]byte(in), 100); err == nil {
+		if _, err := FrameLength([]byte(in), 100); err == nil {
 			t.Errorf("%q was taken", in)
 		}
 	}
@@ -181,7 +181,7 @@
 		for _, token := range p.tokens {
 			p.s.Answer(p.now, token, []batch.Result{{Seq: 1}})
 		}
-		if len(p.s.tokens) != 0 || bytes.Contains(bytes.Join(p.said, nil), []byte("panic")) {
+		if len(p.s.pending) != 0 || bytes.Contains(bytes.Join(p.said, nil), []byte("panic")) {
 			t.Error("a frame is left")
 		}
 	})
--- a/internal/edge/input.go
+++ b/internal/edge/input.go
@@ -178,10 +178,10 @@
 		if !c.receivedMessage && !mqtt.MayBegin(b[0]) {
 			return 0, errUnknownProtocol
 		}
-		return mqtt.Frame(b, limit)
+		return mqtt.PacketLength(b, limit)
 	}
 	if !c.receivedMessage {
 		limit = min(limit, frames.MaxHello)
 	}
-	return frames.Frame(b, limit)
+	return frames.FrameLength(b, limit)
 }
--- a/internal/edge/messages.go
+++ b/internal/edge/messages.go
@@ -100,7 +100,7 @@
 		reply := e.codec.Encode(batch.Reply{Results: m.results})
 		e.coap.Answer(now, m.token, code, reply, maxAge)
 	case protocolMQTT:
-		e.mqtt.Answer(now, m.token, m.results, true)
+		e.mqtt.Answer(m.token, m.results, true)
 	case protocolFrames:
 		e.frames.Answer(now, m.token, m.results)
 	}
@@ -118,7 +118,7 @@
 		}
 		e.coap.Answer(now, token, code, nil, 0)
 	case protocolMQTT:
-		e.mqtt.Answer(now, token, nil, false)
+		e.mqtt.Answer(token, nil, false)
 	case protocolFrames:
 		e.frames.Answer(now, token, []batch.Result{{Status: uint8(intake.Invalid)}})
 	}
--- a/internal/edge/mqtt/characterization_test.go
+++ b/internal/edge/mqtt/characterization_test.go
@@ -19,12 +19,13 @@
 
 // update rewrites the expected values. They may change only with a deliberate
 // change of behaviour, which the commit has to name.
-var update = flag.Bool("update", false, "rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
+var update = flag.Bool("update", false,
+	"rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
 
 const expectedFile = "testdata/characterization.txt"
 
 // TestCharacterization pins every packet that is sent, in both versions of the
-// protocol, and what is handed on.
+// protocol, and what is delivered.
 func TestCharacterization(t *testing.T) {
 	got := map[string]string{}
 	for _, version := range []byte{version311, version5} {
@@ -36,7 +37,7 @@
 				got[fmt.Sprintf("%s-%02d", prefix, i)] = event
 			}
 			s := e.server.Stats()
-			got[prefix+"-counts"] = fmt.Sprint(s.Connects, s.Resumed, s.TakenOver, s.Silent, s.Violations, s.Evicted)
+			got[prefix+"-counts"] = fmt.Sprint(s.Connects, s.Resumed, s.TakenOver, s.TimedOut, s.Violations, s.Evicted)
 		}
 	}
 	got["lengths"] = lengths()
@@ -85,8 +86,7 @@
 	version5   = 5
 )
 
-// endpoint is a server's clients, and all that it asks for, as numbers and
-// bytes.
+// endpoint is a server's clients, and all its actions, as numbers and bytes.
 type endpoint struct {
 	server  *mqtt.Server
 	version byte
@@ -109,16 +109,16 @@
 func (e *endpoint) Send(conn uint64, packet []byte) { e.note("1 %d %x", conn, packet) }
 func (e *endpoint) Close(conn uint64)               { e.note("2 %d", conn) }
 
-func (e *endpoint) Deliver(token, conn uint64, topic string, payload []byte, greeted float64, again bool) {
+func (e *endpoint) Deliver(token, conn uint64, topic string, payload []byte, connectedAt float64, retransmitted bool) {
 	e.tokens = append(e.tokens, token)
 	sentBefore := 0
-	if again {
+	if retransmitted {
 		sentBefore = 1
 	}
-	e.note("3 %d %d %x %x %.3f %d", token, conn, topic, payload, greeted, sentBefore)
+	e.note("3 %d %d %x %x %.3f %d", token, conn, topic, payload, connectedAt, sentBefore)
 }
 
-// pass lets time pass and does what is due meanwhile.
+// pass lets time pass and runs the timers due meanwhile.
 func (e *endpoint) pass(ms float64) {
 	end := e.now + ms
 	for due, ok := e.server.Next(); ok && due <= end; due, ok = e.server.Next() {
@@ -157,7 +157,12 @@
 }
 
 func (e *endpoint) publish(conn uint64, qos byte, number uint16, payload string, change ...func(*packets.Packet)) {
-	pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Publish, Qos: qos}, TopicName: "readings", PacketID: number, Payload: []byte(payload)}
+	pk := packets.Packet{
+		FixedHeader: packets.FixedHeader{Type: packets.Publish, Qos: qos},
+		TopicName:   "readings",
+		PacketID:    number,
+		Payload:     []byte(payload),
+	}
 	for _, f := range change {
 		f(&pk)
 	}
@@ -173,7 +178,7 @@
 	e.send(conn, pk)
 }
 
-// subscribe asks for topics, or ends that.
+// subscribe subscribes to topics, or unsubscribes.
 func (e *endpoint) subscribe(conn uint64, kind byte, number uint16, topics ...string) {
 	pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: kind, Qos: 1}, PacketID: number}
 	for _, topic := range topics {
@@ -197,13 +202,13 @@
 	for i, status := range statuses {
 		results = append(results, batch.Result{Seq: uint64(i + 1), Status: uint8(status), Wait: uint32(7 * i)})
 	}
-	e.server.Answer(e.now, e.tokens[len(e.tokens)-1], results, true)
+	e.server.Answer(e.tokens[len(e.tokens)-1], results, true)
 }
 
 func again(pk *packets.Packet)  { pk.FixedHeader.Dup = true }
 func retain(pk *packets.Packet) { pk.FixedHeader.Retain = true }
 
-// raw hands bytes over that are no packet, or one that no client would send.
+// raw passes bytes that are no packet, or one that no client would send.
 func (e *endpoint) raw(conn uint64, packet string) { e.server.Packet(e.now, conn, []byte(packet)) }
 
 var sessions = map[string]func(*endpoint){
@@ -215,22 +220,22 @@
 	},
 	"keepers": func(e *endpoint) {
 		e.connect(1, "a", 20, 30)
-		e.server.Gone(e.now, 1)
+		e.server.Closed(e.now, 1)
 		e.pass(29999)
 		e.connect(2, "a", 20, 100000)
-		e.server.Gone(e.now, 2)
+		e.server.Closed(e.now, 2)
 		e.pass(30001)
 		e.connect(3, "a", 20, 30)
-		e.server.Gone(e.now, 3)
+		e.server.Closed(e.now, 3)
 		e.pass(60001)
 		e.connect(4, "a", 20, 30)
-		e.server.Gone(e.now, 4)
+		e.server.Closed(e.now, 4)
 		e.connect(5, "a", 20, 0)
 	},
 	"evicted": func(e *endpoint) {
 		for n, id := range []string{"a", "b", "c", "d", "a"} {
 			e.connect(uint64(n), id, 20, 50)
-			e.server.Gone(e.now, uint64(n))
+			e.server.Closed(e.now, uint64(n))
 			e.pass(10)
 		}
 	},
@@ -240,7 +245,7 @@
 		e.connect(2, "a", 20, 30)
 		e.answer(intake.Recorded)
 		e.publish(1, 1, 6, "batch")
-		e.server.Gone(e.now, 1)
+		e.server.Closed(e.now, 1)
 		e.connect(3, "a", 20, 0)
 	},
 	"refused": func(e *endpoint) {
@@ -252,7 +257,7 @@
 		e.control(5, packets.Pingreq, 0)
 		e.connect(6, "f", 20, 0)
 		e.send(6, connectPacket(e.version, "f", 20, 0)) // a second one
-		e.server.Gone(e.now, 99)
+		e.server.Closed(e.now, 99)
 	},
 	"quality-0": func(e *endpoint) {
 		e.connect(1, "a", 20, 0)
@@ -278,7 +283,7 @@
 		e.control(1, packets.Pubrel, 5)
 		e.control(1, packets.Pubrel, 5)
 		e.publish(1, 2, 6, "batch")
-		e.server.Gone(e.now, 1)
+		e.server.Closed(e.now, 1)
 		e.answer(intake.Recorded)
 		e.connect(2, "a", 20, 30)
 		e.publish(2, 2, 6, "batch", again)
@@ -290,17 +295,21 @@
 	"statuses": func(e *endpoint) {
 		e.connect(1, "a", 20, 0)
 		e.subscribe(1, packets.Subscribe, 1, mqtt.AnswersTopic+"a")
-		for number, statuses := range [][]intake.Status{{}, {intake.Recorded}, {intake.Stored}, {intake.Conflict}, {intake.Rejected}, {intake.Unknown}, {intake.Invalid},
-			{intake.Rejected, intake.Conflict, intake.Recorded}, {intake.Invalid, intake.Rejected}} {
+		for number, statuses := range [][]intake.Status{
+			{}, {intake.Recorded}, {intake.Stored}, {intake.Conflict}, {intake.Rejected}, {intake.Unknown},
+			{intake.Invalid}, {intake.Rejected, intake.Conflict, intake.Recorded}, {intake.Invalid, intake.Rejected},
+		} {
 			e.publish(1, byte(1+number%2), uint16(100+number), "batch")
 			e.answer(statuses...)
 			e.control(1, packets.Pubrel, uint16(100+number))
 		}
 		e.publish(1, 1, 50, "no batch")
-		e.server.Answer(e.now, e.tokens[len(e.tokens)-1], nil, false)
+		e.server.Answer(e.tokens[len(e.tokens)-1], nil, false)
 	},
 	"without-problem-information": func(e *endpoint) {
-		e.connect(1, "a", 20, 0, func(pk *packets.Packet) { pk.Properties.RequestProblemInfoFlag = e.version == version5 })
+		e.connect(1, "a", 20, 0, func(pk *packets.Packet) {
+			pk.Properties.RequestProblemInfoFlag = e.version == version5
+		})
 		e.publish(1, 1, 5, "batch")
 		e.answer(intake.Recorded, intake.Invalid)
 	},
@@ -323,7 +332,7 @@
 		e.connect(3, "c", 20, 30)
 		e.send(3, packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Disconnect},
 			Properties: packets.Properties{SessionExpiryInterval: 9, SessionExpiryIntervalFlag: true}})
-		e.server.Gone(e.now, 3)
+		e.server.Closed(e.now, 3)
 		e.pass(9001)
 		e.connect(4, "c", 20, 30)
 	},
@@ -336,25 +345,38 @@
 		e.pass(20000)
 	},
 	"violations": func(e *endpoint) {
-		for n, packet := range []string{"", "\x30", "\x30\x80\x80", "\x30\x02\x00\x09", "\x36\x02\x00\x00", "\xf0\x00", "\x20\x02\x00\x00", "\x60\x02\x00\x01", "\x82\x02\x00\x01", "\xa2\x02\x00\x01"} {
+		for n, packet := range []string{
+			"", "\x30", "\x30\x80\x80", "\x30\x02\x00\x09", "\x36\x02\x00\x00", "\xf0\x00",
+			"\x20\x02\x00\x00", "\x60\x02\x00\x01", "\x82\x02\x00\x01", "\xa2\x02\x00\x01",
+		} {
 			e.connect(uint64(n), "a", 10, 0)
 			e.raw(uint64(n), packet)
-			e.server.Gone(e.now, uint64(n))
+			e.server.Closed(e.now, uint64(n))
 		}
 		e.raw(99, "\xc0\x00")
 	},
 	"broken-publications": func(e *endpoint) {
-		for n, change := range []func(*packets.Packet){retain, func(pk *packets.Packet) { pk.PacketID = 0 }, func(pk *packets.Packet) { pk.TopicName = "a/#" },
-			func(pk *packets.Packet) { pk.TopicName = "" }} {
+		for n, change := range []func(*packets.Packet){
+			retain,
+			func(pk *packets.Packet) { pk.PacketID = 0 },
+			func(pk *packets.Packet) { pk.TopicName = "a/#" },
+			func(pk *packets.Packet) { pk.TopicName = "" },
+		} {
 			e.connect(uint64(n), "a", 10, 0)
-			pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Publish, Qos: 1}, ProtocolVersion: e.version, TopicName: "readings", PacketID: 5, Payload: []byte("batch")}
+			pk := packets.Packet{
+				FixedHeader:     packets.FixedHeader{Type: packets.Publish, Qos: 1},
+				ProtocolVersion: e.version,
+				TopicName:       "readings",
+				PacketID:        5,
+				Payload:         []byte("batch"),
+			}
 			change(&pk)
 			if pk.PacketID == 0 { // the library does not encode it
 				e.raw(uint64(n), "\x32\x06\x00\x01r\x00\x00\x00")
 			} else {
 				e.send(uint64(n), pk)
 			}
-			e.server.Gone(e.now, uint64(n))
+			e.server.Closed(e.now, uint64(n))
 		}
 	},
 	"number-in-use": func(e *endpoint) {
@@ -372,7 +394,7 @@
 		e.connect(1, "a", 20, 30)
 		e.publish(1, 1, 5, "batch")
 		e.connect(2, "b", 20, 30)
-		e.server.Stop()
+		e.server.Drain()
 		e.answer(intake.Recorded)
 		e.connect(3, "c", 20, 30)
 	},
@@ -380,8 +402,11 @@
 
 // lengths writes what is made of a packet's length.
 func lengths() (text string) {
-	for _, b := range []string{"", "\x30", "\x30\x05", "\x30\x80", "\x30\xc8\x01", "\x30\xc9\x01", "\x30\xff\xff\xff\x7f", "\x30\xff\xff\xff\xff", "\x30\xff\xff\xff\xff\x01"} {
-		n, err := mqtt.Frame([]byte(b), 200)
+	for _, b := range []string{
+		"", "\x30", "\x30\x05", "\x30\x80", "\x30\xc8\x01", "\x30\xc9\x01",
+		"\x30\xff\xff\xff\x7f", "\x30\xff\xff\xff\xff", "\x30\xff\xff\xff\xff\x01",
+	} {
+		n, err := mqtt.PacketLength([]byte(b), 200)
 		failed := 0
 		if err != nil {
 			failed = 1
--- /dev/null
+++ b/internal/edge/mqtt/codec_test.go
@@ -0,0 +1,62 @@
+package mqtt
+
+import (
+	"testing"
+
+	"github.com/mochi-mqtt/server/v2/packets"
+)
+
+func TestMalformedPacketsCloseConnection(t *testing.T) {
+	for name, b := range map[string]string{
+		"ping first":    "\xc0\x00",
+		"version 3":     "\x10\x0f\x00\x06MQIsdp\x03\x00\x00\x1e\x00\x01z",
+		"no client":     "\x10\x0c\x00\x04MQTT\x04\x00\x00\x3c\x00\x00",
+		"short":         "\x10\x02\x00\x04",
+		"reserved":      "\x00\x00",
+		"publish first": "\x30\x03\x00\x01a",
+	} {
+		clients := newTestClients(t, nil)
+		clients.server.Open(clients.now, 1)
+		clients.server.Packet(clients.now, 1, []byte(b))
+		if said := clients.events[1]; len(said) == 0 || said[len(said)-1] != "close" || len(clients.published) > 0 {
+			t.Errorf("%s: %q", name, said)
+		}
+	}
+	clients := newTestClients(t, nil)
+	clients.connect(1, version5, "m", true, 10)
+	clients.server.Packet(clients.now, 1, []byte("\x10\x0d\x00\x04MQTT\x04\x02\x00\x3c\x00\x01z"))
+	if said := clients.events[1]; said[len(said)-1] != "close" {
+		t.Errorf("a second CONNECT: %q", said)
+	}
+	for _, b := range []string{"\x30\xff\xff\xff\xff\x01", "\x30\xff\xff\x7f"} {
+		if n, err := PacketLength([]byte(b), 1000); err == nil {
+			t.Errorf("%q: a packet of %d", b, n)
+		}
+	}
+}
+
+func FuzzPackets(f *testing.F) {
+	pk := packets.Packet{
+		FixedHeader:     packets.FixedHeader{Type: packets.Publish, Qos: 2},
+		ProtocolVersion: 5,
+		TopicName:       "readings",
+		PacketID:        1,
+		Payload:         []byte("x"),
+	}
+	f.Add(Encode(&pk), true)
+	f.Add([]byte("\x10\x0c\x00\x04MQTT\x04\x00\x00\x3c\x00\x00"), false)
+	f.Add([]byte("\x82\x08\x00\x01\x00\x00\x03a/b\x00"), true)
+	f.Fuzz(func(t *testing.T, b []byte, connected bool) {
+		clients := newTestClients(t, nil)
+		if connected {
+			clients.connect(1, version5, "m", true, 10)
+		} else {
+			clients.server.Open(clients.now, 1)
+		}
+		clients.versions[1] = version5
+		if n, err := PacketLength(b, 1000); err == nil && n > 0 && n <= len(b) {
+			clients.server.Packet(clients.now, 1, append([]byte(nil), b[:n]...))
+		}
+		clients.advance(100000)
+	})
+}
--- /dev/null
+++ b/internal/edge/mqtt/fixture_test.go
@@ -0,0 +1,159 @@
+package mqtt
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/mochi-mqtt/server/v2/packets"
+
+	"lotusbend/internal/edge/batch"
+	"lotusbend/internal/edge/intake"
+)
+
+type publishedMessage struct {
+	token, conn   uint64
+	topic, body   string
+	retransmitted bool
+}
+
+// testClients are clients and record the actions of the server.
+type testClients struct {
+	t         *testing.T
+	server    *Server
+	now       float64
+	events    map[uint64][]string // of each connection, one word a packet
+	published []publishedMessage
+	versions  map[uint64]byte
+}
+
+func newTestClients(t *testing.T, change func(*Limits)) *testClients {
+	limits := Limits{Sessions: 3, SessionMs: 60000, KeepAliveMs: 30000, ReceiveMax: 4, MessageBytes: 1000}
+	if change != nil {
+		change(&limits)
+	}
+	clients := &testClients{t: t, now: 1e6, events: map[uint64][]string{}, versions: map[uint64]byte{}}
+	clients.server = New(limits, batch.NewCodec(), clients)
+	return clients
+}
+
+func (clients *testClients) Send(conn uint64, b []byte) {
+	n, err := PacketLength(b, 1<<16)
+	if err != nil || n != len(b) {
+		clients.t.Fatalf("%x: a frame of %d: %v", b, n, err)
+	}
+	version := clients.versions[conn]
+	if c := clients.server.connections[conn]; c != nil {
+		version = c.version
+	}
+	pk, err := decodeAny(b, version)
+	if err != nil {
+		clients.t.Fatalf("%x: %v", b, err)
+	}
+	word := strings.ToLower(packets.PacketNames[pk.FixedHeader.Type])
+	if pk.PacketID > 0 {
+		word += fmt.Sprint(pk.PacketID)
+	}
+	if pk.ReasonCode > 0 {
+		word += fmt.Sprintf("!%x", pk.ReasonCode)
+	}
+	if pk.SessionPresent {
+		word += "+"
+	}
+	for _, u := range pk.Properties.User {
+		word += "(" + u.Val + ")"
+	}
+	clients.events[conn] = append(clients.events[conn], word)
+}
+
+// decodeAny also reads what only a server sends.
+func decodeAny(b []byte, version byte) (packets.Packet, error) {
+	pk := packets.Packet{ProtocolVersion: version}
+	if err := pk.FixedHeader.Decode(b[0]); err != nil {
+		return pk, err
+	}
+	body := b[2:]
+	pk.FixedHeader.Remaining = len(body)
+	switch pk.FixedHeader.Type {
+	case packets.Connack:
+		return pk, pk.ConnackDecode(body)
+	case packets.Suback:
+		return pk, pk.SubackDecode(body)
+	case packets.Unsuback:
+		return pk, pk.UnsubackDecode(body)
+	case packets.Pingresp:
+		return pk, nil
+	}
+	return decode(b, version)
+}
+
+func (clients *testClients) Close(conn uint64) {
+	clients.events[conn] = append(clients.events[conn], "close")
+}
+
+func (clients *testClients) Deliver(token, conn uint64, topic string, payload []byte, _ float64, again bool) {
+	clients.published = append(clients.published, publishedMessage{token, conn, topic, string(payload), again})
+}
+
+func (clients *testClients) want(conn uint64, words string) {
+	clients.t.Helper()
+	if got := strings.Join(clients.events[conn], " "); got != words {
+		clients.t.Fatalf("connection %d got %q, want %q", conn, got, words)
+	}
+	clients.events[conn] = nil
+}
+
+func (clients *testClients) advance(ms float64) {
+	end := clients.now + ms
+	for at, ok := clients.server.Next(); ok && at <= end; at, ok = clients.server.Next() {
+		clients.now = max(at, clients.now)
+		clients.server.Tick(clients.now)
+	}
+	clients.now = end
+}
+
+func (clients *testClients) connect(conn uint64, version byte, id string, clean bool, keep uint16) {
+	clients.versions[conn] = version
+	clients.server.Open(clients.now, conn)
+	pk := packets.Packet{
+		FixedHeader:     packets.FixedHeader{Type: packets.Connect},
+		ProtocolVersion: version,
+		Connect: packets.ConnectParams{
+			ProtocolName:     []byte("MQTT"),
+			Clean:            clean,
+			ClientIdentifier: id,
+			Keepalive:        keep,
+		},
+	}
+	if !clean && version == version5 {
+		pk.Properties.SessionExpiryInterval, pk.Properties.SessionExpiryIntervalFlag = 3600, true
+	}
+	clients.server.Packet(clients.now, conn, Encode(&pk))
+}
+
+func (clients *testClients) publish(conn uint64, qos byte, id uint16, body string, dup bool) {
+	pk := packets.Packet{
+		FixedHeader:     packets.FixedHeader{Type: packets.Publish, Qos: qos, Dup: dup},
+		ProtocolVersion: clients.versions[conn],
+		TopicName:       "readings",
+		PacketID:        id,
+		Payload:         []byte(body),
+	}
+	clients.server.Packet(clients.now, conn, Encode(&pk))
+}
+
+func (clients *testClients) packet(conn uint64, kind byte, id uint16) {
+	pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: kind}, ProtocolVersion: clients.versions[conn], PacketID: id}
+	if kind == packets.Pubrel {
+		pk.FixedHeader.Qos = 1
+	}
+	clients.server.Packet(clients.now, conn, Encode(&pk))
+}
+
+func (clients *testClients) answer(i int, statuses ...intake.Status) {
+	var results []batch.Result
+	for n, s := range statuses {
+		results = append(results, batch.Result{Seq: uint64(n + 1), Status: uint8(s), Wait: 7})
+	}
+	clients.server.Answer(clients.published[i].token, results, len(statuses) > 0)
+}
--- a/internal/edge/mqtt/publish.go
+++ b/internal/edge/mqtt/publish.go
@@ -11,135 +11,190 @@
 	"lotusbend/internal/edge/intake"
 )
 
-// publish takes a message. It is acknowledged only once its readings have
-// their answers, with PUBACK or PUBREC.
-func (s *Server) publish(c *conn, pk *packets.Packet) {
-	qos := pk.FixedHeader.Qos
-	if code := pk.PublishValidate(0); code.Code >= 0x80 || pk.FixedHeader.Retain && c.version == version5 {
-		reason := code.Code
-		if reason < 0x80 {
-			reason = packets.ErrRetainNotSupported.Code
-		}
-		s.violate(c, reason)
+// The qualities of service [MQTT 4.3].
+const (
+	qosAtMostOnce  = 0
+	qosExactlyOnce = 2
+)
+
+// publish handles PUBLISH. The message is acknowledged only once its readings
+// have their answers, by PUBACK or PUBREC.
+func (s *Server) publish(c *connection, packet *packets.Packet) {
+	if reason := publishViolation(c, packet); reason >= firstErrorCode {
+		s.violation(c, reason)
 		return
 	}
-	sum := xxhash.Sum64(pk.Payload) ^ xxhash.Sum64String(pk.TopicName)
-	if qos > 0 {
-		if was, open := c.open[pk.PacketID]; open {
-			if was != sum { // [MQTT 2.2.1]: the number of another message that waits for its answer
-				s.violate(c, packets.ErrPacketIdentifierInUse.Code)
-			}
-			return // its answer is on its way
-		}
-		// A message that was recorded, and whose PUBREC was lost. A number with
-		// another message behind it comes from a client that has lost its
-		// session; taking it for the old one would lose the new.
-		if was, got := c.session.got[pk.PacketID]; qos == 2 && got && was == sum {
-			s.acknowledge(c, pk.PacketID, qos, 0, nil)
-			return
-		}
-		if len(c.open)+len(c.session.got) >= s.lim.ReceiveMax { // [MQTT 3.3.4-7]
-			s.violate(c, packets.ErrReceiveMaximum.Code)
-			return
-		}
-		if c.open == nil {
-			c.open = map[uint16]uint64{}
+	digest := xxhash.Sum64(packet.Payload) ^ xxhash.Sum64String(packet.TopicName)
+	qos := packet.FixedHeader.Qos
+	if qos > qosAtMostOnce && !s.accept(c, packet, digest) {
+		return
+	}
+	s.lastToken++
+	s.pending[s.lastToken] = pendingMessage{
+		connection: c,
+		packetID:   packet.PacketID,
+		qos:        qos,
+		digest:     digest,
+	}
+	topic := strings.Clone(packet.TopicName) // it refers to the read buffer
+	payload := append([]byte(nil), packet.Payload...)
+	s.out.Deliver(s.lastToken, c.id, topic, payload, c.connectedAt, packet.FixedHeader.Dup)
+}
+
+// publishViolation returns the reason code of a malformed or unsupported
+// PUBLISH, below firstErrorCode for none.
+func publishViolation(c *connection, packet *packets.Packet) byte {
+	reason := packet.PublishValidate(0).Code
+	if reason < firstErrorCode && packet.FixedHeader.Retain && c.version == version5 {
+		return packets.ErrRetainNotSupported.Code
+	}
+	return reason
+}
+
+// accept reports whether a message with a packet identifier is to be delivered.
+// It answers a duplicate and closes the connection after a violation.
+func (s *Server) accept(c *connection, packet *packets.Packet, digest uint64) bool {
+	id := packet.PacketID
+	if inUse, unanswered := c.unanswered[id]; unanswered {
+		if inUse != digest { // another message's identifier [MQTT 2.2.1]
+			s.violation(c, packets.ErrPacketIdentifierInUse.Code)
 		}
-		c.open[pk.PacketID] = sum
+		return false // a duplicate: its answer is pending
+	}
+	// A message that was recorded and whose PUBREC was lost. Another message
+	// under its identifier comes from a client that has lost its session;
+	// taking it for the old one would lose the new.
+	recorded, unreleased := c.session.unreleased[id]
+	if packet.FixedHeader.Qos == qosExactlyOnce && unreleased && recorded == digest {
+		s.acknowledge(c, id, qosExactlyOnce, 0, nil)
+		return false
 	}
-	s.next++
-	s.tokens[s.next] = pending{c, pk.PacketID, qos, sum}
-	s.out.Deliver(s.next, c.id, strings.Clone(pk.TopicName), append([]byte(nil), pk.Payload...), c.greeted, pk.FixedHeader.Dup)
+	if len(c.unanswered)+len(c.session.unreleased) >= s.limits.ReceiveMax { // [MQTT 3.3.4-7]
+		s.violation(c, packets.ErrReceiveMaximum.Code)
+		return false
+	}
+	if c.unanswered == nil {
+		c.unanswered = map[uint16]uint64{}
+	}
+	c.unanswered[id] = digest
+	return true
 }
 
-// release ends a QoS 2 message [MQTT 4.3.3].
-func (s *Server) release(c *conn, pk *packets.Packet) {
-	ack := packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Pubcomp}, PacketID: pk.PacketID}
-	if _, got := c.session.got[pk.PacketID]; !got && c.version == version5 {
+// release handles PUBREL, the end of a QoS 2 message [MQTT 4.3.3].
+func (s *Server) release(c *connection, packet *packets.Packet) {
+	ack := newPacket(packets.Pubcomp)
+	ack.PacketID = packet.PacketID
+	if _, unreleased := c.session.unreleased[packet.PacketID]; !unreleased && c.version == version5 {
 		ack.ReasonCode = packets.ErrPacketIdentifierNotFound.Code
 	}
-	delete(c.session.got, pk.PacketID)
+	delete(c.session.unreleased, packet.PacketID)
 	s.send(c, ack)
 }
 
-// Answer ends a message that was delivered. valid is false for one that held
-// no readings.
-func (s *Server) Answer(_ float64, token uint64, results []batch.Result, valid bool) {
-	p, found := s.tokens[token]
+// Answer ends a message that was delivered. valid is false for one without
+// readings.
+func (s *Server) Answer(token uint64, results []batch.Result, valid bool) {
+	message, found := s.pending[token]
 	if !found {
 		return
 	}
-	delete(s.tokens, token)
-	c := p.conn
-	delete(c.open, p.packet)
-	worst := worstOf(results, valid)
-	if v := c.session; worst == 0 && p.qos == 2 && s.sessions[v.id] == v {
-		// Remembered also where the connection has gone: the session lives on.
-		if v.got == nil {
-			v.got = map[uint16]uint64{}
-		}
-		v.got[p.packet] = p.digest
+	delete(s.pending, token)
+	c := message.connection
+	delete(c.unanswered, message.packetID)
+	reason := worstReason(results, valid)
+	if reason == 0 && message.qos == qosExactlyOnce {
+		s.keepUnreleased(message)
 	}
-	if s.conns[c.id] != c {
+	if s.connections[c.id] != c {
 		return
 	}
-	if c.session.answers && len(results) > 0 {
-		s.send(c, packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Publish},
-			TopicName: AnswersTopic + c.session.id, Payload: s.codec.Encode(batch.Reply{Results: results})})
+	if c.session.subscribed && len(results) > 0 {
+		answer := newPacket(packets.Publish)
+		answer.TopicName = c.session.answersTopic()
+		answer.Payload = s.codec.Encode(batch.Reply{Results: results})
+		s.send(c, answer)
+	}
+	if message.qos > qosAtMostOnce {
+		s.acknowledge(c, message.packetID, message.qos, reason, results)
 	}
-	if p.qos > 0 {
-		s.acknowledge(c, p.packet, p.qos, worst, results)
+	if s.draining && len(c.unanswered) == 0 {
+		s.disconnect(c, packets.ErrServerShuttingDown.Code)
+	}
+}
+
+// keepUnreleased remembers a recorded QoS 2 message until PUBREL, also without
+// its connection: the session may be resumed.
+func (s *Server) keepUnreleased(message pendingMessage) {
+	kept := message.connection.session
+	if s.sessions[kept.clientID] != kept {
+		return
 	}
-	if s.stopping && len(c.open) == 0 {
-		s.end(c, packets.ErrServerShuttingDown.Code)
+	if kept.unreleased == nil {
+		kept.unreleased = map[uint16]uint64{}
 	}
+	kept.unreleased[message.packetID] = message.digest
 }
 
-// worstOf gives the reason code for a message by its worst reading.
-func worstOf(results []batch.Result, valid bool) (code byte) {
+// worstReason returns a message's reason code, that of its worst reading: the
+// more useless a retry, the worse.
+func worstReason(results []batch.Result, valid bool) (reason byte) {
 	if !valid {
 		return packets.ErrPayloadFormatInvalid.Code
 	}
-	rank := 0
-	for _, r := range results {
-		n, c := 0, byte(0)
-		switch intake.Status(r.Status) {
+	worst := 0
+	for _, result := range results {
+		severity := 0
+		code := byte(0)
+		switch intake.Status(result.Status) {
 		case intake.Rejected, intake.Unknown:
-			n, c = 1, packets.ErrQuotaExceeded.Code
+			severity = 1
+			code = packets.ErrQuotaExceeded.Code
 		case intake.Conflict:
-			n, c = 2, packets.ErrImplementationSpecificError.Code
+			severity = 2
+			code = packets.ErrImplementationSpecificError.Code
 		case intake.Invalid:
-			n, c = 3, packets.ErrPayloadFormatInvalid.Code
+			severity = 3
+			code = packets.ErrPayloadFormatInvalid.Code
 		}
-		if n > rank {
-			rank, code = n, c
+		if severity > worst {
+			worst = severity
+			reason = code
 		}
 	}
-	return code
+	return reason
 }
 
-// acknowledge writes PUBACK or PUBREC. Version 5 has reasons, and a property
-// for each reading of a message that did not go well as a whole. Version 3.1.1
-// has none: whoever subscribed to its answers has them by now, and anyone else
-// hears that its message was not taken by the end of the connection.
-func (s *Server) acknowledge(c *conn, packet uint16, qos, code byte, results []batch.Result) {
-	ack := packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Puback}, PacketID: packet}
-	if qos == 2 {
+// acknowledge sends PUBACK or PUBREC. Version 5 has reasons, and a property for
+// each reading of a message that did not succeed as a whole. Version 3.1.1 has
+// none: a subscriber has its answers by now, and for any other client the end of
+// the connection reports that its message was not accepted.
+func (s *Server) acknowledge(c *connection, packetID uint16, qos, reason byte, results []batch.Result) {
+	failed := reason != 0
+	if failed && c.version != version5 && !c.session.subscribed {
+		s.out.Close(c.id)
+		return
+	}
+	ack := newPacket(packets.Puback)
+	if qos == qosExactlyOnce {
 		ack.FixedHeader.Type = packets.Pubrec
 	}
-	if code != 0 {
-		if c.version != version5 {
-			if !c.session.answers {
-				s.out.Close(c.id)
-				return
-			}
-		} else {
-			ack.ReasonCode = code
-			for _, r := range results {
-				ack.Properties.User = append(ack.Properties.User, packets.UserProperty{
-					Key: "reading", Val: fmt.Sprintf("%d %s %d", r.Seq, intake.Status(r.Status), r.Wait)})
-			}
-		}
+	ack.PacketID = packetID
+	if failed && c.version == version5 {
+		ack.ReasonCode = reason
+		ack.Properties.User = readingProperties(results)
 	}
 	s.send(c, ack)
 }
+
+// readingProperties gives each reading's sequence number, status and wait in
+// milliseconds.
+func readingProperties(results []batch.Result) (properties []packets.UserProperty) {
+	for _, result := range results {
+		status := intake.Status(result.Status)
+		properties = append(properties, packets.UserProperty{
+			Key: "reading",
+			Val: fmt.Sprintf("%d %s %d", result.Seq, status, result.Wait),
+		})
+	}
+	return properties
+}
--- /dev/null
+++ b/internal/edge/mqtt/subscribe.go
@@ -0,0 +1,50 @@
+package mqtt
+
+import "github.com/mochi-mqtt/server/v2/packets"
+
+// subackFailure is version 3.1.1's return code of a rejected subscription.
+const subackFailure = 0x80
+
+// subscribe grants a client the answers to its own readings, and no other
+// topic.
+func (s *Server) subscribe(c *connection, packet *packets.Packet) {
+	if code := packet.SubscribeValidate().Code; code >= firstErrorCode {
+		s.violation(c, code)
+		return
+	}
+	ack := newPacket(packets.Suback)
+	ack.PacketID = packet.PacketID
+	for _, subscription := range packet.Filters {
+		code := byte(0)
+		switch {
+		case subscription.Filter == c.session.answersTopic():
+			c.session.subscribed = true
+		case c.version == version5:
+			code = packets.ErrTopicFilterInvalid.Code
+		default:
+			code = subackFailure
+		}
+		ack.ReasonCodes = append(ack.ReasonCodes, code)
+	}
+	s.send(c, ack)
+}
+
+func (s *Server) unsubscribe(c *connection, packet *packets.Packet) {
+	if code := packet.UnsubscribeValidate().Code; code >= firstErrorCode {
+		s.violation(c, code)
+		return
+	}
+	ack := newPacket(packets.Unsuback)
+	ack.PacketID = packet.PacketID
+	for _, subscription := range packet.Filters {
+		code := packets.CodeNoSubscriptionExisted.Code
+		if subscription.Filter == c.session.answersTopic() && c.session.subscribed {
+			c.session.subscribed = false
+			code = 0
+		}
+		ack.ReasonCodes = append(ack.ReasonCodes, code)
+	}
+	s.send(c, ack)
+}
+
+func (kept *session) answersTopic() string { return AnswersTopic + kept.clientID }
