--- a/internal/edge/batch/batch.go
+++ b/internal/edge/batch/batch.go
@@ -1,6 +1,6 @@
-// Package batch is the form in which devices send readings, whatever protocol
-// carries it: CBOR (RFC 8949), small enough for a datagram. It holds bytes
-// only and makes no decisions.
+// Package batch is the encoding in which devices send readings over every
+// protocol: CBOR (RFC 8949), small enough for a datagram. Names of its types and
+// fields may be quoted in the errors that frames sends to gateways.
 package batch
 
 import (
@@ -12,25 +12,32 @@
 	"lotusbend/internal/edge/intake"
 )
 
-// MaxReadings is how many readings one message may hold.
+// MaxReadings is the most readings in one message.
 const MaxReadings = 256
 
+// Bounds against hostile input.
+const (
+	maxNestedLevels = 8
+	maxMapPairs     = 16
+	maxElapsedMs    = 1e12
+)
+
 // Batch is one message of readings of one device.
 type Batch struct {
 	Device string `cbor:"1,keyasint"`
 	Epoch  uint64 `cbor:"2,keyasint"`
-	// Elapsed is how many milliseconds ago, by the device's own clock, it
-	// heard the greeting of this connection; it lets the edge tell how old a
-	// message is that a link has held back. Absent: not known.
+	// Elapsed is the time in milliseconds, by the device's own clock, since it
+	// received CONNACK over MQTT, or the frame whose Mark it returns. It bounds
+	// the age of a message that the link has delayed. Absent: not known.
 	Elapsed  *float64  `cbor:"3,keyasint,omitempty"`
 	Readings []Reading `cbor:"4,keyasint"`
 }
 
-// Reading is one of a Batch.
+// Reading is one reading of a Batch.
 type Reading struct {
 	_      struct{} `cbor:",toarray"`
 	Seq    uint64
-	Sent   uint64 // how often it was sent before, to whomever; 0 for never
+	Sent   uint64 // how often it was sent before, to any router; 0 for never
 	Urgent bool
 	Value  []byte
 }
@@ -40,25 +47,30 @@
 	_      struct{} `cbor:",toarray"`
 	Seq    uint64
 	Status uint8  // of intake.Status
-	Wait   uint32 // milliseconds until it may be sent again
+	Wait   uint32 // milliseconds until a retry
 }
 
-// Reply answers a Batch, each reading for itself, in the order of the Batch.
+// Reply answers each reading of a Batch, in the order of the Batch.
 type Reply struct {
 	Results []Result `cbor:"1,keyasint"`
 }
 
-// Codec decodes strictly and within bounds; one serves any number of callers.
+// Codec decodes strictly and within bounds. It is safe for concurrent use.
 type Codec struct {
-	dec cbor.DecMode
-	enc cbor.EncMode
+	decoder cbor.DecMode
+	encoder cbor.EncMode
 }
 
 // NewCodec returns a Codec.
 func NewCodec() *Codec {
 	dec, err := cbor.DecOptions{
-		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
-		MaxNestedLevels: 8, MaxArrayElements: MaxReadings, MaxMapPairs: 16, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
+		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
+		IndefLength:       cbor.IndefLengthForbidden,
+		TagsMd:            cbor.TagsForbidden,
+		MaxNestedLevels:   maxNestedLevels,
+		MaxArrayElements:  MaxReadings,
+		MaxMapPairs:       maxMapPairs,
+		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 	}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -67,41 +79,42 @@
 	if err != nil {
 		panic(err)
 	}
-	return &Codec{dec, enc}
+	return &Codec{decoder: dec, encoder: enc}
 }
 
-var errBatch = errors.New("no batch of readings")
+var errInvalid = errors.New("no batch of readings")
 
-// Decode reads any of this protocol's values, without what follows it.
-func (c *Codec) Decode(b []byte, to any) error { return c.dec.Unmarshal(b, to) }
+// Decode decodes a value that is the whole of b.
+func (c *Codec) Decode(b []byte, to any) error { return c.decoder.Unmarshal(b, to) }
 
-// Encode writes any of this protocol's values.
+// Encode encodes a value. It panics if that is of a type without an encoding.
 func (c *Codec) Encode(v any) []byte {
-	b, err := c.enc.Marshal(v)
+	b, err := c.encoder.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("batch: %T cannot be written: %v", v, err)) // its types are this program's own
+		panic(fmt.Sprintf("batch: %T cannot be written: %v", v, err))
 	}
 	return b
 }
 
-// DecodeBatch reads a Batch and checks what a reading cannot do without.
+// DecodeBatch decodes and validates a Batch. An invalid one is returned with its
+// error.
 func (c *Codec) DecodeBatch(b []byte) (*Batch, error) {
-	var m Batch
-	if err := c.Decode(b, &m); err != nil {
-		return nil, fmt.Errorf("%w: %w", errBatch, err)
+	var decoded Batch
+	if err := c.Decode(b, &decoded); err != nil {
+		return nil, fmt.Errorf("%w: %w", errInvalid, err)
 	}
-	return &m, m.Check()
+	return &decoded, decoded.Validate()
 }
 
-// Check tells what is wrong with a Batch.
-func (m *Batch) Check() error {
+// Validate returns what is wrong with a Batch, nil for nothing.
+func (b *Batch) Validate() error {
 	switch {
-	case len(m.Device) == 0 || len(m.Device) > intake.MaxDevice:
-		return fmt.Errorf("%w: a device's name has 1 to %d bytes", errBatch, intake.MaxDevice)
-	case len(m.Readings) == 0 || len(m.Readings) > MaxReadings:
-		return fmt.Errorf("%w: 1 to %d readings are taken", errBatch, MaxReadings)
-	case m.Elapsed != nil && !(*m.Elapsed >= 0 && *m.Elapsed < 1e12):
-		return fmt.Errorf("%w: elapsed %v", errBatch, *m.Elapsed)
+	case len(b.Device) == 0 || len(b.Device) > intake.MaxDevice:
+		return fmt.Errorf("%w: a device's name has 1 to %d bytes", errInvalid, intake.MaxDevice)
+	case len(b.Readings) == 0 || len(b.Readings) > MaxReadings:
+		return fmt.Errorf("%w: 1 to %d readings are taken", errInvalid, MaxReadings)
+	case b.Elapsed != nil && !(*b.Elapsed >= 0 && *b.Elapsed < maxElapsedMs):
+		return fmt.Errorf("%w: elapsed %v", errInvalid, *b.Elapsed)
 	}
 	return nil
 }
--- a/internal/edge/batch/batch_test.go
+++ b/internal/edge/batch/batch_test.go
@@ -7,32 +7,38 @@
 )
 
 func sample() *Batch {
-	e := 12.5
-	return &Batch{Device: "meter-1", Epoch: 3, Elapsed: &e,
+	elapsed := 12.5
+	return &Batch{Device: "meter-1", Epoch: 3, Elapsed: &elapsed,
 		Readings: []Reading{{Seq: 1, Value: []byte("a")}, {Seq: 2, Sent: 4, Urgent: true, Value: []byte("b")}}}
 }
 
-func TestBatchesReadBack(t *testing.T) {
+func TestBatchRoundTrip(t *testing.T) {
 	c := NewCodec()
 	if got, err := c.DecodeBatch(c.Encode(sample())); err != nil || !reflect.DeepEqual(got, sample()) {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
 
-func TestWhatIsNoBatchIsAnError(t *testing.T) {
+func TestDecodeRejectsInvalidBatches(t *testing.T) {
 	c := NewCodec()
 	many := sample()
 	for range MaxReadings {
 		many.Readings = append(many.Readings, Reading{Value: []byte("x")})
 	}
-	none, anon := sample(), sample()
-	none.Readings, anon.Device = nil, ""
+	none := sample()
+	none.Readings = nil
+	anonymous := sample()
+	anonymous.Device = ""
 	whole := c.Encode(sample())
 	for name, b := range map[string][]byte{
-		"empty": nil, "many": c.Encode(many), "none": c.Encode(none), "anonymous": c.Encode(anon),
-		"half": whole[:len(whole)-1], "more": append(append([]byte{}, whole...), 0), "a key twice": {0xa2, 1, 0x61, 'a', 1, 0x61, 'b'},
-		"another key": {0xa1, 9, 0}, "without end": {0xbf, 1, 0x61, 'a', 0xff}, "huge": {0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
-		"deep": bytes.Repeat([]byte{0x81}, 100),
+		"empty": nil, "many": c.Encode(many), "none": c.Encode(none), "anonymous": c.Encode(anonymous),
+		"half":        whole[:len(whole)-1],
+		"more":        append(append([]byte{}, whole...), 0),
+		"a key twice": {0xa2, 1, 0x61, 'a', 1, 0x61, 'b'},
+		"another key": {0xa1, 9, 0},
+		"without end": {0xbf, 1, 0x61, 'a', 0xff},
+		"huge":        {0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
+		"deep":        bytes.Repeat([]byte{0x81}, 100),
 	} {
 		if got, err := c.DecodeBatch(b); err == nil {
 			t.Errorf("%s: %+v", name, got)
--- a/internal/edge/batch/characterization_test.go
+++ b/internal/edge/batch/characterization_test.go
@@ -20,7 +20,8 @@
 
 // update rewrites the expected values. They may change only with a deliberate
 // change of behaviour, which the commit has to name.
-var update = flag.Bool("update", false, "rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
+var update = flag.Bool("update", false,
+	"rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
 
 const expectedFile = "testdata/characterization.txt"
 
@@ -119,14 +120,16 @@
 func batches() map[string]*batch.Batch {
 	elapsed := func(ms float64) *float64 { return &ms }
 	one := []batch.Reading{{Seq: 1, Value: []byte("a")}}
+	two := []batch.Reading{{Seq: 1, Value: []byte("a")}, {Seq: 2, Sent: 4, Urgent: true, Value: []byte("b")}}
+	largest := []batch.Reading{{Seq: math.MaxUint64, Sent: math.MaxUint64, Value: []byte{0, 0xff}}}
 	var many []batch.Reading
 	for seq := range uint64(batch.MaxReadings + 1) {
 		many = append(many, batch.Reading{Seq: seq, Sent: seq % 3, Urgent: seq%2 == 0, Value: []byte{byte(seq)}})
 	}
 	return map[string]*batch.Batch{
 		"small":             {Device: "meter-1", Epoch: 3, Readings: one},
-		"full":              {Device: "meter-1", Epoch: 3, Elapsed: elapsed(12.5), Readings: []batch.Reading{{Seq: 1, Value: []byte("a")}, {Seq: 2, Sent: 4, Urgent: true, Value: []byte("b")}}},
-		"largest-numbers":   {Device: "m", Epoch: math.MaxUint64, Elapsed: elapsed(1e12 - 1), Readings: []batch.Reading{{Seq: math.MaxUint64, Sent: math.MaxUint64, Value: []byte{0, 0xff}}}},
+		"full":              {Device: "meter-1", Epoch: 3, Elapsed: elapsed(12.5), Readings: two},
+		"largest-numbers":   {Device: "m", Epoch: math.MaxUint64, Elapsed: elapsed(1e12 - 1), Readings: largest},
 		"elapsed-zero":      {Device: "m", Elapsed: elapsed(0), Readings: one},
 		"elapsed-negative":  {Device: "m", Elapsed: elapsed(-1), Readings: one},
 		"elapsed-too-large": {Device: "m", Elapsed: elapsed(1e12), Readings: one},
@@ -142,10 +145,14 @@
 }
 
 func replies() map[string]batch.Reply {
+	everyStatus := []batch.Result{
+		{Seq: 1}, {Seq: 2, Status: 1}, {Seq: 3, Status: 2},
+		{Seq: 4, Status: 3, Wait: 500}, {Seq: 5, Status: 4, Wait: 70000}, {Seq: 6, Status: 5},
+	}
 	return map[string]batch.Reply{
 		"empty":           {},
 		"one":             {Results: []batch.Result{{Seq: 1}}},
-		"every-status":    {Results: []batch.Result{{Seq: 1}, {Seq: 2, Status: 1}, {Seq: 3, Status: 2}, {Seq: 4, Status: 3, Wait: 500}, {Seq: 5, Status: 4, Wait: 70000}, {Seq: 6, Status: 5}}},
+		"every-status":    {Results: everyStatus},
 		"largest-numbers": {Results: []batch.Result{{Seq: math.MaxUint64, Status: math.MaxUint8, Wait: math.MaxUint32}}},
 	}
 }
--- a/internal/edge/coap/characterization_test.go
+++ b/internal/edge/coap/characterization_test.go
@@ -94,7 +94,11 @@
 func newEndpoint(t *testing.T) *endpoint {
 	t.Helper()
 	e := &endpoint{t: t, now: 1.7e12, echo: map[netip.AddrPort][]byte{}}
-	limits := coap.Limits{Exchanges: 6, MessageBytes: 200, Progress: progress.Limits{Window: 10000, Least: 16, Bytes: 2000}}
+	limits := coap.Limits{
+		Exchanges:    6,
+		MessageBytes: 200,
+		Progress:     progress.Limits{WindowMs: 10000, MinBytes: 16, TotalBytes: 2000},
+	}
 	e.server = coap.New(limits, [32]byte{1, 2, 3}, 4, e)
 	return e
 }
--- a/internal/edge/coap/fixture_test.go
+++ b/internal/edge/coap/fixture_test.go
@@ -61,7 +61,7 @@
 	client.server = New(Limits{
 		Exchanges:    8,
 		MessageBytes: 200,
-		Progress:     progress.Limits{Window: 10000, Least: 16, Bytes: 2000},
+		Progress:     progress.Limits{WindowMs: 10000, MinBytes: 16, TotalBytes: 2000},
 	}, [32]byte{1}, 1, client)
 	return client
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -123,9 +123,9 @@
 // newServers makes the rules of the protocols.
 func (e *Edge) newServers(seed uint64) {
 	limits := progress.Limits{
-		Window: e.options.ProgressWindowMs,
-		Least:  e.options.MinProgressBytes,
-		Bytes:  e.options.UnfinishedBytes,
+		WindowMs:   e.options.ProgressWindowMs,
+		MinBytes:   e.options.MinProgressBytes,
+		TotalBytes: e.options.UnfinishedBytes,
 	}
 	e.unfinished = progress.New(limits)
 	e.mqtt = mqtt.New(mqtt.Limits{
--- a/internal/edge/frames/characterization_test.go
+++ b/internal/edge/frames/characterization_test.go
@@ -18,12 +18,13 @@
 
 // update rewrites the expected values. They may change only with a deliberate
 // change of behaviour, which the commit has to name.
-var update = flag.Bool("update", false, "rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
+var update = flag.Bool("update", false,
+	"rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
 
 const expectedFile = "testdata/characterization.txt"
 
 // TestCharacterization pins the bytes of every frame, of the answers within
-// whole connections, and what is handed on.
+// whole connections, and what is delivered.
 func TestCharacterization(t *testing.T) {
 	codec := batch.NewCodec()
 	got := map[string]string{}
@@ -80,16 +81,18 @@
 
 func someReadings(id uint32, mark float64) frames.Readings {
 	elapsed := 100.0
-	return frames.Readings{Kind: frames.KindReadings, ID: id, Route: "power", Mark: mark, Batch: batch.Batch{Device: "meter-1", Epoch: 2, Elapsed: &elapsed,
-		Readings: []batch.Reading{{Seq: 1, Value: []byte("v")}, {Seq: 2, Sent: 1, Urgent: true, Value: []byte("w")}}}}
+	readings := []batch.Reading{{Seq: 1, Value: []byte("v")}, {Seq: 2, Sent: 1, Urgent: true, Value: []byte("w")}}
+	return frames.Readings{Kind: frames.KindReadings, ID: id, Route: "power", Mark: mark,
+		Batch: batch.Batch{Device: "meter-1", Epoch: 2, Elapsed: &elapsed, Readings: readings}}
 }
 
 func allFrames() map[string]any {
+	twoRanges := []frames.Range{{From: 1, To: 3}, {From: 4, To: 4, Status: 3, Wait: 500}}
 	return map[string]any{
 		"hello":        frames.Hello{Kind: frames.KindHello, Version: frames.Version, Name: "gateway"},
 		"welcome":      frames.Welcome{Kind: frames.KindWelcome, Mark: 1.7e12 + 0.25, Window: 64},
 		"readings":     someReadings(7, 1.7e12),
-		"answer":       frames.Answer{Kind: frames.KindAnswer, ID: 7, Mark: 1.7e12, Ranges: []frames.Range{{From: 1, To: 3}, {From: 4, To: 4, Status: 3, Wait: 500}}},
+		"answer":       frames.Answer{Kind: frames.KindAnswer, ID: 7, Mark: 1.7e12, Ranges: twoRanges},
 		"answer-empty": frames.Answer{Kind: frames.KindAnswer},
 		"query":        frames.Query{Kind: frames.KindQuery, ID: 8, Device: "meter-1", Epoch: 2},
 		"known":        frames.Known{Kind: frames.KindKnown, ID: 8, Ranges: []frames.Range{{From: 1, To: math.MaxUint64}}},
@@ -102,8 +105,8 @@
 	}
 }
 
-// connection is one gateway's, and all that the server asks for, as numbers
-// and bytes.
+// connection is one gateway's, and all actions of the server, as numbers and
+// bytes.
 type connection struct {
 	server *frames.Server
 	codec  *batch.Codec
@@ -158,7 +161,7 @@
 	c.send(frames.Hello{Kind: frames.KindHello, Version: frames.Version, Name: "gateway"})
 }
 
-// pass lets time pass and does what is due meanwhile.
+// pass lets time pass and runs the timers due meanwhile.
 func (c *connection) pass(ms float64) {
 	end := c.now + ms
 	for due, ok := c.server.Next(); ok && due <= end; due, ok = c.server.Next() {
@@ -175,7 +178,10 @@
 		c.pass(250.5)
 		c.send(someReadings(1, 1.7e12))
 		c.send(someReadings(2, 0))
-		c.server.Answer(c.now, c.tokens[1], []batch.Result{{Seq: 4}, {Seq: 5}, {Seq: 6, Status: 3, Wait: 9}, {Seq: 7, Status: 3, Wait: 9}, {Seq: 8, Status: 3}, {Seq: 8}, {Seq: math.MaxUint64}, {Seq: 0}})
+		c.server.Answer(c.now, c.tokens[1], []batch.Result{
+			{Seq: 4}, {Seq: 5}, {Seq: 6, Status: 3, Wait: 9}, {Seq: 7, Status: 3, Wait: 9},
+			{Seq: 8, Status: 3}, {Seq: 8}, {Seq: math.MaxUint64}, {Seq: 0},
+		})
 		c.server.Answer(c.now, c.tokens[0], nil)
 		c.server.Answer(c.now, c.tokens[0], nil) // once only
 		c.server.Answer(c.now, 99, nil)
@@ -252,7 +258,10 @@
 
 // lengths writes what is made of a frame's length.
 func lengths() (text string) {
-	for _, b := range []string{"", "\x00\x00\x00", "\x00\x00\x00\x05", "\x00\x00\x00\x64", "\x00\x00\x00\x65", "\x00\x00\x00\x00", "\xff\xff\xff\xff"} {
+	for _, b := range []string{
+		"", "\x00\x00\x00", "\x00\x00\x00\x05", "\x00\x00\x00\x64",
+		"\x00\x00\x00\x65", "\x00\x00\x00\x00", "\xff\xff\xff\xff",
+	} {
 		n, err := frames.FrameLength([]byte(b), 100)
 		failed := 0
 		if err != nil {
--- /dev/null
+++ b/internal/edge/frames/handle.go
@@ -0,0 +1,144 @@
+package frames
+
+import (
+	"errors"
+	"fmt"
+	"math"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"lotusbend/internal/edge/intake"
+)
+
+var (
+	errNoArray = errors.New("no frame: an array is expected")
+	errNoKind  = errors.New("no frame: its kind is no small number")
+)
+
+// handle handles one frame's body. An error ends the connection and goes to the
+// gateway.
+func (s *Server) handle(now float64, c *connection, body []byte) error {
+	kind, err := s.kindOf(body)
+	if err != nil {
+		return err
+	}
+	welcomed := c.welcomedAt != 0
+	if welcomed == (kind == KindHello) {
+		return fmt.Errorf("a frame of kind %d out of order", kind)
+	}
+	switch kind {
+	case KindHello:
+		return s.handleHello(now, c, body)
+	case KindPing:
+		s.send(c, Signal{Kind: KindPong})
+		return nil
+	case KindReadings:
+		return s.handleReadings(now, c, body)
+	case KindQuery:
+		return s.handleQuery(c, body)
+	case KindRead:
+		return s.handleRead(c, body)
+	}
+	return fmt.Errorf("a frame of unknown kind %d", kind)
+}
+
+// kindOf returns the first element of a frame.
+func (s *Server) kindOf(body []byte) (kind Kind, err error) {
+	var elements []cbor.RawMessage
+	if err := s.codec.Decode(body, &elements); err != nil || len(elements) == 0 {
+		return 0, errNoArray
+	}
+	if err := s.codec.Decode(elements[0], &kind); err != nil {
+		return 0, errNoKind
+	}
+	return kind, nil
+}
+
+// decode decodes a frame of a known kind.
+func (s *Server) decode(body []byte, kind Kind, to any) error {
+	if err := s.codec.Decode(body, to); err != nil {
+		return fmt.Errorf("a frame of kind %d: %w", kind, err)
+	}
+	return nil
+}
+
+func (s *Server) handleHello(now float64, c *connection, body []byte) error {
+	var hello Hello
+	if err := s.decode(body, KindHello, &hello); err != nil {
+		return err
+	}
+	if hello.Version != Version {
+		return fmt.Errorf("version %d is not spoken, %d is", hello.Version, Version)
+	}
+	c.welcomedAt = now
+	s.send(c, Welcome{Kind: KindWelcome, Mark: now, Window: uint32(s.limits.Window)})
+	s.armIdle(now, c)
+	return nil
+}
+
+func (s *Server) handleReadings(now float64, c *connection, body []byte) error {
+	var readings Readings
+	if err := s.decode(body, KindReadings, &readings); err != nil {
+		return err
+	}
+	if err := readings.Batch.Validate(); err != nil {
+		return err
+	}
+	mark := readings.Mark
+	if math.IsNaN(mark) || mark != 0 && mark < c.welcomedAt || mark > now {
+		return fmt.Errorf("mark %v was not given on this connection", mark)
+	}
+	token, err := s.awaitAnswer(c, readings.ID)
+	if err != nil {
+		return err
+	}
+	var notBefore float64
+	if mark > 0 {
+		notBefore = mark
+		if readings.Batch.Elapsed != nil {
+			notBefore = intake.SentAfter(mark, *readings.Batch.Elapsed)
+		}
+	}
+	s.out.Deliver(token, c.id, readings.Route, &readings.Batch, notBefore)
+	return nil
+}
+
+func (s *Server) handleQuery(c *connection, body []byte) error {
+	var query Query
+	if err := s.decode(body, KindQuery, &query); err != nil {
+		return err
+	}
+	known := knownRanges(s.out.Known(query.Device, query.Epoch))
+	s.send(c, Known{Kind: KindKnown, ID: query.ID, Ranges: known})
+	return nil
+}
+
+func (s *Server) handleRead(c *connection, body []byte) error {
+	var read Read
+	if err := s.decode(body, KindRead, &read); err != nil {
+		return err
+	}
+	token, err := s.awaitAnswer(c, read.ID)
+	if err != nil {
+		return err
+	}
+	s.out.Read(token, c.id, read.Route, read.Arg)
+	return nil
+}
+
+// awaitAnswer returns a token for a frame that waits for its answer.
+func (s *Server) awaitAnswer(c *connection, id uint32) (token uint64, err error) {
+	switch {
+	case c.unanswered[id]:
+		return 0, fmt.Errorf("frame %d waits for its answer already", id)
+	case len(c.unanswered) >= s.limits.Window:
+		return 0, fmt.Errorf("more than %d frames without their answer", s.limits.Window)
+	}
+	if c.unanswered == nil {
+		c.unanswered = map[uint32]bool{}
+	}
+	c.unanswered[id] = true
+	s.lastToken++
+	s.pending[s.lastToken] = pendingFrame{connection: c, id: id}
+	return s.lastToken, nil
+}
--- a/internal/edge/mqtt/mqtt.go
+++ b/internal/edge/mqtt/mqtt.go
@@ -35,8 +35,8 @@
 	Send(conn uint64, packet []byte)
 	// Close closes a connection once the packets sent to it are written.
 	Close(conn uint64)
-	// Deliver takes a published message. connectedAt is when its connection
-	// was accepted; retransmitted is its DUP flag. It is answered by
+	// Deliver takes a published message. connectedAt is when CONNACK was
+	// sent on its connection; retransmitted is its DUP flag. It is answered by
 	// Server.Answer with the token.
 	Deliver(token, conn uint64, topic string, payload []byte, connectedAt float64, retransmitted bool)
 }
--- a/internal/edge/progress/progress.go
+++ b/internal/edge/progress/progress.go
@@ -1,112 +1,138 @@
-// Package progress holds the rules for messages that have begun and not ended.
+// Package progress holds the rules for messages that are received in part.
 // Silence alone says little on a slow link: what counts is how many bytes come
-// in a window. All unfinished messages together have a bound, and past it the
-// slowest goes first. It has no I/O and no clock; times are Unix milliseconds.
+// in a window. All unfinished messages together have a limit, and past it the
+// slowest is evicted. The package has no I/O and no clock; times are Unix
+// milliseconds. A Ledger is not safe for concurrent use.
 package progress
 
 import "container/list"
 
-// overhead is what an unfinished message takes beside its bytes.
+// overhead is the memory of an unfinished message beside its bytes, in bytes.
 const overhead = 256
 
+// startAllowanceMs is added to a message's age for its rate, so that one that
+// has just started has a finite rate.
+const startAllowanceMs = 1000
+
 // Limits bound unfinished messages.
 type Limits struct {
-	Window float64 // milliseconds over which progress is measured
-	Least  int     // bytes that must come in each window
-	Bytes  int     // of all unfinished messages together, with overhead
+	WindowMs   float64 // over which progress is measured
+	MinBytes   int     // that must come in each window
+	TotalBytes int     // of all unfinished messages together, with overhead
 }
 
-// Ledger is the books on unfinished messages, each by its owner's number.
+// Ledger accounts for unfinished messages, one for each owner.
 type Ledger struct {
-	lim   Limits
-	parts map[uint64]*part
-	due   list.List // by the end of their windows, which all have one length
-	bytes int
+	limits   Limits
+	messages map[uint64]*message // by owner
+	byWindow list.List           // messages by the end of their windows, which have one length
+	bytes    int                 // of all messages, with overhead
 }
 
-type part struct {
-	owner   uint64
-	began   float64
-	bytes   int
-	window  float64 // when its window began
-	recent  int     // bytes in it
-	element *list.Element
+// message is an unfinished message.
+type message struct {
+	owner       uint64
+	startedAt   float64
+	bytes       int
+	windowAt    float64 // when its window began
+	windowBytes int     // received in the window
+	element     *list.Element
 }
 
 // New returns an empty Ledger.
-func New(lim Limits) *Ledger { return &Ledger{lim: lim, parts: map[uint64]*part{}} }
+func New(limits Limits) *Ledger {
+	return &Ledger{limits: limits, messages: map[uint64]*message{}}
+}
 
-// Bytes returns what all unfinished messages hold.
+// Bytes returns the memory of all unfinished messages, in bytes.
 func (l *Ledger) Bytes() int { return l.bytes }
 
-// Len returns how many there are.
-func (l *Ledger) Len() int { return len(l.parts) }
+// Len returns how many unfinished messages there are.
+func (l *Ledger) Len() int { return len(l.messages) }
 
-// Grow books n more bytes of the owner's unfinished message, its first ones
-// included. Whoever is returned must be ended: the slowest, until the bound
-// holds. The owner itself may be among them.
+// Grow adds n bytes to the owner's unfinished message, which starts with its
+// first ones. The messages of the returned owners are removed to keep the limit,
+// and must be ended: the slowest, which may be the owner itself.
 func (l *Ledger) Grow(now float64, owner uint64, n int) (evicted []uint64) {
-	p := l.parts[owner]
-	if p == nil {
-		p = &part{owner: owner, began: now, window: now}
-		p.element = l.due.PushBack(p)
-		l.parts[owner] = p
+	m := l.messages[owner]
+	if m == nil {
+		m = &message{owner: owner, startedAt: now, windowAt: now}
+		m.element = l.byWindow.PushBack(m)
+		l.messages[owner] = m
 		l.bytes += overhead
 	}
-	p.bytes += n
-	p.recent += n
+	m.bytes += n
+	m.windowBytes += n
 	l.bytes += n
-	for l.bytes > l.lim.Bytes {
-		s := l.slowest(now)
-		l.End(s.owner)
-		evicted = append(evicted, s.owner)
+	for l.bytes > l.limits.TotalBytes {
+		slowest := l.slowest(now)
+		l.End(slowest.owner)
+		evicted = append(evicted, slowest.owner)
 	}
 	return evicted
 }
 
-// slowest is the one with the fewest bytes for its age; of equals the oldest.
-func (l *Ledger) slowest(now float64) (worst *part) {
-	var rate float64
-	for e := l.due.Front(); e != nil; e = e.Next() {
-		p := e.Value.(*part)
-		// A second is added to each age: one that has just begun has no rate yet.
-		if r := float64(p.bytes) / (now - p.began + 1000); worst == nil || r < rate ||
-			r == rate && p.began < worst.began {
-			worst, rate = p, r
+// slowest returns the message with the lowest rate, among equals the oldest.
+func (l *Ledger) slowest(now float64) (slowest *message) {
+	var lowest float64
+	for element := l.byWindow.Front(); element != nil; element = element.Next() {
+		m := element.Value.(*message)
+		rate := m.rate(now)
+		older := rate == lowest && slowest != nil && m.startedAt < slowest.startedAt
+		if slowest == nil || rate < lowest || older {
+			slowest = m
+			lowest = rate
 		}
 	}
-	return worst
+	return slowest
+}
+
+// rate is in bytes per millisecond.
+func (m *message) rate(now float64) float64 {
+	return float64(m.bytes) / (now - m.startedAt + startAllowanceMs)
 }
 
-// End takes a message off the books: it is whole, or its owner has gone.
+// End removes the owner's message: it is complete, or its owner has gone.
 func (l *Ledger) End(owner uint64) {
-	if p := l.parts[owner]; p != nil {
-		delete(l.parts, owner)
-		l.due.Remove(p.element)
-		l.bytes -= p.bytes + overhead
+	m := l.messages[owner]
+	if m == nil {
+		return
 	}
+	delete(l.messages, owner)
+	l.byWindow.Remove(m.element)
+	l.bytes -= m.bytes + overhead
 }
 
-// Next returns when Tick is due, if it is.
+// Next returns when Tick is due, in Unix milliseconds; false if it is not.
 func (l *Ledger) Next() (float64, bool) {
-	if e := l.due.Front(); e != nil {
-		return e.Value.(*part).window + l.lim.Window, true
+	first := l.byWindow.Front()
+	if first == nil {
+		return 0, false
 	}
-	return 0, false
+	return l.windowEnd(first.Value.(*message)), true
 }
 
-// Tick returns whose message made too little progress in its window. They must
-// be ended, and are off the books.
+func (l *Ledger) windowEnd(m *message) float64 { return m.windowAt + l.limits.WindowMs }
+
+// Tick ends windows. It removes the messages that made too little progress, and
+// returns their owners, which must be ended.
 func (l *Ledger) Tick(now float64) (stalled []uint64) {
-	for e := l.due.Front(); e != nil && e.Value.(*part).window+l.lim.Window <= now; e = l.due.Front() {
-		p := e.Value.(*part)
-		if p.recent < l.lim.Least {
-			l.End(p.owner)
-			stalled = append(stalled, p.owner)
+	for {
+		first := l.byWindow.Front()
+		if first == nil {
+			return stalled
+		}
+		m := first.Value.(*message)
+		if l.windowEnd(m) > now {
+			return stalled
+		}
+		if m.windowBytes < l.limits.MinBytes {
+			l.End(m.owner)
+			stalled = append(stalled, m.owner)
 			continue
 		}
-		p.window, p.recent = now, 0
-		l.due.MoveToBack(e)
+		m.windowAt = now
+		m.windowBytes = 0
+		l.byWindow.MoveToBack(first)
 	}
-	return stalled
 }
--- a/internal/edge/progress/progress_test.go
+++ b/internal/edge/progress/progress_test.go
@@ -7,12 +7,13 @@
 	"pgregory.net/rapid"
 )
 
-// A link that delivers one byte a second is not silent, and yet it stalls.
-func TestOneByteASecondIsNoProgress(t *testing.T) {
-	l := New(Limits{Window: 10000, Least: 64, Bytes: 1 << 20})
+// A link that delivers one byte a second is not silent, and yet its message
+// stalls.
+func TestSlowMessageStalls(t *testing.T) {
+	l := New(Limits{WindowMs: 10000, MinBytes: 64, TotalBytes: 1 << 20})
 	var slow, steady bool
-	for s := range 30 {
-		now := float64(s) * 1000
+	for second := range 30 {
+		now := float64(second) * 1000
 		ended := l.Tick(now)
 		slow = slow || slices.Contains(ended, 1)
 		steady = steady || slices.Contains(ended, 2)
@@ -20,7 +21,7 @@
 			l.Grow(now, 1, 1)
 		}
 		l.Grow(now, 2, 20)
-		if slow && s > 10 {
+		if slow && second > 10 {
 			break
 		}
 	}
@@ -29,8 +30,8 @@
 	}
 }
 
-func TestTheSlowestGoesFirst(t *testing.T) {
-	l := New(Limits{Window: 60000, Least: 1, Bytes: 4*overhead + 400})
+func TestSlowestIsEvictedFirst(t *testing.T) {
+	l := New(Limits{WindowMs: 60000, MinBytes: 1, TotalBytes: 4*overhead + 400})
 	l.Grow(0, 1, 10)
 	l.Grow(5000, 2, 100)
 	l.Grow(5000, 3, 100)
@@ -38,19 +39,20 @@
 		t.Errorf("%v went", out)
 	}
 	if out := l.Grow(6000, 4, 900); !slices.Contains(out, 4) {
-		t.Errorf("one beyond the whole bound stayed: %v", out)
+		t.Errorf("one beyond the whole limit stayed: %v", out)
 	}
 	if l.Bytes() != 0 && l.Len() == 0 {
 		t.Errorf("%d bytes of nobody", l.Bytes())
 	}
 }
 
-// Whatever comes, the books hold no more than their bound and forget nobody.
-func TestTheBoundHolds(t *testing.T) {
+// Whatever comes, the ledger keeps its limit and loses no message.
+func TestTotalBytesLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lim := Limits{Window: 1000, Least: 10, Bytes: rapid.IntRange(300, 5000).Draw(t, "bytes")}
-		l, now := New(lim), 0.0
-		held := map[uint64]int{}
+		limits := Limits{WindowMs: 1000, MinBytes: 10, TotalBytes: rapid.IntRange(300, 5000).Draw(t, "bytes")}
+		l := New(limits)
+		now := 0.0
+		expected := map[uint64]int{}
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 400).Draw(t, "pass")
 			owner := uint64(rapid.IntRange(1, 9).Draw(t, "owner"))
@@ -58,7 +60,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				l.End(owner)
-				delete(held, owner)
+				delete(expected, owner)
 			case 1:
 				out = l.Tick(now)
 				if at, ok := l.Next(); ok && at <= now {
@@ -66,21 +68,21 @@
 				}
 			default:
 				n := rapid.IntRange(1, 500).Draw(t, "n")
-				held[owner] += n
+				expected[owner] += n
 				out = l.Grow(now, owner, n)
 			}
 			for _, o := range out {
-				if held[o] == 0 {
+				if expected[o] == 0 {
 					t.Fatalf("%d was ended and is not there", o)
 				}
-				delete(held, o)
+				delete(expected, o)
 			}
 			sum := 0
-			for _, n := range held {
+			for _, n := range expected {
 				sum += n + overhead
 			}
-			if l.Bytes() != sum || sum > lim.Bytes || l.Len() != len(held) {
-				t.Fatalf("%d bytes of %d owners booked, %d of %d held", l.Bytes(), l.Len(), sum, len(held))
+			if l.Bytes() != sum || sum > limits.TotalBytes || l.Len() != len(expected) {
+				t.Fatalf("%d bytes of %d owners, want %d of %d", l.Bytes(), l.Len(), sum, len(expected))
 			}
 		}
 	})
