--- a/internal/edge/actions.go
+++ b/internal/edge/actions.go
@@ -17,15 +17,15 @@
 func (a *actions) Answer(to intake.Origin, answer intake.Answer) {
 	e := (*Edge)(a)
 	handle := slotmap.FromID(to.Peer)
-	m := e.messages.Get(handle)
-	if m == nil || int(to.Index) >= len(m.results) {
+	message := e.messages.Get(handle)
+	if message == nil || int(to.Index) >= len(message.results) {
 		return
 	}
-	result := &m.results[to.Index]
+	result := &message.results[to.Index]
 	result.Status = uint8(answer.Status)
 	result.Wait = uint32(math.Ceil(answer.RetryAfter))
-	m.unanswered--
-	if m.unanswered == 0 {
+	message.unanswered--
+	if message.unanswered == 0 {
 		e.loop.Post(func() { e.finish(handle) })
 	}
 }
@@ -59,14 +59,14 @@
 	id intake.ID, n uint64, operation intake.Operation, r *intake.Reading, group int, timeout float64,
 ) {
 	e := (*Edge)(a)
-	rt := e.routeOf(r.Route)
-	s := &statement{submission: n}
+	route := e.routeOf(r.Route)
+	statement := &pendingStatement{submission: n}
 	if operation == intake.Write {
-		text := insertText(rt.Table, id.Row(), r.Value)
-		e.submit(s, rt.write, rt.Write, text, id.Key(), group, timeout)
+		text := insertText(route.Table, id.Row(), r.Value)
+		e.submit(statement, route.write, route.Write, text, id.Key(), group, timeout)
 		return
 	}
-	e.submit(s, rt.check, rt.Check, checkText(rt.Table, id.Row()), "", group, timeout)
+	e.submit(statement, route.check, route.Check, checkText(route.Table, id.Row()), "", group, timeout)
 }
 
 // insertText returns the statement that records a reading. It returns what is
--- a/internal/edge/coap/block.go
+++ b/internal/edge/coap/block.go
@@ -21,7 +21,7 @@
 const minGlobalTag = 8
 
 // transfer is a message that comes in blocks (RFC 7959).
-type transfer struct {
+type blockTransfer struct {
 	key       string
 	owner     uint64 // in Server.unfinished
 	nextBlock uint32
@@ -33,7 +33,7 @@
 // else the code to respond with. An interrupted transfer resumes at its next
 // block, under a Request-Tag of minGlobalTag also from another address.
 func (s *Server) handleBlock(
-	now float64, id exchangeID, path string, m *message.Message, block1 uint32,
+	now float64, id exchangeID, path string, received *message.Message, block1 uint32,
 ) (payload []byte, code codes.Code) {
 	number := block1 >> blockNumberShift
 	more := block1&blockMoreFlag != 0
@@ -42,38 +42,38 @@
 		return nil, codes.BadRequest
 	}
 	size := 1 << (exponent + minBlockExponent)
-	if more && len(m.Payload) != size || len(m.Payload) > size {
+	if more && len(received.Payload) != size || len(received.Payload) > size {
 		return nil, codes.BadRequest
 	}
-	key := transferKey(id, path, m)
+	key := transferKey(id, path, received)
 	if number == 0 {
 		if !more { // a message of one block
 			s.endTransfer(s.transfers[key])
-			return m.Payload, noError
+			return received.Payload, noError
 		}
 		s.beginTransfer(key, size)
 	}
-	t := s.transfers[key]
+	transfer := s.transfers[key]
 	switch {
-	case t == nil || number > t.nextBlock || size != t.blockSize:
+	case transfer == nil || number > transfer.nextBlock || size != transfer.blockSize:
 		return nil, codes.RequestEntityIncomplete
-	case number < t.nextBlock: // a duplicate
+	case number < transfer.nextBlock: // a duplicate
 		return nil, codes.Continue
-	case len(t.received)+len(m.Payload) > s.limits.MessageBytes:
-		s.endTransfer(t)
+	case len(transfer.received)+len(received.Payload) > s.limits.MessageBytes:
+		s.endTransfer(transfer)
 		return nil, codes.RequestEntityTooLarge
 	}
-	t.nextBlock++
-	t.received = append(t.received, m.Payload...)
+	transfer.nextBlock++
+	transfer.received = append(transfer.received, received.Payload...)
 	if !more {
-		s.endTransfer(t)
-		return t.received, noError
+		s.endTransfer(transfer)
+		return transfer.received, noError
 	}
-	return nil, s.accountFor(now, t, len(m.Payload))
+	return nil, s.accountFor(now, transfer, len(received.Payload))
 }
 
-func transferKey(id exchangeID, path string, m *message.Message) string {
-	tag, _ := m.Options.GetBytes(message.RequestTag) // an absent one is empty
+func transferKey(id exchangeID, path string, received *message.Message) string {
+	tag, _ := received.Options.GetBytes(message.RequestTag) // an absent one is empty
 	key := path + "\x00" + string(tag)
 	if len(tag) < minGlobalTag {
 		key += "\x00" + id.peer.String() + "\x00" + strconv.Itoa(len(tag))
@@ -84,36 +84,36 @@
 // beginTransfer begins a transfer, or begins it anew if it is past its first
 // block.
 func (s *Server) beginTransfer(key string, blockSize int) {
-	t := s.transfers[key]
-	if t != nil && t.nextBlock <= 1 {
+	transfer := s.transfers[key]
+	if transfer != nil && transfer.nextBlock <= 1 {
 		return // the first block is a duplicate
 	}
-	s.endTransfer(t)
+	s.endTransfer(transfer)
 	s.lastToken++
-	t = &transfer{key: key, owner: s.lastToken, blockSize: blockSize}
-	s.transfers[key] = t
-	s.transferByOwner[t.owner] = t
+	transfer = &blockTransfer{key: key, owner: s.lastToken, blockSize: blockSize}
+	s.transfers[key] = transfer
+	s.transferByOwner[transfer.owner] = transfer
 }
 
 // accountFor adds a block's bytes to those of all transfers, which may end the
 // slowest. It returns the code to respond with.
-func (s *Server) accountFor(now float64, t *transfer, blockBytes int) codes.Code {
-	for _, owner := range s.unfinished.Grow(now, t.owner, blockBytes) {
+func (s *Server) accountFor(now float64, transfer *blockTransfer, blockBytes int) codes.Code {
+	for _, owner := range s.unfinished.Grow(now, transfer.owner, blockBytes) {
 		s.stats.Stalled++
 		s.endTransfer(s.transferByOwner[owner])
 	}
-	if s.transfers[t.key] != t { // it was the slowest
+	if s.transfers[transfer.key] != transfer { // it was the slowest
 		return codes.ServiceUnavailable
 	}
 	return codes.Continue
 }
 
 // endTransfer removes a transfer, unless it is nil.
-func (s *Server) endTransfer(t *transfer) {
-	if t == nil {
+func (s *Server) endTransfer(transfer *blockTransfer) {
+	if transfer == nil {
 		return
 	}
-	delete(s.transfers, t.key)
-	delete(s.transferByOwner, t.owner)
-	s.unfinished.End(t.owner)
+	delete(s.transfers, transfer.key)
+	delete(s.transferByOwner, transfer.owner)
+	s.unfinished.End(transfer.owner)
 }
--- a/internal/edge/coap/coap.go
+++ b/internal/edge/coap/coap.go
@@ -83,16 +83,16 @@
 	timers  timers.Heap
 	stats   Stats
 
-	exchanges      map[exchangeID]*exchange
-	byAge          []*exchange              // the oldest first, with removed ones
-	removed        int                      // in byAge
-	pending        map[uint64]*exchange     // without their answer, by token
-	unacknowledged map[exchangeID]*exchange // with a separate response
+	exchanges      map[exchangeID]*requestExchange
+	byAge          []*requestExchange              // the oldest first, with removed ones
+	removed        int                             // in byAge
+	pending        map[uint64]*requestExchange     // without their answer, by token
+	unacknowledged map[exchangeID]*requestExchange // with a separate response
 	lastToken      uint64
 	lastMessageID  uint16 // of a message that the server began
 
-	transfers       map[string]*transfer
-	transferByOwner map[uint64]*transfer
+	transfers       map[string]*blockTransfer
+	transferByOwner map[uint64]*blockTransfer
 	unfinished      *progress.Ledger // of the transfers
 }
 
@@ -116,11 +116,11 @@
 		out:             out,
 		echoKey:         echoKey,
 		rand:            random,
-		exchanges:       map[exchangeID]*exchange{},
-		pending:         map[uint64]*exchange{},
-		unacknowledged:  map[exchangeID]*exchange{},
-		transfers:       map[string]*transfer{},
-		transferByOwner: map[uint64]*transfer{},
+		exchanges:       map[exchangeID]*requestExchange{},
+		pending:         map[uint64]*requestExchange{},
+		unacknowledged:  map[exchangeID]*requestExchange{},
+		transfers:       map[string]*blockTransfer{},
+		transferByOwner: map[uint64]*blockTransfer{},
 		unfinished:      progress.New(limits.Progress),
 		lastMessageID:   uint16(random.Uint32()),
 	}
@@ -151,7 +151,7 @@
 // Datagram handles one datagram, which may be reused after the call.
 func (s *Server) Datagram(now float64, from netip.AddrPort, b []byte) {
 	s.stats.Datagrams++
-	m, err := decode(b)
+	received, err := decode(b)
 	if err != nil {
 		s.stats.Malformed++
 		// RFC 7252, 4.2: a malformed confirmable message is rejected by a
@@ -161,17 +161,17 @@
 		}
 		return
 	}
-	id := exchangeID{peer: from, messageID: uint16(m.MessageID)}
-	isRequest := m.Code != codes.Empty && m.Code>>codeClassShift == requestClass
+	id := exchangeID{peer: from, messageID: uint16(received.MessageID)}
+	isRequest := received.Code != codes.Empty && received.Code>>codeClassShift == requestClass
 	switch {
-	case m.Type == message.Acknowledgement || m.Type == message.Reset:
+	case received.Type == message.Acknowledgement || received.Type == message.Reset:
 		// The client has the separate response, or wants none.
-		if x := s.unacknowledged[id]; x != nil {
-			s.endRetransmission(x)
+		if exchange := s.unacknowledged[id]; exchange != nil {
+			s.endRetransmission(exchange)
 		}
 	case isRequest:
-		s.handleRequest(now, id, m, len(b))
-	case m.Type == message.Confirmable: // a ping, or a response to nothing
+		s.handleRequest(now, id, received, len(b))
+	case received.Type == message.Confirmable: // a ping, or a response to nothing
 		s.sendEmpty(from, message.Reset, id.messageID)
 	}
 }
@@ -191,14 +191,15 @@
 	if len(b) > maxDatagram {
 		return nil, fmt.Errorf("coap: %d bytes", len(b))
 	}
-	m := &message.Message{Options: make(message.Options, 0, maxOptions)}
-	if _, err := coder.DefaultCoder.Decode(b, m); err != nil {
+	received := &message.Message{Options: make(message.Options, 0, maxOptions)}
+	if _, err := coder.DefaultCoder.Decode(b, received); err != nil {
 		return nil, err
 	}
-	if m.Code == codes.Empty && (len(m.Token) > 0 || len(m.Options) > 0 || len(m.Payload) > 0) {
+	hasContent := len(received.Token) > 0 || len(received.Options) > 0 || len(received.Payload) > 0
+	if received.Code == codes.Empty && hasContent {
 		return nil, errNotEmpty
 	}
-	return m, nil
+	return received, nil
 }
 
 // sendEmpty sends an acknowledgement or a Reset.
--- a/internal/edge/coap/echo.go
+++ b/internal/edge/coap/echo.go
@@ -39,8 +39,10 @@
 
 // verifyEcho returns when the request's Echo value was sent; false if there is
 // none, or if it is forged or expired.
-func (s *Server) verifyEcho(now float64, from netip.AddrPort, m *message.Message) (sentAt float64, ok bool) {
-	b, err := m.Options.GetBytes(message.Echo)
+func (s *Server) verifyEcho(
+	now float64, from netip.AddrPort, received *message.Message,
+) (sentAt float64, ok bool) {
+	b, err := received.Options.GetBytes(message.Echo)
 	if err != nil || len(b) != echoTimeSize+echoProofSize {
 		return 0, false
 	}
--- a/internal/edge/coap/exchange.go
+++ b/internal/edge/coap/exchange.go
@@ -21,7 +21,7 @@
 }
 
 // exchange is one request and its response.
-type exchange struct {
+type requestExchange struct {
 	id           exchangeID
 	token        uint64 // of Out, 0 if nothing was delivered
 	clientToken  []byte
@@ -38,39 +38,39 @@
 }
 
 // register remembers an exchange, so that duplicates of it are recognized.
-func (s *Server) register(now float64, x *exchange) {
+func (s *Server) register(now float64, exchange *requestExchange) {
 	for len(s.exchanges) >= s.limits.Exchanges {
 		s.evict()
 	}
-	s.exchanges[x.id] = x
-	s.byAge = append(s.byAge, x)
+	s.exchanges[exchange.id] = exchange
+	s.byAge = append(s.byAge, exchange)
 	lifetime := float64(nonLifetime)
-	if x.confirmable {
+	if exchange.confirmable {
 		lifetime = exchangeLifetime
 	}
-	x.expiryTimer = s.timers.At(now+lifetime, func(float64) { s.remove(x) })
+	exchange.expiryTimer = s.timers.At(now+lifetime, func(float64) { s.remove(exchange) })
 }
 
 // evict removes the oldest exchange. That is safe: a duplicate is then a new
 // request, and the readings in it are recognized by their IDs.
 func (s *Server) evict() {
 	s.stats.Evicted++
-	for _, x := range s.byAge {
-		if !x.removed {
-			s.remove(x)
+	for _, exchange := range s.byAge {
+		if !exchange.removed {
+			s.remove(exchange)
 			return
 		}
 	}
 }
 
-func (s *Server) remove(x *exchange) {
-	x.removed = true
-	s.timers.Cancel(x.timer)
-	s.timers.Cancel(x.expiryTimer)
-	delete(s.exchanges, x.id)
-	delete(s.pending, x.token)
-	if x.separateID != 0 {
-		delete(s.unacknowledged, exchangeID{peer: x.id.peer, messageID: x.separateID})
+func (s *Server) remove(exchange *requestExchange) {
+	exchange.removed = true
+	s.timers.Cancel(exchange.timer)
+	s.timers.Cancel(exchange.expiryTimer)
+	delete(s.exchanges, exchange.id)
+	delete(s.pending, exchange.token)
+	if exchange.separateID != 0 {
+		delete(s.unacknowledged, exchangeID{peer: exchange.id.peer, messageID: exchange.separateID})
 	}
 	s.removed++
 	s.compact()
@@ -87,28 +87,28 @@
 	if s.removed <= len(s.byAge)/2 {
 		return
 	}
-	kept := make([]*exchange, 0, len(s.exchanges))
-	for _, x := range s.byAge {
-		if !x.removed {
-			kept = append(kept, x)
+	kept := make([]*requestExchange, 0, len(s.exchanges))
+	for _, exchange := range s.byAge {
+		if !exchange.removed {
+			kept = append(kept, exchange)
 		}
 	}
 	s.byAge = kept
 	s.removed = 0
 }
 
-// awaitAnswer gives x a token for its answer. A confirmable request that waits
+// awaitAnswer gives an exchange a token for its answer. A confirmable request that waits
 // for long is acknowledged meanwhile.
-func (s *Server) awaitAnswer(now float64, x *exchange) {
+func (s *Server) awaitAnswer(now float64, exchange *requestExchange) {
 	s.lastToken++
-	x.token = s.lastToken
-	s.pending[x.token] = x
-	if !x.confirmable {
+	exchange.token = s.lastToken
+	s.pending[exchange.token] = exchange
+	if !exchange.confirmable {
 		return
 	}
-	x.timer = s.timers.At(now+emptyAckDelay, func(float64) {
-		x.acknowledged = true
+	exchange.timer = s.timers.At(now+emptyAckDelay, func(float64) {
+		exchange.acknowledged = true
 		s.stats.Separate++
-		s.sendEmpty(x.id.peer, message.Acknowledgement, x.id.messageID)
+		s.sendEmpty(exchange.id.peer, message.Acknowledgement, exchange.id.messageID)
 	})
 }
--- a/internal/edge/coap/request.go
+++ b/internal/edge/coap/request.go
@@ -11,100 +11,101 @@
 const noError codes.Code = 0
 
 // handleRequest handles a request of size bytes, unless it is a duplicate.
-func (s *Server) handleRequest(now float64, id exchangeID, m *message.Message, size int) {
-	if x := s.exchanges[id]; x != nil {
-		s.handleDuplicate(x)
+func (s *Server) handleRequest(now float64, id exchangeID, received *message.Message, size int) {
+	if exchange := s.exchanges[id]; exchange != nil {
+		s.handleDuplicate(exchange)
 		return
 	}
-	x := &exchange{
+	exchange := &requestExchange{
 		id:          id,
-		clientToken: append([]byte(nil), m.Token...),
-		confirmable: m.Type == message.Confirmable,
+		clientToken: append([]byte(nil), received.Token...),
+		confirmable: received.Type == message.Confirmable,
 		block1:      noBlock,
 	}
-	path, code := validate(m)
+	path, code := validate(received)
 	if code != noError {
-		s.register(now, x)
-		s.respond(now, x, code, nil, 0)
+		s.register(now, exchange)
+		s.respond(now, exchange, code, nil, 0)
 		return
 	}
 	// Nothing is delivered, remembered or answered at length before the sender
 	// has shown that it receives what is sent to its address (RFC 9175, 2.4).
 	// The same value bounds the request's age. It takes no memory of the server.
-	sentAfter, ok := s.verifyEcho(now, id.peer, m)
+	sentAfter, ok := s.verifyEcho(now, id.peer, received)
 	if !ok {
-		s.challenge(now, x, size)
+		s.challenge(now, exchange, size)
 		return
 	}
-	s.register(now, x)
-	if m.Code == codes.GET {
-		s.handleRead(now, x, path)
+	s.register(now, exchange)
+	if received.Code == codes.GET {
+		s.handleRead(now, exchange, path)
 		return
 	}
-	payload, code := s.payload(now, x, path, m)
+	payload, code := s.payload(now, exchange, path, received)
 	if code != noError {
-		s.respond(now, x, code, nil, 0)
+		s.respond(now, exchange, code, nil, 0)
 		return
 	}
-	s.awaitAnswer(now, x)
-	s.out.Deliver(x.token, id.peer, path, append([]byte(nil), payload...), sentAfter)
+	s.awaitAnswer(now, exchange)
+	s.out.Deliver(exchange.token, id.peer, path, append([]byte(nil), payload...), sentAfter)
 }
 
 // handleDuplicate sends what the first copy got. The request is not processed
 // again (RFC 7252, 4.5).
-func (s *Server) handleDuplicate(x *exchange) {
+func (s *Server) handleDuplicate(exchange *requestExchange) {
 	s.stats.Duplicates++
 	switch {
-	case x.acknowledged && (x.response == nil || x.separateID != 0):
-		s.sendEmpty(x.id.peer, message.Acknowledgement, x.id.messageID)
-	case x.response != nil:
-		s.out.Send(x.id.peer, x.response)
+	case exchange.acknowledged && (exchange.response == nil || exchange.separateID != 0):
+		s.sendEmpty(exchange.id.peer, message.Acknowledgement, exchange.id.messageID)
+	case exchange.response != nil:
+		s.out.Send(exchange.id.peer, exchange.response)
 	}
 }
 
 // challenge sends an Echo value for the request's repetition, unless that would
 // amplify a forged request of size bytes.
-func (s *Server) challenge(now float64, x *exchange, size int) {
+func (s *Server) challenge(now float64, exchange *requestExchange, size int) {
 	s.stats.Challenges++
-	response := s.encodeResponse(now, x, codes.Unauthorized, nil, 0, x.responseType(), x.id.messageID)
+	kind := exchange.responseType()
+	response := s.encodeResponse(now, exchange, codes.Unauthorized, nil, 0, kind, exchange.id.messageID)
 	if len(response) <= maxAmplification*size {
-		s.out.Send(x.id.peer, response)
+		s.out.Send(exchange.id.peer, response)
 	}
 }
 
 // handleRead requests the value that the path's last segment names.
-func (s *Server) handleRead(now float64, x *exchange, path string) {
+func (s *Server) handleRead(now float64, exchange *requestExchange, path string) {
 	slash := strings.LastIndexByte(path, '/')
 	if slash <= 0 {
-		s.respond(now, x, codes.NotFound, nil, 0)
+		s.respond(now, exchange, codes.NotFound, nil, 0)
 		return
 	}
-	s.awaitAnswer(now, x)
-	s.out.Read(x.token, x.id.peer, path[:slash], path[slash+1:])
+	s.awaitAnswer(now, exchange)
+	s.out.Read(exchange.token, exchange.id.peer, path[:slash], path[slash+1:])
 }
 
 // payload returns the request's whole payload, or the code to respond with.
 func (s *Server) payload(
-	now float64, x *exchange, path string, m *message.Message,
+	now float64, exchange *requestExchange, path string, received *message.Message,
 ) (payload []byte, code codes.Code) {
-	block1, err := m.Options.GetUint32(message.Block1)
+	block1, err := received.Options.GetUint32(message.Block1)
 	if err == nil {
-		x.block1 = int64(block1)
-		return s.handleBlock(now, x.id, path, m, block1)
+		exchange.block1 = int64(block1)
+		return s.handleBlock(now, exchange.id, path, received, block1)
 	}
-	if len(m.Payload) > s.limits.MessageBytes {
+	if len(received.Payload) > s.limits.MessageBytes {
 		return nil, codes.RequestEntityTooLarge
 	}
-	return m.Payload, noError
+	return received.Payload, noError
 }
 
 // validate checks what does not depend on the sender.
-func validate(m *message.Message) (path string, code codes.Code) {
-	if m.Code != codes.POST && m.Code != codes.PUT && m.Code != codes.GET {
+func validate(received *message.Message) (path string, code codes.Code) {
+	if received.Code != codes.POST && received.Code != codes.PUT && received.Code != codes.GET {
 		return "", codes.MethodNotAllowed
 	}
 	var segments []string
-	for _, option := range m.Options {
+	for _, option := range received.Options {
 		switch option.ID {
 		case message.URIPath:
 			if len(option.Value) == 0 || len(option.Value) > maxSegment {
--- a/internal/edge/coap/response.go
+++ b/internal/edge/coap/response.go
@@ -16,28 +16,31 @@
 // Answer ends a request that was delivered or read. maxAge, in milliseconds, is
 // when to retry after a temporary error, 0 for none.
 func (s *Server) Answer(now float64, token uint64, code codes.Code, payload []byte, maxAge float64) {
-	if x := s.pending[token]; x != nil {
-		s.respond(now, x, code, payload, maxAge)
+	if exchange := s.pending[token]; exchange != nil {
+		s.respond(now, exchange, code, payload, maxAge)
 	}
 }
 
 // respond sends a response: piggybacked on the acknowledgement unless that was
 // sent, else as a message of its own, confirmable if the request was.
-func (s *Server) respond(now float64, x *exchange, code codes.Code, payload []byte, maxAge float64) {
-	delete(s.pending, x.token)
-	s.timers.Cancel(x.timer)
-	messageID := x.id.messageID
-	if x.acknowledged || !x.confirmable {
+func (s *Server) respond(
+	now float64, exchange *requestExchange, code codes.Code, payload []byte, maxAge float64,
+) {
+	delete(s.pending, exchange.token)
+	s.timers.Cancel(exchange.timer)
+	messageID := exchange.id.messageID
+	if exchange.acknowledged || !exchange.confirmable {
 		messageID = s.newMessageID()
 	}
-	x.response = s.encodeResponse(now, x, code, payload, maxAge, x.responseType(), messageID)
-	if x.confirmable && x.acknowledged {
-		x.separateID = messageID
-		s.unacknowledged[exchangeID{peer: x.id.peer, messageID: messageID}] = x
+	kind := exchange.responseType()
+	exchange.response = s.encodeResponse(now, exchange, code, payload, maxAge, kind, messageID)
+	if exchange.confirmable && exchange.acknowledged {
+		exchange.separateID = messageID
+		s.unacknowledged[exchangeID{peer: exchange.id.peer, messageID: messageID}] = exchange
 		timeout := ackTimeout * (1 + (ackRandomFactor-1)*s.rand.Float64())
-		s.scheduleRetransmission(now, x, timeout)
+		s.scheduleRetransmission(now, exchange, timeout)
 	}
-	s.out.Send(x.id.peer, x.response)
+	s.out.Send(exchange.id.peer, exchange.response)
 }
 
 // newMessageID returns the next message ID, never 0.
@@ -49,11 +52,11 @@
 	return s.lastMessageID
 }
 
-func (x *exchange) responseType() message.Type {
+func (exchange *requestExchange) responseType() message.Type {
 	switch {
-	case !x.confirmable:
+	case !exchange.confirmable:
 		return message.NonConfirmable
-	case x.acknowledged:
+	case exchange.acknowledged:
 		return message.Confirmable
 	}
 	return message.Acknowledgement
@@ -62,40 +65,41 @@
 // scheduleRetransmission sends a separate response again after a timeout in
 // milliseconds, which doubles, until it is acknowledged or maxRetransmit is
 // reached (RFC 7252, 4.2).
-func (s *Server) scheduleRetransmission(now float64, x *exchange, timeout float64) {
-	x.timer = s.timers.At(now+timeout, func(now float64) {
-		x.retransmissions++
-		if x.retransmissions > maxRetransmit {
-			s.endRetransmission(x)
+func (s *Server) scheduleRetransmission(now float64, exchange *requestExchange, timeout float64) {
+	exchange.timer = s.timers.At(now+timeout, func(now float64) {
+		exchange.retransmissions++
+		if exchange.retransmissions > maxRetransmit {
+			s.endRetransmission(exchange)
 			return
 		}
-		s.out.Send(x.id.peer, x.response)
-		s.scheduleRetransmission(now, x, 2*timeout)
+		s.out.Send(exchange.id.peer, exchange.response)
+		s.scheduleRetransmission(now, exchange, 2*timeout)
 	})
 }
 
-func (s *Server) endRetransmission(x *exchange) {
-	s.timers.Cancel(x.timer)
-	delete(s.unacknowledged, exchangeID{peer: x.id.peer, messageID: x.separateID})
+func (s *Server) endRetransmission(exchange *requestExchange) {
+	s.timers.Cancel(exchange.timer)
+	delete(s.unacknowledged, exchangeID{peer: exchange.id.peer, messageID: exchange.separateID})
 }
 
 // encodeResponse encodes a response. Each has a new Echo value for the client's
 // next request.
 func (s *Server) encodeResponse(
-	now float64, x *exchange, code codes.Code, payload []byte, maxAge float64,
+	now float64, exchange *requestExchange, code codes.Code, payload []byte, maxAge float64,
 	kind message.Type, messageID uint16,
 ) []byte {
-	m := message.Message{
-		Token:     x.clientToken,
+	response := message.Message{
+		Token:     exchange.clientToken,
 		Code:      code,
 		Type:      kind,
 		MessageID: int32(messageID),
 		Payload:   payload,
-		Options:   s.responseOptions(x, code, len(payload) > 0, maxAge),
+		Options:   s.responseOptions(exchange, code, len(payload) > 0, maxAge),
 	}
-	m.Options = append(m.Options, message.Option{ID: message.Echo, Value: s.newEcho(now, x.id.peer)})
-	b := make([]byte, responseOverhead+len(payload)+len(x.clientToken))
-	n, err := coder.DefaultCoder.Encode(m, b)
+	echo := message.Option{ID: message.Echo, Value: s.newEcho(now, exchange.id.peer)}
+	response.Options = append(response.Options, echo)
+	b := make([]byte, responseOverhead+len(payload)+len(exchange.clientToken))
+	n, err := coder.DefaultCoder.Encode(response, b)
 	if err != nil {
 		panic(fmt.Sprintf("coap: a response cannot be written: %v", err)) // its parts are this program's own
 	}
@@ -105,7 +109,7 @@
 // responseOptions returns the options that precede Echo, in the order of their
 // numbers.
 func (s *Server) responseOptions(
-	x *exchange, code codes.Code, hasPayload bool, maxAge float64,
+	exchange *requestExchange, code codes.Code, hasPayload bool, maxAge float64,
 ) (options message.Options) {
 	isReply := code>>codeClassShift == successClass && code != codes.Content
 	if hasPayload && isReply {
@@ -114,8 +118,8 @@
 	if maxAge > 0 {
 		options = append(options, uintOption(message.MaxAge, uint64(math.Ceil(maxAge/1000))))
 	}
-	if x.block1 != noBlock {
-		options = append(options, uintOption(message.Block1, uint64(x.block1)))
+	if exchange.block1 != noBlock {
+		options = append(options, uintOption(message.Block1, uint64(exchange.block1)))
 	}
 	if code == codes.RequestEntityTooLarge {
 		options = append(options, uintOption(message.Size1, uint64(s.limits.MessageBytes)))
--- a/internal/edge/connection.go
+++ b/internal/edge/connection.go
@@ -40,7 +40,7 @@
 }
 
 // admit registers a new connection; nil if the edge is draining or at a limit.
-func (e *Edge) admit(tcp *net.TCPConn, proto protocol) (c *connection) {
+func (e *Edge) admit(tcp *net.TCPConn, proto protocol) (conn *connection) {
 	var peer netip.Addr
 	if address, ok := tcp.RemoteAddr().(*net.TCPAddr); ok {
 		peer = address.AddrPort().Addr()
@@ -50,98 +50,98 @@
 			return
 		}
 		e.openConnections++
-		c = &connection{
+		conn = &connection{
 			edge:        e,
 			protocol:    proto,
 			socket:      netio.NewConn(tcp),
 			peer:        peer,
 			keepReading: make(chan bool, 1),
 		}
-		c.handle = e.connections.Add(c)
+		conn.handle = e.connections.Add(conn)
 		now := e.loop.Now()
-		c.closeTimer = e.loop.At(now+e.options.FirstMessageMs, c.socket.Close)
+		conn.closeTimer = e.loop.At(now+e.options.FirstMessageMs, conn.socket.Close)
 		if proto == protocolMQTT {
-			e.mqtt.Open(now, c.handle.ID())
+			e.mqtt.Open(now, conn.handle.ID())
 		} else {
-			e.frames.Open(now, c.handle.ID())
+			e.frames.Open(now, conn.handle.ID())
 		}
 	})
-	return c
+	return conn
 }
 
 // closeStalled closes a connection whose message makes too little progress, or
 // was displaced by others.
 func (e *Edge) closeStalled(id uint64) {
-	if c := e.connections.Get(slotmap.FromID(id)); c != nil {
-		e.log.Debug("message stalled", "peer", c.peer)
-		c.socket.Close()
+	if conn := e.connections.Get(slotmap.FromID(id)); conn != nil {
+		e.log.Debug("message stalled", "peer", conn.peer)
+		conn.socket.Close()
 	}
 }
 
 // send writes to a device. A connection whose device does not read its answers
 // is closed. It runs inside Do.
 func (e *Edge) send(id uint64, b []byte) {
-	c := e.connections.Get(slotmap.FromID(id))
-	if c == nil || c.closing {
+	conn := e.connections.Get(slotmap.FromID(id))
+	if conn == nil || conn.closing {
 		return
 	}
-	c.unreadBytes += len(b)
-	if c.unreadBytes > maxUnreadBytes {
-		c.closing = true // nothing more is received or sent
-		c.socket.Close()
+	conn.unreadBytes += len(b)
+	if conn.unreadBytes > maxUnreadBytes {
+		conn.closing = true // nothing more is received or sent
+		conn.socket.Close()
 		return
 	}
-	if c.unreadTimer == nil {
-		c.armUnreadTimer()
+	if conn.unreadTimer == nil {
+		conn.armUnreadTimer()
 	}
-	c.socket.Send(b, func(error) {
-		e.loop.Do(func() { c.sent(len(b)) })
+	conn.socket.Send(b, func(error) {
+		e.loop.Do(func() { conn.sent(len(b)) })
 	})
 }
 
 // sent handles that the system has taken n bytes.
-func (c *connection) sent(n int) {
-	c.unreadBytes -= n
-	c.edge.loop.Cancel(c.unreadTimer)
-	c.unreadTimer = nil
-	if c.unreadBytes > 0 && !c.closed {
-		c.armUnreadTimer()
+func (conn *connection) sent(n int) {
+	conn.unreadBytes -= n
+	conn.edge.loop.Cancel(conn.unreadTimer)
+	conn.unreadTimer = nil
+	if conn.unreadBytes > 0 && !conn.closed {
+		conn.armUnreadTimer()
 	}
 }
 
-func (c *connection) armUnreadTimer() {
-	loop := c.edge.loop
-	c.unreadTimer = loop.At(loop.Now()+unreadTimeoutMs, c.socket.Close)
+func (conn *connection) armUnreadTimer() {
+	loop := conn.edge.loop
+	conn.unreadTimer = loop.At(loop.Now()+unreadTimeoutMs, conn.socket.Close)
 }
 
 // closeAfterSending closes a connection once its last message is sent. It runs
 // inside Do.
 func (e *Edge) closeAfterSending(id uint64) {
-	c := e.connections.Get(slotmap.FromID(id))
-	if c == nil || c.closing {
+	conn := e.connections.Get(slotmap.FromID(id))
+	if conn == nil || conn.closing {
 		return
 	}
-	c.closing = true
-	c.socket.Finish()
-	e.loop.Cancel(c.closeTimer)
-	c.closeTimer = e.loop.At(e.loop.Now()+closeTimeoutMs, c.socket.Close)
+	conn.closing = true
+	conn.socket.Finish()
+	e.loop.Cancel(conn.closeTimer)
+	conn.closeTimer = e.loop.At(e.loop.Now()+closeTimeoutMs, conn.socket.Close)
 }
 
 // end closes the socket and unregisters the connection.
-func (c *connection) end() {
-	c.socket.Close()
-	e := c.edge
+func (conn *connection) end() {
+	conn.socket.Close()
+	e := conn.edge
 	e.loop.Do(func() {
-		c.closed = true
-		c.unfinished = nil
-		e.loop.Cancel(c.closeTimer)
-		e.loop.Cancel(c.unreadTimer)
-		id := c.handle.ID()
+		conn.closed = true
+		conn.unfinished = nil
+		e.loop.Cancel(conn.closeTimer)
+		e.loop.Cancel(conn.unreadTimer)
+		id := conn.handle.ID()
 		e.unfinished.End(id)
-		e.connections.Remove(c.handle)
+		e.connections.Remove(conn.handle)
 		e.openConnections--
 		e.budget.GiveClient()
-		if c.protocol == protocolMQTT {
+		if conn.protocol == protocolMQTT {
 			e.mqtt.Closed(e.loop.Now(), id)
 		} else {
 			e.frames.Closed(id)
--- a/internal/edge/connection_test.go
+++ b/internal/edge/connection_test.go
@@ -96,7 +96,7 @@
 	}()
 	most := 0
 	test.waitFor("its end", func() bool {
-		test.edge.connections.Each(func(_ slotmap.Handle, c *connection) { most = max(most, c.unreadBytes) })
+		test.edge.connections.Each(func(_ slotmap.Handle, conn *connection) { most = max(most, conn.unreadBytes) })
 		return test.edge.openConnections == 0
 	})
 	if <-ended; most > maxUnreadBytes+1024 {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -45,7 +45,7 @@
 	requests Requests
 	codec    *batch.Codec
 
-	routes       []route
+	routes       []boundRoute
 	routeByMatch map[string]int // index in routes
 
 	intake     *intake.Intake
@@ -62,8 +62,8 @@
 	connections     slotmap.Table[connection]
 	openConnections int
 
-	messages      slotmap.Table[message]
-	statements    slotmap.Table[statement]
+	messages      slotmap.Table[pendingMessage]
+	statements    slotmap.Table[pendingStatement]
 	readsInFlight int
 	bootID        uint64 // distinguishes this process's statements from another's
 	lastSerial    uint64 // of statements
@@ -246,7 +246,7 @@
 // Do.
 func (e *Edge) HasPending() bool {
 	pending := e.readsInFlight > 0
-	e.messages.Each(func(slotmap.Handle, *message) { pending = true })
+	e.messages.Each(func(slotmap.Handle, *pendingMessage) { pending = true })
 	return pending
 }
 
--- a/internal/edge/frames/frames.go
+++ b/internal/edge/frames/frames.go
@@ -94,9 +94,9 @@
 
 // Closed unregisters a connection that has ended.
 func (s *Server) Closed(id uint64) {
-	if c := s.connections[id]; c != nil {
+	if conn := s.connections[id]; conn != nil {
 		delete(s.connections, id)
-		s.timers.Cancel(c.idleTimer)
+		s.timers.Cancel(conn.idleTimer)
 	}
 }
 
@@ -104,46 +104,46 @@
 // answers.
 func (s *Server) Drain() {
 	s.draining = true
-	for _, c := range s.connections {
-		s.disconnectIfDrained(c)
+	for _, conn := range s.connections {
+		s.disconnectIfDrained(conn)
 	}
 }
 
 // Packet handles one whole frame with its header, which may be reused after the
 // call.
 func (s *Server) Packet(now float64, id uint64, b []byte) {
-	c := s.connections[id]
-	if c == nil || len(b) <= HeaderLen {
+	conn := s.connections[id]
+	if conn == nil || len(b) <= HeaderLen {
 		return
 	}
-	c.lastFrameAt = now
-	if err := s.handle(now, c, b[HeaderLen:]); err != nil {
-		s.disconnect(c, err.Error())
+	conn.lastFrameAt = now
+	if err := s.handle(now, conn, b[HeaderLen:]); err != nil {
+		s.disconnect(conn, err.Error())
 	}
 }
 
-func (s *Server) disconnect(c *connection, reason string) {
-	s.send(c, Bye{Kind: KindBye, Reason: reason})
-	s.out.Close(c.id)
+func (s *Server) disconnect(conn *connection, reason string) {
+	s.send(conn, Bye{Kind: KindBye, Reason: reason})
+	s.out.Close(conn.id)
 }
 
-func (s *Server) disconnectIfDrained(c *connection) {
-	if s.draining && len(c.unanswered) == 0 {
-		s.disconnect(c, reasonDraining)
+func (s *Server) disconnectIfDrained(conn *connection) {
+	if s.draining && len(conn.unanswered) == 0 {
+		s.disconnect(conn, reasonDraining)
 	}
 }
 
-func (s *Server) send(c *connection, frame any) { s.out.Send(c.id, Append(nil, s.codec, frame)) }
+func (s *Server) send(conn *connection, frame any) { s.out.Send(conn.id, Append(nil, s.codec, frame)) }
 
 // armIdle disconnects a gateway after the idle time without a frame. The timer
 // checks when the last frame came, so that a frame need not reset it.
-func (s *Server) armIdle(now float64, c *connection) {
-	c.idleTimer = s.timers.At(max(c.lastFrameAt+s.limits.IdleMs, now), func(now float64) {
-		if now < c.lastFrameAt+s.limits.IdleMs {
-			s.armIdle(now, c)
+func (s *Server) armIdle(now float64, conn *connection) {
+	conn.idleTimer = s.timers.At(max(conn.lastFrameAt+s.limits.IdleMs, now), func(now float64) {
+		if now < conn.lastFrameAt+s.limits.IdleMs {
+			s.armIdle(now, conn)
 			return
 		}
-		s.disconnect(c, reasonIdle)
+		s.disconnect(conn, reasonIdle)
 	})
 }
 
@@ -155,32 +155,32 @@
 		return nil, 0
 	}
 	delete(s.pending, token)
-	c := frame.connection
-	delete(c.unanswered, frame.id)
-	if s.connections[c.id] != c {
+	conn := frame.connection
+	delete(conn.unanswered, frame.id)
+	if s.connections[conn.id] != conn {
 		return nil, 0
 	}
-	return c, frame.id
+	return conn, frame.id
 }
 
 // Answer ends a batch that was delivered.
 func (s *Server) Answer(now float64, token uint64, results []batch.Result) {
-	c, id := s.takePending(token)
-	if c == nil {
+	conn, id := s.takePending(token)
+	if conn == nil {
 		return
 	}
-	s.send(c, Answer{Kind: KindAnswer, ID: id, Mark: now, Ranges: ranges(results)})
-	s.disconnectIfDrained(c)
+	s.send(conn, Answer{Kind: KindAnswer, ID: id, Mark: now, Ranges: ranges(results)})
+	s.disconnectIfDrained(conn)
 }
 
 // Value ends a read. wait is in milliseconds.
 func (s *Server) Value(token uint64, status intake.Status, wait float64, value []byte) {
-	c, id := s.takePending(token)
-	if c == nil {
+	conn, id := s.takePending(token)
+	if conn == nil {
 		return
 	}
-	s.send(c, Value{Kind: KindValue, ID: id, Status: uint8(status), Wait: uint32(wait), Value: value})
-	s.disconnectIfDrained(c)
+	s.send(conn, Value{Kind: KindValue, ID: id, Status: uint8(status), Wait: uint32(wait), Value: value})
+	s.disconnectIfDrained(conn)
 }
 
 // ranges joins adjacent results with one answer.
--- a/internal/edge/frames/handle.go
+++ b/internal/edge/frames/handle.go
@@ -17,27 +17,27 @@
 
 // handle handles one frame's body. An error ends the connection and goes to the
 // gateway.
-func (s *Server) handle(now float64, c *connection, body []byte) error {
+func (s *Server) handle(now float64, conn *connection, body []byte) error {
 	kind, err := s.kindOf(body)
 	if err != nil {
 		return err
 	}
-	welcomed := c.welcomedAt != 0
+	welcomed := conn.welcomedAt != 0
 	if welcomed == (kind == KindHello) {
 		return fmt.Errorf("a frame of kind %d out of order", kind)
 	}
 	switch kind {
 	case KindHello:
-		return s.handleHello(now, c, body)
+		return s.handleHello(now, conn, body)
 	case KindPing:
-		s.send(c, Signal{Kind: KindPong})
+		s.send(conn, Signal{Kind: KindPong})
 		return nil
 	case KindReadings:
-		return s.handleReadings(now, c, body)
+		return s.handleReadings(now, conn, body)
 	case KindQuery:
-		return s.handleQuery(c, body)
+		return s.handleQuery(conn, body)
 	case KindRead:
-		return s.handleRead(c, body)
+		return s.handleRead(conn, body)
 	}
 	return fmt.Errorf("a frame of unknown kind %d", kind)
 }
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func (s *Server) handleHello(now float64, c *connection, body []byte) error {
+func (s *Server) handleHello(now float64, conn *connection, body []byte) error {
 	var hello Hello
 	if err := s.decode(body, KindHello, &hello); err != nil {
 		return err
@@ -70,13 +70,13 @@
 	if hello.Version != Version {
 		return fmt.Errorf("version %d is not spoken, %d is", hello.Version, Version)
 	}
-	c.welcomedAt = now
-	s.send(c, Welcome{Kind: KindWelcome, Mark: now, Window: uint32(s.limits.Window)})
-	s.armIdle(now, c)
+	conn.welcomedAt = now
+	s.send(conn, Welcome{Kind: KindWelcome, Mark: now, Window: uint32(s.limits.Window)})
+	s.armIdle(now, conn)
 	return nil
 }
 
-func (s *Server) handleReadings(now float64, c *connection, body []byte) error {
+func (s *Server) handleReadings(now float64, conn *connection, body []byte) error {
 	var readings Readings
 	if err := s.decode(body, KindReadings, &readings); err != nil {
 		return err
@@ -85,10 +85,10 @@
 		return err
 	}
 	mark := readings.Mark
-	if math.IsNaN(mark) || mark != 0 && mark < c.welcomedAt || mark > now {
+	if math.IsNaN(mark) || mark != 0 && mark < conn.welcomedAt || mark > now {
 		return fmt.Errorf("mark %v was not given on this connection", mark)
 	}
-	token, err := s.awaitAnswer(c, readings.ID)
+	token, err := s.awaitAnswer(conn, readings.ID)
 	if err != nil {
 		return err
 	}
@@ -99,46 +99,46 @@
 			notBefore = intake.SentAfter(mark, *readings.Batch.Elapsed)
 		}
 	}
-	s.out.Deliver(token, c.id, readings.Route, &readings.Batch, notBefore)
+	s.out.Deliver(token, conn.id, readings.Route, &readings.Batch, notBefore)
 	return nil
 }
 
-func (s *Server) handleQuery(c *connection, body []byte) error {
+func (s *Server) handleQuery(conn *connection, body []byte) error {
 	var query Query
 	if err := s.decode(body, KindQuery, &query); err != nil {
 		return err
 	}
 	known := knownRanges(s.out.Known(query.Device, query.Epoch))
-	s.send(c, Known{Kind: KindKnown, ID: query.ID, Ranges: known})
+	s.send(conn, Known{Kind: KindKnown, ID: query.ID, Ranges: known})
 	return nil
 }
 
-func (s *Server) handleRead(c *connection, body []byte) error {
+func (s *Server) handleRead(conn *connection, body []byte) error {
 	var read Read
 	if err := s.decode(body, KindRead, &read); err != nil {
 		return err
 	}
-	token, err := s.awaitAnswer(c, read.ID)
+	token, err := s.awaitAnswer(conn, read.ID)
 	if err != nil {
 		return err
 	}
-	s.out.Read(token, c.id, read.Route, read.Arg)
+	s.out.Read(token, conn.id, read.Route, read.Arg)
 	return nil
 }
 
 // awaitAnswer returns a token for a frame that waits for its answer.
-func (s *Server) awaitAnswer(c *connection, id uint32) (token uint64, err error) {
+func (s *Server) awaitAnswer(conn *connection, id uint32) (token uint64, err error) {
 	switch {
-	case c.unanswered[id]:
+	case conn.unanswered[id]:
 		return 0, fmt.Errorf("frame %d waits for its answer already", id)
-	case len(c.unanswered) >= s.limits.Window:
+	case len(conn.unanswered) >= s.limits.Window:
 		return 0, fmt.Errorf("more than %d frames without their answer", s.limits.Window)
 	}
-	if c.unanswered == nil {
-		c.unanswered = map[uint32]bool{}
+	if conn.unanswered == nil {
+		conn.unanswered = map[uint32]bool{}
 	}
-	c.unanswered[id] = true
+	conn.unanswered[id] = true
 	s.lastToken++
-	s.pending[s.lastToken] = pendingFrame{connection: c, id: id}
+	s.pending[s.lastToken] = pendingFrame{connection: conn, id: id}
 	return s.lastToken, nil
 }
--- a/internal/edge/input.go
+++ b/internal/edge/input.go
@@ -47,17 +47,17 @@
 // has no buffer while it waits, and passes input to the one goroutine of
 // takeInput: the protocols need deep stacks, which ten thousand goroutines
 // would keep.
-func (c *connection) read(tcp *net.TCPConn) {
-	defer c.end()
+func (conn *connection) read(tcp *net.TCPConn) {
+	defer conn.end()
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return
 	}
-	e := c.edge
+	e := conn.edge
 	for {
 		var received input
 		err := raw.Read(func(descriptor uintptr) (done bool) {
-			received = input{from: c, buffer: e.borrowBuffer()}
+			received = input{from: conn, buffer: e.borrowBuffer()}
 			received.length, done = readAvailable(int(descriptor), *received.buffer)
 			if !done || received.length <= 0 {
 				e.returnBuffer(received.buffer)
@@ -68,7 +68,7 @@
 			return
 		}
 		e.incoming <- received
-		if !<-c.keepReading {
+		if !<-conn.keepReading {
 			return
 		}
 	}
@@ -103,27 +103,27 @@
 
 // receive handles the whole messages of an input and keeps the beginning of an
 // unfinished one. It returns false after a violation of the protocol.
-func (c *connection) receive(fresh []byte) (keepReading bool) {
+func (conn *connection) receive(fresh []byte) (keepReading bool) {
 	data := fresh
-	if len(c.unfinished) > 0 {
-		c.unfinished = append(c.unfinished, fresh...)
-		data = c.unfinished
+	if len(conn.unfinished) > 0 {
+		conn.unfinished = append(conn.unfinished, fresh...)
+		data = conn.unfinished
 	}
 	keepReading = true
-	e := c.edge
+	e := conn.edge
 	e.loop.Do(func() {
-		if c.closing { // it reads on only until its last message is sent
-			c.unfinished = nil
+		if conn.closing { // it reads on only until its last message is sent
+			conn.unfinished = nil
 			return
 		}
 		now := e.loop.Now()
-		rest, err := c.handleMessages(now, data)
+		rest, err := conn.handleMessages(now, data)
 		keepReading = err == nil
-		if err != nil || c.closing || len(rest) == 0 {
-			e.unfinished.End(c.handle.ID())
-			c.unfinished = nil
+		if err != nil || conn.closing || len(rest) == 0 {
+			e.unfinished.End(conn.handle.ID())
+			conn.unfinished = nil
 		} else {
-			c.keepUnfinished(now, rest, len(data), len(fresh))
+			conn.keepUnfinished(now, rest, len(data), len(fresh))
 		}
 		e.loop.Post(e.arm)
 	})
@@ -131,11 +131,11 @@
 }
 
 // handleMessages passes whole messages to the protocol and returns the rest.
-func (c *connection) handleMessages(now float64, data []byte) (rest []byte, err error) {
-	e := c.edge
-	id := c.handle.ID()
-	for len(data) > 0 && !c.closing {
-		length, err := c.messageLength(data)
+func (conn *connection) handleMessages(now float64, data []byte) (rest []byte, err error) {
+	e := conn.edge
+	id := conn.handle.ID()
+	for len(data) > 0 && !conn.closing {
+		length, err := conn.messageLength(data)
 		if err != nil {
 			return nil, err
 		}
@@ -143,9 +143,9 @@
 			break
 		}
 		e.unfinished.End(id)
-		e.loop.Cancel(c.closeTimer)
-		c.receivedMessage = true
-		if c.protocol == protocolMQTT {
+		e.loop.Cancel(conn.closeTimer)
+		conn.receivedMessage = true
+		if conn.protocol == protocolMQTT {
 			e.mqtt.Packet(now, id, data[:length])
 		} else {
 			e.frames.Packet(now, id, data[:length])
@@ -157,30 +157,30 @@
 
 // keepUnfinished keeps the beginning of a message and accounts for its new
 // bytes: all fresh ones if the message began earlier, else all of the rest.
-func (c *connection) keepUnfinished(now float64, rest []byte, dataBytes, freshBytes int) {
-	e := c.edge
+func (conn *connection) keepUnfinished(now float64, rest []byte, dataBytes, freshBytes int) {
+	e := conn.edge
 	newBytes := freshBytes
-	beginsHere := len(rest) < dataBytes || len(c.unfinished) == 0
+	beginsHere := len(rest) < dataBytes || len(conn.unfinished) == 0
 	if beginsHere {
 		newBytes = len(rest)
-		c.unfinished = append([]byte(nil), rest...)
+		conn.unfinished = append([]byte(nil), rest...)
 	}
-	for _, displaced := range e.unfinished.Grow(now, c.handle.ID(), newBytes) {
+	for _, displaced := range e.unfinished.Grow(now, conn.handle.ID(), newBytes) {
 		e.closeStalled(displaced)
 	}
 }
 
 // messageLength returns the length of the message at the beginning of b, 0 if
 // that is not known yet.
-func (c *connection) messageLength(b []byte) (int, error) {
-	limit := c.edge.options.MaxMessageBytes
-	if c.protocol == protocolMQTT {
-		if !c.receivedMessage && !mqtt.MayBegin(b[0]) {
+func (conn *connection) messageLength(b []byte) (int, error) {
+	limit := conn.edge.options.MaxMessageBytes
+	if conn.protocol == protocolMQTT {
+		if !conn.receivedMessage && !mqtt.MayBegin(b[0]) {
 			return 0, errUnknownProtocol
 		}
 		return mqtt.PacketLength(b, limit)
 	}
-	if !c.receivedMessage {
+	if !conn.receivedMessage {
 		limit = min(limit, frames.MaxHello)
 	}
 	return frames.FrameLength(b, limit)
--- a/internal/edge/intake/admission.go
+++ b/internal/edge/intake/admission.go
@@ -1,14 +1,15 @@
 package intake
 
-// admit decides whether there is capacity for e. Each device and each network
-// has its limit. At the limits of the whole, a device with fewer readings than
-// another displaces the other's newest routine one.
-func (in *Intake) admit(now float64, e *entry) bool {
-	if len(e.device.inProgress) >= in.cfg.MaxPerDevice || in.networks[e.network] >= in.cfg.MaxPerNetwork {
+// admit decides whether there is capacity for a reading. Each device and each
+// network has its limit. At the limits of the whole, a device with fewer
+// readings than another displaces the other's newest routine one.
+func (in *Intake) admit(now float64, reading *trackedReading) bool {
+	atDeviceLimit := len(reading.device.inProgress) >= in.cfg.MaxPerDevice
+	if atDeviceLimit || in.networks[reading.network] >= in.cfg.MaxPerNetwork {
 		return false
 	}
-	for in.inProgress >= in.cfg.MaxReadings || in.bytes+e.cost() > in.cfg.MaxBytes {
-		victim := in.victim(e)
+	for in.inProgress >= in.cfg.MaxReadings || in.bytes+reading.cost() > in.cfg.MaxBytes {
+		victim := in.victim(reading)
 		if victim == nil {
 			return false
 		}
@@ -18,20 +19,20 @@
 	return true
 }
 
-// victim returns the reading that is evicted for e, nil if none is. It was
+// victim returns the reading that is evicted for another, nil if none is. It was
 // never submitted and is not stored, so that rejecting it is harmless. An urgent
 // reading displaces a routine one of any device; a routine one only that of a
 // device which has more than its own would.
-func (in *Intake) victim(e *entry) *entry {
+func (in *Intake) victim(reading *trackedReading) *trackedReading {
 	if len(in.evictable) == 0 {
 		return nil
 	}
-	d := in.evictable[0]
-	if !e.Urgent && d.evictable <= e.device.evictable+1 {
+	device := in.evictable[0]
+	if !reading.Urgent && device.evictable <= reading.device.evictable+1 {
 		return nil
 	}
-	var newest *entry
-	for _, queue := range d.queues {
+	var newest *trackedReading
+	for _, queue := range device.queues {
 		if len(queue.routine) == 0 {
 			continue
 		}
@@ -43,54 +44,54 @@
 	return newest
 }
 
-// register adds e to the readings in progress.
-func (in *Intake) register(now float64, e *entry) {
-	d := e.device
-	in.markBusy(d)
-	if d.inProgress == nil {
-		d.inProgress = map[localID]*entry{}
+// register adds a reading to those in progress.
+func (in *Intake) register(now float64, reading *trackedReading) {
+	device := reading.device
+	in.markBusy(device)
+	if device.inProgress == nil {
+		device.inProgress = map[localID]*trackedReading{}
 	}
-	d.inProgress[e.ID.local()] = e
+	device.inProgress[reading.ID.local()] = reading
 	in.inProgress++
-	in.bytes += e.cost()
-	if e.network.IsValid() {
-		in.networks[e.network]++
+	in.bytes += reading.cost()
+	if reading.network.IsValid() {
+		in.networks[reading.network]++
 	}
-	e.group = in.group(in.routes[e.Route].group(e.Device))
-	if !e.stored {
-		in.armAnswerTimer(now, e)
+	reading.group = in.group(in.routes[reading.Route].group(reading.Device))
+	if !reading.stored {
+		in.armAnswerTimer(now, reading)
 	}
 }
 
-// remove takes e off the readings in progress.
-func (in *Intake) remove(e *entry) {
-	d := e.device
-	e.removed = true
-	delete(d.inProgress, e.ID.local())
+// remove takes a reading off those in progress.
+func (in *Intake) remove(reading *trackedReading) {
+	device := reading.device
+	reading.removed = true
+	delete(device.inProgress, reading.ID.local())
 	in.inProgress--
-	in.bytes -= e.cost()
-	if e.network.IsValid() {
-		in.networks[e.network]--
-		if in.networks[e.network] <= 0 {
-			delete(in.networks, e.network)
+	in.bytes -= reading.cost()
+	if reading.network.IsValid() {
+		in.networks[reading.network]--
+		if in.networks[reading.network] <= 0 {
+			delete(in.networks, reading.network)
 		}
 	}
-	in.timers.Cancel(e.retryTimer)
-	in.timers.Cancel(e.answerTimer)
-	e.retryTimer = nil
-	e.answerTimer = nil
-	in.markIdle(d)
+	in.timers.Cancel(reading.retryTimer)
+	in.timers.Cancel(reading.answerTimer)
+	reading.retryTimer = nil
+	reading.answerTimer = nil
+	in.markIdle(device)
 }
 
 // evict rejects a queued reading that was never submitted.
-func (in *Intake) evict(now float64, e *entry) {
-	e.queue.remove(e)
-	in.countEvictable(e.device, -1)
-	for _, waiter := range e.waiters {
+func (in *Intake) evict(now float64, reading *trackedReading) {
+	reading.queue.remove(reading)
+	in.countEvictable(reading.device, -1)
+	for _, waiter := range reading.waiters {
 		in.reject(now, waiter)
 	}
-	e.waiters = nil
-	in.remove(e)
+	reading.waiters = nil
+	in.remove(reading)
 }
 
 // reject answers a copy that was not submitted.
--- a/internal/edge/intake/device.go
+++ b/internal/edge/intake/device.go
@@ -13,7 +13,7 @@
 }
 
 // device is what is remembered of one device.
-type device struct {
+type trackedDevice struct {
 	name  string
 	epoch uint64 // the highest seen
 	// confirmed is set once a reading of this epoch was recorded or found
@@ -22,7 +22,7 @@
 	conflicted  bool
 	trustedFrom uint64 // the first sequence number of the epoch above all forgotten ones
 
-	inProgress  map[localID]*entry
+	inProgress  map[localID]*trackedReading
 	recent      []recordedReading // a ring
 	recentNext  int               // the place in it that is overwritten next
 	queues      []*deviceQueue    // one for each replica group that it has readings for
@@ -32,8 +32,8 @@
 }
 
 // recall returns the digest of the recorded value, if the reading is remembered.
-func (d *device) recall(id localID) (digest uint64, ok bool) {
-	for _, recorded := range d.recent {
+func (device *trackedDevice) recall(id localID) (digest uint64, ok bool) {
+	for _, recorded := range device.recent {
 		if recorded.epoch == id.epoch && recorded.seq == id.seq {
 			return recorded.digest, true
 		}
@@ -42,29 +42,29 @@
 }
 
 // remember adds a recorded reading, in place of the oldest beyond limit.
-func (d *device) remember(id localID, sum uint64, limit int) {
+func (device *trackedDevice) remember(id localID, sum uint64, limit int) {
 	recorded := recordedReading{epoch: id.epoch, seq: id.seq, digest: sum}
-	if len(d.recent) < limit {
-		d.recent = append(d.recent, recorded)
+	if len(device.recent) < limit {
+		device.recent = append(device.recent, recorded)
 		return
 	}
-	if oldest := d.recent[d.recentNext]; oldest.epoch == d.epoch {
-		d.trustedFrom = max(d.trustedFrom, oldest.seq+1)
+	if oldest := device.recent[device.recentNext]; oldest.epoch == device.epoch {
+		device.trustedFrom = max(device.trustedFrom, oldest.seq+1)
 	}
-	d.recent[d.recentNext] = recorded
-	d.recentNext = (d.recentNext + 1) % limit
+	device.recent[device.recentNext] = recorded
+	device.recentNext = (device.recentNext + 1) % limit
 }
 
 // observeEpoch takes note of an epoch. Declarations of a new one are not
 // trusted at first.
-func (d *device) observeEpoch(epoch uint64) {
-	if epoch <= d.epoch {
+func (device *trackedDevice) observeEpoch(epoch uint64) {
+	if epoch <= device.epoch {
 		return
 	}
-	d.epoch = epoch
-	d.confirmed = false
-	d.conflicted = false
-	d.trustedFrom = 0
+	device.epoch = epoch
+	device.confirmed = false
+	device.conflicted = false
+	device.trustedFrom = 0
 }
 
 // trustsFirstCopy reports whether a device's declaration that a reading was
@@ -72,8 +72,8 @@
 // one of the same name, declares it of readings that are long recorded. It is
 // therefore not trusted for the first reading of an epoch seen here, nor at or
 // below a forgotten sequence number, nor after a conflict.
-func (d *device) trustsFirstCopy(id localID) bool {
-	return id.epoch == d.epoch && d.confirmed && !d.conflicted && id.seq >= d.trustedFrom
+func (device *trackedDevice) trustsFirstCopy(id localID) bool {
+	return id.epoch == device.epoch && device.confirmed && !device.conflicted && id.seq >= device.trustedFrom
 }
 
 // lru lists devices without readings in progress, least recently used first.
@@ -82,9 +82,9 @@
 // device returns a device by its name. An unknown one is added; at MaxDevices
 // it replaces the one idle for longest, whose next reading will be checked
 // rather than recalled. It returns nil if no device is idle.
-func (in *Intake) device(name string) *device {
-	if d := in.devices[name]; d != nil {
-		return d
+func (in *Intake) device(name string) *trackedDevice {
+	if device := in.devices[name]; device != nil {
+		return device
 	}
 	if len(in.devices) >= in.cfg.MaxDevices {
 		oldest := in.idleDevices.Front()
@@ -92,54 +92,54 @@
 			return nil
 		}
 		in.idleDevices.Remove(oldest)
-		delete(in.devices, oldest.Value.(*device).name)
+		delete(in.devices, oldest.Value.(*trackedDevice).name)
 	}
 	return in.newDevice(name)
 }
 
-func (in *Intake) newDevice(name string) *device {
-	d := &device{name: name, heapIndex: -1}
-	in.devices[name] = d
-	return d
+func (in *Intake) newDevice(name string) *trackedDevice {
+	device := &trackedDevice{name: name, heapIndex: -1}
+	in.devices[name] = device
+	return device
 }
 
 // markIdle lists a device as idle if it has no readings in progress.
-func (in *Intake) markIdle(d *device) {
-	if len(d.inProgress) > 0 || in.devices[d.name] != d {
+func (in *Intake) markIdle(device *trackedDevice) {
+	if len(device.inProgress) > 0 || in.devices[device.name] != device {
 		return
 	}
-	d.inProgress = nil
-	d.queues = nil
-	if d.idleElement == nil {
-		d.idleElement = in.idleDevices.PushBack(d)
+	device.inProgress = nil
+	device.queues = nil
+	if device.idleElement == nil {
+		device.idleElement = in.idleDevices.PushBack(device)
 	} else {
-		in.idleDevices.MoveToBack(d.idleElement)
+		in.idleDevices.MoveToBack(device.idleElement)
 	}
 }
 
 // markBusy takes a device off the idle ones.
-func (in *Intake) markBusy(d *device) {
-	if d.idleElement != nil {
-		in.idleDevices.Remove(d.idleElement)
-		d.idleElement = nil
+func (in *Intake) markBusy(device *trackedDevice) {
+	if device.idleElement != nil {
+		in.idleDevices.Remove(device.idleElement)
+		device.idleElement = nil
 	}
 }
 
 // evictionHeap orders devices by their number of evictable readings, the
 // largest first. It implements heap.Interface.
-type evictionHeap []*device
+type evictionHeap []*trackedDevice
 
 // countEvictable changes a device's number of evictable readings.
-func (in *Intake) countEvictable(d *device, change int) {
-	d.evictable += change
-	listed := d.heapIndex >= 0
+func (in *Intake) countEvictable(device *trackedDevice, change int) {
+	device.evictable += change
+	listed := device.heapIndex >= 0
 	switch {
-	case !listed && d.evictable > 0:
-		heap.Push(&in.evictable, d)
-	case listed && d.evictable == 0:
-		heap.Remove(&in.evictable, d.heapIndex)
+	case !listed && device.evictable > 0:
+		heap.Push(&in.evictable, device)
+	case listed && device.evictable == 0:
+		heap.Remove(&in.evictable, device.heapIndex)
 	case listed:
-		heap.Fix(&in.evictable, d.heapIndex)
+		heap.Fix(&in.evictable, device.heapIndex)
 	}
 }
 
@@ -159,16 +159,16 @@
 }
 
 func (h *evictionHeap) Push(x any) {
-	d := x.(*device)
-	d.heapIndex = len(*h)
-	*h = append(*h, d)
+	device := x.(*trackedDevice)
+	device.heapIndex = len(*h)
+	*h = append(*h, device)
 }
 
 func (h *evictionHeap) Pop() any {
 	last := len(*h) - 1
-	d := (*h)[last]
+	device := (*h)[last]
 	(*h)[last] = nil // for the garbage collector
 	*h = (*h)[:last]
-	d.heapIndex = -1
-	return d
+	device.heapIndex = -1
+	return device
 }
--- a/internal/edge/intake/intake.go
+++ b/internal/edge/intake/intake.go
@@ -32,15 +32,15 @@
 	routes      []Route
 	actions     Actions
 	rand        *rand.Rand
-	devices     map[string]*device
+	devices     map[string]*trackedDevice
 	idleDevices lru          // devices without readings in progress, least recently used first
 	evictable   evictionHeap // devices with readings that may be evicted
 	networks    map[netip.Prefix]int
-	groups      map[int]*group
+	groups      map[int]*replicaGroup
 	timers      timers.Heap
 
-	submissions    map[uint64]*entry // in flight, by number
-	lastSubmission uint64            // the number given last
+	submissions    map[uint64]*trackedReading // in flight, by number
+	lastSubmission uint64                     // the number given last
 
 	inProgress  int     // readings
 	bytes       int     // of the readings in progress, with overhead
@@ -60,10 +60,10 @@
 		routes:      routes,
 		actions:     actions,
 		rand:        rand.New(rand.NewPCG(seed, seedStream)),
-		devices:     map[string]*device{},
+		devices:     map[string]*trackedDevice{},
 		networks:    map[netip.Prefix]int{},
-		groups:      map[int]*group{},
-		submissions: map[uint64]*entry{},
+		groups:      map[int]*replicaGroup{},
+		submissions: map[uint64]*trackedReading{},
 	}, nil
 }
 
@@ -105,43 +105,43 @@
 		in.answer(from, Answer{Status: Invalid})
 		return
 	}
-	d := in.device(r.Device)
-	if d == nil { // every remembered device has readings in progress
+	device := in.device(r.Device)
+	if device == nil { // every remembered device has readings in progress
 		in.reject(now, from)
 		return
 	}
 	sum := digest(r.Value)
-	if e := d.inProgress[r.local()]; e != nil {
-		in.coalesce(now, e, sum, from)
+	if reading := device.inProgress[r.local()]; reading != nil {
+		in.coalesce(now, reading, sum, from)
 		return
 	}
-	if recorded, ok := d.recall(r.local()); ok {
+	if recorded, ok := device.recall(r.local()); ok {
 		in.answerDuplicate(sum == recorded, from)
-		in.markIdle(d)
+		in.markIdle(device)
 		return
 	}
-	e := &entry{Reading: r, digest: sum, device: d, network: network, arrivedAt: now}
-	if r.Epoch < d.epoch {
+	reading := &trackedReading{Reading: r, digest: sum, device: device, network: network, arrivedAt: now}
+	if r.Epoch < device.epoch {
 		in.stats.PastEpoch++
 	}
-	d.observeEpoch(r.Epoch)
-	if in.writesWithoutCheck(e, declared) {
-		e.safeUntil = min(declared.NotBefore, now) + in.routes[r.Route].IdempotencyWindow
+	device.observeEpoch(r.Epoch)
+	if in.writesWithoutCheck(reading, declared) {
+		reading.safeUntil = min(declared.NotBefore, now) + in.routes[r.Route].IdempotencyWindow
 	}
-	if !in.admit(now, e) {
-		in.markIdle(d)
+	if !in.admit(now, reading) {
+		in.markIdle(device)
 		in.reject(now, from)
 		return
 	}
-	e.waiters = []Origin{from}
-	in.register(now, e)
+	reading.waiters = []Origin{from}
+	in.register(now, reading)
 	if in.cfg.Durable {
-		e.phase = storing
-		in.actions.Persist(&e.Reading)
+		reading.phase = storing
+		in.actions.Persist(&reading.Reading)
 		return
 	}
-	in.enqueue(e)
-	in.dispatch(now, e.group)
+	in.enqueue(reading)
+	in.dispatch(now, reading.group)
 }
 
 // answerDuplicate answers a copy of a reading that is known to be recorded.
@@ -156,35 +156,41 @@
 
 // writesWithoutCheck reports whether a new reading may be written without a
 // check, because its device declares that this is the first copy.
-func (in *Intake) writesWithoutCheck(e *entry, declared DeclaredHistory) bool {
+func (in *Intake) writesWithoutCheck(reading *trackedReading, declared DeclaredHistory) bool {
 	return in.cfg.TrustFirstCopies && declared.FirstCopy && declared.NotBefore > 0 &&
-		e.device.trustsFirstCopy(e.local())
+		reading.device.trustsFirstCopy(reading.local())
 }
 
 // Recover takes a reading that the store contained at the start. Whether it was
 // submitted before is not known, so it is checked first.
 func (in *Intake) Recover(now float64, r Reading) {
-	d := in.device(r.Device)
-	if d == nil {
+	device := in.device(r.Device)
+	if device == nil {
 		// A stored reading was acknowledged: MaxDevices bounds only new ones.
-		d = in.newDevice(r.Device)
+		device = in.newDevice(r.Device)
 	}
-	d.observeEpoch(r.Epoch)
-	e := &entry{Reading: r, digest: digest(r.Value), device: d, arrivedAt: now, stored: true}
-	in.register(now, e)
-	in.enqueue(e)
-	in.dispatch(now, e.group)
+	device.observeEpoch(r.Epoch)
+	reading := &trackedReading{
+		Reading:   r,
+		digest:    digest(r.Value),
+		device:    device,
+		arrivedAt: now,
+		stored:    true,
+	}
+	in.register(now, reading)
+	in.enqueue(reading)
+	in.dispatch(now, reading.group)
 }
 
-// Known returns the sequence numbers of a device's epoch that are recorded, in
-// ascending order, as far as this router remembers.
-func (in *Intake) Known(device string, epoch uint64) []uint64 {
-	d := in.devices[device]
-	if d == nil {
+// Known returns the sequence numbers of the named device's epoch that are
+// recorded, in ascending order, as far as this router remembers.
+func (in *Intake) Known(name string, epoch uint64) []uint64 {
+	device := in.devices[name]
+	if device == nil {
 		return nil
 	}
 	var sequences []uint64
-	for _, recorded := range d.recent {
+	for _, recorded := range device.recent {
 		if recorded.epoch == epoch {
 			sequences = append(sequences, recorded.seq)
 		}
--- a/internal/edge/intake/queue.go
+++ b/internal/edge/intake/queue.go
@@ -2,10 +2,10 @@
 
 // deviceQueue is one device's readings for one replica group, in their order.
 type deviceQueue struct {
-	device  *device
-	group   *group
-	urgent  []*entry
-	routine []*entry
+	device  *trackedDevice
+	group   *replicaGroup
+	urgent  []*trackedReading
+	routine []*trackedReading
 
 	inUrgent  bool // listed in group.urgent
 	inRoutine bool // listed in group.routine
@@ -13,10 +13,10 @@
 }
 
 // remove takes out an entry that was not submitted.
-func (q *deviceQueue) remove(e *entry) {
-	for _, entries := range []*[]*entry{&q.urgent, &q.routine} {
+func (queue *deviceQueue) remove(reading *trackedReading) {
+	for _, entries := range []*[]*trackedReading{&queue.urgent, &queue.routine} {
 		for i, candidate := range *entries {
-			if candidate == e {
+			if candidate == reading {
 				*entries = append((*entries)[:i:i], (*entries)[i+1:]...)
 				return
 			}
@@ -26,116 +26,116 @@
 
 // next takes out the first urgent reading, else the first routine one; nil if
 // there is none.
-func (q *deviceQueue) next() *entry {
-	entries := &q.urgent
+func (queue *deviceQueue) next() *trackedReading {
+	entries := &queue.urgent
 	if len(*entries) == 0 {
-		entries = &q.routine
+		entries = &queue.routine
 	}
 	if len(*entries) == 0 {
 		return nil
 	}
-	e := (*entries)[0]
+	reading := (*entries)[0]
 	(*entries)[0] = nil // for the garbage collector
 	*entries = (*entries)[1:]
-	return e
+	return reading
 }
 
 // queueOf returns the device's queue for a group, a new one if there is none.
-func (d *device) queueOf(g *group) *deviceQueue {
-	for _, queue := range d.queues {
-		if queue.group == g {
+func (device *trackedDevice) queueOf(group *replicaGroup) *deviceQueue {
+	for _, queue := range device.queues {
+		if queue.group == group {
 			return queue
 		}
 	}
-	queue := &deviceQueue{device: d, group: g}
-	d.queues = append(d.queues, queue)
+	queue := &deviceQueue{device: device, group: group}
+	device.queues = append(device.queues, queue)
 	return queue
 }
 
 // enqueue puts e into its device's queue.
-func (in *Intake) enqueue(e *entry) {
-	e.phase = queued
-	if e.queue == nil {
-		e.queue = e.device.queueOf(e.group)
+func (in *Intake) enqueue(reading *trackedReading) {
+	reading.phase = queued
+	if reading.queue == nil {
+		reading.queue = reading.device.queueOf(reading.group)
 	}
-	if e.Urgent && !in.cfg.Durable { // stored readings are delivered in order
-		e.queue.urgent = append(e.queue.urgent, e)
+	if reading.Urgent && !in.cfg.Durable { // stored readings are delivered in order
+		reading.queue.urgent = append(reading.queue.urgent, reading)
 	} else {
-		e.queue.routine = append(e.queue.routine, e)
+		reading.queue.routine = append(reading.queue.routine, reading)
 	}
-	if e.evictable() {
-		in.countEvictable(e.device, 1)
+	if reading.evictable() {
+		in.countEvictable(reading.device, 1)
 	}
-	in.schedule(e.queue)
+	in.schedule(reading.queue)
 }
 
 // schedule lists a queue for its turns in its group, unless it is listed.
-func (in *Intake) schedule(q *deviceQueue) {
-	if q.busy {
+func (in *Intake) schedule(queue *deviceQueue) {
+	if queue.busy {
 		return
 	}
 	// A stored urgent reading is delivered in order: it gives its queue an
 	// urgent turn only once it is the first.
-	urgentFirst := len(q.routine) > 0 && q.routine[0].Urgent
-	if !q.inUrgent && (len(q.urgent) > 0 || urgentFirst) {
-		q.inUrgent = true
-		q.group.urgent = append(q.group.urgent, q)
+	urgentFirst := len(queue.routine) > 0 && queue.routine[0].Urgent
+	if !queue.inUrgent && (len(queue.urgent) > 0 || urgentFirst) {
+		queue.inUrgent = true
+		queue.group.urgent = append(queue.group.urgent, queue)
 	}
-	if !q.inRoutine && len(q.routine) > 0 && !urgentFirst {
-		q.inRoutine = true
-		q.group.routine = append(q.group.routine, q)
+	if !queue.inRoutine && len(queue.routine) > 0 && !urgentFirst {
+		queue.inRoutine = true
+		queue.group.routine = append(queue.group.routine, queue)
 	}
 }
 
 // nextReading returns the reading to submit next, nil if there is none: first
 // those whose backoff is over, then urgent ones, then routine ones, device by
 // device.
-func (in *Intake) nextReading(g *group) *entry {
-	if e := g.nextRetry(); e != nil {
-		return e
+func (in *Intake) nextReading(group *replicaGroup) *trackedReading {
+	if reading := group.nextRetry(); reading != nil {
+		return reading
 	}
-	for len(g.urgent)+len(g.routine) > 0 {
-		queue := g.nextQueue()
+	for len(group.urgent)+len(group.routine) > 0 {
+		queue := group.nextQueue()
 		// Its readings were evicted, or submitted by its other turn.
 		if len(queue.urgent)+len(queue.routine) == 0 || queue.busy {
 			continue
 		}
-		e := queue.next()
-		if e.evictable() {
-			in.countEvictable(e.device, -1)
+		reading := queue.next()
+		if reading.evictable() {
+			in.countEvictable(reading.device, -1)
 		}
 		queue.busy = in.cfg.Durable
 		in.schedule(queue)
-		return e
+		return reading
 	}
 	return nil
 }
 
 // nextRetry takes out the first reading whose backoff is over; nil if none is.
-func (g *group) nextRetry() *entry {
-	for len(g.retries) > 0 {
-		e := g.retries[0]
-		g.retries[0] = nil // for the garbage collector
-		g.retries = g.retries[1:]
-		if !e.removed {
-			return e
+func (group *replicaGroup) nextRetry() *trackedReading {
+	for len(group.retries) > 0 {
+		reading := group.retries[0]
+		group.retries[0] = nil // for the garbage collector
+		group.retries = group.retries[1:]
+		if !reading.removed {
+			return reading
 		}
 	}
 	return nil
 }
 
 // nextQueue takes out the queue whose turn it is. There must be one.
-func (g *group) nextQueue() *deviceQueue {
-	g.turn++
-	routineTurn := len(g.routine) > 0 && g.turn%routineInterval == 0
-	if len(g.urgent) == 0 || routineTurn {
-		queue := g.routine[0]
-		g.routine = g.routine[1:]
+func (group *replicaGroup) nextQueue() *deviceQueue {
+	group.turn++
+	routineTurn := len(group.routine) > 0 && group.turn%routineInterval == 0
+	if len(group.urgent) == 0 || routineTurn {
+		queue := group.routine[0]
+		group.routine = group.routine[1:]
 		queue.inRoutine = false
 		return queue
 	}
-	queue := g.urgent[0]
-	g.urgent = g.urgent[1:]
+	queue := group.urgent[0]
+	group.urgent = group.urgent[1:]
 	queue.inUrgent = false
 	return queue
 }
--- a/internal/edge/intake/ratelimit.go
+++ b/internal/edge/intake/ratelimit.go
@@ -4,7 +4,7 @@
 
 // group is one replica group: the rate limit of its submissions and the
 // readings that are queued for it. Times are Unix milliseconds.
-type group struct {
+type replicaGroup struct {
 	number int
 
 	window      float64 // submissions that may be in flight
@@ -15,10 +15,10 @@
 	pausedUntil float64 // nothing is submitted before
 	resume      *timers.Timer
 
-	retries []*entry       // whose backoff is over: they go before queued ones
-	urgent  []*deviceQueue // round robin
-	routine []*deviceQueue // round robin
-	turn    int            // counts the submissions from urgent and routine
+	retries []*trackedReading // whose backoff is over: they go before queued ones
+	urgent  []*deviceQueue    // round robin
+	routine []*deviceQueue    // round robin
+	turn    int               // counts the submissions from urgent and routine
 }
 
 const (
@@ -34,70 +34,70 @@
 	routineInterval = 8
 )
 
-func (in *Intake) group(number int) *group {
-	g := in.groups[number]
-	if g == nil {
-		g = &group{number: number, window: initialWindow}
-		in.groups[number] = g
+func (in *Intake) group(number int) *replicaGroup {
+	group := in.groups[number]
+	if group == nil {
+		group = &replicaGroup{number: number, window: initialWindow}
+		in.groups[number] = group
 	}
-	return g
+	return group
 }
 
 // limit returns how many submissions may be in flight now. After an outage it
 // rises slowly: the backlog of all devices waits just then, while the endpoints
 // are warming up.
-func (g *group) limit(now float64, cfg *Config) int {
-	window := min(g.window, float64(cfg.MaxWindow))
-	if g.rampStart > 0 {
-		if now >= g.rampStart+cfg.RecoveryRamp {
-			g.rampStart = 0
+func (group *replicaGroup) limit(now float64, cfg *Config) int {
+	window := min(group.window, float64(cfg.MaxWindow))
+	if group.rampStart > 0 {
+		if now >= group.rampStart+cfg.RecoveryRamp {
+			group.rampStart = 0
 		} else {
-			window = min(window, 1+float64(cfg.MaxWindow)*(now-g.rampStart)/cfg.RecoveryRamp)
+			window = min(window, 1+float64(cfg.MaxWindow)*(now-group.rampStart)/cfg.RecoveryRamp)
 		}
 	}
 	return max(int(window), 1)
 }
 
 // succeeded grows the window after a submission that was served.
-func (g *group) succeeded(now float64, cfg *Config) {
-	if g.failures >= outageFailures {
-		g.rampStart = now
+func (group *replicaGroup) succeeded(now float64, cfg *Config) {
+	if group.failures >= outageFailures {
+		group.rampStart = now
 	}
-	g.failures = 0
-	g.window = min(g.window+1/g.window, float64(cfg.MaxWindow))
+	group.failures = 0
+	group.window = min(group.window+1/group.window, float64(cfg.MaxWindow))
 }
 
 // failed halves the window after a submission that was rejected or failed.
-func (g *group) failed(now float64) {
-	g.failures++
-	if now >= g.halvedAt+minHalvingInterval {
-		g.window = max(g.window/2, 1)
-		g.halvedAt = now
+func (group *replicaGroup) failed(now float64) {
+	group.failures++
+	if now >= group.halvedAt+minHalvingInterval {
+		group.window = max(group.window/2, 1)
+		group.halvedAt = now
 	}
 }
 
 // dispatch submits as many queued readings as the group's limit allows.
-func (in *Intake) dispatch(now float64, g *group) {
-	if now < g.pausedUntil {
-		in.armResume(g)
+func (in *Intake) dispatch(now float64, group *replicaGroup) {
+	if now < group.pausedUntil {
+		in.armResume(group)
 		return
 	}
-	for g.inFlight < g.limit(now, &in.cfg) {
-		e := in.nextReading(g)
-		if e == nil {
+	for group.inFlight < group.limit(now, &in.cfg) {
+		reading := in.nextReading(group)
+		if reading == nil {
 			return
 		}
-		in.submitNext(now, e)
+		in.submitNext(now, reading)
 	}
 }
 
 // armResume sets the timer for the end of a group's pause.
-func (in *Intake) armResume(g *group) {
-	if g.resume != nil {
+func (in *Intake) armResume(group *replicaGroup) {
+	if group.resume != nil {
 		return
 	}
-	g.resume = in.timers.At(g.pausedUntil, func(now float64) {
-		g.resume = nil
-		in.dispatch(now, g)
+	group.resume = in.timers.At(group.pausedUntil, func(now float64) {
+		group.resume = nil
+		in.dispatch(now, group)
 	})
 }
--- a/internal/edge/intake/ratelimit_test.go
+++ b/internal/edge/intake/ratelimit_test.go
@@ -7,20 +7,20 @@
 
 func TestWindowHalvesOnFailuresAndRampsAfterOutage(t *testing.T) {
 	script := newScript(t, func(c *Config) { c.MaxPerNetwork = 1000; c.MaxPerDevice = 1000 })
-	g := script.in.group(1)
+	group := script.in.group(1)
 	for seq := range uint64(400) {
 		script.offer(fmt.Sprint("d", seq%50), seq, false)
 	}
-	if g.inFlight != initialWindow {
-		t.Fatalf("%d in flight at first", g.inFlight)
+	if group.inFlight != initialWindow {
+		t.Fatalf("%d in flight at first", group.inFlight)
 	}
 	for range 200 {
 		script.serve("v")
 	}
-	if g.inFlight < 15 {
-		t.Errorf("%d in flight after 200 answers", g.inFlight)
+	if group.inFlight < 15 {
+		t.Errorf("%d in flight after 200 answers", group.inFlight)
 	}
-	open := g.inFlight
+	open := group.inFlight
 	for n := range script.in.submissions {
 		script.advance(100)
 		script.in.Failed(script.now, n)
@@ -28,21 +28,21 @@
 			break
 		}
 	}
-	if g.window > 3 {
-		t.Errorf("a window of %v after nothing but failures", g.window)
+	if group.window > 3 {
+		t.Errorf("a window of %v after nothing but failures", group.window)
 	}
-	g.window = 32 // as if it were open: only the ramp limits it now
+	group.window = 32 // as if it were open: only the ramp limits it now
 	for n := range script.in.submissions {
 		script.in.Served(script.now, n, []byte("v"))
 		break
 	}
-	if l := g.limit(script.now, &script.in.cfg); l > 2 {
+	if l := group.limit(script.now, &script.in.cfg); l > 2 {
 		t.Errorf("%d may be in flight at once after an outage", l)
 	}
-	if l := g.limit(script.now+5000, &script.in.cfg); l < 10 || l > 20 {
+	if l := group.limit(script.now+5000, &script.in.cfg); l < 10 || l > 20 {
 		t.Errorf("%d may be in flight at half of the ramp", l)
 	}
-	if l := g.limit(script.now+10000, &script.in.cfg); l < 30 {
+	if l := group.limit(script.now+10000, &script.in.cfg); l < 30 {
 		t.Errorf("%d may be in flight after the ramp", l)
 	}
 }
--- a/internal/edge/intake/reading.go
+++ b/internal/edge/intake/reading.go
@@ -94,12 +94,12 @@
 const entryCost = 512
 
 // entry is a reading in progress. Times are Unix milliseconds.
-type entry struct {
+type trackedReading struct {
 	Reading
 	digest    uint64 // of the value
-	device    *device
+	device    *trackedDevice
 	network   netip.Prefix
-	group     *group
+	group     *replicaGroup
 	queue     *deviceQueue
 	waiters   []Origin // copies that are not answered yet
 	phase     phase
@@ -121,13 +121,18 @@
 }
 
 // cost is the entry's part of MaxBytes, in bytes.
-func (e *entry) cost() int { return len(e.Value) + len(e.Device) + entryCost }
+func (reading *trackedReading) cost() int {
+	return len(reading.Value) + len(reading.Device) + entryCost
+}
 
 // unwanted reports whether nobody depends on the entry: no copy waits, so that
 // the device will send it again, and it is not stored.
-func (e *entry) unwanted() bool { return len(e.waiters) == 0 && !e.stored }
-
-// evictable reports whether e may be rejected although it was admitted.
-func (e *entry) evictable() bool {
-	return e.phase == queued && !e.Urgent && !e.stored && !e.writeSent && e.failures == 0
+func (reading *trackedReading) unwanted() bool { return len(reading.waiters) == 0 && !reading.stored }
+
+// evictable reports whether a reading may be rejected although it was admitted.
+func (reading *trackedReading) evictable() bool {
+	if reading.phase != queued || reading.Urgent || reading.stored {
+		return false
+	}
+	return !reading.writeSent && reading.failures == 0
 }
--- a/internal/edge/intake/submission_test.go
+++ b/internal/edge/intake/submission_test.go
@@ -109,8 +109,8 @@
 	for range 10 {
 		script.offer("b", 1, false)
 	}
-	if e := script.in.devices["b"].inProgress[localID{1, 1}]; len(e.waiters) != 4 {
-		t.Errorf("%d wait", len(e.waiters))
+	if reading := script.in.devices["b"].inProgress[localID{1, 1}]; len(reading.waiters) != 4 {
+		t.Errorf("%d wait", len(reading.waiters))
 	}
 }
 
--- a/internal/edge/listen.go
+++ b/internal/edge/listen.go
@@ -114,11 +114,11 @@
 			continue
 		}
 		tcp := accepted.(*net.TCPConn)
-		c := e.admit(tcp, l.protocol)
-		if c == nil {
+		conn := e.admit(tcp, l.protocol)
+		if conn == nil {
 			_ = tcp.Close()
 			continue
 		}
-		go c.read(tcp)
+		go conn.read(tcp)
 	}
 }
--- a/internal/edge/messages.go
+++ b/internal/edge/messages.go
@@ -11,7 +11,7 @@
 )
 
 // message is a message of readings until each of them has its answer.
-type message struct {
+type pendingMessage struct {
 	protocol   protocol
 	token      uint64 // of the protocol's rules
 	results    []batch.Result
@@ -37,18 +37,18 @@
 		e.loop.Post(func() { e.answerInvalid(d.protocol, d.token, !known) })
 		return
 	}
-	m := &message{
+	message := &pendingMessage{
 		protocol:   d.protocol,
 		token:      d.token,
 		results:    make([]batch.Result, len(d.batch.Readings)),
 		unanswered: len(d.batch.Readings),
 	}
-	handle := e.messages.Add(m)
+	handle := e.messages.Add(message)
 	network := networkOf(d.from)
 	now := e.loop.Now()
 	for i := range d.batch.Readings {
 		reading := &d.batch.Readings[i]
-		m.results[i].Seq = reading.Seq
+		message.results[i].Seq = reading.Seq
 		origin := intake.Origin{Peer: handle.ID(), Index: uint16(i)}
 		if e.draining {
 			rejection := intake.Answer{Status: intake.Rejected, RetryAfter: e.options.Intake.MinRetryAfter}
@@ -88,21 +88,21 @@
 
 // finish gives a message's answers to its protocol.
 func (e *Edge) finish(handle slotmap.Handle) {
-	m := e.messages.Get(handle)
-	if m == nil || m.unanswered > 0 {
+	message := e.messages.Get(handle)
+	if message == nil || message.unanswered > 0 {
 		return
 	}
 	e.messages.Remove(handle)
 	now := e.loop.Now()
-	switch m.protocol {
+	switch message.protocol {
 	case protocolCoAP:
-		code, maxAge := responseCode(m.results)
-		reply := e.codec.Encode(batch.Reply{Results: m.results})
-		e.coap.Answer(now, m.token, code, reply, maxAge)
+		code, maxAge := responseCode(message.results)
+		reply := e.codec.Encode(batch.Reply{Results: message.results})
+		e.coap.Answer(now, message.token, code, reply, maxAge)
 	case protocolMQTT:
-		e.mqtt.Answer(m.token, m.results, true)
+		e.mqtt.Answer(message.token, message.results, true)
 	case protocolFrames:
-		e.frames.Answer(now, m.token, m.results)
+		e.frames.Answer(now, message.token, message.results)
 	}
 	e.arm()
 }
--- a/internal/edge/mqtt/connect.go
+++ b/internal/edge/mqtt/connect.go
@@ -27,84 +27,84 @@
 func MayBegin(b byte) bool { return b == packets.Connect<<4 }
 
 // connect handles CONNECT [MQTT 3.1].
-func (s *Server) connect(now float64, c *connection, packet *packets.Packet) {
+func (s *Server) connect(now float64, conn *connection, packet *packets.Packet) {
 	params := &packet.Connect
 	knownVersion := packet.ProtocolVersion == version311 || packet.ProtocolVersion == version5
 	switch {
 	case string(params.ProtocolName) != "MQTT" || !knownVersion:
 		packet.ProtocolVersion = version311
-		s.rejectConnect(c, packet, 0, returnUnacceptableVersion)
+		s.rejectConnect(conn, packet, 0, returnUnacceptableVersion)
 		return
 	case packet.ConnectValidate().Code >= firstErrorCode:
-		s.violation(c, packet.ConnectValidate().Code)
+		s.violation(conn, packet.ConnectValidate().Code)
 		return
 	case params.ClientIdentifier == "" || len(params.ClientIdentifier) > maxClientID:
-		s.rejectConnect(c, packet, packets.ErrClientIdentifierNotValid.Code, returnIdentifierRejected)
+		s.rejectConnect(conn, packet, packets.ErrClientIdentifierNotValid.Code, returnIdentifierRejected)
 		return
 	case s.draining:
-		s.rejectConnect(c, packet, packets.ErrServerShuttingDown.Code, returnServerUnavailable)
+		s.rejectConnect(conn, packet, packets.ErrServerShuttingDown.Code, returnServerUnavailable)
 		return
 	}
 	clientID := strings.Clone(params.ClientIdentifier) // it refers to the read buffer
 	attached, resumed := s.openSession(now, clientID, params.Clean)
 	if attached == nil {
-		s.rejectConnect(c, packet, packets.ErrQuotaExceeded.Code, returnServerUnavailable)
+		s.rejectConnect(conn, packet, packets.ErrQuotaExceeded.Code, returnServerUnavailable)
 		return
 	}
 	s.stats.Connects++
-	attached.connection = c
-	c.session = attached
-	c.version = packet.ProtocolVersion
-	c.connectedAt = now
-	s.negotiate(c, packet)
-	s.send(c, s.connack(c, params.Keepalive, resumed))
-	s.armKeepAlive(now, c)
+	attached.connection = conn
+	conn.session = attached
+	conn.version = packet.ProtocolVersion
+	conn.connectedAt = now
+	s.negotiate(conn, packet)
+	s.send(conn, s.connack(conn, params.Keepalive, resumed))
+	s.armKeepAlive(now, conn)
 }
 
 // rejectConnect answers CONNECT with the version's code and closes the
 // connection.
-func (s *Server) rejectConnect(c *connection, packet *packets.Packet, reason5, return311 byte) {
+func (s *Server) rejectConnect(conn *connection, packet *packets.Packet, reason5, return311 byte) {
 	s.stats.Violations++
-	c.version = packet.ProtocolVersion
+	conn.version = packet.ProtocolVersion
 	ack := newPacket(packets.Connack)
 	ack.ReasonCode = return311
-	if c.version == version5 {
+	if conn.version == version5 {
 		ack.ReasonCode = reason5
 	}
-	s.send(c, ack)
-	s.out.Close(c.id)
+	s.send(conn, ack)
+	s.out.Close(conn.id)
 }
 
 // negotiate sets what the client chooses in CONNECT.
-func (s *Server) negotiate(c *connection, packet *packets.Packet) {
-	c.session.expiryMs = 0
+func (s *Server) negotiate(conn *connection, packet *packets.Packet) {
+	conn.session.expiryMs = 0
 	switch {
-	case c.version == version5:
+	case conn.version == version5:
 		properties := &packet.Properties
-		c.session.expiryMs = s.sessionExpiry(properties.SessionExpiryInterval)
-		c.omitsReasons = properties.RequestProblemInfoFlag && properties.RequestProblemInfo == 0
+		conn.session.expiryMs = s.sessionExpiry(properties.SessionExpiryInterval)
+		conn.omitsReasons = properties.RequestProblemInfoFlag && properties.RequestProblemInfo == 0
 	case !packet.Connect.Clean:
-		c.session.expiryMs = s.limits.SessionMs
+		conn.session.expiryMs = s.limits.SessionMs
 	}
 }
 
 // connack returns the CONNACK and sets the connection's timeout. keepAlive is
 // in seconds, 0 for none.
-func (s *Server) connack(c *connection, keepAlive uint16, sessionPresent bool) packets.Packet {
+func (s *Server) connack(conn *connection, keepAlive uint16, sessionPresent bool) packets.Packet {
 	ack := newPacket(packets.Connack)
 	ack.SessionPresent = sessionPresent
 	keepAliveMs := float64(keepAlive) * 1000
-	if c.version == version5 {
-		s.setConnackProperties(&ack.Properties, c.session)
+	if conn.version == version5 {
+		s.setConnackProperties(&ack.Properties, conn.session)
 	}
 	if keepAliveMs == 0 || keepAliveMs > s.limits.KeepAliveMs {
 		keepAliveMs = s.limits.KeepAliveMs
-		if c.version == version5 {
+		if conn.version == version5 {
 			ack.Properties.ServerKeepAlive = uint16(min(keepAliveMs/1000, math.MaxUint16))
 			ack.Properties.ServerKeepAliveFlag = true
 		}
 	}
-	c.timeoutMs = keepAliveGrace * keepAliveMs
+	conn.timeoutMs = keepAliveGrace * keepAliveMs
 	return ack
 }
 
@@ -122,13 +122,13 @@
 
 // armKeepAlive closes a connection after its timeout without a packet. The
 // timer checks when the last packet came, so that a packet need not reset it.
-func (s *Server) armKeepAlive(now float64, c *connection) {
-	c.keepAliveTimer = s.timers.At(max(c.lastPacketAt+c.timeoutMs, now), func(now float64) {
-		if now < c.lastPacketAt+c.timeoutMs {
-			s.armKeepAlive(now, c)
+func (s *Server) armKeepAlive(now float64, conn *connection) {
+	conn.keepAliveTimer = s.timers.At(max(conn.lastPacketAt+conn.timeoutMs, now), func(now float64) {
+		if now < conn.lastPacketAt+conn.timeoutMs {
+			s.armKeepAlive(now, conn)
 			return
 		}
 		s.stats.TimedOut++
-		s.disconnect(c, packets.ErrKeepAliveTimeout.Code)
+		s.disconnect(conn, packets.ErrKeepAliveTimeout.Code)
 	})
 }
--- a/internal/edge/mqtt/fixture_test.go
+++ b/internal/edge/mqtt/fixture_test.go
@@ -43,8 +43,8 @@
 		clients.t.Fatalf("%x: a frame of %d: %v", b, n, err)
 	}
 	version := clients.versions[conn]
-	if c := clients.server.connections[conn]; c != nil {
-		version = c.version
+	if conn := clients.server.connections[conn]; conn != nil {
+		version = conn.version
 	}
 	pk, err := decodeAny(b, version)
 	if err != nil {
--- a/internal/edge/mqtt/mqtt.go
+++ b/internal/edge/mqtt/mqtt.go
@@ -127,14 +127,14 @@
 // Closed unregisters a connection that has ended. Its session may be kept, and
 // its messages are processed nevertheless.
 func (s *Server) Closed(now float64, id uint64) {
-	c := s.connections[id]
-	if c == nil {
+	conn := s.connections[id]
+	if conn == nil {
 		return
 	}
 	delete(s.connections, id)
-	s.timers.Cancel(c.keepAliveTimer)
-	if c.session != nil && c.session.connection == c {
-		s.detach(now, c.session)
+	s.timers.Cancel(conn.keepAliveTimer)
+	if conn.session != nil && conn.session.connection == conn {
+		s.detach(now, conn.session)
 	}
 }
 
@@ -142,94 +142,94 @@
 // answers.
 func (s *Server) Drain() {
 	s.draining = true
-	for _, c := range s.connections {
-		if len(c.unanswered) == 0 {
-			s.disconnect(c, packets.ErrServerShuttingDown.Code)
+	for _, conn := range s.connections {
+		if len(conn.unanswered) == 0 {
+			s.disconnect(conn, packets.ErrServerShuttingDown.Code)
 		}
 	}
 }
 
 // Packet handles one whole packet, which may be reused after the call.
 func (s *Server) Packet(now float64, id uint64, b []byte) {
-	c := s.connections[id]
-	if c == nil {
+	conn := s.connections[id]
+	if conn == nil {
 		return
 	}
-	c.lastPacketAt = now
-	packet, err := decode(b, c.version)
+	conn.lastPacketAt = now
+	packet, err := decode(b, conn.version)
 	if err != nil {
-		s.violation(c, reasonOf(err))
+		s.violation(conn, reasonOf(err))
 		return
 	}
-	if c.session != nil {
-		s.handle(c, &packet)
+	if conn.session != nil {
+		s.handle(conn, &packet)
 		return
 	}
 	if packet.FixedHeader.Type != packets.Connect { // [MQTT 3.1.0-1]
-		s.violation(c, packets.ErrProtocolViolation.Code)
+		s.violation(conn, packets.ErrProtocolViolation.Code)
 		return
 	}
-	s.connect(now, c, &packet)
+	s.connect(now, conn, &packet)
 }
 
 // handle handles a packet after CONNECT.
-func (s *Server) handle(c *connection, packet *packets.Packet) {
+func (s *Server) handle(conn *connection, packet *packets.Packet) {
 	switch packet.FixedHeader.Type {
 	case packets.Publish:
-		s.publish(c, packet)
+		s.publish(conn, packet)
 	case packets.Pubrel:
-		s.release(c, packet)
+		s.release(conn, packet)
 	case packets.Pingreq:
-		s.send(c, newPacket(packets.Pingresp))
+		s.send(conn, newPacket(packets.Pingresp))
 	case packets.Subscribe:
-		s.subscribe(c, packet)
+		s.subscribe(conn, packet)
 	case packets.Unsubscribe:
-		s.unsubscribe(c, packet)
+		s.unsubscribe(conn, packet)
 	case packets.Disconnect:
-		s.handleDisconnect(c, packet)
+		s.handleDisconnect(conn, packet)
 	case packets.Puback, packets.Pubrec, packets.Pubcomp:
 		// Answers are sent with QoS 0, so that none of these is due.
 	default: // a second CONNECT, AUTH, or what only a server sends
-		s.violation(c, packets.ErrProtocolViolation.Code)
+		s.violation(conn, packets.ErrProtocolViolation.Code)
 	}
 }
 
-func (s *Server) handleDisconnect(c *connection, packet *packets.Packet) {
-	if c.version == version5 && packet.Properties.SessionExpiryIntervalFlag {
+func (s *Server) handleDisconnect(conn *connection, packet *packets.Packet) {
+	if conn.version == version5 && packet.Properties.SessionExpiryIntervalFlag {
 		seconds := packet.Properties.SessionExpiryInterval
-		if c.session.expiryMs == 0 && seconds > 0 { // [MQTT 3.14.2.2.2]
-			s.violation(c, packets.ErrProtocolViolation.Code)
+		if conn.session.expiryMs == 0 && seconds > 0 { // [MQTT 3.14.2.2.2]
+			s.violation(conn, packets.ErrProtocolViolation.Code)
 			return
 		}
-		c.session.expiryMs = s.sessionExpiry(seconds)
+		conn.session.expiryMs = s.sessionExpiry(seconds)
 	}
-	s.out.Close(c.id)
+	s.out.Close(conn.id)
 }
 
 // disconnect closes a connection, with a reason where the version has one.
-func (s *Server) disconnect(c *connection, reason byte) {
-	if c.version == version5 {
+func (s *Server) disconnect(conn *connection, reason byte) {
+	if conn.version == version5 {
 		packet := newPacket(packets.Disconnect)
 		packet.ReasonCode = reason
-		s.send(c, packet)
+		s.send(conn, packet)
 	}
-	s.out.Close(c.id)
+	s.out.Close(conn.id)
 }
 
 // violation closes a connection because of what its client sent.
-func (s *Server) violation(c *connection, reason byte) {
+func (s *Server) violation(conn *connection, reason byte) {
 	s.stats.Violations++
-	s.disconnect(c, reason)
+	s.disconnect(conn, reason)
 }
 
 // send encodes a packet in the connection's version.
-func (s *Server) send(c *connection, packet packets.Packet) {
-	packet.ProtocolVersion = c.version
+func (s *Server) send(conn *connection, packet packets.Packet) {
+	packet.ProtocolVersion = conn.version
 	if packet.ProtocolVersion == 0 {
 		packet.ProtocolVersion = version311
 	}
-	packet.Mods.DisallowProblemInfo = c.omitsReasons
-	s.out.Send(c.id, Encode(&packet))
+	packet.Mods.DisallowProblemInfo = conn.omitsReasons
+	s.out.Send(conn.id, Encode(&packet))
 }
 
 func newPacket(kind byte) packets.Packet {
--- a/internal/edge/mqtt/publish.go
+++ b/internal/edge/mqtt/publish.go
@@ -19,33 +19,33 @@
 
 // publish handles PUBLISH. The message is acknowledged only once its readings
 // have their answers, by PUBACK or PUBREC.
-func (s *Server) publish(c *connection, packet *packets.Packet) {
-	if reason := publishViolation(c, packet); reason >= firstErrorCode {
-		s.violation(c, reason)
+func (s *Server) publish(conn *connection, packet *packets.Packet) {
+	if reason := publishViolation(conn, packet); reason >= firstErrorCode {
+		s.violation(conn, reason)
 		return
 	}
 	digest := xxhash.Sum64(packet.Payload) ^ xxhash.Sum64String(packet.TopicName)
 	qos := packet.FixedHeader.Qos
-	if qos > qosAtMostOnce && !s.accept(c, packet, digest) {
+	if qos > qosAtMostOnce && !s.accept(conn, packet, digest) {
 		return
 	}
 	s.lastToken++
 	s.pending[s.lastToken] = pendingMessage{
-		connection: c,
+		connection: conn,
 		packetID:   packet.PacketID,
 		qos:        qos,
 		digest:     digest,
 	}
 	topic := strings.Clone(packet.TopicName) // it refers to the read buffer
 	payload := append([]byte(nil), packet.Payload...)
-	s.out.Deliver(s.lastToken, c.id, topic, payload, c.connectedAt, packet.FixedHeader.Dup)
+	s.out.Deliver(s.lastToken, conn.id, topic, payload, conn.connectedAt, packet.FixedHeader.Dup)
 }
 
 // publishViolation returns the reason code of a malformed or unsupported
 // PUBLISH, below firstErrorCode for none.
-func publishViolation(c *connection, packet *packets.Packet) byte {
+func publishViolation(conn *connection, packet *packets.Packet) byte {
 	reason := packet.PublishValidate(0).Code
-	if reason < firstErrorCode && packet.FixedHeader.Retain && c.version == version5 {
+	if reason < firstErrorCode && packet.FixedHeader.Retain && conn.version == version5 {
 		return packets.ErrRetainNotSupported.Code
 	}
 	return reason
@@ -53,42 +53,42 @@
 
 // accept reports whether a message with a packet identifier is to be delivered.
 // It answers a duplicate and closes the connection after a violation.
-func (s *Server) accept(c *connection, packet *packets.Packet, digest uint64) bool {
+func (s *Server) accept(conn *connection, packet *packets.Packet, digest uint64) bool {
 	id := packet.PacketID
-	if inUse, unanswered := c.unanswered[id]; unanswered {
+	if inUse, unanswered := conn.unanswered[id]; unanswered {
 		if inUse != digest { // another message's identifier [MQTT 2.2.1]
-			s.violation(c, packets.ErrPacketIdentifierInUse.Code)
+			s.violation(conn, packets.ErrPacketIdentifierInUse.Code)
 		}
 		return false // a duplicate: its answer is pending
 	}
 	// A message that was recorded and whose PUBREC was lost. Another message
 	// under its identifier comes from a client that has lost its session;
 	// taking it for the old one would lose the new.
-	recorded, unreleased := c.session.unreleased[id]
+	recorded, unreleased := conn.session.unreleased[id]
 	if packet.FixedHeader.Qos == qosExactlyOnce && unreleased && recorded == digest {
-		s.acknowledge(c, id, qosExactlyOnce, 0, nil)
+		s.acknowledge(conn, id, qosExactlyOnce, 0, nil)
 		return false
 	}
-	if len(c.unanswered)+len(c.session.unreleased) >= s.limits.ReceiveMax { // [MQTT 3.3.4-7]
-		s.violation(c, packets.ErrReceiveMaximum.Code)
+	if len(conn.unanswered)+len(conn.session.unreleased) >= s.limits.ReceiveMax { // [MQTT 3.3.4-7]
+		s.violation(conn, packets.ErrReceiveMaximum.Code)
 		return false
 	}
-	if c.unanswered == nil {
-		c.unanswered = map[uint16]uint64{}
+	if conn.unanswered == nil {
+		conn.unanswered = map[uint16]uint64{}
 	}
-	c.unanswered[id] = digest
+	conn.unanswered[id] = digest
 	return true
 }
 
 // release handles PUBREL, the end of a QoS 2 message [MQTT 4.3.3].
-func (s *Server) release(c *connection, packet *packets.Packet) {
+func (s *Server) release(conn *connection, packet *packets.Packet) {
 	ack := newPacket(packets.Pubcomp)
 	ack.PacketID = packet.PacketID
-	if _, unreleased := c.session.unreleased[packet.PacketID]; !unreleased && c.version == version5 {
+	if _, unreleased := conn.session.unreleased[packet.PacketID]; !unreleased && conn.version == version5 {
 		ack.ReasonCode = packets.ErrPacketIdentifierNotFound.Code
 	}
-	delete(c.session.unreleased, packet.PacketID)
-	s.send(c, ack)
+	delete(conn.session.unreleased, packet.PacketID)
+	s.send(conn, ack)
 }
 
 // Answer ends a message that was delivered. valid is false for one without
@@ -99,26 +99,26 @@
 		return
 	}
 	delete(s.pending, token)
-	c := message.connection
-	delete(c.unanswered, message.packetID)
+	conn := message.connection
+	delete(conn.unanswered, message.packetID)
 	reason := worstReason(results, valid)
 	if reason == 0 && message.qos == qosExactlyOnce {
 		s.keepUnreleased(message)
 	}
-	if s.connections[c.id] != c {
+	if s.connections[conn.id] != conn {
 		return
 	}
-	if c.session.subscribed && len(results) > 0 {
+	if conn.session.subscribed && len(results) > 0 {
 		answer := newPacket(packets.Publish)
-		answer.TopicName = c.session.answersTopic()
+		answer.TopicName = conn.session.answersTopic()
 		answer.Payload = s.codec.Encode(batch.Reply{Results: results})
-		s.send(c, answer)
+		s.send(conn, answer)
 	}
 	if message.qos > qosAtMostOnce {
-		s.acknowledge(c, message.packetID, message.qos, reason, results)
+		s.acknowledge(conn, message.packetID, message.qos, reason, results)
 	}
-	if s.draining && len(c.unanswered) == 0 {
-		s.disconnect(c, packets.ErrServerShuttingDown.Code)
+	if s.draining && len(conn.unanswered) == 0 {
+		s.disconnect(conn, packets.ErrServerShuttingDown.Code)
 	}
 }
 
@@ -168,10 +168,10 @@
 // each reading of a message that did not succeed as a whole. Version 3.1.1 has
 // none: a subscriber has its answers by now, and for any other client the end of
 // the connection reports that its message was not accepted.
-func (s *Server) acknowledge(c *connection, packetID uint16, qos, reason byte, results []batch.Result) {
+func (s *Server) acknowledge(conn *connection, packetID uint16, qos, reason byte, results []batch.Result) {
 	failed := reason != 0
-	if failed && c.version != version5 && !c.session.subscribed {
-		s.out.Close(c.id)
+	if failed && conn.version != version5 && !conn.session.subscribed {
+		s.out.Close(conn.id)
 		return
 	}
 	ack := newPacket(packets.Puback)
@@ -179,11 +179,11 @@
 		ack.FixedHeader.Type = packets.Pubrec
 	}
 	ack.PacketID = packetID
-	if failed && c.version == version5 {
+	if failed && conn.version == version5 {
 		ack.ReasonCode = reason
 		ack.Properties.User = readingProperties(results)
 	}
-	s.send(c, ack)
+	s.send(conn, ack)
 }
 
 // readingProperties gives each reading's sequence number, status and wait in
--- a/internal/edge/mqtt/subscribe.go
+++ b/internal/edge/mqtt/subscribe.go
@@ -7,9 +7,9 @@
 
 // subscribe grants a client the answers to its own readings, and no other
 // topic.
-func (s *Server) subscribe(c *connection, packet *packets.Packet) {
+func (s *Server) subscribe(conn *connection, packet *packets.Packet) {
 	if code := packet.SubscribeValidate().Code; code >= firstErrorCode {
-		s.violation(c, code)
+		s.violation(conn, code)
 		return
 	}
 	ack := newPacket(packets.Suback)
@@ -17,34 +17,34 @@
 	for _, subscription := range packet.Filters {
 		code := byte(0)
 		switch {
-		case subscription.Filter == c.session.answersTopic():
-			c.session.subscribed = true
-		case c.version == version5:
+		case subscription.Filter == conn.session.answersTopic():
+			conn.session.subscribed = true
+		case conn.version == version5:
 			code = packets.ErrTopicFilterInvalid.Code
 		default:
 			code = subackFailure
 		}
 		ack.ReasonCodes = append(ack.ReasonCodes, code)
 	}
-	s.send(c, ack)
+	s.send(conn, ack)
 }
 
-func (s *Server) unsubscribe(c *connection, packet *packets.Packet) {
+func (s *Server) unsubscribe(conn *connection, packet *packets.Packet) {
 	if code := packet.UnsubscribeValidate().Code; code >= firstErrorCode {
-		s.violation(c, code)
+		s.violation(conn, code)
 		return
 	}
 	ack := newPacket(packets.Unsuback)
 	ack.PacketID = packet.PacketID
 	for _, subscription := range packet.Filters {
 		code := packets.CodeNoSubscriptionExisted.Code
-		if subscription.Filter == c.session.answersTopic() && c.session.subscribed {
-			c.session.subscribed = false
+		if subscription.Filter == conn.session.answersTopic() && conn.session.subscribed {
+			conn.session.subscribed = false
 			code = 0
 		}
 		ack.ReasonCodes = append(ack.ReasonCodes, code)
 	}
-	s.send(c, ack)
+	s.send(conn, ack)
 }
 
 func (kept *session) answersTopic() string { return AnswersTopic + kept.clientID }
--- a/internal/edge/progress/progress.go
+++ b/internal/edge/progress/progress.go
@@ -24,13 +24,13 @@
 // Ledger accounts for unfinished messages, one for each owner.
 type Ledger struct {
 	limits   Limits
-	messages map[uint64]*message // by owner
-	byWindow list.List           // messages by the end of their windows, which have one length
-	bytes    int                 // of all messages, with overhead
+	messages map[uint64]*unfinishedMessage // by owner
+	byWindow list.List                     // messages by the end of their windows, which have one length
+	bytes    int                           // of all messages, with overhead
 }
 
 // message is an unfinished message.
-type message struct {
+type unfinishedMessage struct {
 	owner       uint64
 	startedAt   float64
 	bytes       int
@@ -41,7 +41,7 @@
 
 // New returns an empty Ledger.
 func New(limits Limits) *Ledger {
-	return &Ledger{limits: limits, messages: map[uint64]*message{}}
+	return &Ledger{limits: limits, messages: map[uint64]*unfinishedMessage{}}
 }
 
 // Bytes returns the memory of all unfinished messages, in bytes.
@@ -54,15 +54,15 @@
 // first ones. The messages of the returned owners are removed to keep the limit,
 // and must be ended: the slowest, which may be the owner itself.
 func (l *Ledger) Grow(now float64, owner uint64, n int) (evicted []uint64) {
-	m := l.messages[owner]
-	if m == nil {
-		m = &message{owner: owner, startedAt: now, windowAt: now}
-		m.element = l.byWindow.PushBack(m)
-		l.messages[owner] = m
+	message := l.messages[owner]
+	if message == nil {
+		message = &unfinishedMessage{owner: owner, startedAt: now, windowAt: now}
+		message.element = l.byWindow.PushBack(message)
+		l.messages[owner] = message
 		l.bytes += overhead
 	}
-	m.bytes += n
-	m.windowBytes += n
+	message.bytes += n
+	message.windowBytes += n
 	l.bytes += n
 	for l.bytes > l.limits.TotalBytes {
 		slowest := l.slowest(now)
@@ -73,14 +73,14 @@
 }
 
 // slowest returns the message with the lowest rate, among equals the oldest.
-func (l *Ledger) slowest(now float64) (slowest *message) {
+func (l *Ledger) slowest(now float64) (slowest *unfinishedMessage) {
 	var lowest float64
 	for element := l.byWindow.Front(); element != nil; element = element.Next() {
-		m := element.Value.(*message)
-		rate := m.rate(now)
-		older := rate == lowest && slowest != nil && m.startedAt < slowest.startedAt
+		message := element.Value.(*unfinishedMessage)
+		rate := message.rate(now)
+		older := rate == lowest && slowest != nil && message.startedAt < slowest.startedAt
 		if slowest == nil || rate < lowest || older {
-			slowest = m
+			slowest = message
 			lowest = rate
 		}
 	}
@@ -88,19 +88,19 @@
 }
 
 // rate is in bytes per millisecond.
-func (m *message) rate(now float64) float64 {
-	return float64(m.bytes) / (now - m.startedAt + startAllowanceMs)
+func (message *unfinishedMessage) rate(now float64) float64 {
+	return float64(message.bytes) / (now - message.startedAt + startAllowanceMs)
 }
 
 // End removes the owner's message: it is complete, or its owner has gone.
 func (l *Ledger) End(owner uint64) {
-	m := l.messages[owner]
-	if m == nil {
+	message := l.messages[owner]
+	if message == nil {
 		return
 	}
 	delete(l.messages, owner)
-	l.byWindow.Remove(m.element)
-	l.bytes -= m.bytes + overhead
+	l.byWindow.Remove(message.element)
+	l.bytes -= message.bytes + overhead
 }
 
 // Next returns when Tick is due, in Unix milliseconds; false if it is not.
@@ -109,10 +109,12 @@
 	if first == nil {
 		return 0, false
 	}
-	return l.windowEnd(first.Value.(*message)), true
+	return l.windowEnd(first.Value.(*unfinishedMessage)), true
 }
 
-func (l *Ledger) windowEnd(m *message) float64 { return m.windowAt + l.limits.WindowMs }
+func (l *Ledger) windowEnd(message *unfinishedMessage) float64 {
+	return message.windowAt + l.limits.WindowMs
+}
 
 // Tick ends windows. It removes the messages that made too little progress, and
 // returns their owners, which must be ended.
@@ -122,17 +124,17 @@
 		if first == nil {
 			return stalled
 		}
-		m := first.Value.(*message)
-		if l.windowEnd(m) > now {
+		message := first.Value.(*unfinishedMessage)
+		if l.windowEnd(message) > now {
 			return stalled
 		}
-		if m.windowBytes < l.limits.MinBytes {
-			l.End(m.owner)
-			stalled = append(stalled, m.owner)
+		if message.windowBytes < l.limits.MinBytes {
+			l.End(message.owner)
+			stalled = append(stalled, message.owner)
 			continue
 		}
-		m.windowAt = now
-		m.windowBytes = 0
+		message.windowAt = now
+		message.windowBytes = 0
 		l.byWindow.MoveToBack(first)
 	}
 }
--- a/internal/edge/protocols.go
+++ b/internal/edge/protocols.go
@@ -31,8 +31,8 @@
 ) {
 	e := (*Edge)(o)
 	decoded, err := e.codec.DecodeBatch(payload)
-	c := e.connections.Get(slotmap.FromID(id))
-	if err != nil || c == nil {
+	conn := e.connections.Get(slotmap.FromID(id))
+	if err != nil || conn == nil {
 		e.loop.Post(func() { e.answerInvalid(protocolMQTT, token, false) })
 		return
 	}
@@ -47,7 +47,7 @@
 		batch:         decoded,
 		notBefore:     notBefore,
 		retransmitted: retransmitted,
-		from:          c.peer,
+		from:          conn.peer,
 	})
 }
 
@@ -64,8 +64,8 @@
 func (o *framesOut) Deliver(token, id uint64, match string, decoded *batch.Batch, notBefore float64) {
 	e := (*Edge)(o)
 	var peer netip.Addr
-	if c := e.connections.Get(slotmap.FromID(id)); c != nil {
-		peer = c.peer
+	if conn := e.connections.Get(slotmap.FromID(id)); conn != nil {
+		peer = conn.peer
 	}
 	e.deliver(delivery{
 		protocol:  protocolFrames,
--- a/internal/edge/reads.go
+++ b/internal/edge/reads.go
@@ -18,7 +18,7 @@
 )
 
 // read is a device's request for a value.
-type read struct {
+type pendingRead struct {
 	protocol protocol
 	token    uint64 // of the protocol's rules
 }
@@ -37,14 +37,14 @@
 		return
 	}
 	e.readsInFlight++
-	rt := &e.routes[index]
-	text := []byte("SELECT doc FROM " + rt.Table + " WHERE id = '" + row + "'")
-	group := rt.Groups[0]
-	if len(rt.Groups) > 1 {
-		group = intake.GroupOf(rt.Groups, row)
+	route := &e.routes[index]
+	text := []byte("SELECT doc FROM " + route.Table + " WHERE id = '" + row + "'")
+	group := route.Groups[0]
+	if len(route.Groups) > 1 {
+		group = intake.GroupOf(route.Groups, row)
 	}
-	s := &statement{read: &read{protocol: proto, token: token}}
-	e.submit(s, rt.read, rt.Read, text, "", group, e.options.Intake.CheckTimeout)
+	statement := &pendingStatement{read: &pendingRead{protocol: proto, token: token}}
+	e.submit(statement, route.read, route.Read, text, "", group, e.options.Intake.CheckTimeout)
 }
 
 // isRowName reports whether a device's text may stand in a statement.
@@ -60,16 +60,16 @@
 }
 
 // finishRead answers a read whose statement has ended.
-func (e *Edge) finishRead(r *read, end outcome) {
+func (e *Edge) finishRead(read *pendingRead, end outcome) {
 	e.readsInFlight--
 	minRetryAfter := e.options.Intake.MinRetryAfter
 	switch end.verdict {
 	case router.Served:
-		e.answerRead(r.protocol, r.token, intake.Recorded, 0, end.value)
+		e.answerRead(read.protocol, read.token, intake.Recorded, 0, end.value)
 	case router.Rejected:
-		e.answerRead(r.protocol, r.token, intake.Rejected, max(end.retryAfter, minRetryAfter), nil)
+		e.answerRead(read.protocol, read.token, intake.Rejected, max(end.retryAfter, minRetryAfter), nil)
 	default:
-		e.answerRead(r.protocol, r.token, intake.Unknown, minRetryAfter, nil)
+		e.answerRead(read.protocol, read.token, intake.Unknown, minRetryAfter, nil)
 	}
 }
 
--- a/internal/edge/routes.go
+++ b/internal/edge/routes.go
@@ -9,7 +9,7 @@
 )
 
 // route is a route of the settings with its classes.
-type route struct {
+type boundRoute struct {
 	operatorconfig.Route
 	write       router.Class
 	check       router.Class
@@ -62,7 +62,7 @@
 )
 
 // bindRoute finds a route's classes and checks that each fits its role.
-func bindRoute(configured operatorconfig.Route, requests Requests) (bound route, err error) {
+func bindRoute(configured operatorconfig.Route, requests Requests) (bound boundRoute, err error) {
 	bound.Route = configured
 	if configured.Write != "" {
 		if bound.write, err = writeRole.find(requests, configured.Write); err != nil {
@@ -90,7 +90,7 @@
 }
 
 // routeOf returns the route with that index in intake's routes.
-func (e *Edge) routeOf(intakeIndex int) *route {
+func (e *Edge) routeOf(intakeIndex int) *boundRoute {
 	for i := range e.routes {
 		if e.routes[i].intakeIndex == intakeIndex {
 			return &e.routes[i]
--- a/internal/edge/statements.go
+++ b/internal/edge/statements.go
@@ -11,9 +11,9 @@
 )
 
 // statement is a statement that the router executes.
-type statement struct {
-	submission uint64 // of intake, 0 for a read
-	read       *read  // nil for a submission of intake
+type pendingStatement struct {
+	submission uint64       // of intake, 0 for a read
+	read       *pendingRead // nil for a submission of intake
 }
 
 // outcome is the end of a statement.
@@ -26,7 +26,8 @@
 // submit appends the routing comment to a statement's text and submits it to
 // the router; timeout is in milliseconds. It runs inside Do.
 func (e *Edge) submit(
-	s *statement, class router.Class, className string, text []byte, key string, group int, timeout float64,
+	statement *pendingStatement, class router.Class, className string,
+	text []byte, key string, group int, timeout float64,
 ) {
 	e.lastSerial++
 	text = fmt.Appendf(text, " /* id=%016x%016x,c=%s,d=", e.bootID, e.lastSerial, className)
@@ -42,14 +43,14 @@
 		Class:     class.Number,
 		Group:     group,
 		TimeLeft:  timeout,
-	}, e, e.statements.Add(s))
+	}, e, e.statements.Add(statement))
 }
 
 // Answer implements router.Client. It may come from within Submit, so that the
 // rules learn of it after the event in progress.
 func (e *Edge) Answer(client slotmap.Handle, answer router.Answer) {
-	s := e.statements.Get(client)
-	if s == nil {
+	statement := e.statements.Get(client)
+	if statement == nil {
 		return
 	}
 	e.statements.Remove(client)
@@ -62,10 +63,10 @@
 		}
 	}
 	e.loop.Post(func() {
-		if s.read != nil {
-			e.finishRead(s.read, end)
+		if statement.read != nil {
+			e.finishRead(statement.read, end)
 		} else {
-			e.answerStatement(s.submission, end)
+			e.answerStatement(statement.submission, end)
 		}
 		e.arm()
 	})
