--- a/internal/edge/actions.go
+++ b/internal/edge/actions.go
@@ -56,13 +56,14 @@
 
 // Submit implements intake.Actions.
 func (a *actions) Submit(
-	id intake.ID, n uint64, operation intake.Operation, r *intake.Reading, group int, timeout float64,
+	id intake.ID, submission uint64, operation intake.Operation,
+	reading *intake.Reading, group int, timeout float64,
 ) {
 	e := (*Edge)(a)
-	route := e.routeOf(r.Route)
-	statement := &pendingStatement{submission: n}
+	route := e.routeOf(reading.Route)
+	statement := &pendingStatement{submission: submission}
 	if operation == intake.Write {
-		text := insertText(route.Table, id.Row(), r.Value)
+		text := insertText(route.Table, id.Row(), reading.Value)
 		e.submit(statement, route.write, route.Write, text, id.Key(), group, timeout)
 		return
 	}
--- a/internal/edge/intake/admission_test.go
+++ b/internal/edge/intake/admission_test.go
@@ -23,8 +23,8 @@
 	script.want("rejected4")
 	script.offer("b", 14, false) // now b would have as many
 	script.want("rejected14")
-	if n := script.in.Stats().Evicted; n != 2 {
-		t.Errorf("%d evicted", n)
+	if submission := script.in.Stats().Evicted; submission != 2 {
+		t.Errorf("%d evicted", submission)
 	}
 	urgent := Reading{ID: ID{"b", 1, 15}, Value: []byte("v"), Urgent: true}
 	script.in.Offer(script.now, urgent, DeclaredHistory{}, Origin{Index: 15}, netip.Prefix{})
--- a/internal/edge/intake/intake.go
+++ b/internal/edge/intake/intake.go
@@ -99,34 +99,42 @@
 
 // Offer takes one copy of a reading from a device in a network. The copy is
 // answered exactly once through Actions.Answer, at once or later.
-func (in *Intake) Offer(now float64, r Reading, declared DeclaredHistory, from Origin, network netip.Prefix) {
+func (in *Intake) Offer(
+	now float64, received Reading, declared DeclaredHistory, from Origin, network netip.Prefix,
+) {
 	in.stats.Offered++
-	if !r.valid(len(in.routes)) {
+	if !received.valid(len(in.routes)) {
 		in.answer(from, Answer{Status: Invalid})
 		return
 	}
-	device := in.device(r.Device)
+	device := in.device(received.Device)
 	if device == nil { // every remembered device has readings in progress
 		in.reject(now, from)
 		return
 	}
-	sum := digest(r.Value)
-	if reading := device.inProgress[r.local()]; reading != nil {
+	sum := digest(received.Value)
+	if reading := device.inProgress[received.local()]; reading != nil {
 		in.coalesce(now, reading, sum, from)
 		return
 	}
-	if recorded, ok := device.recall(r.local()); ok {
+	if recorded, ok := device.recall(received.local()); ok {
 		in.answerDuplicate(sum == recorded, from)
 		in.markIdle(device)
 		return
 	}
-	reading := &trackedReading{Reading: r, digest: sum, device: device, network: network, arrivedAt: now}
-	if r.Epoch < device.epoch {
+	reading := &trackedReading{
+		Reading:   received,
+		digest:    sum,
+		device:    device,
+		network:   network,
+		arrivedAt: now,
+	}
+	if received.Epoch < device.epoch {
 		in.stats.PastEpoch++
 	}
-	device.observeEpoch(r.Epoch)
+	device.observeEpoch(received.Epoch)
 	if in.writesWithoutCheck(reading, declared) {
-		reading.safeUntil = min(declared.NotBefore, now) + in.routes[r.Route].IdempotencyWindow
+		reading.safeUntil = min(declared.NotBefore, now) + in.routes[received.Route].IdempotencyWindow
 	}
 	if !in.admit(now, reading) {
 		in.markIdle(device)
@@ -163,16 +171,16 @@
 
 // Recover takes a reading that the store contained at the start. Whether it was
 // submitted before is not known, so it is checked first.
-func (in *Intake) Recover(now float64, r Reading) {
-	device := in.device(r.Device)
+func (in *Intake) Recover(now float64, received Reading) {
+	device := in.device(received.Device)
 	if device == nil {
 		// A stored reading was acknowledged: MaxDevices bounds only new ones.
-		device = in.newDevice(r.Device)
+		device = in.newDevice(received.Device)
 	}
-	device.observeEpoch(r.Epoch)
+	device.observeEpoch(received.Epoch)
 	reading := &trackedReading{
-		Reading:   r,
-		digest:    digest(r.Value),
+		Reading:   received,
+		digest:    digest(received.Value),
 		device:    device,
 		arrivedAt: now,
 		stored:    true,
--- a/internal/edge/intake/intake_test.go
+++ b/internal/edge/intake/intake_test.go
@@ -33,7 +33,9 @@
 	n  uint64
 }
 
-func (a *idleActions) Submit(_ ID, n uint64, _ Operation, _ *Reading, _ int, _ float64) { a.n = n }
+func (a *idleActions) Submit(_ ID, submission uint64, _ Operation, _ *Reading, _ int, _ float64) {
+	a.n = submission
+}
 
 func (a *idleActions) Answer(Origin, Answer) {}
 
--- a/internal/edge/intake/model_test.go
+++ b/internal/edge/intake/model_test.go
@@ -139,12 +139,12 @@
 	})
 }
 
-func (s *modelRouter) Submit(id ID, n uint64, work Operation, reading *Reading, _ int, wait float64) {
+func (s *modelRouter) Submit(id ID, submission uint64, work Operation, reading *Reading, _ int, wait float64) {
 	w := s.world
 	until, incarnation := w.now+wait, s.incarnation // what is in flight outlives the router
-	fail := func() { s.afterIn(incarnation, max(until-w.now, 0), func() { s.intake.Failed(w.now, n) }) }
+	fail := func() { s.afterIn(incarnation, max(until-w.now, 0), func() { s.intake.Failed(w.now, submission) }) }
 	if w.chance(0.05) {
-		s.later(w.rand.Float64()*5, func() { s.intake.Rejected(w.now, n, 100*w.rand.Float64()) })
+		s.later(w.rand.Float64()*5, func() { s.intake.Rejected(w.now, submission, 100*w.rand.Float64()) })
 		return
 	}
 	delay := w.rand.Float64() * wait * 1.1
@@ -162,7 +162,7 @@
 			if lost || w.chance(0.1) {
 				fail()
 			} else {
-				s.afterIn(incarnation, w.rand.Float64()*10, func() { s.intake.Served(w.now, n, v) })
+				s.afterIn(incarnation, w.rand.Float64()*10, func() { s.intake.Served(w.now, submission, v) })
 			}
 			return
 		}
@@ -171,7 +171,7 @@
 			case !ok, lost, w.now > until:
 				fail()
 			default:
-				s.afterIn(incarnation, 1, func() { s.intake.Served(w.now, n, v) })
+				s.afterIn(incarnation, 1, func() { s.intake.Served(w.now, submission, v) })
 			}
 		})
 	})
--- a/internal/edge/intake/ratelimit_test.go
+++ b/internal/edge/intake/ratelimit_test.go
@@ -21,9 +21,9 @@
 		t.Errorf("%d in flight after 200 answers", group.inFlight)
 	}
 	open := group.inFlight
-	for n := range script.in.submissions {
+	for submission := range script.in.submissions {
 		script.advance(100)
-		script.in.Failed(script.now, n)
+		script.in.Failed(script.now, submission)
 		if len(script.in.submissions) < open/4 || script.now > 1e6+60000 {
 			break
 		}
@@ -32,8 +32,8 @@
 		t.Errorf("a window of %v after nothing but failures", group.window)
 	}
 	group.window = 32 // as if it were open: only the ramp limits it now
-	for n := range script.in.submissions {
-		script.in.Served(script.now, n, []byte("v"))
+	for submission := range script.in.submissions {
+		script.in.Served(script.now, submission, []byte("v"))
 		break
 	}
 	if l := group.limit(script.now, &script.in.cfg); l > 2 {
--- a/internal/edge/intake/script_test.go
+++ b/internal/edge/intake/script_test.go
@@ -37,8 +37,8 @@
 	script.actions = append(script.actions, fmt.Sprintf(format, args...))
 }
 
-func (script *scriptedIntake) Submit(id ID, n uint64, w Operation, _ *Reading, _ int, wait float64) {
-	script.lastSubmission, script.lastTimeout = n, wait
+func (script *scriptedIntake) Submit(id ID, submission uint64, w Operation, _ *Reading, _ int, wait float64) {
+	script.lastSubmission, script.lastTimeout = submission, wait
 	if w == Write {
 		script.writeDeadline = script.now + wait
 	}
--- a/internal/edge/intake/submission.go
+++ b/internal/edge/intake/submission.go
@@ -91,10 +91,10 @@
 
 // takeSubmission ends a submission and returns its reading, nil if it is not in
 // flight.
-func (in *Intake) takeSubmission(n uint64) *trackedReading {
-	reading := in.submissions[n]
+func (in *Intake) takeSubmission(submission uint64) *trackedReading {
+	reading := in.submissions[submission]
 	if reading != nil {
-		delete(in.submissions, n)
+		delete(in.submissions, submission)
 		reading.group.inFlight--
 	}
 	return reading
@@ -103,8 +103,8 @@
 // Served takes the value that the database holds in the reading's row: after a
 // write what is recorded under the key, after a check nothing if there is no
 // such row.
-func (in *Intake) Served(now float64, n uint64, value []byte) {
-	reading := in.takeSubmission(n)
+func (in *Intake) Served(now float64, submission uint64, value []byte) {
+	reading := in.takeSubmission(submission)
 	if reading == nil {
 		return
 	}
@@ -175,8 +175,8 @@
 
 // Rejected reports that the router rejected a submission, with the advice to
 // retry after that many milliseconds, 0 for none.
-func (in *Intake) Rejected(now float64, n uint64, retryAfter float64) {
-	reading := in.takeSubmission(n)
+func (in *Intake) Rejected(now float64, submission uint64, retryAfter float64) {
+	reading := in.takeSubmission(submission)
 	if reading == nil {
 		return
 	}
@@ -190,8 +190,8 @@
 }
 
 // Failed reports that a submission failed; a write may have run, or may yet.
-func (in *Intake) Failed(now float64, n uint64) {
-	reading := in.takeSubmission(n)
+func (in *Intake) Failed(now float64, submission uint64) {
+	reading := in.takeSubmission(submission)
 	if reading == nil {
 		return
 	}
--- a/internal/edge/intake/types.go
+++ b/internal/edge/intake/types.go
@@ -70,8 +70,9 @@
 // within the Intake's own and must not call back into it.
 type Actions interface {
 	// Submit sends a statement to a replica group; timeout is in milliseconds.
-	// It is answered by one call of Served, Rejected or Failed with n.
-	Submit(id ID, n uint64, operation Operation, reading *Reading, group int, timeout float64)
+	// It is answered by one call of Served, Rejected or Failed with the same
+	// submission, a number.
+	Submit(id ID, submission uint64, operation Operation, reading *Reading, group int, timeout float64)
 	// Answer answers one copy of a reading.
 	Answer(to Origin, answer Answer)
 	// Persist stores a reading and is answered by Persisted.
--- a/internal/edge/statements.go
+++ b/internal/edge/statements.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/hex"
-	"fmt"
 	"strconv"
 
 	"lotusbend/internal/router"
@@ -30,14 +29,19 @@
 	text []byte, key string, group int, timeout float64,
 ) {
 	e.lastSerial++
-	text = fmt.Appendf(text, " /* id=%016x%016x,c=%s,d=", e.bootID, e.lastSerial, className)
+	text = append(text, " /* id="...)
+	text = appendHex(text, e.bootID)
+	text = appendHex(text, e.lastSerial)
+	text = append(text, ",c="+className+",d="...)
 	waitFrom := len(text)
 	text = strconv.AppendInt(text, int64(timeout), 10)
 	waitTo := len(text)
 	if key != "" {
 		text = append(text, ",k="+key...)
 	}
-	text = fmt.Appendf(text, ",cluster=%d */", group)
+	text = append(text, ",cluster="...)
+	text = strconv.AppendInt(text, int64(group), 10)
+	text = append(text, " */"...)
 	e.requests.Submit(router.Request{
 		Statement: router.Statement{Text: text, WaitFrom: waitFrom, WaitTo: waitTo},
 		Class:     class.Number,
@@ -46,6 +50,14 @@
 	}, e, e.statements.Add(statement))
 }
 
+// appendHex appends 16 hexadecimal digits.
+func appendHex(b []byte, n uint64) []byte {
+	const zeros = "0000000000000000"
+	digits := strconv.AppendUint(make([]byte, 0, len(zeros)), n, 16)
+	b = append(b, zeros[:len(zeros)-len(digits)]...)
+	return append(b, digits...)
+}
+
 // Answer implements router.Client. It may come from within Submit, so that the
 // rules learn of it after the event in progress.
 func (e *Edge) Answer(client slotmap.Handle, answer router.Answer) {
