--- a/internal/pooling/characterization_test.go
+++ b/internal/pooling/characterization_test.go
@@ -127,25 +127,25 @@
 // limit and some together.
 var leaseLimits = map[string]pooling.Limits{
 	"unlimited":    {},
-	"total":        {Total: 5, WaitMost: 400},
-	"per-host":     {PerHost: 3, WaitMost: 400},
-	"per-user":     {PerUser: 2, WaitMost: 400},
-	"per-database": {PerDatabase: 3, WaitMost: 400},
-	"reserve":      {PerHost: 4, Reserve: 2, WaitMost: 300},
-	"queue":        {Total: 3, Queue: 4, WaitMost: 900},
-	"opening":      {Total: 12, Opening: 1, WaitMost: 500},
-	"lives":        {LiveFor: 300},
-	"ages":         {Total: 8, IdleFor: 150, LiveFor: 900, WaitMost: 500},
-	"all": {Total: 9, PerHost: 5, PerUser: 5, PerDatabase: 6, Reserve: 1, Queue: 12, WaitMost: 350,
-		Opening: 2, IdleFor: 250, LiveFor: 1500},
+	"total":        {Total: 5, MaxWait: 400},
+	"per-host":     {PerEndpoint: 3, MaxWait: 400},
+	"per-user":     {PerUser: 2, MaxWait: 400},
+	"per-database": {PerDatabase: 3, MaxWait: 400},
+	"reserve":      {PerEndpoint: 4, Reserve: 2, MaxWait: 300},
+	"queue":        {Total: 3, MaxQueued: 4, MaxWait: 900},
+	"opening":      {Total: 12, MaxOpening: 1, MaxWait: 500},
+	"lives":        {MaxLifetime: 300},
+	"ages":         {Total: 8, IdleTimeout: 150, MaxLifetime: 900, MaxWait: 500},
+	"all": {Total: 9, PerEndpoint: 5, PerUser: 5, PerDatabase: 6, Reserve: 1, MaxQueued: 12, MaxWait: 350,
+		MaxOpening: 2, IdleTimeout: 250, MaxLifetime: 1500},
 }
 
 const (
-	leaseEvents = 2500
-	leaseHosts  = 3
+	leaseEvents    = 2500
+	leaseEndpoints = 3
 )
 
-// leaseWorld is the clients and hosts around a pool's leases. It hashes every
+// leaseWorld is the clients and endpoints around a pool's leases. It hashes every
 // action that the leases ask for.
 type leaseWorld struct {
 	digest  digest
@@ -157,16 +157,16 @@
 	opening []uint64 // connections
 	leased  []uint64 // connections
 	all     []uint64 // connections
-	drained [leaseHosts + 1]bool
+	drained [leaseEndpoints + 1]bool
 }
 
 func without(values []uint64, gone uint64) []uint64 {
 	return slices.DeleteFunc(values, func(v uint64) bool { return v == gone })
 }
 
-func (w *leaseWorld) Open(conn uint64, at pooling.Place) {
-	w.digest.numbers(1, int(conn), int(at.Host))
-	w.digest.texts(at.User, at.Database)
+func (w *leaseWorld) Open(conn uint64, key pooling.PoolKey) {
+	w.digest.numbers(1, int(conn), int(key.Endpoint))
+	w.digest.texts(key.User, key.Database)
 	w.opening, w.all = append(w.opening, conn), append(w.all, conn)
 }
 
@@ -175,7 +175,7 @@
 	w.waiting, w.leased = without(w.waiting, client), append(w.leased, conn)
 }
 
-func (w *leaseWorld) Refuse(client uint64, retryAfter float64) {
+func (w *leaseWorld) Reject(client uint64, retryAfter float64) {
 	w.digest.numbers(3, int(client))
 	w.digest.milliseconds(retryAfter)
 	w.waiting = without(w.waiting, client)
@@ -201,18 +201,18 @@
 		w.digest.flags(ok)
 		w.digest.milliseconds(due)
 	}
-	w.pass(1e6) // whoever still waits is refused
+	w.advance(1e6) // what is still queued is rejected
 	if len(w.waiting) != 0 {
-		t.Errorf("%d clients wait for ever", len(w.waiting))
+		t.Errorf("%d clients are still queued", len(w.waiting))
 	}
 	return w.digest.sum()
 }
 
-// event is one event of a stream, with its share of a hundred.
+// event is one event of a stream, by its weight of a hundred.
 func (w *leaseWorld) event() {
 	switch n := w.random.IntN(100); {
 	case n < 32:
-		w.ask()
+		w.acquire()
 	case n < 52:
 		if conn, ok := w.one(w.opening); ok {
 			w.opening = without(w.opening, conn)
@@ -226,21 +226,21 @@
 	case n < 82:
 		if conn, ok := w.one(w.all); ok {
 			w.gone(conn)
-			w.leases.Closed(w.now, conn)
+			w.leases.Closed(conn)
 		}
 	case n < 87:
 		if client, ok := w.one(w.waiting); ok {
 			w.waiting = without(w.waiting, client)
-			w.leases.GiveUp(client)
+			w.leases.Cancel(client)
 		}
 	case n < 89:
-		host := 1 + w.random.IntN(leaseHosts)
+		host := 1 + w.random.IntN(leaseEndpoints)
 		w.drained[host] = !w.drained[host]
-		w.leases.Drain(w.now, uint32(host), w.drained[host])
+		w.leases.Drain(uint32(host), w.drained[host])
 	case n < 92:
 		w.outOfOrder()
 	default:
-		w.pass(w.random.Float64() * 120)
+		w.advance(w.random.Float64() * 120)
 	}
 }
 
@@ -251,9 +251,9 @@
 	return pick(w.random, values...), true
 }
 
-// ask asks for a connection: mostly for a new client, sometimes for one that
-// has been here before, or that waits already.
-func (w *leaseWorld) ask() {
+// acquire requests a connection: mostly for a new client, sometimes for one that
+// has been here before, or that is queued already.
+func (w *leaseWorld) acquire() {
 	client := w.client + 1
 	if w.random.IntN(4) == 0 && w.client > 0 {
 		client = 1 + w.random.Uint64N(w.client)
@@ -262,10 +262,12 @@
 	if !slices.Contains(w.waiting, client) {
 		w.waiting = append(w.waiting, client)
 	}
-	w.leases.Ask(w.now, pooling.Want{
+	w.leases.Acquire(w.now, pooling.ConnectionRequest{
 		Client: client,
-		Place: pooling.Place{
-			Host: uint32(1 + w.random.IntN(leaseHosts)), User: pick(w.random, "ann", "ben", "cleo"), Database: pick(w.random, "shop", "shop", "park"),
+		Key: pooling.PoolKey{
+			Endpoint: uint32(1 + w.random.IntN(leaseEndpoints)),
+			User:     pick(w.random, "ann", "ben", "cleo"),
+			Database: pick(w.random, "shop", "shop", "park"),
 		},
 		Write: w.random.IntN(3) == 0,
 		Wait:  pick(w.random, 0.0, 50, 250, 1000),
@@ -280,9 +282,9 @@
 	case 1:
 		w.leases.Released(w.now, conn|1<<30, true)
 	case 2:
-		w.leases.Closed(w.now, conn|1<<30)
+		w.leases.Closed(conn | 1<<30)
 	case 3:
-		w.leases.GiveUp(conn | 1<<30)
+		w.leases.Cancel(conn | 1<<30)
 	default:
 		if leased, ok := w.one(w.leased); ok {
 			w.leases.Opened(w.now, leased)
@@ -293,8 +295,8 @@
 	}
 }
 
-// pass lets time pass and does what is due meanwhile.
-func (w *leaseWorld) pass(ms float64) {
+// advance moves the clock and runs the timers that are due meanwhile.
+func (w *leaseWorld) advance(ms float64) {
 	end := w.now + ms
 	for due, ok := w.leases.Next(); ok && due <= end; due, ok = w.leases.Next() {
 		w.now = max(w.now, due)
@@ -306,76 +308,127 @@
 // statementGroups are statements whose effects are pinned.
 var statementGroups = map[string][]string{
 	"transactions": {
-		"begin", "BEGIN WORK", "begin isolation level serializable", "start transaction", "start transaction read only", "start", "start slave",
-		"commit", "commit work", "commit transaction and chain", "commit and no chain", "COMMIT AND CHAIN", "end", "end transaction", "end and chain",
-		"rollback", "abort", "abort work and chain", "rollback and chain", "rollback transaction", "rollback to a", "rollback to savepoint a",
-		"rollback work to savepoint \"A b\"", "rollback transaction to a", "rollback to", "savepoint a", "savepoint \"A\"\"b\"", "savepoint", "savepoint 1",
-		"release a", "release savepoint A", "release", "prepare transaction 'x'", "commit prepared 'x'", "rollback prepared 'x'",
+		"begin", "BEGIN WORK", "begin isolation level serializable", "start transaction", "start transaction read only",
+		"start", "start slave",
+		"commit", "commit work", "commit transaction and chain", "commit and no chain", "COMMIT AND CHAIN", "end",
+		"end transaction", "end and chain",
+		"rollback", "abort", "abort work and chain", "rollback and chain", "rollback transaction", "rollback to a",
+		"rollback to savepoint a",
+		"rollback work to savepoint \"A b\"", "rollback transaction to a", "rollback to", "savepoint a",
+		"savepoint \"A\"\"b\"", "savepoint", "savepoint 1",
+		"release a", "release savepoint A", "release", "prepare transaction 'x'", "commit prepared 'x'",
+		"rollback prepared 'x'",
 		"begin; select 1; commit", "begin;;commit;", ";", " ; ; ", "", "begin /* a */ ; -- b\n commit",
 	},
 	"settings": {
-		"set a to 1", "set a = 1", "SET Work_Mem TO '4MB'", "set session a to 1", "set local a to 1", "set local a to default", "set a to default",
-		"set a = default", "set a.b to 'x'", "set a.b.c = x, y", "set \"A\".\"b\" to 'x'", "set search_path to a, \"B\", 'c'", "set a to -1", "set a to - 1.5e3",
-		"set a to E'x\\'y'", "set a to 'x\\y'", "set a to $$it's$$", "set a to U&'d\\0061t'", "set a to $1", "set a", "set a to", "set a 1", "set", "set = 1",
-		"set time zone 'UTC'", "set time zone local", "set time zone default", "set time zone interval '1' hour to minute", "set local time zone 'UTC'",
-		"set timezone to 'UTC'", "set names 'utf8'", "set names default", "set role app", "set role none", "set role 'none'", "set local role none",
-		"set session role app", "set session authorization bob", "set session authorization default", "set session session authorization bob",
-		"set local session authorization bob", "set session authorization 'b\"ob'", "set transaction isolation level serializable", "set transaction read only",
-		"set transaction_isolation to 'serializable'", "set session characteristics as transaction read only", "set constraints all deferred",
-		"reset a", "reset a.b", "reset all", "reset", "reset 1", "reset time zone", "reset session authorization", "reset transaction isolation level",
+		"set a to 1", "set a = 1", "SET Work_Mem TO '4MB'", "set session a to 1", "set local a to 1",
+		"set local a to default", "set a to default",
+		"set a = default", "set a.b to 'x'", "set a.b.c = x, y", "set \"A\".\"b\" to 'x'", "set search_path to a, \"B\", 'c'",
+		"set a to -1", "set a to - 1.5e3",
+		"set a to E'x\\'y'", "set a to 'x\\y'", "set a to $$it's$$", "set a to U&'d\\0061t'", "set a to $1", "set a",
+		"set a to", "set a 1", "set", "set = 1",
+		"set time zone 'UTC'", "set time zone local", "set time zone default", "set time zone interval '1' hour to minute",
+		"set local time zone 'UTC'",
+		"set timezone to 'UTC'", "set names 'utf8'", "set names default", "set role app", "set role none", "set role 'none'",
+		"set local role none",
+		"set session role app", "set session authorization bob", "set session authorization default",
+		"set session session authorization bob",
+		"set local session authorization bob", "set session authorization 'b\"ob'",
+		"set transaction isolation level serializable", "set transaction read only",
+		"set transaction_isolation to 'serializable'", "set session characteristics as transaction read only",
+		"set constraints all deferred",
+		"reset a", "reset a.b", "reset all", "reset", "reset 1", "reset time zone", "reset session authorization",
+		"reset transaction isolation level",
 		"reset role", "reset names", "reset ALL",
 	},
 	"discards": {
-		"discard all", "discard plans", "discard temp", "discard temporary", "discard sequences", "discard", "discard everything", "DISCARD ALL;",
+		"discard all", "discard plans", "discard temp", "discard temporary", "discard sequences", "discard",
+		"discard everything", "DISCARD ALL;",
 		"listen a", "unlisten a", "unlisten *", "unlisten * , b", "unlisten", "notify a", "notify a, 'b'", "notify a, f('b')",
 	},
 	"prepared": {
-		"prepare p as select 1", "prepare p (int, text) as select $1", "PREPARE \"P\"\"q\" AS INSERT INTO t VALUES ($1)", "prepare p as select f(1)",
-		"prepare " + strings.Repeat("p", 70) + " as select 1", "prepare \"" + strings.Repeat("é", 40) + "\" as select 1", "prepare", "prepare p",
-		"  prepare p as select 1 ; select 2", "prepare p as select 1 -- last\n;", "execute p", "execute p(1, f(2))", "execute \"P\"", "execute",
-		"execute " + strings.Repeat("p", 70), "deallocate p", "deallocate prepare p", "deallocate all", "deallocate prepare all", "deallocate",
+		"prepare p as select 1", "prepare p (int, text) as select $1", "PREPARE \"P\"\"q\" AS INSERT INTO t VALUES ($1)",
+		"prepare p as select f(1)",
+		"prepare " + strings.Repeat("p", 70) + " as select 1", "prepare \"" + strings.Repeat("é", 40) + "\" as select 1",
+		"prepare", "prepare p",
+		"  prepare p as select 1 ; select 2", "prepare p as select 1 -- last\n;", "execute p", "execute p(1, f(2))",
+		"execute \"P\"", "execute",
+		"execute " + strings.Repeat("p", 70), "deallocate p", "deallocate prepare p", "deallocate all",
+		"deallocate prepare all", "deallocate",
 		"deallocate " + strings.Repeat("p", 70), "create table t as execute p", "explain execute p(1)",
 	},
 	"queries": {
-		"select 1", "SELECT * FROM a", "(select 1) union (select 2)", "table a", "values (1), (2)", "show a", "explain select 1", "explain analyze delete from a",
-		"fetch 1 from c", "move c", "close c", "select * from a for update", "select * from a for no key update", "select * from a for share",
-		"select * from a for key share", "select share from a", "select a.share, key share from a", "select * into b from a", "select * into temp b from a",
-		"select * into temporary b from a", "select a into", "with x as (select 1) select * from x", "with x as (insert into a values (1) returning b) select * from x",
-		"with recursive x (a, b) as (select 1, 2) select * from x", "with x as (merge into a using b on true when matched then delete) select 1",
-		"insert into a values (1)", "insert into a (b, c) select f(1)", "insert into a values (1) on conflict (b) do update set c = 1", "update a set b = 1",
-		"update a set b = f(1) where c in (1, 2)", "delete from a", "delete from only a using b", "merge into a using b on true when matched then delete",
-		"copy a from stdin", "copy a (b, c) to stdout", "copy (select f(1)) to stdout", "truncate a", "lock a", "lock table a in share mode", "vacuum", "vacuum (full) a",
-		"analyze a", "cluster a", "reindex table a", "refresh materialized view a", "checkpoint", "declare c cursor for select 1",
-		"declare c cursor with hold for select 1", "declare c cursor without hold for select f(1)", "declare hold cursor for select 1", "declare c no scroll cursor with hold for select 1",
-		"do $$ begin end $$", "call p()", "load 'x'", "frobnicate", "1", "'x'", "$1", "\"select\" 1", "* 1", "select", "with", "(", "select (1)",
+		"select 1", "SELECT * FROM a", "(select 1) union (select 2)", "table a", "values (1), (2)", "show a",
+		"explain select 1", "explain analyze delete from a",
+		"fetch 1 from c", "move c", "close c", "select * from a for update", "select * from a for no key update",
+		"select * from a for share",
+		"select * from a for key share", "select share from a", "select a.share, key share from a", "select * into b from a",
+		"select * into temp b from a",
+		"select * into temporary b from a", "select a into", "with x as (select 1) select * from x",
+		"with x as (insert into a values (1) returning b) select * from x",
+		"with recursive x (a, b) as (select 1, 2) select * from x",
+		"with x as (merge into a using b on true when matched then delete) select 1",
+		"insert into a values (1)", "insert into a (b, c) select f(1)",
+		"insert into a values (1) on conflict (b) do update set c = 1", "update a set b = 1",
+		"update a set b = f(1) where c in (1, 2)", "delete from a", "delete from only a using b",
+		"merge into a using b on true when matched then delete",
+		"copy a from stdin", "copy a (b, c) to stdout", "copy (select f(1)) to stdout", "truncate a", "lock a",
+		"lock table a in share mode", "vacuum", "vacuum (full) a",
+		"analyze a", "cluster a", "reindex table a", "refresh materialized view a", "checkpoint",
+		"declare c cursor for select 1",
+		"declare c cursor with hold for select 1", "declare c cursor without hold for select f(1)",
+		"declare hold cursor for select 1", "declare c no scroll cursor with hold for select 1",
+		"do $$ begin end $$", "call p()", "load 'x'", "frobnicate", "1", "'x'", "$1", "\"select\" 1", "* 1", "select", "with",
+		"(", "select (1)",
 	},
 	"functions": {
-		"select count(*)", "select COUNT (*)", "select pg_catalog.count(1)", "select pg_catalog.f(1)", "select other.count(1)", "select a.b.count(1)", "select \"count\"(1)",
-		"select f(1)", "select F (1)", "select a.f(1)", "select \"A\".\"F\"(1)", "select safe(1)", "select part.safe(1)", "select pg_catalog.safe(1)", "select \"SAFE\"(1)",
-		"select currval('s')", "select lastval()", "select nextval('s')", "select setval('s', 1)", "select pg_catalog.nextval('s')", "select pg_advisory_lock(1)",
-		"select pg_advisory_lock_shared(1)", "select pg_try_advisory_lock(1)", "select pg_advisory_xact_lock(1)", "select pg_try_advisory_xact_lock_shared(1)",
-		"select pg_advisory_unlock(1)", "select pg_advisory_unlock_all()", "select set_config('a', 'b', true)", "select 1 as f (a)", "select * from a as b(c)",
-		"select * from f(1) with ordinality", "select * from table (a)", "select a references (b)", "select x.y from g(1), h(2)", "select 'f(1)', $$f(2)$$, $x$f(3)$x$",
-		"select f -- (\n (1)", "select f /* ( */ (1)", "select (f)(1)", "select f[1]", "select case when f(1) then 2 end", "select cast(1 as numeric(3))",
-		"select 1 from a where b in (select f(1))", "select count(f(1))", "select now(), random(), coalesce(a, b)", "select .f(1)", "select a . f (1)",
+		"select count(*)", "select COUNT (*)", "select pg_catalog.count(1)", "select pg_catalog.f(1)",
+		"select other.count(1)", "select a.b.count(1)", "select \"count\"(1)",
+		"select f(1)", "select F (1)", "select a.f(1)", "select \"A\".\"F\"(1)", "select safe(1)", "select part.safe(1)",
+		"select pg_catalog.safe(1)", "select \"SAFE\"(1)",
+		"select currval('s')", "select lastval()", "select nextval('s')", "select setval('s', 1)",
+		"select pg_catalog.nextval('s')", "select pg_advisory_lock(1)",
+		"select pg_advisory_lock_shared(1)", "select pg_try_advisory_lock(1)", "select pg_advisory_xact_lock(1)",
+		"select pg_try_advisory_xact_lock_shared(1)",
+		"select pg_advisory_unlock(1)", "select pg_advisory_unlock_all()", "select set_config('a', 'b', true)",
+		"select 1 as f (a)", "select * from a as b(c)",
+		"select * from f(1) with ordinality", "select * from table (a)", "select a references (b)",
+		"select x.y from g(1), h(2)", "select 'f(1)', $$f(2)$$, $x$f(3)$x$",
+		"select f -- (\n (1)", "select f /* ( */ (1)", "select (f)(1)", "select f[1]", "select case when f(1) then 2 end",
+		"select cast(1 as numeric(3))",
+		"select 1 from a where b in (select f(1))", "select count(f(1))", "select now(), random(), coalesce(a, b)",
+		"select .f(1)", "select a . f (1)",
 	},
 	"schema": {
-		"create table a (b int)", "create table if not exists a (b int check (b > 0))", "create temp table a (b int)", "create temporary table a as select f(1)",
-		"create local temp table a ()", "create global temporary table a ()", "create or replace temp view a as select 1", "create or replace view a as select f(1)",
-		"create table a as select f(1)", "create table a as select nextval('s')", "create unlogged table temp ()", "create table a (b int, c temp)", "create materialized view a as select f(1)",
-		"create index on a (f(b))", "create sequence s", "create temp sequence s", "create function f() returns int language sql as 'select 1'", "create",
+		"create table a (b int)", "create table if not exists a (b int check (b > 0))", "create temp table a (b int)",
+		"create temporary table a as select f(1)",
+		"create local temp table a ()", "create global temporary table a ()", "create or replace temp view a as select 1",
+		"create or replace view a as select f(1)",
+		"create table a as select f(1)", "create table a as select nextval('s')", "create unlogged table temp ()",
+		"create table a (b int, c temp)", "create materialized view a as select f(1)",
+		"create index on a (f(b))", "create sequence s", "create temp sequence s",
+		"create function f() returns int language sql as 'select 1'", "create",
 		"create function f() returns int begin atomic select 1; select 2; end; select 3",
-		"create function f() returns int begin atomic select case when true then 1 end; end; select 3", "create role r", "create extension e",
-		"alter table a add b int", "alter system set a = 1", "drop table a", "drop function f(int)", "grant select on a to b", "revoke all on a from b",
-		"comment on table a is 'x'", "security label on a is 'x'", "import foreign schema a from server b into c", "reassign owned by a to b", "create table f(a int)",
+		"create function f() returns int begin atomic select case when true then 1 end; end; select 3", "create role r",
+		"create extension e",
+		"alter table a add b int", "alter system set a = 1", "drop table a", "drop function f(int)", "grant select on a to b",
+		"revoke all on a from b",
+		"comment on table a is 'x'", "security label on a is 'x'", "import foreign schema a from server b into c",
+		"reassign owned by a to b", "create table f(a int)",
 	},
 	"lexical": {
-		"select 'a''b'", "select 'a\\'; set b to 1", "select 'a\\'; set b to 1'; set c to 2", "select E'a\\'; set b to 1'", "select e'\\", "select e'a", "select 'a",
-		"select \"a", "select \"a\"\"b\"", "select $$a", "select $a$ $$ $b$ $a$; set b to 1", "select $a", "select $", "select $1$", "select $1a", "select a$b$c",
-		"select /* a", "select /* a /* b */ c", "select /* a /* b */ */ 1; set b to 1", "select 1 -- a; set b to 1", "select 1 -- a\n; set b to 1", "select 1 -- a\r; set b to 1",
-		"select - - 1", "select 1/2", "select 1.5e3, .5, 1.a", "select b'01', X'ff', n'a', U&'\\0061', u&\"a\"", "select u&", "select u&a", "select b, e, n, x",
-		"\tselect\f1\v;\r\nset b to 1", "select é(1)", "select \xff(1)", "selectf(1)", "select'x'", "begin atomic; end", "begin; atomic", "begin atomic case end end; set a to 1",
-		"select 1; select 'a", "/* only */", "-- only", "begin atomic", ";/* a */;", "set a to 'x''y'", "set a to \"x\"\"y\"", "select ''''", "select ''",
+		"select 'a''b'", "select 'a\\'; set b to 1", "select 'a\\'; set b to 1'; set c to 2", "select E'a\\'; set b to 1'",
+		"select e'\\", "select e'a", "select 'a",
+		"select \"a", "select \"a\"\"b\"", "select $$a", "select $a$ $$ $b$ $a$; set b to 1", "select $a", "select $",
+		"select $1$", "select $1a", "select a$b$c",
+		"select /* a", "select /* a /* b */ c", "select /* a /* b */ */ 1; set b to 1", "select 1 -- a; set b to 1",
+		"select 1 -- a\n; set b to 1", "select 1 -- a\r; set b to 1",
+		"select - - 1", "select 1/2", "select 1.5e3, .5, 1.a", "select b'01', X'ff', n'a', U&'\\0061', u&\"a\"", "select u&",
+		"select u&a", "select b, e, n, x",
+		"\tselect\f1\v;\r\nset b to 1", "select é(1)", "select \xff(1)", "selectf(1)", "select'x'", "begin atomic; end",
+		"begin; atomic", "begin atomic case end end; set a to 1",
+		"select 1; select 'a", "/* only */", "-- only", "begin atomic", ";/* a */;", "set a to 'x''y'", "set a to \"x\"\"y\"",
+		"select ''''", "select ''",
 	},
 }
 
@@ -383,11 +436,16 @@
 // server would take.
 func generatedStatements() (statements []string) {
 	random := rand.New(rand.NewPCG(4, 5))
-	heads := []string{"select", "SELECT", "insert into a", "update a set", "delete from a where", "with x as", "create", "create temp table", "set", "set local", "set session",
-		"reset", "prepare p as", "execute p", "deallocate", "declare c cursor", "explain", "commit", "rollback", "begin", "discard", "copy a", "values", "do", "alter table"}
-	parts := []string{" 1", " a.b", " f(1)", " count(*)", " pg_catalog.now()", " nextval('s')", " pg_advisory_lock(2)", " into temp t", " into b", " for update",
-		" for share", " with hold", " and chain", " to", " =", " 'x'", " 'x\\'", " E'\\''", " $1", " $$;$$", " \"Q\"", " ,", " ;", ";", " (", " )", " -- c\n", " /* f(1) */", " -",
-		" default", " all", " temp", " none", " local", " time zone", " role", " as", " select", " delete from a", " case", " end", " begin atomic", " -1.5", " safe(1)", " U&'x'"}
+	heads := []string{"select", "SELECT", "insert into a", "update a set", "delete from a where", "with x as", "create",
+		"create temp table", "set", "set local", "set session",
+		"reset", "prepare p as", "execute p", "deallocate", "declare c cursor", "explain", "commit", "rollback", "begin",
+		"discard", "copy a", "values", "do", "alter table"}
+	parts := []string{" 1", " a.b", " f(1)", " count(*)", " pg_catalog.now()", " nextval('s')", " pg_advisory_lock(2)",
+		" into temp t", " into b", " for update",
+		" for share", " with hold", " and chain", " to", " =", " 'x'", " 'x\\'", " E'\\''", " $1", " $$;$$", " \"Q\"", " ,",
+		" ;", ";", " (", " )", " -- c\n", " /* f(1) */", " -",
+		" default", " all", " temp", " none", " local", " time zone", " role", " as", " select", " delete from a", " case",
+		" end", " begin atomic", " -1.5", " safe(1)", " U&'x'"}
 	for range 600 {
 		var statement strings.Builder
 		statement.WriteString(pick(random, heads...))
@@ -402,7 +460,8 @@
 // cutStatements are prefixes of statements in which a string, a comment or a
 // name may be open.
 func cutStatements() (statements []string) {
-	whole := "select E'a\\'b', 'c''d', \"e\"\"f\", $g$ $ $$ $g$, U&'h', u&\"i\" /* j /* k */ */ -- l\n from m.n(1, .5); set o.p = -q, 'r\\s'"
+	whole := "select E'a\\'b', 'c''d', \"e\"\"f\", $g$ $ $$ $g$, U&'h', u&\"i\" " +
+		"/* j /* k */ */ -- l\n from m.n(1, .5); set o.p = -q, 'r\\s'"
 	for n := range len(whole) + 1 {
 		statements = append(statements, whole[:n])
 	}
@@ -436,12 +495,18 @@
 
 // sessionStatements are what the clients of sessionStream send.
 var sessionStatements = []string{
-	"begin", "begin", "begin", "commit", "commit", "commit and chain", "rollback", "rollback and chain", "savepoint a", "savepoint b", "savepoint a", "release a", "release b",
-	"rollback to a", "rollback to b", "set a to 1", "set a to 2", "set b to 'x'", "set c.d = 'y', z", "set local a to 3", "set local b to default", "set local e to 'l'",
-	"set a to default", "reset b", "reset all", "set role app", "set role none", "set session authorization bob", "set time zone 'UTC'", "discard all", "discard temp",
-	"discard sequences", "create temp table t (a int)", "listen news", "unlisten *", "unlisten *", "discard temp", "select nextval('s')", "select pg_advisory_lock(1)",
-	"declare c cursor with hold for select 1", "select f(1)", "prepare p as select 1", "prepare p as select 2", "prepare \"q\"\"r\" as select 3", "deallocate p",
-	"deallocate \"q\"\"r\"", "deallocate all", "select 1", "insert into t values (1)", "frobnicate", "select 'open", "discard plans",
+	"begin", "begin", "begin", "commit", "commit", "commit and chain", "rollback", "rollback and chain", "savepoint a",
+	"savepoint b", "savepoint a", "release a", "release b",
+	"rollback to a", "rollback to b", "set a to 1", "set a to 2", "set b to 'x'", "set c.d = 'y', z", "set local a to 3",
+	"set local b to default", "set local e to 'l'",
+	"set a to default", "reset b", "reset all", "set role app", "set role none", "set session authorization bob",
+	"set time zone 'UTC'", "discard all", "discard temp",
+	"discard sequences", "create temp table t (a int)", "listen news", "unlisten *", "unlisten *", "discard temp",
+	"select nextval('s')", "select pg_advisory_lock(1)",
+	"declare c cursor with hold for select 1", "select f(1)", "prepare p as select 1", "prepare p as select 2",
+	"prepare \"q\"\"r\" as select 3", "deallocate p",
+	"deallocate \"q\"\"r\"", "deallocate all", "select 1", "insert into t values (1)", "frobnicate", "select 'open",
+	"discard plans",
 }
 
 // sessionStream lets sessions run statements on connections that they share.
@@ -460,20 +525,20 @@
 				session.Apply(effect)
 			}
 		case n < 78:
-			session.Error()
+			session.Fail()
 		case n < 82:
-			session.Wrote(float64(random.IntN(1000)))
+			session.RecordWrite(float64(random.IntN(1000)))
 		case n < 84: // its client has gone, another comes
 			*session = pooling.Session{}
 		case n < 87:
-			connection.Cleared()
+			connection.Reset()
 		default:
-			d.texts(connection.Handover(session))
+			d.texts(connection.HandoverSQL(session))
 			if random.IntN(3) > 0 {
-				connection.Taken(session)
+				connection.HandedOver(session)
 			}
-			d.flags(connection.Return(session))
-			d.texts(connection.Handover(session))
+			d.flags(connection.Release(session))
+			d.texts(connection.HandoverSQL(session))
 		}
 		hashSession(d, session)
 	}
@@ -493,30 +558,38 @@
 		"create temp table t () | begin | discard temp | ! | commit",
 		"create temp table t () | begin | discard temp | commit and chain | rollback",
 		"listen a | unlisten * | listen b | begin | unlisten * | listen c | rollback and chain | commit",
-		"begin | create temp table t () | rollback", "begin | ! | create temp table t () | commit", "begin | select f(1) | discard all | commit | discard all",
-		"begin | set a to 1 | savepoint s | set a to 2 | release s | commit", "begin | set a to 1 | savepoint s | set a to 2 | rollback to s | commit",
+		"begin | create temp table t () | rollback", "begin | ! | create temp table t () | commit",
+		"begin | select f(1) | discard all | commit | discard all",
+		"begin | set a to 1 | savepoint s | set a to 2 | release s | commit",
+		"begin | set a to 1 | savepoint s | set a to 2 | rollback to s | commit",
 		"begin | savepoint s | set a to 1 | savepoint s | set a to 2 | release s | rollback to s | commit",
-		"begin | set local a to 1 | set a to 2 | commit", "begin | set a to 1 | set local a to 2 | commit", "set a to 0 | begin | set local a to default | commit",
-		"set a to 0 | begin | savepoint s | set local a to 1 | release s | set b to 1 | commit", "begin | savepoint s | set local a to 1 | release s | rollback",
-		"begin | set local a to 1 | savepoint s | set a to 2 | release s | commit", "begin | set a to 1 | ! | set a to 2 | rollback to s | commit",
-		"begin | savepoint s | ! | rollback to s | set a to 1 | commit", "begin | begin | set a to 1 | rollback", "set local a to 1", "savepoint s | release s | rollback to s",
-		"set a to 1 | set b to 2 | begin | reset all | rollback | begin | reset all | commit", "begin | set a to 1 | commit and chain | set a to 2 | rollback and chain | set a to 3 | commit",
-		"prepare p as select 1 | begin | deallocate p | rollback | prepare q as select 2 | deallocate all", "begin | ! | prepare p as select 1 | rollback", "! | set a to 1",
+		"begin | set local a to 1 | set a to 2 | commit", "begin | set a to 1 | set local a to 2 | commit",
+		"set a to 0 | begin | set local a to default | commit",
+		"set a to 0 | begin | savepoint s | set local a to 1 | release s | set b to 1 | commit",
+		"begin | savepoint s | set local a to 1 | release s | rollback",
+		"begin | set local a to 1 | savepoint s | set a to 2 | release s | commit",
+		"begin | set a to 1 | ! | set a to 2 | rollback to s | commit",
+		"begin | savepoint s | ! | rollback to s | set a to 1 | commit", "begin | begin | set a to 1 | rollback",
+		"set local a to 1", "savepoint s | release s | rollback to s",
+		"set a to 1 | set b to 2 | begin | reset all | rollback | begin | reset all | commit",
+		"begin | set a to 1 | commit and chain | set a to 2 | rollback and chain | set a to 3 | commit",
+		"prepare p as select 1 | begin | deallocate p | rollback | prepare q as select 2 | deallocate all",
+		"begin | ! | prepare p as select 1 | rollback", "! | set a to 1",
 	} {
 		var session pooling.Session
 		var connection pooling.Connection
 		for statement := range strings.SplitSeq(script, " | ") {
 			if statement == "!" {
-				session.Error()
+				session.Fail()
 			} else {
 				for _, effect := range reader.Read(statement) {
 					session.Apply(effect)
 				}
 			}
 			hashSession(d, &session)
-			d.texts(connection.Handover(&session))
+			d.texts(connection.HandoverSQL(&session))
 		}
-		d.flags(connection.Return(&session))
+		d.flags(connection.Release(&session))
 	}
 	return d.sum()
 }
@@ -540,7 +613,8 @@
 func differences() string {
 	d := newDigest()
 	random := rand.New(rand.NewPCG(8, 9))
-	names := []string{"a", "b.c", "role", "session_authorization", "timezone", "Upper", "with space", "quo\"te", "1st", "", "é", "a$b", "x..y", "search_path"}
+	names := []string{"a", "b.c", "role", "session_authorization", "timezone", "Upper", "with space", "quo\"te", "1st", "",
+		"é", "a$b", "x..y", "search_path"}
 	values := []string{"1", "'x'", "a, \"B\"", "DEFAULT", ""}
 	settings := func() map[string]string {
 		chosen := map[string]string{}
@@ -589,10 +663,10 @@
 // extendedClient is one client of the extended protocol, and the server that
 // answers it meanwhile.
 type extendedClient struct {
-	names    pooling.Names
+	names    pooling.ClientStatements
 	pipeline *pooling.Pipeline
-	unsent   []pooling.Sent // not answered by the server
-	skipping bool           // the server passes over all up to the next Sync
+	unsent   []pooling.ServerMessage // not answered by the server
+	skipping bool                    // the server passes over all up to the next Sync
 }
 
 // extendedWorld is several clients on connections that they share in turn.
@@ -600,7 +674,7 @@
 	digest  digest
 	random  *rand.Rand
 	catalog pooling.Catalog
-	held    []*pooling.Held
+	held    []*pooling.ConnectionStatements
 	clients []*extendedClient
 	count   int // of messages
 }
@@ -611,8 +685,8 @@
 	const events = 6000
 	w := &extendedWorld{digest: newDigest(), random: rand.New(rand.NewPCG(12, 13))}
 	for range 3 {
-		w.held = append(w.held, &pooling.Held{Most: limits.perConnection})
-		w.clients = append(w.clients, &extendedClient{names: pooling.Names{Most: limits.perClient}})
+		w.held = append(w.held, &pooling.ConnectionStatements{Max: limits.perConnection})
+		w.clients = append(w.clients, &extendedClient{names: pooling.ClientStatements{Max: limits.perClient}})
 	}
 	for n, c := range w.clients {
 		c.pipeline = pooling.NewPipeline(&w.catalog, &c.names, w.held[n])
@@ -635,7 +709,7 @@
 	case share < 188:
 		w.answer(n, c)
 	case share < 190:
-		w.catalog.Changed()
+		w.catalog.SchemaChanged()
 	case share < 192 && c.pipeline.Idle():
 		c.names.Clear(&w.catalog)
 	case share < 194 && c.pipeline.Idle():
@@ -664,9 +738,10 @@
 		m.Statement = pick(w.random, "", "", "s", "t", "u", "lb_forged", strings.Repeat("long", 30))
 	}
 	if m.Kind == 'P' {
-		m.Text, m.Types = pick(w.random, "select 1", "select $1", "select 2", ""), pick(w.random, nil, []uint32{23}, []uint32{0, 25})
+		m.Text, m.Types = pick(w.random, "select 1", "select $1", "select 2", ""), pick(w.random, nil, []uint32{23},
+			[]uint32{0, 25})
 	}
-	sent, now := c.pipeline.Client(m)
+	sent, now := c.pipeline.FromClient(m)
 	w.digest.numbers(len(sent))
 	for _, s := range sent {
 		w.hashSent(s)
@@ -675,7 +750,7 @@
 	c.unsent = append(c.unsent, sent...)
 }
 
-func (w *extendedWorld) hashSent(s pooling.Sent) {
+func (w *extendedWorld) hashSent(s pooling.ServerMessage) {
 	w.digest.numbers(int(s.Kind), len(s.Types))
 	for _, oid := range s.Types {
 		w.digest.numbers(int(oid))
@@ -738,13 +813,13 @@
 // reply takes one message from the server. Where it fits nothing the
 // connection ends and the client gets a new one.
 func (w *extendedWorld) reply(n int, c *extendedClient, kind byte) {
-	r, ok := c.pipeline.Server(kind)
-	w.digest.flags(r.Pass, ok)
-	w.digest.texts(string(r.Also))
+	r, ok := c.pipeline.FromServer(kind)
+	w.digest.flags(r.Forward, ok)
+	w.digest.texts(string(r.Synthesized))
 	if ok {
 		return
 	}
-	w.held[n] = &pooling.Held{Most: w.held[n].Most}
+	w.held[n] = &pooling.ConnectionStatements{Max: w.held[n].Max}
 	c.pipeline, c.unsent, c.skipping = pooling.NewPipeline(&w.catalog, &c.names, w.held[n]), nil, false
 }
 
@@ -754,19 +829,20 @@
 	d := newDigest()
 	random := rand.New(rand.NewPCG(14, 15))
 	var catalog pooling.Catalog
-	names := []*pooling.Names{{}, {Most: 3}}
-	held := []*pooling.Held{{}, {Most: 2}}
+	names := []*pooling.ClientStatements{{}, {Max: 3}}
+	held := []*pooling.ConnectionStatements{{}, {Max: 2}}
 	for range events {
 		client, connection := pick(random, names...), pick(random, held...)
 		name := pick(random, "", "a", "b", "c", "d")
 		switch random.IntN(12) {
 		case 0, 1, 2:
-			prepared, err := client.Parse(&catalog, name, pick(random, "x", "y", "z"), pick(random, nil, []uint32{1}, []uint32{1, 2}))
+			prepared, err := client.Parse(&catalog, name, pick(random, "x", "y", "z"),
+				pick(random, nil, []uint32{1}, []uint32{1, 2}))
 			hashPrepared(d, prepared, err)
 		case 3:
 			client.Close(&catalog, name)
 		case 4:
-			catalog.Changed()
+			catalog.SchemaChanged()
 		case 5:
 			if random.IntN(10) == 0 {
 				client.Clear(&catalog)
@@ -783,7 +859,7 @@
 			d.texts(steps.Close...)
 			d.flags(steps.Parse)
 			if random.IntN(5) == 0 {
-				connection.Lost(prepared)
+				connection.Forget(prepared)
 			}
 			if len(steps.Close) > 0 && random.IntN(3) == 0 {
 				connection.Restore(steps.Close[0])
--- a/internal/pooling/doc.go
+++ b/internal/pooling/doc.go
@@ -1,10 +1,17 @@
-// Package pooling holds the rules by which many clients share few connections
-// to PostgreSQL hosts: what a statement does to its session, what of a session
-// can be carried to another connection and what pins it, which prepared
-// statements a connection has, and who gets a connection next. It has no I/O,
-// no clock and no goroutines; times are Unix milliseconds.
+// Package pooling holds the rules of transaction pooling, by which many clients
+// use few connections to PostgreSQL endpoints:
 //
-// The text of statements is read by the lexical rules of PostgreSQL 15
-// (chapter 4.1), and no further than the rules need. What cannot be known is
-// taken for the worst.
+//   - Reader: what a statement does to its session;
+//   - Session, Settings and Connection: which session state can be handed over
+//     to another connection, and what pins a session to its connection;
+//   - Catalog, ClientStatements, ConnectionStatements and Pipeline: prepared
+//     statements and the extended protocol;
+//   - Leases: which client gets a connection next.
+//
+// It has no I/O, no clock and no goroutines; times are Unix milliseconds. No
+// type is safe for concurrent use unless it says so.
+//
+// Statements are read by the lexical rules of PostgreSQL 15 (section 4.1), and
+// no further than the rules need. Where an effect cannot be known, the worst is
+// assumed.
 package pooling
--- a/internal/pooling/lease_test.go
+++ b/internal/pooling/lease_test.go
@@ -9,28 +9,29 @@
 	"pgregory.net/rapid"
 )
 
-// books are the actions of Leases, kept by a model that checks each of them.
-type books struct {
-	fail    func(format string, args ...any)
-	l       *Leases
-	lim     Limits
-	now     float64
-	said    []string
-	conns   map[uint64]Place
-	opening map[uint64]bool
-	leased  map[uint64]uint64 // connection to client
-	wants   map[uint64]Want   // that wait
-	drained map[uint32]bool
+// leaseModel takes the actions of Leases and checks each of them.
+type leaseModel struct {
+	fail     func(format string, args ...any)
+	leases   *Leases
+	lim      Limits
+	now      float64
+	actions  []string
+	conns    map[uint64]PoolKey
+	opening  map[uint64]bool
+	leased   map[uint64]uint64            // connection to client
+	requests map[uint64]ConnectionRequest // that wait
+	drained  map[uint32]bool
 }
 
-func newBooks(lim Limits, fail func(string, ...any)) *books {
-	b := &books{fail: fail, lim: lim, now: 1e6, conns: map[uint64]Place{}, opening: map[uint64]bool{}, leased: map[uint64]uint64{}, wants: map[uint64]Want{}, drained: map[uint32]bool{}}
-	b.l = NewLeases(lim, 1, b)
-	return b
+func newLeaseModel(lim Limits, fail func(string, ...any)) *leaseModel {
+	model := &leaseModel{fail: fail, lim: lim, now: 1e6, conns: map[uint64]PoolKey{}, opening: map[uint64]bool{},
+		leased: map[uint64]uint64{}, requests: map[uint64]ConnectionRequest{}, drained: map[uint32]bool{}}
+	model.leases = NewLeases(lim, 1, model)
+	return model
 }
 
-func (b *books) count(of func(Place) bool) (n int) {
-	for _, p := range b.conns {
+func (m *leaseModel) count(of func(PoolKey) bool) (n int) {
+	for _, p := range m.conns {
 		if of(p) {
 			n++
 		}
@@ -38,90 +39,91 @@
 	return n
 }
 
-func (b *books) Open(conn uint64, at Place) {
-	b.said = append(b.said, fmt.Sprintf("open%d", conn))
-	b.conns[conn], b.opening[conn] = at, true
+func (m *leaseModel) Open(conn uint64, at PoolKey) {
+	m.actions = append(m.actions, fmt.Sprintf("open%d", conn))
+	m.conns[conn], m.opening[conn] = at, true
 	over := func(what string, n, most int) {
 		if most > 0 && n > most {
-			b.fail("%d connections of %s, %d allowed", n, what, most)
+			m.fail("%d connections of %s, %d allowed", n, what, most)
 		}
 	}
-	over("all", len(b.conns), b.lim.Total)
-	over("a host", b.count(func(p Place) bool { return p.Host == at.Host }), b.lim.PerHost)
-	over("a user", b.count(func(p Place) bool { return p.User == at.User }), b.lim.PerUser)
-	over("a database", b.count(func(p Place) bool { return p.Database == at.Database }), b.lim.PerDatabase)
+	over("all", len(m.conns), m.lim.Total)
+	over("an endpoint", m.count(func(p PoolKey) bool { return p.Endpoint == at.Endpoint }), m.lim.PerEndpoint)
+	over("a user", m.count(func(p PoolKey) bool { return p.User == at.User }), m.lim.PerUser)
+	over("a database", m.count(func(p PoolKey) bool { return p.Database == at.Database }), m.lim.PerDatabase)
 	n := 0
-	for c := range b.opening {
-		if b.conns[c].Host == at.Host {
+	for c := range m.opening {
+		if m.conns[c].Endpoint == at.Endpoint {
 			n++
 		}
 	}
-	over("those that open", n, b.lim.Opening)
-	if b.drained[at.Host] {
-		b.fail("opened to a draining host")
+	over("those that open", n, m.lim.MaxOpening)
+	if m.drained[at.Endpoint] {
+		m.fail("opened to a draining endpoint")
 	}
 }
 
-func (b *books) Grant(client, conn uint64) {
-	b.said = append(b.said, fmt.Sprintf("grant%d:%d", client, conn))
-	w, waits := b.wants[client]
-	if _, taken := b.leased[conn]; taken || b.opening[conn] || b.conns[conn] != w.Place || !waits || b.drained[w.Place.Host] {
-		b.fail("connection %d at %v was granted to %d, which wants %v (waits: %t, taken: %t)", conn, b.conns[conn], client, w.Place, waits, taken)
+func (m *leaseModel) Grant(client, conn uint64) {
+	m.actions = append(m.actions, fmt.Sprintf("grant%d:%d", client, conn))
+	w, waits := m.requests[client]
+	if _, taken := m.leased[conn]; taken || m.opening[conn] || m.conns[conn] != w.Key || !waits || m.drained[w.Key.Endpoint] {
+		m.fail("connection %d at %v was granted to %d, which wants %v (waits: %t, taken: %t)", conn, m.conns[conn], client,
+			w.Key, waits, taken)
 	}
-	delete(b.wants, client)
-	b.leased[conn] = client
+	delete(m.requests, client)
+	m.leased[conn] = client
 }
 
-func (b *books) Refuse(client uint64, after float64) {
-	b.said = append(b.said, fmt.Sprintf("refuse%d", client))
-	if _, ok := b.wants[client]; !ok || after <= 0 {
-		b.fail("%d was refused and does not wait, advice %v", client, after)
+func (m *leaseModel) Reject(client uint64, after float64) {
+	m.actions = append(m.actions, fmt.Sprintf("reject%d", client))
+	if _, ok := m.requests[client]; !ok || after <= 0 {
+		m.fail("%d was rejected and is not queued, retry after %v", client, after)
 	}
-	delete(b.wants, client)
+	delete(m.requests, client)
 }
 
-func (b *books) Close(conn uint64) {
-	b.said = append(b.said, fmt.Sprintf("close%d", conn))
-	if _, ok := b.conns[conn]; !ok {
-		b.fail("connection %d was closed and is not there", conn)
+func (m *leaseModel) Close(conn uint64) {
+	m.actions = append(m.actions, fmt.Sprintf("close%d", conn))
+	if _, ok := m.conns[conn]; !ok {
+		m.fail("connection %d was closed and does not exist", conn)
 	}
-	delete(b.conns, conn)
-	delete(b.opening, conn)
-	delete(b.leased, conn)
+	delete(m.conns, conn)
+	delete(m.opening, conn)
+	delete(m.leased, conn)
 }
 
-func (b *books) ask(client uint64, host uint32, user string, write bool) {
+func (m *leaseModel) acquire(client uint64, endpoint uint32, user string, write bool) {
 	user, database, _ := strings.Cut(user, "@")
-	w := Want{client, Place{host, user, database}, write, 1000}
-	b.wants[client] = w
-	b.l.Ask(b.now, w)
+	w := ConnectionRequest{client, PoolKey{endpoint, user, database}, write, 1000}
+	m.requests[client] = w
+	m.leases.Acquire(m.now, w)
 }
 
-func (b *books) pass(ms float64) {
-	end := b.now + ms
-	for at, ok := b.l.Next(); ok && at <= end; at, ok = b.l.Next() {
-		b.now = max(at, b.now)
-		b.l.Tick(b.now)
+func (m *leaseModel) advance(ms float64) {
+	end := m.now + ms
+	for at, ok := m.leases.Next(); ok && at <= end; at, ok = m.leases.Next() {
+		m.now = max(at, m.now)
+		m.leases.Tick(m.now)
 	}
-	b.now = end
+	m.now = end
 }
 
-func (b *books) opened(conn uint64) {
-	delete(b.opening, conn)
-	b.l.Opened(b.now, conn)
+func (m *leaseModel) opened(conn uint64) {
+	delete(m.opening, conn)
+	m.leases.Opened(m.now, conn)
 }
 
-func (b *books) release(conn uint64, clean bool) {
-	delete(b.leased, conn)
-	b.l.Released(b.now, conn, clean)
+func (m *leaseModel) release(conn uint64, clean bool) {
+	delete(m.leased, conn)
+	m.leases.Released(m.now, conn, clean)
 }
 
-func (b *books) want(t *testing.T, words string) {
+func (m *leaseModel) expect(t *testing.T, words string) {
 	t.Helper()
-	if got := strings.Join(b.said, " "); got != words {
+	if got := strings.Join(m.actions, " "); got != words {
 		t.Fatalf("got %q, want %q", got, words)
 	}
-	b.said = nil
+	m.actions = nil
 }
 
 func keys[V any](m map[uint64]V) []uint64 {
@@ -133,197 +135,204 @@
 	return out
 }
 
-// Whatever comes, no limit is passed, no connection has two clients, each want
-// ends once, and nobody waits beside a connection that it could have.
-func TestLeasesKeepTheirLimitsAndForgetNobody(t *testing.T) {
+// No limit is exceeded, no connection has two clients, each request ends once,
+// and none is queued while a connection that it may have is idle.
+func TestLeasesRespectLimitsAndEndEveryRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		some := func(what string) int { return rapid.IntRange(0, 5).Draw(t, what) }
-		lim := Limits{Total: some("total"), PerHost: some("per host"), PerUser: some("per user"), PerDatabase: some("per database"), Queue: some("queue"),
-			WaitMost: 500, Opening: some("opening"), IdleFor: 300, LiveFor: 2000}
-		b := newBooks(lim, t.Fatalf)
+		limit := func(what string) int { return rapid.IntRange(0, 5).Draw(t, what) }
+		lim := Limits{Total: limit("total"), PerEndpoint: limit("per host"), PerUser: limit("per user"),
+			PerDatabase: limit("per database"), MaxQueued: limit("queue"),
+			MaxWait: 500, MaxOpening: limit("opening"), IdleTimeout: 300, MaxLifetime: 2000}
+		model := newLeaseModel(lim, t.Fatalf)
 		for n := range rapid.IntRange(1, 120).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2:
-				b.ask(uint64(1000+n), uint32(rapid.IntRange(1, 2).Draw(t, "host")), rapid.SampledFrom([]string{"a", "b", "c", "a@other"}).Draw(t, "user"), rapid.Bool().Draw(t, "write"))
+				model.acquire(uint64(1000+n), uint32(rapid.IntRange(1, 2).Draw(t, "host")),
+					rapid.SampledFrom([]string{"a", "b", "c", "a@other"}).Draw(t, "user"), rapid.Bool().Draw(t, "write"))
 			case 3, 4:
-				if all := keys(b.opening); len(all) > 0 {
+				if all := keys(model.opening); len(all) > 0 {
 					c := rapid.SampledFrom(all).Draw(t, "opened")
-					b.opened(c)
+					model.opened(c)
 				}
 			case 5, 6:
-				if all := keys(b.leased); len(all) > 0 {
-					b.release(rapid.SampledFrom(all).Draw(t, "released"), rapid.IntRange(0, 3).Draw(t, "clean") > 0)
+				if all := keys(model.leased); len(all) > 0 {
+					model.release(rapid.SampledFrom(all).Draw(t, "released"), rapid.IntRange(0, 3).Draw(t, "clean") > 0)
 				}
 			case 7:
-				if all := keys(b.conns); len(all) > 0 { // it breaks
+				if all := keys(model.conns); len(all) > 0 { // it breaks
 					c := rapid.SampledFrom(all).Draw(t, "broken")
-					delete(b.conns, c)
-					delete(b.opening, c)
-					delete(b.leased, c)
-					b.l.Closed(b.now, c)
+					delete(model.conns, c)
+					delete(model.opening, c)
+					delete(model.leased, c)
+					model.leases.Closed(c)
 				}
 			case 8:
-				if all := keys(b.wants); len(all) > 0 {
+				if all := keys(model.requests); len(all) > 0 {
 					c := rapid.SampledFrom(all).Draw(t, "gone")
-					delete(b.wants, c)
-					b.l.GiveUp(c)
+					delete(model.requests, c)
+					model.leases.Cancel(c)
 				}
 			default:
 				if rapid.IntRange(0, 3).Draw(t, "drain") == 0 {
-					host := uint32(rapid.IntRange(1, 2).Draw(t, "drained"))
-					b.drained[host] = !b.drained[host]
-					b.l.Drain(b.now, host, b.drained[host])
+					endpoint := uint32(rapid.IntRange(1, 2).Draw(t, "drained"))
+					model.drained[endpoint] = !model.drained[endpoint]
+					model.leases.Drain(endpoint, model.drained[endpoint])
 				}
-				b.pass(rapid.Float64Range(0, 200).Draw(t, "pass"))
+				model.advance(rapid.Float64Range(0, 200).Draw(t, "pass"))
 			}
-			for _, w := range b.wants {
-				if b.l.idle[w.Place] != nil {
-					t.Fatalf("%v waits beside an idle connection", w)
+			for _, w := range model.requests {
+				if model.leases.idle[w.Key] != nil {
+					t.Fatalf("%v is queued beside an idle connection", w)
 				}
 			}
-			if len(b.l.conns) != len(b.conns) || len(b.l.wants) != len(b.wants) {
-				t.Fatalf("%d connections and %d wants booked, %d and %d there", len(b.l.conns), len(b.l.wants), len(b.conns), len(b.wants))
+			if len(model.leases.connections) != len(model.conns) || len(model.leases.requests) != len(model.requests) {
+				t.Fatalf("%d connections and %d requests recorded, %d and %d there", len(model.leases.connections),
+					len(model.leases.requests), len(model.conns), len(model.requests))
 			}
 		}
-		b.pass(1000)
-		if len(b.wants) > 0 {
-			t.Fatalf("%v never heard", b.wants)
+		model.advance(1000)
+		if len(model.requests) > 0 {
+			t.Fatalf("%v are still queued", model.requests)
 		}
-		for _, c := range keys(b.opening) {
-			b.opened(c)
+		for _, c := range keys(model.opening) {
+			model.opened(c)
 		}
-		for _, c := range keys(b.leased) {
-			b.release(c, true)
+		for _, c := range keys(model.leased) {
+			model.release(c, true)
 		}
-		b.pass(5000)
-		if l := b.l; len(l.conns)+len(l.idle)+len(l.users)+len(l.dbs)+len(l.coming)+l.timers.Len() != 0 || l.hosts[1] != nil && (l.hosts[1].leased != 0 || l.hosts[1].opening != 0) {
-			t.Fatalf("left: %d connections, %d idle, %d timers", len(l.conns), len(l.idle), l.timers.Len())
+		model.advance(5000)
+		l := model.leases
+		left := len(l.connections) + len(l.idle) + len(l.perUser) + len(l.perDatabase) + len(l.opening) + l.timers.Len()
+		first := l.endpoints[1]
+		if left != 0 || first != nil && (first.leased != 0 || first.opening != 0) {
+			t.Fatalf("left: %d connections, %d idle, %d timers", len(l.connections), len(l.idle), l.timers.Len())
 		}
 	})
 }
 
-func TestAClientFindsItsOwnConnectionAgainAndAnotherTheWarmest(t *testing.T) {
-	b := newBooks(Limits{}, t.Fatalf)
+func TestClientGetsItsLastConnectionElseMostRecentlyUsed(t *testing.T) {
+	model := newLeaseModel(Limits{}, t.Fatalf)
 	for c := uint64(1); c <= 3; c++ {
-		b.ask(c, 1, "a", false)
+		model.acquire(c, 1, "a", false)
 	}
-	for _, c := range keys(b.opening) {
-		b.opened(c)
+	for _, c := range keys(model.opening) {
+		model.opened(c)
 	}
-	conns := keys(b.conns)
+	conns := keys(model.conns)
 	for i := range conns {
-		if b.leased[conns[i]] != uint64(i+1) {
-			t.Fatalf("%v", b.leased)
+		if model.leased[conns[i]] != uint64(i+1) {
+			t.Fatalf("%v", model.leased)
 		}
-		b.release(conns[i], true)
+		model.release(conns[i], true)
 	}
-	b.said = nil
-	b.ask(1, 1, "a", false)
-	b.want(t, fmt.Sprintf("grant1:%d", conns[0]))
-	b.ask(9, 1, "a", false)
-	b.want(t, fmt.Sprintf("grant9:%d", conns[2]))
-	b.release(conns[2], false) // not clean: nobody gets it
-	b.want(t, fmt.Sprintf("close%d", conns[2]))
+	model.actions = nil
+	model.acquire(1, 1, "a", false)
+	model.expect(t, fmt.Sprintf("grant1:%d", conns[0]))
+	model.acquire(9, 1, "a", false)
+	model.expect(t, fmt.Sprintf("grant9:%d", conns[2]))
+	model.release(conns[2], false) // not clean: nobody gets it
+	model.expect(t, fmt.Sprintf("close%d", conns[2]))
 }
 
-// A user with many clients leaves the others their share, without closing a
-// connection for each statement.
-func TestUsersShareAHostFairly(t *testing.T) {
-	b := newBooks(Limits{PerHost: 10}, t.Fatalf)
+// A user with many clients leaves the others a fair part, without a connection
+// being evicted for each statement.
+func TestUsersShareEndpointFairly(t *testing.T) {
+	model := newLeaseModel(Limits{PerEndpoint: 10}, t.Fatalf)
 	client := uint64(0)
-	ask := func(user string) { client++; b.ask(client, 1, user, false) }
+	acquire := func(user string) { client++; model.acquire(client, 1, user, false) }
 	for range 100 {
-		ask("many")
+		acquire("many")
 	}
-	for _, c := range keys(b.opening) {
-		b.opened(c)
+	for _, c := range keys(model.opening) {
+		model.opened(c)
 	}
 	for range 30 {
-		ask("few")
+		acquire("few")
 	}
 	granted := map[string]int{}
 	closed := 0
 	for range 200 {
-		b.said = nil
-		c := keys(b.leased)
+		model.actions = nil
+		c := keys(model.leased)
 		if len(c) == 0 {
-			t.Fatal("nobody has a connection")
+			t.Fatal("no client has a connection")
 		}
 		one := c[int(client)%len(c)]
-		user := b.conns[one].User
-		b.release(one, true)
-		for _, o := range keys(b.opening) {
-			b.opened(o)
+		user := model.conns[one].User
+		model.release(one, true)
+		for _, o := range keys(model.opening) {
+			model.opened(o)
 		}
-		for _, s := range b.said {
+		for _, s := range model.actions {
 			if strings.HasPrefix(s, "close") {
 				closed++
 			}
 		}
 		granted[user]++
-		ask(user)
+		acquire(user)
 	}
-	held := b.count(func(p Place) bool { return p.User == "few" })
-	if held < 4 || held > 6 || closed > 12 {
-		t.Errorf("few holds %d of 10, %d connections were closed, %v", held, closed, granted)
+	used := model.count(func(p PoolKey) bool { return p.User == "few" })
+	if used < 4 || used > 6 || closed > 12 {
+		t.Errorf("few has %d of 10, %d connections were closed, %v", used, closed, granted)
 	}
 }
 
-func TestReadsLeaveWritesAReserve(t *testing.T) {
-	b := newBooks(Limits{PerHost: 4, Reserve: 2, WaitMost: 100}, t.Fatalf)
+func TestReadsLeaveReserveToWrites(t *testing.T) {
+	model := newLeaseModel(Limits{PerEndpoint: 4, Reserve: 2, MaxWait: 100}, t.Fatalf)
 	for c := uint64(1); c <= 4; c++ {
-		b.ask(c, 1, "a", false)
+		model.acquire(c, 1, "a", false)
 	}
-	for _, c := range keys(b.opening) {
-		b.opened(c)
+	for _, c := range keys(model.opening) {
+		model.opened(c)
 	}
-	if len(b.leased) != 2 || len(b.wants) != 2 {
-		t.Fatalf("%d reads have a connection, %d wait", len(b.leased), len(b.wants))
+	if len(model.leased) != 2 || len(model.requests) != 2 {
+		t.Fatalf("%d reads have a connection, %d wait", len(model.leased), len(model.requests))
 	}
-	b.ask(9, 1, "a", true)
-	for _, c := range keys(b.opening) {
-		b.opened(c)
+	model.acquire(9, 1, "a", true)
+	for _, c := range keys(model.opening) {
+		model.opened(c)
 	}
-	if _, waits := b.wants[9]; waits {
-		t.Error("a write waits behind reads that may not take what it may")
+	if _, waits := model.requests[9]; waits {
+		t.Error("a write is queued behind reads that the reserve holds back")
 	}
-	b.pass(101)
-	if len(b.wants) != 0 {
-		t.Error("reads wait past their bound")
+	model.advance(101)
+	if len(model.requests) != 0 {
+		t.Error("reads are queued past MaxWait")
 	}
 }
 
-func TestADrainingHostLosesItsConnectionsAtTheEndOfTheirLeases(t *testing.T) {
-	b := newBooks(Limits{PerHost: 2, WaitMost: 1000}, t.Fatalf)
-	b.ask(1, 1, "a", false)
-	b.ask(2, 1, "a", false)
-	b.ask(3, 1, "a", false)
-	for _, c := range keys(b.opening) {
-		b.opened(c)
+func TestDrainClosesConnectionsWhenLeasesEnd(t *testing.T) {
+	model := newLeaseModel(Limits{PerEndpoint: 2, MaxWait: 1000}, t.Fatalf)
+	model.acquire(1, 1, "a", false)
+	model.acquire(2, 1, "a", false)
+	model.acquire(3, 1, "a", false)
+	for _, c := range keys(model.opening) {
+		model.opened(c)
 	}
-	conns := keys(b.conns)
-	b.release(conns[1], true) // the third has it now
-	b.said = nil
-	b.ask(4, 1, "a", false)
-	b.drained[1] = true
-	b.l.Drain(b.now, 1, true)
-	b.want(t, "refuse4")
-	b.release(conns[0], true)
-	b.want(t, fmt.Sprintf("close%d", conns[0]))
-	b.ask(5, 1, "a", false)
-	b.want(t, "refuse5")
+	conns := keys(model.conns)
+	model.release(conns[1], true) // the third has it now
+	model.actions = nil
+	model.acquire(4, 1, "a", false)
+	model.drained[1] = true
+	model.leases.Drain(1, true)
+	model.expect(t, "reject4")
+	model.release(conns[0], true)
+	model.expect(t, fmt.Sprintf("close%d", conns[0]))
+	model.acquire(5, 1, "a", false)
+	model.expect(t, "reject5")
 }
 
-// A connection that becomes idle makes room for whoever waits at another host.
-func TestAnIdleConnectionMakesRoomElsewhere(t *testing.T) {
-	b := newBooks(Limits{Total: 1}, t.Fatalf)
-	b.ask(1, 1, "a", false)
-	c := keys(b.opening)[0]
-	b.opened(c)
-	b.ask(2, 2, "a", false)
-	b.said = nil
-	b.release(c, true)
-	if got := strings.Join(b.said, " "); !strings.HasPrefix(got, fmt.Sprintf("close%d open", c)) {
+// An idle connection is evicted for a request that is queued at another
+// endpoint.
+func TestIdleConnectionIsEvictedForAnotherEndpoint(t *testing.T) {
+	model := newLeaseModel(Limits{Total: 1}, t.Fatalf)
+	model.acquire(1, 1, "a", false)
+	c := keys(model.opening)[0]
+	model.opened(c)
+	model.acquire(2, 2, "a", false)
+	model.actions = nil
+	model.release(c, true)
+	if got := strings.Join(model.actions, " "); !strings.HasPrefix(got, fmt.Sprintf("close%d open", c)) {
 		t.Errorf("%q", got)
 	}
 }
--- a/internal/pooling/pipeline.go
+++ b/internal/pooling/pipeline.go
@@ -2,296 +2,248 @@
 
 import "strings"
 
-// The extended protocol lets a client send many messages before it reads an
-// answer, and answers come in the order of the messages (PostgreSQL 15,
-// section 55.2.3). After an error the server passes over everything up to the
-// next Sync. Behind a pool some messages are not sent as they came: a
-// statement that the connection has is not parsed again, and one that it lacks
-// is parsed first. Pipeline keeps the order, so that the client cannot tell.
+// The kinds of the protocol's messages that the pipeline sends or knows. Some
+// letters mean one thing from clients and another from servers.
+const (
+	msgParse    = 'P' // answered by ParseComplete
+	msgBind     = 'B' // answered by BindComplete
+	msgDescribe = 'D'
+	msgExecute  = 'E'
+	msgClose    = 'C' // answered by CloseComplete
+	msgFlush    = 'H' // not answered
+	msgSync     = 'S' // answered by ReadyForQuery
+
+	msgParseComplete = '1'
+	msgBindComplete  = '2'
+	msgCloseComplete = '3'
+	msgReadyForQuery = 'Z'
+	msgError         = 'E'
+)
 
 // Message is one message of the extended protocol from a client.
 type Message struct {
 	Kind byte // 'P', 'B', 'D', 'E', 'C', 'H' or 'S', as on the wire
-	// Statement is the client's name of a prepared statement: of P, B, and of D
-	// and C where Portal is false.
+	// Statement is the client's name of a prepared statement: of Parse, Bind,
+	// and Describe and Close where Portal is false.
 	Statement string
-	Portal    bool   // D and C of a portal
-	Text      string // of P
-	Types     []uint32
-	Raw       any // what the caller needs to write it again
+	Portal    bool     // Describe or Close of a portal
+	Text      string   // of Parse
+	Types     []uint32 // of Parse, OIDs
+	Raw       any      // what the caller needs to encode it again
 }
 
-// Sent is one message for the server: the client's own with another statement's
-// name, or one of the pool's.
-type Sent struct {
+// ServerMessage is one message for the server: the client's own under another
+// statement name, or one of the pool's.
+type ServerMessage struct {
 	Kind    byte
-	Name    string   // the server-side statement of P, B, D and C
-	Text    string   // of the pool's own P
-	Types   []uint32 // of the pool's own P
+	Name    string   // server-side statement of Parse, Bind, Describe and Close
+	Text    string   // of the pool's own Parse
+	Types   []uint32 // of the pool's own Parse, OIDs
 	Message *Message // the client's, nil for the pool's own
 }
 
 // Reply says what becomes of one message from the server.
 type Reply struct {
-	Pass bool
-	// Also are answers of the pool's own that the client gets after it, by
-	// their kinds: '1' for ParseComplete, '3' for CloseComplete.
-	Also []byte
+	Forward bool // to the client
+	// Synthesized are the pool's own answers for the client after it, by their
+	// kinds: '1' for ParseComplete, '3' for CloseComplete.
+	Synthesized []byte
 }
 
-// expected is an answer that must come.
-type expected struct {
-	kind   byte // of the message it answers
-	portal bool
-	own    bool      // the pool's message: its answer is not the client's
-	say    byte      // nothing was sent: this is answered when its turn comes
-	parsed *Prepared // what a P gives the connection
-	// undo takes back what was done for it, after an error: it failed itself,
-	// or the server passes it over.
-	undo func(itself bool)
+// expectedAnswer is an answer that is pending.
+type expectedAnswer struct {
+	kind        byte      // of the message that is answered
+	portal      bool      // it is about a portal
+	internal    bool      // answers the pool's own message: not for the client
+	synthesized byte      // nothing was sent; the pool gives this answer in its turn
+	parsed      *Prepared // what a Parse adds to the connection
+	// undo reverts the message's effects after an error: failed if the error
+	// answers the message itself, otherwise the server skips it.
+	undo func(failed bool)
 }
 
 // Pipeline is the extended protocol of one client on one connection. It is
-// empty between a ReadyForQuery and the next message.
+// empty between a ReadyForQuery and the next message, and not safe for
+// concurrent use.
+//
+// The protocol lets a client send many messages before it reads an answer, and
+// answers come in the order of the messages (PostgreSQL 15, section 55.2.3).
+// After an error the server skips everything up to the next Sync. Behind a pool
+// some messages are not sent as they came: a statement that the connection has
+// is not parsed again, and one that it lacks is parsed first. Pipeline keeps
+// the order of the answers, so that the client cannot tell.
 type Pipeline struct {
-	catalog *Catalog
-	names   *Names
-	held    *Held
-	queue   []expected
-	failed  bool // the server passes over everything up to the next Sync
+	catalog    *Catalog
+	names      *ClientStatements
+	statements *ConnectionStatements
+	pending    []expectedAnswer
+	failed     bool // the server skips everything up to the next Sync
 }
 
-// NewPipeline returns an empty pipeline.
-func NewPipeline(c *Catalog, n *Names, h *Held) *Pipeline {
-	return &Pipeline{catalog: c, names: n, held: h}
+// NewPipeline returns an empty pipeline of a client on a connection.
+func NewPipeline(catalog *Catalog, names *ClientStatements, statements *ConnectionStatements) *Pipeline {
+	return &Pipeline{catalog: catalog, names: names, statements: statements}
 }
 
-// Idle tells whether every message has its answer.
-func (p *Pipeline) Idle() bool { return len(p.queue) == 0 }
+// Idle reports whether every message has been answered.
+func (p *Pipeline) Idle() bool { return len(p.pending) == 0 }
 
-// Ready tells whether the next message may be offered. Behind a Sync whose
-// answer is not there yet it must wait if an error before that Sync would take
-// something back: what the connection has and what a name means are not known
-// until then. Otherwise clients may send ahead as far as they like.
+// Ready reports whether FromClient may be called. Behind a Sync that is not
+// answered yet the next message must wait if an error before that Sync would
+// undo something: until then it is not known what the connection has and what a
+// name means. Otherwise clients may send ahead as far as they like.
 func (p *Pipeline) Ready() bool {
-	unsure := false
-	for i := range p.queue {
-		e := &p.queue[i]
-		if e.kind == 'S' && unsure {
+	undoable := false
+	for i := range p.pending {
+		answer := &p.pending[i]
+		if answer.kind == msgSync && undoable {
 			return false
 		}
-		unsure = unsure || e.parsed != nil || e.undo != nil
+		undoable = undoable || answer.parsed != nil || answer.undo != nil
 	}
 	return true
 }
 
-// Client takes a message, if the pipeline is Ready, and returns what must be sent for it. Answers that the
-// client gets at once, nothing being before them, are in now.
-func (p *Pipeline) Client(m *Message) (send []Sent, now []byte) {
-	if p.failed && m.Kind != 'S' {
+// FromClient takes a client's message, if the pipeline is Ready. It returns
+// what must be sent to the server for it, and the kinds of the pool's own
+// answers that the client gets now since none are pending before them.
+func (p *Pipeline) FromClient(m *Message) (send []ServerMessage, now []byte) {
+	if p.failed && m.Kind != msgSync {
 		return nil, nil
 	}
 	p.failed = false
-	switch m.Kind {
-	case 'P':
+	switch {
+	case m.Kind == msgFlush:
+		return []ServerMessage{{Kind: msgFlush, Message: m}}, nil
+	case m.Kind == msgParse:
 		send = p.parse(m)
-	case 'B':
-		send = p.statement(m)
-	case 'D':
-		if m.Portal {
-			send = p.plain(m, "")
-		} else {
-			send = p.statement(m)
-		}
-	case 'C':
-		if m.Portal {
-			send = p.plain(m, "")
-		} else {
-			p.close(m)
-		}
-	case 'H':
-		return []Sent{{Kind: 'H', Message: m}}, nil // it has no answer
-	default: // E and S
-		send = p.plain(m, "")
+	case m.Kind == msgBind, m.Kind == msgDescribe && !m.Portal:
+		send = p.useStatement(m)
+	case m.Kind == msgClose && !m.Portal:
+		p.closeName(m)
+	default: // Execute and Sync, and Describe and Close of a portal
+		send = p.passThrough(m, "")
 	}
-	return send, p.said()
+	return send, p.takeSynthesized()
 }
 
-func (p *Pipeline) plain(m *Message, name string) []Sent {
-	p.queue = append(p.queue, expected{kind: m.Kind, portal: m.Portal})
-	return []Sent{{Kind: m.Kind, Name: name, Message: m}}
+// passThrough sends a client's message under a server-side statement name.
+func (p *Pipeline) passThrough(m *Message, name string) []ServerMessage {
+	p.expect(expectedAnswer{kind: m.Kind, portal: m.Portal})
+	return []ServerMessage{{Kind: m.Kind, Name: name, Message: m}}
 }
 
-// parse gives a client's name to a statement. One that the connection has is
-// not sent: its ParseComplete is ours to say.
-func (p *Pipeline) parse(m *Message) (send []Sent) {
-	var old *Prepared
+func (p *Pipeline) expect(answer expectedAnswer) { p.pending = append(p.pending, answer) }
+
+// parse names a statement for the client. If the connection has it, the Parse
+// is not sent and the pool answers it.
+func (p *Pipeline) parse(m *Message) []ServerMessage {
+	var replaced *Prepared
 	if m.Statement == "" {
-		old, _ = p.names.Get("")
+		replaced, _ = p.names.Get("")
 	}
-	st, err := p.names.Parse(p.catalog, m.Statement, m.Text, m.Types)
+	prepared, err := p.names.Parse(p.catalog, m.Statement, m.Text, m.Types)
 	if err != nil {
-		// The server must fail, too, or its transaction would go on: the
-		// statement of that name is parsed again under its own name there.
-		taken, _ := p.names.Get(m.Statement)
-		if taken == nil { // too many: the name is one that no statement can have
-			p.queue = append(p.queue, expected{kind: 'B'})
-			return []Sent{{Kind: 'B', Name: foreign(m.Statement)}}
-		}
-		send = p.ensure(taken)
-		p.queue = append(p.queue, expected{kind: 'P'})
-		return append(send, Sent{Kind: 'P', Name: taken.ServerName, Text: taken.Text, Types: taken.Types})
+		return p.failParse(m)
 	}
-	undo := func(itself bool) {
+	undo := func(failed bool) {
 		p.names.Close(p.catalog, m.Statement)
-		if old != nil && !itself { // a Parse that fails has ended the unnamed statement before it
-			_, _ = p.names.Parse(p.catalog, "", old.Text, old.Types)
+		if replaced != nil && !failed { // a Parse that fails has ended the unnamed statement
+			_, _ = p.names.Parse(p.catalog, "", replaced.Text, replaced.Types)
 		}
 	}
-	steps := p.held.Ensure(p.catalog, st)
-	send = p.closes(steps.Close)
+	steps := p.statements.Ensure(p.catalog, prepared)
+	send := p.closeStatements(steps.Close)
 	if !steps.Parse {
-		p.queue = append(p.queue, expected{kind: 'P', say: '1', undo: undo})
+		p.expect(expectedAnswer{kind: msgParse, synthesized: msgParseComplete, undo: undo})
 		return send
 	}
-	p.queue = append(p.queue, expected{kind: 'P', parsed: st, undo: undo})
-	return append(send, Sent{Kind: 'P', Name: st.ServerName, Message: m})
+	p.expect(expectedAnswer{kind: msgParse, parsed: prepared, undo: undo})
+	return append(send, ServerMessage{Kind: msgParse, Name: prepared.ServerName, Message: m})
 }
 
-// statement sends a message that names a prepared statement, after what the
-// connection needs for it. A name that is not there goes on as it is: no
-// statement on the server has such a name, and the error is the server's own.
-func (p *Pipeline) statement(m *Message) (send []Sent) {
-	st, err := p.names.Get(m.Statement)
-	if err != nil {
-		return p.plain(m, foreign(m.Statement))
+// failParse sends what makes the server fail where the client's names do not
+// allow a Parse: otherwise the server's transaction would go on.
+func (p *Pipeline) failParse(m *Message) []ServerMessage {
+	duplicate, _ := p.names.Get(m.Statement)
+	if duplicate == nil { // too many statements: bind one that the server cannot have
+		p.expect(expectedAnswer{kind: msgBind})
+		return []ServerMessage{{Kind: msgBind, Name: escapeUnknownName(m.Statement)}}
 	}
-	send = p.ensure(st)
-	return append(send, p.plain(m, st.ServerName)...)
+	send := p.ensure(duplicate)
+	p.expect(expectedAnswer{kind: msgParse})
+	return append(send, parseMessage(duplicate))
 }
 
-// foreign writes a client's name that no statement has so that it cannot be
-// one of the pool's.
-func foreign(name string) string {
-	if strings.HasPrefix(name, serverPrefix) {
-		return "-" + name
+// parseMessage is the pool's own Parse of a statement.
+func parseMessage(prepared *Prepared) ServerMessage {
+	return ServerMessage{
+		Kind:  msgParse,
+		Name:  prepared.ServerName,
+		Text:  prepared.Text,
+		Types: prepared.Types,
 	}
-	return name
 }
 
-// ensure sends what a connection lacks for a statement.
-func (p *Pipeline) ensure(st *Prepared) (send []Sent) {
-	steps := p.held.Ensure(p.catalog, st)
-	send = p.closes(steps.Close)
-	if steps.Parse {
-		p.queue = append(p.queue, expected{kind: 'P', own: true, parsed: st})
-		send = append(send, Sent{Kind: 'P', Name: st.ServerName, Text: st.Text, Types: st.Types})
-	}
-	return send
-}
-
-func (p *Pipeline) closes(names []string) (send []Sent) {
-	for _, name := range names {
-		p.queue = append(p.queue, expected{kind: 'C', own: true, undo: func(bool) { p.held.Restore(name) }})
-		send = append(send, Sent{Kind: 'C', Name: name})
+// useStatement sends a message that names a prepared statement, after what the
+// connection lacks for it. An unknown name is sent as it is: no statement on
+// the server has it, so that the server itself answers with the error.
+func (p *Pipeline) useStatement(m *Message) []ServerMessage {
+	prepared, err := p.names.Get(m.Statement)
+	if err != nil {
+		return p.passThrough(m, escapeUnknownName(m.Statement))
 	}
-	return send
+	send := p.ensure(prepared)
+	return append(send, p.passThrough(m, prepared.ServerName)...)
 }
 
-// close frees a client's name. The server keeps the statement for others.
-func (p *Pipeline) close(m *Message) {
-	st, err := p.names.Get(m.Statement)
-	if err != nil {
-		p.queue = append(p.queue, expected{kind: 'C', say: '3'})
-		return
+// escapeUnknownName changes a client's unknown name that could be one of the
+// pool's on the server.
+func escapeUnknownName(name string) string {
+	if strings.HasPrefix(name, serverPrefix) {
+		return "-" + name
 	}
-	p.names.Close(p.catalog, m.Statement)
-	p.queue = append(p.queue, expected{kind: 'C', say: '3', undo: func(bool) {
-		_, _ = p.names.Parse(p.catalog, m.Statement, st.Text, st.Types)
-	}})
+	return name
 }
 
-// said returns the answers of the pool's own whose turn has come.
-func (p *Pipeline) said() (out []byte) {
-	for len(p.queue) > 0 && p.queue[0].say != 0 {
-		out = append(out, p.queue[0].say)
-		p.queue = p.queue[1:]
+// ensure sends what the connection lacks for a statement.
+func (p *Pipeline) ensure(prepared *Prepared) []ServerMessage {
+	steps := p.statements.Ensure(p.catalog, prepared)
+	send := p.closeStatements(steps.Close)
+	if !steps.Parse {
+		return send
 	}
-	return out
+	p.expect(expectedAnswer{kind: msgParse, internal: true, parsed: prepared})
+	return append(send, parseMessage(prepared))
 }
 
-// Server takes the kind of a message from the server and says what becomes of
-// it. ok is false for one that answers nothing: the connection is of no use.
-func (p *Pipeline) Server(kind byte) (r Reply, ok bool) {
-	switch kind {
-	case 'N', 'S', 'A': // they come at any time
-		return Reply{Pass: true}, true
-	}
-	if len(p.queue) == 0 {
-		return r, false
-	}
-	e := p.queue[0]
-	if kind == 'E' {
-		if e.kind == 'S' { // a Sync answered by an error: a commit that failed; ReadyForQuery follows
-			return Reply{Pass: true}, true
-		}
-		p.skip()
-		return Reply{Pass: true}, true
-	}
-	last, fits := e.answer(kind)
-	if !fits {
-		return r, false
-	}
-	r.Pass = !e.own
-	if last {
-		p.queue = p.queue[1:]
-		r.Also = p.said()
+// closeStatements closes statements on the server.
+func (p *Pipeline) closeStatements(names []string) (send []ServerMessage) {
+	for _, name := range names {
+		undo := func(bool) { p.statements.Restore(name) }
+		p.expect(expectedAnswer{kind: msgClose, internal: true, undo: undo})
+		send = append(send, ServerMessage{Kind: msgClose, Name: name})
 	}
-	return r, true
+	return send
 }
 
-// answer tells whether a message may answer e, and whether it is the last that
-// does.
-func (e *expected) answer(kind byte) (last, fits bool) {
-	switch e.kind {
-	case 'P':
-		return true, kind == '1'
-	case 'B':
-		return true, kind == '2'
-	case 'C':
-		return true, kind == '3'
-	case 'D':
-		if kind == 't' && !e.portal {
-			return false, true
-		}
-		return true, kind == 'T' || kind == 'n'
-	case 'E':
-		switch kind {
-		case 'D', 'G', 'H', 'W', 'd', 'c':
-			return false, true
+// closeName frees a client's name. The server keeps the statement for others.
+func (p *Pipeline) closeName(m *Message) {
+	answer := expectedAnswer{kind: msgClose, synthesized: msgCloseComplete}
+	if prepared, err := p.names.Get(m.Statement); err == nil {
+		p.names.Close(p.catalog, m.Statement)
+		answer.undo = func(bool) {
+			_, _ = p.names.Parse(p.catalog, m.Statement, prepared.Text, prepared.Types)
 		}
-		return true, kind == 'C' || kind == 'I' || kind == 's'
 	}
-	return true, kind == 'Z'
+	p.expect(answer)
 }
 
-// skip drops what the server passes over after an error: all up to the next
-// Sync, the message that failed included. Latest first, so that names are as
-// they were.
-func (p *Pipeline) skip() {
-	n := 0
-	for n < len(p.queue) && p.queue[n].kind != 'S' {
-		n++
-	}
-	for i := n - 1; i >= 0; i-- {
-		e := &p.queue[i]
-		if e.parsed != nil {
-			p.held.Lost(e.parsed)
-		}
-		if e.undo != nil {
-			e.undo(i == 0)
-		}
+// takeSynthesized returns the pool's own answers whose turn has come.
+func (p *Pipeline) takeSynthesized() (kinds []byte) {
+	for len(p.pending) > 0 && p.pending[0].synthesized != 0 {
+		kinds = append(kinds, p.pending[0].synthesized)
+		p.pending = p.pending[1:]
 	}
-	p.queue = p.queue[n:]
-	p.failed = len(p.queue) == 0 // what comes before the next Sync is passed over, too
+	return kinds
 }
--- a/internal/pooling/pipeline_test.go
+++ b/internal/pooling/pipeline_test.go
@@ -97,26 +97,26 @@
 	return nil
 }
 
-// Several clients' pipelines over one connection, message for message: each
-// hears what it would hear on a connection of its own.
-func TestPipelinesLookLikePrivateConnections(t *testing.T) {
+// Several clients' pipelines over one connection: each client gets the answers
+// that it would get on a connection of its own.
+func TestPipelineMatchesPrivateConnection(t *testing.T) {
 	texts := []string{"select 1", "select 2", "select 3", "a syntax error", "nobind 1", "noexec 1"}
 	rapid.Check(t, func(t *rapid.T) {
 		var cat Catalog
-		held := &Held{Most: rapid.IntRange(1, 4).Draw(t, "most")}
+		held := &ConnectionStatements{Max: rapid.IntRange(1, 4).Draw(t, "most")}
 		shared := newBackend()
 		type client struct {
-			names   *Names
+			names   *ClientStatements
 			private *backend
 		}
 		clients := make([]client, rapid.IntRange(1, 3).Draw(t, "clients"))
 		for i := range clients {
-			clients[i] = client{&Names{}, newBackend()}
+			clients[i] = client{&ClientStatements{}, newBackend()}
 		}
 		for range rapid.IntRange(1, 12).Draw(t, "turns") {
 			c := rapid.SampledFrom(clients).Draw(t, "client")
 			if rapid.IntRange(0, 6).Draw(t, "ddl") == 0 {
-				cat.Changed()
+				cat.SchemaChanged()
 			}
 			p := NewPipeline(&cat, c.names, held)
 			var want, got []string
@@ -124,14 +124,14 @@
 			deliver := func(n int) {
 				for ; n > 0 && len(onTheWay) > 0; n-- {
 					for _, reply := range shared.take(onTheWay[0]) {
-						r, ok := p.Server(reply[0])
+						r, ok := p.FromServer(reply[0])
 						if !ok {
 							t.Fatalf("%q answers nothing", reply)
 						}
-						if r.Pass {
+						if r.Forward {
 							got = append(got, reply)
 						}
-						for _, own := range r.Also {
+						for _, own := range r.Synthesized {
 							got = append(got, string(own))
 						}
 					}
@@ -152,7 +152,7 @@
 				}
 				w := wireMessage{m.Kind, m.Statement, m.Text, "", m.Portal}
 				want = append(want, c.private.take(w)...)
-				send, now := p.Client(m)
+				send, now := p.FromClient(m)
 				for _, s := range send {
 					x := wireMessage{kind: s.Kind, statement: s.Name, text: s.Text, isPortal: m.Portal && s.Message != nil}
 					if s.Message != nil {
@@ -167,21 +167,21 @@
 			}
 			deliver(len(onTheWay))
 			if !slices.Equal(got, want) {
-				t.Fatalf("the client heard %q, alone it would hear %q", got, want)
+				t.Fatalf("the client got %q, alone it would get %q", got, want)
 			}
 			if !p.Idle() {
-				t.Fatalf("%d messages wait for ever", len(p.queue))
+				t.Fatalf("%d messages are still pending", len(p.pending))
 			}
 			for name, text := range c.private.statements {
 				if st, err := c.names.Get(name); err != nil || st.Text != text {
 					t.Fatalf("%q is %v, want %q", name, st, text)
 				}
 			}
-			if len(c.names.names) != len(c.private.statements) {
-				t.Fatalf("%d names, want %d", len(c.names.names), len(c.private.statements))
+			if len(c.names.byName) != len(c.private.statements) {
+				t.Fatalf("%d names, want %d", len(c.names.byName), len(c.private.statements))
 			}
 			if len(shared.statements) != held.Len() {
-				t.Fatalf("the server has %d statements, %d are booked", len(shared.statements), held.Len())
+				t.Fatalf("the server has %d statements, %d are recorded", len(shared.statements), held.Len())
 			}
 		}
 	})
@@ -189,26 +189,26 @@
 
 // A pipeline of 100 Executes whose 50th fails: 49 are answered, then the error,
 // then nothing but the Sync's own answer.
-func TestAPipelineWhoseFiftiethFails(t *testing.T) {
+func TestPipelineErrorInTheMiddle(t *testing.T) {
 	var cat Catalog
-	p := NewPipeline(&cat, &Names{}, &Held{})
+	p := NewPipeline(&cat, &ClientStatements{}, &ConnectionStatements{})
 	b := newBackend()
 	counts := map[byte]int{}
-	var sends []Sent
+	var sends []ServerMessage
 	for i := range 100 {
 		text := fmt.Sprint("select ", i)
 		if i == 49 {
 			text = "noexec"
 		}
 		for _, m := range []*Message{{Kind: 'P', Text: text}, {Kind: 'B'}, {Kind: 'E'}} {
-			s, _ := p.Client(m)
+			s, _ := p.FromClient(m)
 			sends = append(sends, s...)
 		}
 	}
-	s, _ := p.Client(&Message{Kind: 'S'})
+	s, _ := p.FromClient(&Message{Kind: 'S'})
 	for _, s := range append(sends, s...) {
 		for _, reply := range b.take(wireMessage{kind: s.Kind, statement: s.Name, text: s.Message.Text}) {
-			if r, ok := p.Server(reply[0]); !ok || !r.Pass {
+			if r, ok := p.FromServer(reply[0]); !ok || !r.Forward {
 				t.Fatalf("%q: %+v %t", reply, r, ok)
 			}
 			counts[reply[0]]++
@@ -219,28 +219,28 @@
 	}
 }
 
-func TestAnAnswerThatFitsNothingEndsTheConnection(t *testing.T) {
+func TestPipelineRejectsUnexpectedAnswer(t *testing.T) {
 	var cat Catalog
 	for _, c := range []struct{ sent, came byte }{{'B', '1'}, {'E', 'Z'}, {'S', 'C'}, {'D', '2'}} {
-		p := NewPipeline(&cat, &Names{}, &Held{})
-		p.Client(&Message{Kind: c.sent, Portal: true})
-		if _, ok := p.Server(c.came); ok {
+		p := NewPipeline(&cat, &ClientStatements{}, &ConnectionStatements{})
+		p.FromClient(&Message{Kind: c.sent, Portal: true})
+		if _, ok := p.FromServer(c.came); ok {
 			t.Errorf("%c was answered by %c", c.sent, c.came)
 		}
 	}
-	if _, ok := NewPipeline(&cat, &Names{}, &Held{}).Server('Z'); ok {
+	if _, ok := NewPipeline(&cat, &ClientStatements{}, &ConnectionStatements{}).FromServer('Z'); ok {
 		t.Error("an answer to nothing was taken")
 	}
 }
 
 // Messages behind a Sync wait where an error before it would take back what
 // they rest on: here a Close that the server passed over.
-func TestWhatComesBehindAnUncertainSyncWaits(t *testing.T) {
+func TestPipelineWaitsBehindUncertainSync(t *testing.T) {
 	var cat Catalog
-	p := NewPipeline(&cat, &Names{}, &Held{Most: 1})
+	p := NewPipeline(&cat, &ClientStatements{}, &ConnectionStatements{Max: 1})
 	b := newBackend()
 	var heard []string
-	var onTheWay []Sent
+	var onTheWay []ServerMessage
 	deliver := func() {
 		for _, s := range onTheWay {
 			text := s.Text
@@ -248,14 +248,14 @@
 				text = s.Message.Text
 			}
 			for _, reply := range b.take(wireMessage{kind: s.Kind, statement: s.Name, text: text}) {
-				r, ok := p.Server(reply[0])
+				r, ok := p.FromServer(reply[0])
 				if !ok {
 					t.Fatalf("%q answers nothing", reply)
 				}
-				if r.Pass {
+				if r.Forward {
 					heard = append(heard, reply)
 				}
-				for _, own := range r.Also {
+				for _, own := range r.Synthesized {
 					heard = append(heard, string(own))
 				}
 			}
@@ -263,13 +263,14 @@
 		onTheWay = nil
 	}
 	waited := 0
-	for _, m := range []*Message{{Kind: 'P', Text: "select 1"}, {Kind: 'P', Statement: "s", Text: "select 1"}, {Kind: 'P', Statement: "s", Text: "select 1"},
+	for _, m := range []*Message{{Kind: 'P', Text: "select 1"}, {Kind: 'P', Statement: "s", Text: "select 1"},
+		{Kind: 'P', Statement: "s", Text: "select 1"},
 		{Kind: 'P', Text: "select 2"}, {Kind: 'S'}, {Kind: 'P', Text: "select 1"}, {Kind: 'S'}} {
 		if !p.Ready() {
 			waited++
 			deliver()
 		}
-		send, now := p.Client(m)
+		send, now := p.FromClient(m)
 		onTheWay = append(onTheWay, send...)
 		for _, own := range now {
 			heard = append(heard, string(own))
--- a/internal/pooling/prepared.go
+++ b/internal/pooling/prepared.go
@@ -1,205 +1,138 @@
 package pooling
 
 import (
-	"container/list"
 	"crypto/sha256"
 	"encoding/binary"
 	"encoding/hex"
 	"errors"
+	"slices"
 )
 
-// Errors of prepared statements, with the SQLSTATE that the client gets.
+// Errors of prepared statements. The text begins with the SQLSTATE for the
+// client.
 var (
 	ErrDuplicate = errors.New("42P05: a prepared statement of this name exists")
-	ErrNoSuch    = errors.New("26000: there is no prepared statement of this name")
+	ErrUnknown   = errors.New("26000: there is no prepared statement of this name")
 	ErrTooMany   = errors.New("53400: too many prepared statements")
 )
 
-// serverPrefix begins the names that statements have on servers.
+// serverPrefix begins the names of prepared statements on servers.
 const serverPrefix = "lb_"
 
-// Prepared is one text with its parameter types, shared by all clients that
-// prepared it.
+// preparedKey is the digest of a statement's text and parameter types.
+type preparedKey [sha256.Size]byte
+
+// Prepared is a statement's text with its parameter types, shared by all
+// clients that prepared it.
 type Prepared struct {
 	Text       string
-	Types      []uint32 // as given; 0 for one that is left open
-	ServerName string   // the same on every host
-	uses       int
-	key        [32]byte
+	Types      []uint32 // OIDs as the client gave them; 0 for an unspecified type
+	ServerName string   // its name on every server
+	uses       int      // names of clients that stand for it
+	key        preparedKey
 }
 
-// Catalog holds every prepared statement that some client has. A change of the
-// schema makes all of them old: what a connection has of them is prepared anew
-// before its next use, since its plan may no longer give the same columns.
+// Catalog holds the prepared statements of all clients. A change of the schema
+// makes those on servers stale: they are parsed again before their next use,
+// since a cached plan may no longer return the same columns. The zero Catalog
+// is empty. It is not safe for concurrent use.
 type Catalog struct {
-	all        map[[32]byte]*Prepared
-	generation uint64
+	statements map[preparedKey]*Prepared
+	generation uint64 // of the schema
 }
 
-// Changed notes that a statement changed the schema.
-func (c *Catalog) Changed() { c.generation++ }
+// SchemaChanged reports that a statement changed the schema.
+func (c *Catalog) SchemaChanged() { c.generation++ }
 
-// Len returns how many statements are held.
-func (c *Catalog) Len() int { return len(c.all) }
+// Len returns the number of statements.
+func (c *Catalog) Len() int { return len(c.statements) }
 
+// use returns the statement of a text and types for one more name.
 func (c *Catalog) use(text string, types []uint32) *Prepared {
-	h := sha256.New()
-	var n [8]byte
-	binary.BigEndian.PutUint64(n[:], uint64(len(types)))
-	h.Write(n[:])
-	for _, t := range types {
-		binary.BigEndian.PutUint32(n[:4], t)
-		h.Write(n[:4])
-	}
-	h.Write([]byte(text))
-	var key [32]byte
-	h.Sum(key[:0])
-	p := c.all[key]
-	if p == nil {
-		p = &Prepared{Text: text, Types: append([]uint32(nil), types...), ServerName: serverPrefix + hex.EncodeToString(key[:16]), key: key}
-		if c.all == nil {
-			c.all = map[[32]byte]*Prepared{}
+	key := newPreparedKey(text, types)
+	prepared := c.statements[key]
+	if prepared == nil {
+		prepared = &Prepared{
+			Text:       text,
+			Types:      slices.Clone(types),
+			ServerName: serverPrefix + hex.EncodeToString(key[:16]),
+			key:        key,
 		}
-		c.all[key] = p
-	}
-	p.uses++
-	return p
-}
-
-func (c *Catalog) drop(p *Prepared) {
-	if p.uses--; p.uses == 0 {
-		delete(c.all, p.key)
+		if c.statements == nil {
+			c.statements = map[preparedKey]*Prepared{}
+		}
+		c.statements[key] = prepared
 	}
+	prepared.uses++
+	return prepared
 }
 
-// Names are one client's prepared statements by its own names, which may be of
-// any length. The unnamed one is "".
-type Names struct {
-	Most  int // of them, 0 for no bound
-	names map[string]*Prepared
-}
-
-// Parse gives a name to a statement. A name must be free; the unnamed statement
-// is replaced.
-func (n *Names) Parse(c *Catalog, name, text string, types []uint32) (*Prepared, error) {
-	old := n.names[name]
-	switch {
-	case old != nil && name != "":
-		return nil, ErrDuplicate
-	case old == nil && n.Most > 0 && len(n.names) >= n.Most:
-		return nil, ErrTooMany
-	}
-	p := c.use(text, types)
-	if old != nil {
-		c.drop(old)
+func newPreparedKey(text string, types []uint32) preparedKey {
+	data := binary.BigEndian.AppendUint64(nil, uint64(len(types)))
+	for _, oid := range types {
+		data = binary.BigEndian.AppendUint32(data, oid)
 	}
-	if n.names == nil {
-		n.names = map[string]*Prepared{}
-	}
-	n.names[name] = p
-	return p, nil
+	return sha256.Sum256(append(data, text...))
 }
 
-// Get returns the statement of a name.
-func (n *Names) Get(name string) (*Prepared, error) {
-	if p := n.names[name]; p != nil {
-		return p, nil
+// release takes back one use.
+func (c *Catalog) release(prepared *Prepared) {
+	prepared.uses--
+	if prepared.uses == 0 {
+		delete(c.statements, prepared.key)
 	}
-	return nil, ErrNoSuch
 }
 
-// Close frees a name. One that is not there is no error, as in PostgreSQL.
-func (n *Names) Close(c *Catalog, name string) {
-	if p := n.names[name]; p != nil {
-		c.drop(p)
-		delete(n.names, name)
-	}
+// ClientStatements are one client's prepared statements by its own names, which
+// may have any length. The unnamed statement is "". The zero value has none and
+// no bound. It is not safe for concurrent use.
+type ClientStatements struct {
+	Max    int // statements, 0 for no bound
+	byName map[string]*Prepared
 }
 
-// Clear frees every name: DEALLOCATE ALL, DISCARD ALL, or the client has gone.
-func (n *Names) Clear(c *Catalog) {
-	for _, p := range n.names {
-		c.drop(p)
+// Parse names a statement. The error is ErrDuplicate if the name is in use,
+// except that the unnamed statement is replaced, or ErrTooMany.
+func (s *ClientStatements) Parse(catalog *Catalog, name, text string, types []uint32) (*Prepared, error) {
+	old := s.byName[name]
+	if old != nil && name != "" {
+		return nil, ErrDuplicate
 	}
-	n.names = nil
-}
-
-// Held are the prepared statements that a connection has, the one used longest
-// ago first.
-type Held struct {
-	Most  int // of them, 0 for no bound
-	order list.List
-	have  map[string]*list.Element
-}
-
-type held struct {
-	name       string
-	generation uint64
-}
-
-// Steps are what must be sent before a statement can be bound.
-type Steps struct {
-	Close []string // these server-side names, in order
-	Parse bool     // then the statement itself
-}
-
-// Ensure returns what a connection needs before p can be bound there, and
-// notes it as done. Where its Parse fails, Lost must follow.
-func (h *Held) Ensure(c *Catalog, p *Prepared) (s Steps) {
-	if e := h.have[p.ServerName]; e != nil {
-		if e.Value.(*held).generation == c.generation {
-			h.order.MoveToBack(e)
-			return s
-		}
-		s.Close = append(s.Close, p.ServerName)
-		h.remove(e)
+	if old == nil && s.Max > 0 && len(s.byName) >= s.Max {
+		return nil, ErrTooMany
 	}
-	for h.Most > 0 && h.order.Len() >= h.Most {
-		oldest := h.order.Front()
-		s.Close = append(s.Close, oldest.Value.(*held).name)
-		h.remove(oldest)
+	prepared := catalog.use(text, types)
+	if old != nil {
+		catalog.release(old)
 	}
-	if h.have == nil {
-		h.have = map[string]*list.Element{}
+	if s.byName == nil {
+		s.byName = map[string]*Prepared{}
 	}
-	h.have[p.ServerName] = h.order.PushBack(&held{p.ServerName, c.generation})
-	s.Parse = true
-	return s
+	s.byName[name] = prepared
+	return prepared, nil
 }
 
-// Lost notes that the connection does not have a statement after all: its
-// Parse failed, or was skipped after another error.
-func (h *Held) Lost(p *Prepared) {
-	if e := h.have[p.ServerName]; e != nil {
-		h.remove(e)
+// Get returns the statement of a name, or ErrUnknown.
+func (s *ClientStatements) Get(name string) (*Prepared, error) {
+	if prepared := s.byName[name]; prepared != nil {
+		return prepared, nil
 	}
+	return nil, ErrUnknown
 }
 
-// Restore notes that the connection still has a statement whose Close was
-// passed over. It counts as old, so that it is closed before it is used.
-func (h *Held) Restore(name string) {
-	if h.have[name] != nil {
-		return
+// Close frees a name. As in PostgreSQL, an unknown name is no error.
+func (s *ClientStatements) Close(catalog *Catalog, name string) {
+	if prepared := s.byName[name]; prepared != nil {
+		catalog.release(prepared)
+		delete(s.byName, name)
 	}
-	if h.have == nil {
-		h.have = map[string]*list.Element{}
-	}
-	h.have[name] = h.order.PushFront(&held{name, old})
-}
-
-// old is a generation that never is.
-const old = ^uint64(0)
-
-// Clear notes that the connection has none: DEALLOCATE ALL or DISCARD ALL.
-func (h *Held) Clear() {
-	h.order.Init()
-	h.have = nil
 }
 
-// Len returns how many the connection has.
-func (h *Held) Len() int { return h.order.Len() }
-
-func (h *Held) remove(e *list.Element) {
-	delete(h.have, e.Value.(*held).name)
-	h.order.Remove(e)
+// Clear frees every name: after DEALLOCATE ALL, DISCARD ALL or the client's
+// disconnection.
+func (s *ClientStatements) Clear(catalog *Catalog) {
+	for _, prepared := range s.byName {
+		catalog.release(prepared)
+	}
+	s.byName = nil
 }
--- a/internal/pooling/scan.go
+++ b/internal/pooling/scan.go
@@ -5,123 +5,137 @@
 	"strings"
 )
 
-// tokenKind is what a token is.
+// tokenKind is the lexical class of a token.
 type tokenKind uint8
 
 const (
-	word   tokenKind = iota // an unquoted name or key word, in small letters
-	quoted                  // a quoted identifier, without its quotes
-	text                    // a string constant, as it means
+	identifier       tokenKind = iota // unquoted identifier or key word, in lower case
+	quotedIdentifier                  // without its quotes
+	stringConstant                    // its value, without quotes and escapes
 	number
-	symbol // one character
-	param  // $1
+	symbol    // one character
+	parameter // $1
 )
 
+// token is one lexical element of a query string.
 type token struct {
-	kind tokenKind
-	s    string
-	at   int // where it begins
+	kind   tokenKind
+	text   string
+	offset int // of its first byte in the query string
 }
 
-// Errors of what cannot be read. Such a statement may be anything.
+// is reports whether a token is this key word, given in lower case.
+func (t token) is(keyword string) bool { return t.kind == identifier && t.text == keyword }
+
+// isSymbol reports whether a token is this character.
+func (t token) isSymbol(character string) bool { return t.kind == symbol && t.text == character }
+
+// isIdentifier reports whether a token may be an identifier.
+func (t token) isIdentifier() bool { return t.kind == identifier || t.kind == quotedIdentifier }
+
+// isTemporary reports whether a token is TEMP or TEMPORARY.
+func (t token) isTemporary() bool { return t.is("temp") || t.is("temporary") }
+
+// Errors of query strings that cannot be scanned.
 var (
 	errString  = errors.New("pooling: a string or quoted name without its end")
 	errComment = errors.New("pooling: a comment without its end")
 )
 
-// scanner reads tokens. standard tells that backslashes in plain strings mean
-// themselves (standard_conforming_strings).
+// scanner splits a query string into tokens.
 type scanner struct {
-	s        string
-	at       int
-	standard bool
+	input    string
+	offset   int
+	standard bool // standard_conforming_strings: backslashes in plain strings mean themselves
 }
 
-// next returns the next token; ok is false at the end.
-func (c *scanner) next() (t token, ok bool, err error) {
-	if err := c.blanks(); err != nil || c.at >= len(c.s) {
+// next returns the next token; ok is false at the end of the input.
+func (s *scanner) next() (t token, ok bool, err error) {
+	if err := s.skipBlanks(); err != nil {
 		return t, false, err
 	}
-	from := c.at
-	t.at = from
-	switch b := c.s[from]; {
-	case b == '\'':
-		t.kind = text
-		t.s, err = c.string(!c.standard)
-	case b == '"':
-		t.kind = quoted
-		t.s, err = c.delimited('"')
-	case b == '$':
-		return c.dollar()
-	case (b == 'e' || b == 'E' || b == 'b' || b == 'B' || b == 'x' || b == 'X' || b == 'n' || b == 'N') && c.peek(1) == '\'':
-		c.at++
-		t.kind = text
-		t.s, err = c.string(b == 'e' || b == 'E')
-	case (b == 'u' || b == 'U') && c.peek(1) == '&' && (c.peek(2) == '\'' || c.peek(2) == '"'):
-		c.at += 2
-		if t.kind = text; c.s[c.at] == '"' {
-			t.kind = quoted
-			t.s, err = c.delimited('"')
-		} else {
-			t.s, err = c.string(false)
-		}
-	case letter(b):
-		for c.at < len(c.s) && (letter(c.s[c.at]) || digit(c.s[c.at]) || c.s[c.at] == '$') {
-			c.at++
-		}
-		t.kind, t.s = word, strings.ToLower(c.s[from:c.at])
-	case digit(b), b == '.' && digit(c.peek(1)):
-		for c.at < len(c.s) && (digit(c.s[c.at]) || c.s[c.at] == '.' || letter(c.s[c.at])) {
-			c.at++
-		}
-		t.kind, t.s = number, c.s[from:c.at]
+	if s.offset >= len(s.input) {
+		return t, false, nil
+	}
+	t.offset = s.offset
+	first := s.input[s.offset]
+	switch {
+	case first == '\'':
+		t.kind = stringConstant
+		t.text, err = s.stringConstant(!s.standard)
+	case first == '"':
+		t.kind = quotedIdentifier
+		t.text, err = s.quotedIdentifier()
+	case first == '$':
+		t, err = s.dollar()
+	case strings.IndexByte("eEbBxXnN", first) >= 0 && s.peek(1) == '\'':
+		s.offset++
+		t.kind = stringConstant
+		t.text, err = s.stringConstant(first == 'e' || first == 'E')
+	case (first == 'u' || first == 'U') && s.peek(1) == '&' && s.peek(2) == '\'':
+		s.offset += 2
+		t.kind = stringConstant
+		t.text, err = s.stringConstant(false)
+	case (first == 'u' || first == 'U') && s.peek(1) == '&' && s.peek(2) == '"':
+		s.offset += 2
+		t.kind = quotedIdentifier
+		t.text, err = s.quotedIdentifier()
+	case isLetter(first):
+		t.kind = identifier
+		t.text = strings.ToLower(s.takeWhile(isIdentifierByte))
+	case isDigit(first), first == '.' && isDigit(s.peek(1)):
+		t.kind = number
+		t.text = s.takeWhile(isNumberByte)
 	default:
-		c.at++
-		t.kind, t.s = symbol, c.s[from:c.at]
+		t.kind = symbol
+		t.text = s.input[s.offset : s.offset+1]
+		s.offset++
 	}
 	return t, err == nil, err
 }
 
-func (c *scanner) peek(n int) byte {
-	if c.at+n < len(c.s) {
-		return c.s[c.at+n]
+// peek returns the byte n bytes ahead, 0 past the end.
+func (s *scanner) peek(n int) byte {
+	if s.offset+n < len(s.input) {
+		return s.input[s.offset+n]
 	}
 	return 0
 }
 
-func letter(b byte) bool {
+// takeWhile returns the bytes ahead that belong to a class.
+func (s *scanner) takeWhile(belongs func(byte) bool) string {
+	start := s.offset
+	for s.offset < len(s.input) && belongs(s.input[s.offset]) {
+		s.offset++
+	}
+	return s.input[start:s.offset]
+}
+
+func isLetter(b byte) bool {
 	return b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || b == '_' || b >= 0x80
 }
-func digit(b byte) bool { return b >= '0' && b <= '9' }
-
-// blanks skips white space and comments, which nest.
-func (c *scanner) blanks() error {
-	for c.at < len(c.s) {
-		switch b := c.s[c.at]; {
-		case b == ' ' || b == '\t' || b == '\n' || b == '\r' || b == '\f' || b == '\v':
-			c.at++
-		case b == '-' && c.peek(1) == '-':
-			for c.at < len(c.s) && c.s[c.at] != '\n' && c.s[c.at] != '\r' {
-				c.at++
-			}
-		case b == '/' && c.peek(1) == '*':
-			depth := 0
-			for {
-				switch {
-				case c.at >= len(c.s):
-					return errComment
-				case c.s[c.at] == '/' && c.peek(1) == '*':
-					depth++
-					c.at += 2
-				case c.s[c.at] == '*' && c.peek(1) == '/':
-					depth--
-					c.at += 2
-				default:
-					c.at++
-				}
-				if depth == 0 {
-					break
-				}
+
+func isDigit(b byte) bool { return b >= '0' && b <= '9' }
+
+func isIdentifierByte(b byte) bool { return isLetter(b) || isDigit(b) || b == '$' }
+
+func isNumberByte(b byte) bool { return isDigit(b) || b == '.' || isLetter(b) }
+
+func isBlank(b byte) bool { return strings.IndexByte(" \t\n\r\f\v", b) >= 0 }
+
+func isNotLineEnd(b byte) bool { return b != '\n' && b != '\r' }
+
+// skipBlanks skips white space and comments.
+func (s *scanner) skipBlanks() error {
+	for s.offset < len(s.input) {
+		switch {
+		case isBlank(s.input[s.offset]):
+			s.offset++
+		case s.peek(0) == '-' && s.peek(1) == '-':
+			s.takeWhile(isNotLineEnd)
+		case s.peek(0) == '/' && s.peek(1) == '*':
+			if err := s.skipBlockComment(); err != nil {
+				return err
 			}
 		default:
 			return nil
@@ -130,119 +144,132 @@
 	return nil
 }
 
-// string reads a string constant from its first quote. With escapes a
-// backslash takes the next character with it.
-func (c *scanner) string(escapes bool) (string, error) {
-	var out strings.Builder
-	for c.at++; c.at < len(c.s); c.at++ {
-		switch b := c.s[c.at]; {
+// skipBlockComment skips a comment between slashes and stars; these nest.
+func (s *scanner) skipBlockComment() error {
+	s.offset += 2
+	for depth := 1; depth > 0; {
+		switch {
+		case s.offset >= len(s.input):
+			return errComment
+		case s.peek(0) == '/' && s.peek(1) == '*':
+			depth++
+			s.offset += 2
+		case s.peek(0) == '*' && s.peek(1) == '/':
+			depth--
+			s.offset += 2
+		default:
+			s.offset++
+		}
+	}
+	return nil
+}
+
+// stringConstant reads a string constant from its first quote. With escapes a
+// backslash takes the next character as it is.
+func (s *scanner) stringConstant(escapes bool) (string, error) {
+	var value strings.Builder
+	for s.offset++; s.offset < len(s.input); s.offset++ {
+		b := s.input[s.offset]
+		switch {
 		case b == '\\' && escapes:
-			if c.at++; c.at >= len(c.s) {
+			s.offset++
+			if s.offset >= len(s.input) {
 				return "", errString
 			}
-			out.WriteByte(c.s[c.at])
+			value.WriteByte(s.input[s.offset])
 		case b != '\'':
-			out.WriteByte(b)
-		case c.peek(1) == '\'':
-			c.at++
-			out.WriteByte('\'')
+			value.WriteByte(b)
+		case s.peek(1) == '\'': // a doubled quote is one
+			s.offset++
+			value.WriteByte('\'')
 		default:
-			c.at++
-			return out.String(), nil
+			s.offset++
+			return value.String(), nil
 		}
 	}
 	return "", errString
 }
 
-// delimited reads up to a closing quote, which is doubled to mean itself.
-func (c *scanner) delimited(end byte) (string, error) {
-	var out strings.Builder
-	for c.at++; c.at < len(c.s); c.at++ {
-		if c.s[c.at] == end {
-			if c.peek(1) != end {
-				c.at++
-				return out.String(), nil
+// quotedIdentifier reads an identifier from its first quote.
+func (s *scanner) quotedIdentifier() (string, error) {
+	var name strings.Builder
+	for s.offset++; s.offset < len(s.input); s.offset++ {
+		b := s.input[s.offset]
+		if b == '"' {
+			if s.peek(1) != '"' {
+				s.offset++
+				return name.String(), nil
 			}
-			c.at++
+			s.offset++ // a doubled quote is one
 		}
-		out.WriteByte(c.s[c.at])
+		name.WriteByte(b)
 	}
 	return "", errString
 }
 
-// dollar reads a parameter, or a string between dollar signs.
-func (c *scanner) dollar() (t token, ok bool, err error) {
-	from := c.at
-	t.at = from
-	i := from + 1
-	for i < len(c.s) && digit(c.s[i]) {
-		i++
-	}
-	if i > from+1 {
-		c.at = i
-		return token{param, c.s[from:i], from}, true, nil
-	}
-	for i < len(c.s) && (letter(c.s[i]) || digit(c.s[i])) {
-		i++
+// dollar reads a parameter or a dollar-quoted string; any other dollar sign is
+// a symbol.
+func (s *scanner) dollar() (token, error) {
+	start := s.offset
+	s.offset++
+	if digits := s.takeWhile(isDigit); digits != "" {
+		return token{kind: parameter, text: s.input[start:s.offset], offset: start}, nil
 	}
-	if i >= len(c.s) || c.s[i] != '$' {
-		c.at++
-		return token{symbol, "$", from}, true, nil
+	s.takeWhile(func(b byte) bool { return isLetter(b) || isDigit(b) })
+	if s.peek(0) != '$' {
+		s.offset = start + 1
+		return token{kind: symbol, text: "$", offset: start}, nil
 	}
-	tag := c.s[from : i+1]
-	end := strings.Index(c.s[i+1:], tag)
-	if end < 0 {
-		return t, false, errString
+	s.offset++
+	tag := s.input[start:s.offset]
+	body, _, closed := strings.Cut(s.input[s.offset:], tag)
+	if !closed {
+		return token{}, errString
 	}
-	c.at = i + 1 + end + len(tag)
-	return token{text, c.s[i+1 : i+1+end], from}, true, nil
+	s.offset += len(body) + len(tag)
+	return token{kind: stringConstant, text: body, offset: start}, nil
 }
 
-// statement is one of a query string.
+// statement is one statement of a query string.
 type statement struct {
 	tokens []token
-	text   string // without its semicolon
+	text   string // without the semicolon
 }
 
-// split reads a query string into its statements. An empty one is left out.
-func split(sql string, standard bool) (statements []statement, err error) {
-	c := &scanner{s: sql, standard: standard}
-	var now []token
-	add := func(end int) {
-		if len(now) > 0 {
-			statements = append(statements, statement{now, sql[now[0].at:end]})
+// splitStatements splits a query string into its statements, without the empty
+// ones.
+func splitStatements(sql string, standard bool) ([]statement, error) {
+	s := &scanner{input: sql, standard: standard}
+	var statements []statement
+	var tokens []token // of the statement being read
+	finish := func(end int) {
+		if len(tokens) > 0 {
+			statements = append(statements, statement{tokens: tokens, text: sql[tokens[0].offset:end]})
 		}
-		now = nil
+		tokens = nil
 	}
-	depth := 0 // of BEGIN ATOMIC bodies: the semicolons in one belong to it
+	depth := 0 // of BEGIN ATOMIC bodies, whose semicolons end no statement
 	for {
-		t, ok, err := c.next()
+		t, ok, err := s.next()
 		if err != nil {
 			return nil, err
 		}
 		if !ok {
-			break
+			finish(len(sql))
+			return statements, nil
 		}
-		switch {
-		case t.kind == symbol && t.s == ";" && depth == 0:
-			add(t.at)
+		if depth == 0 && t.isSymbol(";") {
+			finish(t.offset)
 			continue
-		case t.is("atomic") && len(now) > 0 && now[len(now)-1].is("begin"):
+		}
+		switch {
+		case t.is("atomic") && len(tokens) > 0 && tokens[len(tokens)-1].is("begin"):
 			depth++
 		case depth > 0 && t.is("case"):
 			depth++
 		case depth > 0 && t.is("end"):
 			depth--
 		}
-		now = append(now, t)
+		tokens = append(tokens, t)
 	}
-	add(len(sql))
-	return statements, nil
 }
-
-func (t token) is(w string) bool { return t.kind == word && t.s == w }
-
-func (t token) isSymbol(s string) bool { return t.kind == symbol && t.s == s }
-
-// name tells whether a token may be an identifier.
-func (t token) name() bool { return t.kind == word || t.kind == quoted }
--- a/internal/pooling/session.go
+++ b/internal/pooling/session.go
@@ -7,8 +7,8 @@
 	"unicode/utf8"
 )
 
-// maxName is how long an identifier may be in statements (NAMEDATALEN - 1).
-// Names in protocol messages have no such bound.
+// maxName bounds identifiers in statements, in bytes (NAMEDATALEN - 1). Names in
+// protocol messages have no such bound.
 const maxName = 63
 
 // Truncate shortens an identifier as PostgreSQL does, to whole characters.
@@ -23,109 +23,116 @@
 	return name[:n]
 }
 
-// Session is what a client's session has become, wherever it is served.
+// Session is the state of a client's session, independent of the connection
+// that serves it. The zero Session is new. It is not safe for concurrent use.
 type Session struct {
 	Settings
-	// Position is that of its last write, in Unix milliseconds: its next read
-	// must see it, on whichever host.
+	// Position is the replication position of its last write, in Unix
+	// milliseconds. Its next read must see it, on whichever endpoint.
 	Position float64
 	pins     Pin
-	unpins   Pin               // once the transaction commits
-	prepared map[string]string // by PREPARE: the statement's text
+	unpins   Pin               // of pins, those that end when the transaction commits
+	prepared map[string]string // texts of PREPARE statements by name
 }
 
-// Pins returns why the session must keep its connection, 0 if it need not.
-// Inside a transaction it must in any case.
+// Pins returns why the session must keep its connection, 0 if it need not. It
+// must keep it in any case inside a transaction.
 func (s *Session) Pins() Pin { return s.pins }
 
-// Apply takes a statement that went through.
-func (s *Session) Apply(e Effect) {
-	failed, was := s.Failed(), s.InTransaction()
-	s.Settings.Apply(e)
-	if failed && !s.Failed() && e.Kind != RollbackTo {
-		s.unpins = 0 // what was undone with it was never done
-	}
-	if failed {
+// Apply takes the effect of a statement that succeeded.
+func (s *Session) Apply(effect Effect) {
+	wasFailed := s.Failed()
+	wasInTransaction := s.InTransaction()
+	s.Settings.Apply(effect)
+	if wasFailed {
+		if !s.Failed() && effect.Kind != RollbackTo {
+			s.unpins = 0 // the statements that would have ended pins were rolled back
+		}
 		return
 	}
-	// What pins does so from now on, also if it is undone later: that it was
-	// undone is not always seen.
-	s.pins |= e.Pins
-	s.unpins &^= e.Pins
-	switch e.Kind {
+	// A pin holds from now on, even if the transaction is rolled back: a
+	// rollback is not always seen.
+	s.pins |= effect.Pins
+	s.unpins &^= effect.Pins
+	switch effect.Kind {
 	case DiscardAll:
-		if !was {
-			s.pins, s.unpins, s.prepared = 0, 0, nil
+		if !wasInTransaction { // PostgreSQL rejects it inside a transaction
+			s.pins = 0
+			s.unpins = 0
+			s.prepared = nil
 		}
 		return
 	case Prepare:
 		if s.prepared == nil {
 			s.prepared = map[string]string{}
 		}
-		s.prepared[e.Name] = e.Text
+		s.prepared[effect.Name] = effect.Text
 	case Deallocate:
-		delete(s.prepared, e.Name)
+		delete(s.prepared, effect.Name)
 	case DeallocateAll:
 		s.prepared = nil
 	case Rollback, RollbackTo:
 		s.unpins = 0
 	}
-	s.unpins |= e.Unpins
-	if !s.InTransaction() || e.Kind == Commit {
+	s.unpins |= effect.Unpins
+	if !s.InTransaction() || effect.Kind == Commit {
 		s.pins &^= s.unpins
 		s.unpins = 0
 	}
 }
 
-// Wrote notes a commit's position.
-func (s *Session) Wrote(position float64) { s.Position = max(s.Position, position) }
+// RecordWrite records the replication position of a commit, in Unix
+// milliseconds.
+func (s *Session) RecordWrite(position float64) { s.Position = max(s.Position, position) }
 
-// Connection is what a server's session holds, as far as these rules have made
-// it so. The zero Connection is new and has nothing.
+// Connection is the session state on a server's connection. The zero Connection
+// is new and has none. It is not safe for concurrent use.
 type Connection struct {
-	settings map[string]string
-	prepared map[string]string
-	Held     Held
+	settings   map[string]string
+	prepared   map[string]string // texts of PREPARE statements by name
+	Statements ConnectionStatements
 }
 
-// Return notes what a session leaves behind on its connection. It may be given
-// to others only if the session is outside a transaction and pins nothing;
-// otherwise it must be closed, or reset and Cleared.
-func (c *Connection) Return(s *Session) (reusable bool) {
+// Release records what a session leaves behind on its connection. The
+// connection is reusable if the session is outside a transaction and pins
+// nothing; otherwise it must be closed, or reset by DISCARD ALL and Reset.
+func (c *Connection) Release(s *Session) (reusable bool) {
 	if s.InTransaction() || s.pins != 0 {
 		return false
 	}
-	c.settings, c.prepared = s.Session(), maps.Clone(s.prepared)
+	c.HandedOver(s)
 	return true
 }
 
-// Cleared notes that DISCARD ALL went through.
-func (c *Connection) Cleared() {
-	c.settings, c.prepared = nil, nil
-	c.Held.Clear()
+// Reset records that DISCARD ALL succeeded on the connection.
+func (c *Connection) Reset() {
+	c.settings = nil
+	c.prepared = nil
+	c.Statements.Clear()
 }
 
-// Handover returns what gives a connection the state of a session, in one query
-// string, so in one round trip; "" if it has it already.
-func (c *Connection) Handover(s *Session) string {
-	var parts []string
-	if d := Difference(c.settings, s.base); d != "" {
-		parts = append(parts, d)
+// HandoverSQL returns one query string, hence one round trip, that gives the
+// connection the state of a session; "" if it has it already.
+func (c *Connection) HandoverSQL(s *Session) string {
+	var statements []string
+	if sql := Difference(c.settings, s.base); sql != "" {
+		statements = append(statements, sql)
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.prepared)) {
 		if s.prepared[name] != c.prepared[name] {
-			parts = append(parts, `DEALLOCATE "`+strings.ReplaceAll(name, `"`, `""`)+`"`)
+			statements = append(statements, "DEALLOCATE "+quoteIdentifier(name))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.prepared)) {
 		if s.prepared[name] != c.prepared[name] {
-			parts = append(parts, s.prepared[name])
+			statements = append(statements, s.prepared[name])
 		}
 	}
-	return strings.Join(parts, "; ")
+	return strings.Join(statements, "; ")
 }
 
-// Taken notes that Handover's statements went through.
-func (c *Connection) Taken(s *Session) {
-	c.settings, c.prepared = s.Session(), maps.Clone(s.prepared)
+// HandedOver records that the statements of HandoverSQL succeeded.
+func (c *Connection) HandedOver(s *Session) {
+	c.settings = s.Session()
+	c.prepared = maps.Clone(s.prepared)
 }
--- a/internal/pooling/settings.go
+++ b/internal/pooling/settings.go
@@ -3,145 +3,142 @@
 import (
 	"maps"
 	"slices"
-	"strings"
 )
 
-// value is a setting's value, or that it was reset to its default.
+// value is a setting's value, or its default.
 type value struct {
-	text  string
-	reset bool
+	text  string // as SQL
+	reset bool   // to the default
 }
 
-// change is what one transaction, or the part of it since a savepoint, has
-// made of a setting: for the session, and for the transaction alone.
+// change is how a transaction, or the part of it since a savepoint, has changed
+// a setting. A nil value is unchanged.
 type change struct {
-	session, local *value
+	session *value // by SET, which outlives the transaction if it commits
+	local   *value // by SET LOCAL
 }
 
-// frame is a transaction's changes, or those since a savepoint.
+// frame holds the changes of a transaction, or those since a savepoint.
 type frame struct {
 	savepoint string
 	changes   map[string]change
 }
 
-// Settings are what a session has set, by PostgreSQL's rules on transactions:
-// what is rolled back was never set, and SET LOCAL ends with its transaction.
-// The zero Settings are those of a new connection.
+// Settings are the settings of a session by PostgreSQL's rules on transactions:
+// a rollback undoes a SET, and SET LOCAL ends with its transaction. The zero
+// Settings are those of a new connection. They are not safe for concurrent use.
 type Settings struct {
-	base   map[string]string // set for the session, outside or committed
-	frames []frame           // none outside a transaction
-	failed bool              // an error came: only a rollback helps
+	base   map[string]string // set for the session outside a transaction, or committed
+	frames []frame           // of the open transaction, the innermost last
+	failed bool              // the transaction can only be rolled back
 }
 
-// InTransaction tells whether a transaction is open, and Failed whether it can
-// only be rolled back.
+// InTransaction reports whether a transaction is open.
 func (s *Settings) InTransaction() bool { return len(s.frames) > 0 }
 
-// Failed tells whether the transaction can only be rolled back.
+// Failed reports whether the open transaction can only be rolled back.
 func (s *Settings) Failed() bool { return s.failed }
 
-// Apply takes a statement that went through, as its session sees it. What a
-// failed transaction ignores is ignored here.
-func (s *Settings) Apply(e Effect) {
-	if s.failed && e.Kind != Rollback && e.Kind != RollbackTo && e.Kind != Commit {
+// Apply takes the effect of a statement that succeeded. In a failed transaction
+// only the end of the transaction or a rollback to a savepoint has an effect.
+func (s *Settings) Apply(effect Effect) {
+	if s.failed && effect.Kind != Rollback && effect.Kind != RollbackTo && effect.Kind != Commit {
 		return
 	}
-	switch e.Kind {
-	case Begin:
-		if len(s.frames) == 0 {
-			s.begin()
+	switch effect.Kind {
+	case Begin, Commit, Rollback, Savepoint, Release, RollbackTo:
+		s.applyTransaction(effect)
+	case Set:
+		s.set(effect.Name, value{text: effect.Value})
+	case SetLocal:
+		s.setLocal(effect.Name, effect.Value)
+	case Reset:
+		s.set(effect.Name, value{reset: true})
+	case ResetAll:
+		for _, name := range s.names() {
+			s.set(name, value{reset: true})
 		}
-	case Commit:
-		if s.failed { // COMMIT of a failed transaction is a rollback
-			s.end(false)
-		} else {
-			s.end(true)
+	case DiscardAll:
+		if !s.InTransaction() { // PostgreSQL rejects it inside a transaction
+			s.base = nil
 		}
-		if e.Chain {
+	}
+}
+
+// applyTransaction takes the effect of a statement that begins, ends or parts a
+// transaction.
+func (s *Settings) applyTransaction(effect Effect) {
+	switch effect.Kind {
+	case Begin:
+		if !s.InTransaction() {
 			s.begin()
 		}
-	case Rollback:
-		s.end(false)
-		if e.Chain {
+	case Commit, Rollback:
+		committed := effect.Kind == Commit && !s.failed // COMMIT rolls a failed transaction back
+		s.end(committed)
+		if effect.Chain {
 			s.begin()
 		}
 	case Savepoint:
-		if len(s.frames) > 0 {
-			s.frames = append(s.frames, frame{savepoint: e.Name, changes: map[string]change{}})
+		if s.InTransaction() {
+			s.frames = append(s.frames, frame{savepoint: effect.Name, changes: map[string]change{}})
 		}
 	case Release:
-		if i := s.find(e.Name); i > 0 {
-			for len(s.frames) > i {
-				s.fold()
+		if depth := s.find(effect.Name); depth > 0 {
+			for len(s.frames) > depth {
+				s.merge()
 			}
 		}
 	case RollbackTo:
-		if i := s.find(e.Name); i > 0 { // the savepoint stays, with nothing since it
-			s.frames = s.frames[:i+1]
-			s.frames[i].changes = map[string]change{}
+		if depth := s.find(effect.Name); depth > 0 { // the savepoint itself stays
+			s.frames = s.frames[:depth+1]
+			s.frames[depth].changes = map[string]change{}
 			s.failed = false
 		}
-	case Set:
-		s.set(e.Name, value{text: e.Value})
-	case Reset:
-		s.set(e.Name, value{reset: true})
-	case SetLocal:
-		if len(s.frames) > 0 { // outside it has no effect
-			f := &s.frames[len(s.frames)-1]
-			c := f.changes[e.Name]
-			c.local = &value{text: e.Value, reset: e.Value == "DEFAULT"}
-			f.changes[e.Name] = c
-		}
-	case ResetAll:
-		for _, name := range s.names() {
-			s.set(name, value{reset: true})
-		}
-	case DiscardAll: // refused inside a transaction
-		if len(s.frames) == 0 {
-			s.base = nil
-		}
 	}
 }
 
-// Error learns that a statement failed, which ends all but a rollback of the
-// transaction at hand.
-func (s *Settings) Error() { s.failed = len(s.frames) > 0 }
+// Fail reports that a statement failed: the open transaction, if there is one,
+// can only be rolled back.
+func (s *Settings) Fail() { s.failed = s.InTransaction() }
 
 func (s *Settings) begin() { s.frames = []frame{{changes: map[string]change{}}} }
 
-// end ends the transaction.
+// end ends the transaction, if one is open.
 func (s *Settings) end(commit bool) {
-	if commit && len(s.frames) > 0 {
+	if commit && s.InTransaction() {
 		for len(s.frames) > 1 {
-			s.fold()
+			s.merge()
 		}
-		for name, c := range s.frames[0].changes {
-			if c.session != nil {
-				s.put(name, *c.session)
+		for name, changed := range s.frames[0].changes {
+			if changed.session != nil {
+				s.setBase(name, *changed.session)
 			}
 		}
 	}
-	s.frames, s.failed = nil, false
+	s.frames = nil
+	s.failed = false
 }
 
-// fold gives the innermost part's changes to the one around it.
-func (s *Settings) fold() {
-	top := s.frames[len(s.frames)-1]
+// merge adds the changes of the innermost frame to the one around it.
+func (s *Settings) merge() {
+	inner := s.frames[len(s.frames)-1]
 	s.frames = s.frames[:len(s.frames)-1]
-	around := s.frames[len(s.frames)-1].changes
-	for name, c := range top.changes {
-		was := around[name]
-		if c.session != nil { // it covers a local value, too
-			was = change{session: c.session}
+	outer := s.frames[len(s.frames)-1].changes
+	for name, changed := range inner.changes {
+		merged := outer[name]
+		if changed.session != nil { // a later SET replaces a SET LOCAL, too
+			merged = change{session: changed.session}
 		}
-		if c.local != nil {
-			was.local = c.local
+		if changed.local != nil {
+			merged.local = changed.local
 		}
-		around[name] = was
+		outer[name] = merged
 	}
 }
 
-// find returns the frame of the innermost savepoint of a name, 0 if none.
+// find returns the index of the frame of the innermost savepoint of a name, 0
+// if there is none.
 func (s *Settings) find(name string) int {
 	for i := len(s.frames) - 1; i > 0; i-- {
 		if s.frames[i].savepoint == name {
@@ -151,47 +148,59 @@
 	return 0
 }
 
-func (s *Settings) set(name string, v value) {
-	if len(s.frames) == 0 {
-		s.put(name, v)
+// set changes a setting for the session.
+func (s *Settings) set(name string, to value) {
+	if !s.InTransaction() {
+		s.setBase(name, to)
 		return
 	}
-	s.frames[len(s.frames)-1].changes[name] = change{session: &v}
+	s.frames[len(s.frames)-1].changes[name] = change{session: &to}
 }
 
-// put sets a value for the session, past any transaction.
-func (s *Settings) put(name string, v value) {
-	if v.reset {
+// setLocal changes a setting for the transaction. It has no effect outside one.
+func (s *Settings) setLocal(name, text string) {
+	if !s.InTransaction() {
+		return
+	}
+	changes := s.frames[len(s.frames)-1].changes
+	changed := changes[name]
+	changed.local = &value{text: text, reset: text == "DEFAULT"}
+	changes[name] = changed
+}
+
+// setBase changes a setting for the session outside any transaction.
+func (s *Settings) setBase(name string, to value) {
+	if to.reset {
 		delete(s.base, name)
 		return
 	}
 	if s.base == nil {
 		s.base = map[string]string{}
 	}
-	s.base[name] = v.text
+	s.base[name] = to.text
 }
 
-// names returns every name that has a value or a change.
+// names returns the names of all settings that have a value or a change.
 func (s *Settings) names() []string {
 	all := map[string]bool{}
 	for name := range s.base {
 		all[name] = true
 	}
-	for _, f := range s.frames {
-		for name := range f.changes {
+	for _, frame := range s.frames {
+		for name := range frame.changes {
 			all[name] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(all))
 }
 
-// Get returns what a setting is now; ok is false for the default.
+// Get returns a setting's current value as SQL; ok is false for the default.
 func (s *Settings) Get(name string) (text string, ok bool) {
 	for i := len(s.frames) - 1; i >= 0; i-- {
-		c := s.frames[i].changes[name]
-		for _, v := range []*value{c.local, c.session} {
-			if v != nil {
-				return v.text, !v.reset
+		changed := s.frames[i].changes[name]
+		for _, current := range []*value{changed.local, changed.session} {
+			if current != nil {
+				return current.text, !current.reset
 			}
 		}
 	}
@@ -199,77 +208,6 @@
 	return text, ok
 }
 
-// Session returns what is set for the session outside any transaction.
+// Session returns the session's settings outside any transaction, as SQL by
+// name.
 func (s *Settings) Session() map[string]string { return maps.Clone(s.base) }
-
-// Difference returns the statements, in one query string, that give a
-// connection which has what it has the settings that it must have: "" if they
-// agree already. Both are outside any transaction. Roles come in the order in
-// which they depend on each other: who a session is, then as whom it acts, then
-// the rest; and back in the same order.
-func Difference(has, must map[string]string) string {
-	var names []string
-	for name, v := range must {
-		if old, ok := has[name]; !ok || old != v {
-			names = append(names, name)
-		}
-	}
-	for name := range has {
-		if _, ok := must[name]; !ok {
-			names = append(names, name)
-		}
-	}
-	rank := func(name string) int {
-		switch name {
-		case "session_authorization":
-			return 0
-		case "role":
-			return 1
-		}
-		return 2
-	}
-	slices.SortFunc(names, func(a, b string) int {
-		if d := rank(a) - rank(b); d != 0 {
-			return d
-		}
-		return strings.Compare(a, b)
-	})
-	var out strings.Builder
-	for i, name := range names {
-		if i > 0 {
-			out.WriteString("; ")
-		}
-		v, ok := must[name]
-		switch {
-		case !ok:
-			out.WriteString("RESET " + statementName(name))
-		case name == "session_authorization":
-			out.WriteString("SET SESSION AUTHORIZATION " + v)
-		case name == "role":
-			out.WriteString("SET ROLE " + v)
-		case name == "timezone":
-			out.WriteString("SET TIME ZONE " + v)
-		default:
-			out.WriteString("SET " + statementName(name) + " TO " + v)
-		}
-	}
-	return out.String()
-}
-
-// statementName writes a setting's name as it may stand in a statement.
-func statementName(name string) string {
-	if name == "session_authorization" {
-		return "SESSION AUTHORIZATION"
-	}
-	parts := strings.Split(name, ".")
-	for i, p := range parts {
-		plain := p != "" && letter(p[0])
-		for j := range len(p) {
-			plain = plain && (letter(p[j]) || digit(p[j]))
-		}
-		if !plain {
-			parts[i] = `"` + strings.ReplaceAll(p, `"`, `""`) + `"`
-		}
-	}
-	return strings.Join(parts, ".")
-}
--- a/internal/pooling/settings_test.go
+++ b/internal/pooling/settings_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// snapshots is the same rules told the long way: everything that is set is
-// copied at each savepoint, and put back.
-type snapshots struct {
+// snapshotModel implements the same rules by copies: every setting is copied at
+// each savepoint, and restored.
+type snapshotModel struct {
 	session, local map[string]string // "" in local: the default
 	stack          []snapshot
 	failed         bool
@@ -21,11 +21,11 @@
 	session, local map[string]string
 }
 
-func (m *snapshots) keep(name string) {
+func (m *snapshotModel) keep(name string) {
 	m.stack = append(m.stack, snapshot{name, maps.Clone(m.session), maps.Clone(m.local)})
 }
 
-func (m *snapshots) apply(e Effect) {
+func (m *snapshotModel) apply(e Effect) {
 	if m.failed && e.Kind != Rollback && e.Kind != RollbackTo && e.Kind != Commit {
 		return
 	}
@@ -86,7 +86,7 @@
 	}
 }
 
-func (m *snapshots) get(name string) (string, bool) {
+func (m *snapshotModel) get(name string) (string, bool) {
 	if v, ok := m.local[name]; ok {
 		return v, v != ""
 	}
@@ -97,8 +97,9 @@
 var settingNames = []string{"a", "b", "c.d"}
 
 func anyEffect(t *rapid.T) Effect {
-	e := Effect{Kind: rapid.SampledFrom([]Kind{Begin, Commit, Rollback, Savepoint, Savepoint, Release, RollbackTo, Set, Set, Set, SetLocal, SetLocal,
-		Reset, ResetAll, DiscardAll, Plain}).Draw(t, "kind")}
+	e := Effect{Kind: rapid.SampledFrom([]Kind{Begin, Commit, Rollback, Savepoint, Savepoint, Release, RollbackTo, Set, Set,
+		Set, SetLocal, SetLocal,
+		Reset, ResetAll, DiscardAll, Ordinary}).Draw(t, "kind")}
 	switch e.Kind {
 	case Savepoint, Release, RollbackTo:
 		e.Name = rapid.SampledFrom([]string{"s", "t"}).Draw(t, "savepoint")
@@ -116,14 +117,14 @@
 	return e
 }
 
-// Whatever comes, a setting is what PostgreSQL's rules on transactions make it.
-func TestSettingsFollowTheirTransactions(t *testing.T) {
+// After any statements a setting is what PostgreSQL's rules on transactions make it.
+func TestSettingsFollowTransactions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Settings
-		m := &snapshots{session: map[string]string{}, local: map[string]string{}}
+		m := &snapshotModel{session: map[string]string{}, local: map[string]string{}}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if rapid.IntRange(0, 12).Draw(t, "error") == 0 {
-				s.Error()
+				s.Fail()
 				m.failed = len(m.stack) > 0
 			}
 			e := anyEffect(t)
@@ -149,7 +150,7 @@
 }
 
 // SET LOCAL, an error, then ROLLBACK TO: what was before the savepoint is back.
-func TestSetLocalThenAnErrorThenRollbackTo(t *testing.T) {
+func TestSetLocalThenErrorThenRollbackTo(t *testing.T) {
 	var s Settings
 	r := Reader{Standard: true}
 	run := func(sql string) {
@@ -165,7 +166,7 @@
 	}
 	run("set work_mem to '1MB'; begin; set work_mem to '2MB'; savepoint s; set local work_mem to '3MB'")
 	want("'3MB'")
-	s.Error()
+	s.Fail()
 	run("set work_mem to '9MB'; rollback to s")
 	want("'2MB'")
 	run("set local work_mem to '4MB'; release s")
@@ -177,14 +178,14 @@
 	run("rollback")
 	want("'2MB'")
 	run("begin; set work_mem to '5MB'")
-	s.Error()
+	s.Fail()
 	run("commit") // of a failed transaction
 	want("'2MB'")
 }
 
 // The difference of two sessions makes the one the other, and says nothing
 // where they agree.
-func TestTheDifferenceMakesSessionsEqual(t *testing.T) {
+func TestDifferenceMakesSessionsEqual(t *testing.T) {
 	r := Reader{Standard: true}
 	session := rapid.Custom(func(t *rapid.T) map[string]string {
 		m := map[string]string{}
