--- a/internal/faultnet/relay.go
+++ b/internal/faultnet/relay.go
@@ -1,13 +1,14 @@
-// Package faultnet is the fault injector of the drills: a UDP relay in front
-// of each member, so that every packet between members passes it and can be
-// lost, delayed, doubled, reordered (by the delay's draw) or cut, per link
-// and per direction. Members are told the relay's addresses (membership's
-// "advertise"); the relay knows each member's own socket, so it knows who
-// sent what to whom. All on loopback; it holds at most maxPending packets.
+// Package faultnet is the fault injector of the drills: a UDP relay between the
+// members of a fleet. Every packet between two members passes it and can be
+// lost, delayed, duplicated, reordered (by different delays) or cut off, per
+// link and per direction. Members advertise the relay's addresses in place of
+// their own (membership's "advertise"); the relay knows each member's own
+// socket, and by it the sender and receiver of a packet. It runs on loopback.
 package faultnet
 
 import (
 	"errors"
+	"fmt"
 	"math/rand/v2"
 	"net"
 	"net/netip"
@@ -16,138 +17,157 @@
 	"time"
 )
 
-// maxPending bounds the packets held for their delay; past it they are lost.
-const maxPending = 20_000
+const (
+	// maxPending bounds the packets that are delayed; further ones are lost.
+	maxPending = 20_000
+	// maxPacket is the largest packet that is carried, in bytes.
+	maxPacket = 2048
+)
 
 // Faults are what happens to each packet.
 type Faults struct {
-	Loss, Dup         float64 // shares, 0 to below 1
-	DelayMs, JitterMs float64 // each packet waits DelayMs and up to JitterMs more
+	Loss     float64 // chance that it is lost, from 0 to below 1
+	Dup      float64 // chance that it is delivered twice, from 0 to below 1
+	DelayMs  float64
+	JitterMs float64 // up to so much is added to DelayMs at random
 }
 
-// Relay carries packets between n members.
+// Relay carries packets between members, numbered from 0. It is safe for
+// concurrent use.
 type Relay struct {
-	fronts []*net.UDPConn
-	backs  []netip.AddrPort
-	index  map[netip.AddrPort]int
+	Bytes   atomic.Uint64 // delivered
+	Carried atomic.Uint64 // packets delivered
+	Dropped atomic.Uint64 // packets lost or cut off
+
+	fronts  []*net.UDPConn         // the members' advertised sockets
+	members []netip.AddrPort       // the members' own sockets
+	index   map[netip.AddrPort]int // of a member, by its own socket
+	pending atomic.Int64           // packets that are delayed
+	wg      sync.WaitGroup         // of the goroutines that carry
 
 	mu     sync.Mutex
-	rng    *rand.Rand
+	rand   *rand.Rand
 	faults Faults
-	cut    func(from, to int) bool
-	late   map[int]time.Duration // added to all that a member sends
-
-	pending                 atomic.Int64
-	Bytes, Carried, Dropped atomic.Uint64 // what passed, and what was lost or cut
-	wg                      sync.WaitGroup
+	cut    func(from, to int) bool // nil for no cut
+	extra  map[int]time.Duration   // added delay of all that a member sends
 }
 
-// New binds one front on 127.0.0.1 for each member's own socket in backs.
-func New(seed uint64, backs []netip.AddrPort) (*Relay, error) {
-	r := &Relay{backs: backs, index: map[netip.AddrPort]int{}, rng: rand.New(rand.NewPCG(seed, 0xfa017))}
-	for i, b := range backs {
-		r.index[b] = i
-		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+// New starts a relay for the members with these sockets. Close ends it.
+func New(seed uint64, members []netip.AddrPort) (*Relay, error) {
+	r := &Relay{
+		members: members,
+		index:   map[netip.AddrPort]int{},
+		rand:    rand.New(rand.NewPCG(seed, 0xfa017)),
+		extra:   map[int]time.Duration{},
+	}
+	for i, member := range members {
+		r.index[member] = i
+		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			r.Close()
-			return nil, err
+			return nil, fmt.Errorf("faultnet: listening for member %d: %w", i, err)
 		}
-		r.fronts = append(r.fronts, c)
+		r.fronts = append(r.fronts, conn)
 	}
 	for i := range r.fronts {
-		r.wg.Add(1)
-		go r.carry(i)
+		r.wg.Go(func() { r.carry(i) })
 	}
 	return r, nil
 }
 
-// Front is the address that member i is known by.
-func (r *Relay) Front(i int) string { return r.fronts[i].LocalAddr().String() }
+// Address returns the address that a member must advertise.
+func (r *Relay) Address(member int) string { return r.fronts[member].LocalAddr().String() }
 
 // Set changes the faults from now on.
-func (r *Relay) Set(f Faults) {
+func (r *Relay) Set(faults Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults = f
+	r.faults = faults
 }
 
-// Late delays everything member i sends by ms more, from now on; 0 ends it.
-func (r *Relay) Late(i int, ms float64) {
+// DelaySender delays all that a member sends by ms more from now on; 0 ends it.
+func (r *Relay) DelaySender(member int, ms float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.late == nil {
-		r.late = map[int]time.Duration{}
-	}
-	r.late[i] = time.Duration(ms * float64(time.Millisecond))
+	r.extra[member] = milliseconds(ms)
 }
 
-// Cut loses every packet for which cut says so; nil heals.
+// Cut loses every packet for which cut reports true; nil ends the cut.
 func (r *Relay) Cut(cut func(from, to int) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cut = cut
 }
 
-// carry takes what arrives at member to's front and sends it on from the
-// sender's front, so that the answer comes back through the relay too.
+// carry forwards what arrives at a member's advertised socket, from the
+// sender's advertised socket, so that answers pass the relay too. It ends when
+// the relay is closed.
 func (r *Relay) carry(to int) {
-	defer r.wg.Done()
-	buf := make([]byte, 2048)
+	buffer := make([]byte, maxPacket)
 	for {
-		n, src, err := r.fronts[to].ReadFromUDPAddrPort(buf)
+		size, source, err := r.fronts[to].ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		from, known := r.index[src]
+		from, known := r.index[source]
 		if err != nil || !known {
-			continue // only members' own sockets are carried
+			continue // only packets from members are carried
 		}
 		copies, delays := r.draw(from, to)
 		if copies == 0 {
 			r.Dropped.Add(1)
 			continue
 		}
-		b := append([]byte(nil), buf[:n]...)
-		for _, d := range delays[:copies] {
-			if r.pending.Add(1) > maxPending {
-				r.pending.Add(-1)
-				r.Dropped.Add(1)
-				continue
-			}
-			time.AfterFunc(d, func() {
-				defer r.pending.Add(-1)
-				if _, err := r.fronts[from].WriteToUDPAddrPort(b, r.backs[to]); err == nil {
-					r.Carried.Add(1)
-					r.Bytes.Add(uint64(len(b)))
-				}
-			})
+		packet := append([]byte(nil), buffer[:size]...)
+		for _, delay := range delays[:copies] {
+			r.deliver(from, to, packet, delay)
 		}
 	}
 }
 
-// draw decides a packet's fate: how many copies, after what delays.
-func (r *Relay) draw(from, to int) (int, [2]time.Duration) {
+// deliver sends a packet after a delay.
+func (r *Relay) deliver(from, to int, packet []byte, delay time.Duration) {
+	if r.pending.Add(1) > maxPending {
+		r.pending.Add(-1)
+		r.Dropped.Add(1)
+		return
+	}
+	time.AfterFunc(delay, func() {
+		defer r.pending.Add(-1)
+		if _, err := r.fronts[from].WriteToUDPAddrPort(packet, r.members[to]); err == nil {
+			r.Carried.Add(1)
+			r.Bytes.Add(uint64(len(packet)))
+		}
+	})
+}
+
+// draw decides how many copies of a packet are delivered, after which delays.
+func (r *Relay) draw(from, to int) (copies int, delays [2]time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f := r.faults
-	var d [2]time.Duration
-	if r.cut != nil && r.cut(from, to) || r.rng.Float64() < f.Loss {
-		return 0, d
+	if r.cut != nil && r.cut(from, to) {
+		return 0, delays
 	}
-	copies := 1
-	if r.rng.Float64() < f.Dup {
+	if r.rand.Float64() < r.faults.Loss {
+		return 0, delays
+	}
+	copies = 1
+	if r.rand.Float64() < r.faults.Dup {
 		copies = 2
 	}
-	for i := range d {
-		d[i] = time.Duration((f.DelayMs+r.rng.Float64()*f.JitterMs)*float64(time.Millisecond)) + r.late[from]
+	for i := range delays {
+		jitterMs := r.rand.Float64() * r.faults.JitterMs
+		delays[i] = milliseconds(r.faults.DelayMs+jitterMs) + r.extra[from]
 	}
-	return copies, d
+	return copies, delays
 }
 
-// Close stops the relay; packets still held are lost.
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+
+// Close stops the relay. Packets that are delayed are lost.
 func (r *Relay) Close() {
-	for _, c := range r.fronts {
-		_ = c.Close()
+	for _, conn := range r.fronts {
+		_ = conn.Close()
 	}
 	r.wg.Wait()
 }
--- a/internal/lab/drill.go
+++ b/internal/lab/drill.go
@@ -74,7 +74,7 @@
 	so := standin.Defaults()
 	so.Seed, so.Sabotage = o.Seed, o.Sabotage
 	if o.Sabotage == standin.ForgetsKeys { // so that repeats within the window are common
-		so.ResetAfter = 0.2
+		so.ResetChance = 0.2
 	}
 	f, err := StartFleet(FleetOptions{Binary: o.Binary, Standin: so, Routers: drillRouters, Store: o.Store && !o.Baseline, Log: o.Progress,
 		Edge: `"answer_ms": 8000, "retry_max_ms": 2000, "stall_window_ms": 3000, "stall_bytes": 16, `})
@@ -82,7 +82,7 @@
 		return res, err
 	}
 	defer f.Close()
-	faults := standin.Faults{Loss: o.Loss, Dup: o.Dup, Reorder: o.Reorder, Stall: o.Stall, StallMs: 4000, Break: o.Loss / 20, DelayMs: o.Delay, Move: 0.02}
+	faults := standin.Faults{Loss: o.Loss, Duplicate: o.Dup, Reorder: o.Reorder, Stall: o.Stall, StallMs: 4000, Break: o.Loss / 20, DelayMs: o.Delay, Rebind: 0.02}
 	var links []*standin.Link
 	defer func() {
 		for _, l := range links {
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -159,7 +159,7 @@
 		}
 	}
 	config := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":%s,"settings":%s}`,
-		r.Name, r.Listen, f.Cluster.Discovery, o.Standin.Seed+uint64(n), cmp.Or(o.Sockets, 4096), f.Cluster.List(), fmt.Sprintf(settings, o.Routers))
+		r.Name, r.Listen, f.Cluster.Discovery, o.Standin.Seed+uint64(n), cmp.Or(o.Sockets, 4096), f.Cluster.EndpointList(), fmt.Sprintf(settings, o.Routers))
 	extra := o.Edge
 	if o.Store {
 		extra += fmt.Sprintf("%q: %q, ", "store", filepath.Join(f.dir, r.Name+".db"))
--- a/internal/lab/measure.go
+++ b/internal/lab/measure.go
@@ -31,7 +31,7 @@
 func MeasureEdge(ctx context.Context, binary string, requests, idle int, progress io.Writer) (f EdgeFigures, err error) {
 	f = EdgeFigures{Requests: requests, IdleDevices: idle, MedianMs: map[string]float64{}, P99Ms: map[string]float64{}, BesideIdle: map[string]float64{}}
 	so := standin.Defaults()
-	so.WorkMin, so.WorkMax, so.ShipMin, so.ShipMax, so.ResetAfter, so.FullChance = 0, 0, 0, 0, 0, 0
+	so.WorkMin, so.WorkMax, so.ReplicateMin, so.ReplicateMax, so.ResetChance, so.RejectChance = 0, 0, 0, 0, 0, 0
 	fleet, err := StartFleet(FleetOptions{Binary: binary, Standin: so, Routers: 1, Log: progress, Sockets: 2*idle + 4096,
 		Edge: fmt.Sprintf(`"connections": %d, "sessions": %d, `, idle+100, idle+100)})
 	if err != nil {
--- a/internal/lab/members.go
+++ b/internal/lab/members.go
@@ -94,9 +94,9 @@
 			shared = fmt.Sprintf(`, "shared": {%s}`, o.Shared(i))
 		}
 		opts := fmt.Sprintf(`{"log": {"level": %q}, "membership": {"bind": %q, "advertise": %q, "seeds": [%q], "admin": %q, "zone": "z%d", "period_ms": %d%s}%s}`,
-			o.Level, f.backs[i], f.relay.Front(i), f.relay.Front(0), m.admin, m.zone, periodMs, sabotage, shared)
+			o.Level, f.backs[i], f.relay.Address(i), f.relay.Address(0), m.admin, m.zone, periodMs, sabotage, shared)
 		config := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":256},"known":%s,"settings":%s}`,
-			m.r.Name, m.r.Listen, f.cluster.Discovery, o.Seed+uint64(i), f.cluster.List(), fmt.Sprintf(o.Settings, o.Procs))
+			m.r.Name, m.r.Listen, f.cluster.Discovery, o.Seed+uint64(i), f.cluster.EndpointList(), fmt.Sprintf(o.Settings, o.Procs))
 		if err := os.WriteFile(m.r.configPath(), []byte(config), 0o600); err != nil {
 			return f, err
 		}
--- a/internal/lab/shared.go
+++ b/internal/lab/shared.go
@@ -172,10 +172,10 @@
 
 func (o SharedDrill) start(res *SharedResult, shared func(int) string) (r *sharedRun, err error) {
 	so := standin.Defaults()
-	so.Seed, so.Groups, so.Replicas, so.Singles = o.Seed, 1, 4, 1
-	so.Steady, so.WorkMin, so.WorkMax, so.BoundMs, so.Bounded = true, coldWork, coldWork, 800, "park-view"
-	so.ColdFor = float64(o.ColdMs)
-	so.ResetAfter, so.FullChance, so.Queue = 0, 0, 1<<20
+	so.Seed, so.Groups, so.Replicas, so.StandaloneGroups = o.Seed, 1, 4, 1
+	so.Steady, so.WorkMin, so.WorkMax, so.MaxStalenessMs, so.BoundedClass = true, coldWork, coldWork, 800, "park-view"
+	so.WarmUp = float64(o.ColdMs)
+	so.ResetChance, so.RejectChance, so.QueueLimit = 0, 0, 1<<20
 	r = &sharedRun{o: o, res: res, excuse: map[string]bool{}, rnd: rand.New(rand.NewPCG(o.Seed, 0x5a4ed))}
 	r.client.Timeout = 500 * time.Millisecond
 	if r.f, err = startMembers(memberOptions{Seed: o.Seed, Procs: o.Procs, Binary: o.Binary, Log: o.RouterLog, Level: "info", Standin: so,
@@ -188,7 +188,7 @@
 	}
 	// One replica falls back: it must be sent no bounded read.
 	late := r.f.cluster.Hosts(hangGroup)[4]
-	late.Lag(3000)
+	late.SetLag(3000)
 	r.excuse[late.Name] = true
 	return r, nil
 }
@@ -332,7 +332,7 @@
 	}
 	sleep(ctx, 1000+toldMs)
 	open.Store(true)
-	since := h.Since()
+	since := h.StartedAt()
 	order := r.rnd.Perm(len(r.askers) - 1)
 	draw := func(k int) (got []int) {
 		for _, i := range order[:k] {
@@ -397,8 +397,8 @@
 	}
 	r.o.say("killed and started %d", len(killed))
 	so := standin.Defaults()
-	so.ColdFor = float64(r.o.ColdMs)
-	sleep(ctx, int64(since+so.ColdFor-float64(time.Now().UnixMilli())))
+	so.WarmUp = float64(r.o.ColdMs)
+	sleep(ctx, int64(since+so.WarmUp-float64(time.Now().UnixMilli())))
 	r.budget(h, since, so)
 	r.o.say("the cold host received %d, at most %.2f of its budget in a second", r.res.ColdReceived, r.res.BudgetOverrun)
 	if cut != nil {
--- a/internal/lab/shared_audit.go
+++ b/internal/lab/shared_audit.go
@@ -21,17 +21,17 @@
 func (r *sharedRun) budget(h *standin.Host, since float64, so standin.Options) {
 	var at []float64
 	for _, x := range h.Received() {
-		if x.At >= since+toldMs && x.At < since+so.ColdFor {
+		if x.At >= since+toldMs && x.At < since+so.WarmUp {
 			at = append(at, x.At-since)
 		}
 	}
 	r.res.ColdReceived = len(at)
 	for i, t := range at {
 		k, _ := slices.BinarySearch(at, t+1000)
-		if t+1000 > so.ColdFor {
+		if t+1000 > so.WarmUp {
 			break
 		}
-		warm := so.StartCapacity + (1-so.StartCapacity)*(t+500)/so.ColdFor
+		warm := so.StartCapacity + (1-so.StartCapacity)*(t+500)/so.WarmUp
 		n := 2 * warm * 1000 / coldWork
 		r.res.BudgetOverrun = max(r.res.BudgetOverrun, float64(k-i)/n)
 	}
@@ -159,7 +159,7 @@
 		}
 		sleep(ctx, 200)
 	}
-	r.res.StaleReads = r.f.cluster.Stale()
+	r.res.StaleReads = r.f.cluster.StaleReads()
 	for _, a := range r.askers {
 		r.res.Served += a.Served.Load()
 		a.close()
--- a/internal/lab/watch.go
+++ b/internal/lab/watch.go
@@ -185,7 +185,7 @@
 	if o.Late > 0 {
 		late := draw(o.Late)
 		for _, m := range late { // past the direct probe's wait, within the period: nacks tell it is alive
-			relay.Late(w.index(m.r.Name), periodMs*2/5+20)
+			relay.DelaySender(w.index(m.r.Name), periodMs*2/5+20)
 		}
 		w.wait(ctx, w.bound)
 		w.phase(ctx, fmt.Sprintf("%d answering late always", len(late)), nil)
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -1,213 +1,215 @@
-// Package standin holds stand-ins for the systems around the router, written
-// from their public descriptions: groups of database hosts that speak the
-// PostgreSQL protocol, discovery, and links that lose, delay and stall. Every
-// fault is drawn from one seed. What they count is counted here alone, so that
-// an audit needs to believe nothing of the program under test.
 package standin
 
 import (
 	"math/rand/v2"
 	"sync"
-	"time"
 )
 
-// Sabotage makes the stand-ins misbehave, so that an audit is seen to notice.
-type Sabotage string
-
-// The ways to misbehave.
-const (
-	RunsTwice   Sabotage = "runs-twice"   // a write runs twice now and then
-	ForgetsKeys Sabotage = "forgets-keys" // a repeat of a key runs again
-	AcksEarly   Sabotage = "acks-early"   // a write is answered and never recorded now and then
-)
-
-// Options describe the database groups. Times are in milliseconds.
-type Options struct {
-	Seed                   uint64
-	Groups, Replicas       int
-	Singles                int // groups after those that have a primary alone
-	KeyTTL                 float64
-	WorkMin, WorkMax       float64
-	ShipMin, ShipMax       float64
-	DetectMin, DetectMax   float64 // until a primary that is gone is given up
-	ElectMin, ElectMax     float64 // until a replica has taken over then
-	ColdFor, StartCapacity float64
-	Cores, Queue           int
-	ResetAfter             float64 // chance that a connection breaks after its write ran
-	FullChance             float64 // chance that a request is turned away unseen
-	Fresh                  string  // the class that must see all that was written
-	Sabotage               Sabotage
-	// Steady hosts answer each statement after its work, however many there
-	// are and however cold they are: they only count what they are sent. One
-	// that hangs still takes connections.
-	Steady  bool
-	Bounded string  // the class that BoundMs is for
-	BoundMs float64 // data older than this in a replica's answer is counted as stale; 0 for none
-}
-
-// Defaults are the figures of the deployment, with less work to each request.
-func Defaults() Options {
-	return Options{
-		Groups: 2, Replicas: 2, KeyTTL: 5000, WorkMin: 2, WorkMax: 12, ShipMin: 2, ShipMax: 14,
-		DetectMin: 1200, DetectMax: 2900, ElectMin: 1600, ElectMax: 3900, ColdFor: 18000, StartCapacity: 0.21,
-		Cores: 3, Queue: 64, ResetAfter: 0.03, FullChance: 0.01, Fresh: "invoice-check",
-	}
-}
-
 // Execution is one write that took effect.
 type Execution struct {
-	Row, Key string
-	Doc      string
-	At       float64
+	Row string
+	Key string // idempotency key
+	Doc string
+	At  float64 // Unix milliseconds
 }
 
-// group is one shard: a log that its primary appends to, and who is primary.
-// What is in the log is held by a replica, too, and outlives its primary.
+// group is one shard: a log that its primary appends to, and which host is
+// primary. A replica has every entry of the log, which therefore survives its
+// primary.
 type group struct {
-	mu      sync.Mutex
-	opt     *Options
-	number  int
-	rand    *rand.Rand
-	hosts   []*Host
-	primary *Host
-	term    int // counts changes of primary
-	log     []Execution
-	rows    map[string]int // first entry of each row
-	keys    map[string]*keyState
-	repeats int
-	aborted int
-	stale   int
+	mu         sync.Mutex
+	opt        *Options
+	number     int
+	rand       *rand.Rand
+	hosts      []*Host
+	primary    *Host // nil during an election
+	term       int   // counts the losses of a primary
+	log        []Execution
+	rows       map[string]int // index in log of each row's first write
+	keys       map[string]*keyState
+	repeats    int // writes dropped since their key was known
+	aborted    int // writes lost with their primary
+	staleReads int
 }
 
+// keyState is what a group knows of an idempotency key.
 type keyState struct {
-	began float64
-	done  bool
-	ended chan struct{}
-	entry int
+	began float64       // Unix milliseconds
+	done  bool          // the write took effect
+	ended chan struct{} // closed when the write took effect or was aborted
+	entry int           // index in log, once done
 }
 
-func nowMs() float64 { return float64(time.Now().UnixMicro()) / 1e3 }
+// result is the outcome of a statement.
+type result struct {
+	code     string // SQLSTATE, "" for a row
+	doc      []byte
+	position float64 // replication position, Unix milliseconds
+}
 
-func sleepMs(ms float64) { time.Sleep(time.Duration(ms * float64(time.Millisecond))) }
+// SQLSTATEs of the hosts' errors.
+const (
+	codeReadOnly = "25006" // a write at a host that is not the primary
+	codeStale    = "72000" // a read that this replica must not answer
+	codeOverload = "53300"
+	codeAborted  = "XX000" // lost with the primary
+)
 
+// draw returns a uniform random number.
 func (g *group) draw(low, high float64) float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return low + (high-low)*g.rand.Float64()
 }
 
+// chance reports true with a probability.
 func (g *group) chance(p float64) bool { return g.draw(0, 1) < p }
 
-// result is what became of a statement.
-type result struct {
-	code string // SQLSTATE, "" for a row
-	doc  []byte
-	lsn  float64
+// isPrimary reports whether h is the group's primary.
+func (g *group) isPrimary(h *Host) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.primary == h
 }
 
-// write runs a write at h, once for each live key.
-func (g *group) write(h *Host, row, key, doc string, until float64) result {
-	for {
-		g.mu.Lock()
-		if g.primary != h {
-			g.mu.Unlock()
-			return result{code: "25006"}
-		}
-		k := g.keys[key]
-		if k != nil && g.opt.Sabotage != ForgetsKeys && nowMs() < k.began+g.opt.KeyTTL {
-			if k.done {
-				g.repeats++
-				e := g.log[k.entry]
-				g.mu.Unlock()
-				return result{doc: []byte(g.log[g.rows[row]].Doc), lsn: e.At}
-			}
-			g.mu.Unlock()
-			<-k.ended
-			continue
-		}
-		if nowMs() > until { // the request is already over
-			g.mu.Unlock()
-			return result{code: "53300"}
-		}
-		k = &keyState{began: nowMs(), ended: make(chan struct{})}
-		g.keys[key] = k
-		term := g.term
-		early := g.opt.Sabotage == AcksEarly && g.rand.Float64() < 0.05
-		g.mu.Unlock()
-		if early {
-			return result{doc: []byte(doc), lsn: nowMs()}
-		}
-		h.work()
-		sleepMs(g.draw(g.opt.ShipMin, g.opt.ShipMax)) // until a replica holds it
-		h.awake()
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		defer close(k.ended)
-		if g.term != term || g.primary != h || h.isDown() { // it dies with its primary
-			g.aborted++
-			if g.keys[key] == k {
-				delete(g.keys, key)
-			}
-			return result{code: "XX000"}
+// write is a client's write of a row.
+type write struct {
+	row      string
+	key      string // idempotency key
+	doc      string
+	deadline float64 // Unix milliseconds
+}
+
+// write runs a write at h, once for each remembered key.
+func (g *group) write(h *Host, w write) result {
+	pending, outcome, sameKey := g.beginWrite(h, w)
+	for sameKey != nil { // a write with this key is running
+		<-sameKey
+		pending, outcome, sameKey = g.beginWrite(h, w)
+	}
+	if pending == nil {
+		return outcome
+	}
+	h.work()
+	sleepMs(g.draw(g.opt.ReplicateMin, g.opt.ReplicateMax))
+	h.waitWhileHung()
+	return g.endWrite(h, w, pending)
+}
+
+// pendingWrite is a write that has begun.
+type pendingWrite struct {
+	key  *keyState
+	term int // when it began
+}
+
+// beginWrite checks whether a write may run. It returns the write to run, or
+// the outcome of one that must not run, or what ends when the write that runs
+// with the same key ends.
+func (g *group) beginWrite(h *Host, w write) (
+	pending *pendingWrite, outcome result, sameKey <-chan struct{},
+) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.primary != h {
+		return nil, result{code: codeReadOnly}, nil
+	}
+	known := g.keys[w.key]
+	if known != nil && g.opt.Sabotage != ForgetsKeys && nowMs() < known.began+g.opt.KeyTTL {
+		if !known.done {
+			return nil, result{}, known.ended
 		}
-		times := 1
-		if g.opt.Sabotage == RunsTwice && g.rand.Float64() < 0.05 {
-			times = 2
+		g.repeats++
+		return nil, result{doc: g.rowDoc(w.row), position: g.log[known.entry].At}, nil
+	}
+	if nowMs() > w.deadline {
+		return nil, result{code: codeOverload}, nil
+	}
+	key := &keyState{began: nowMs(), ended: make(chan struct{})}
+	g.keys[w.key] = key
+	if g.opt.Sabotage == AcksEarly && g.rand.Float64() < sabotageChance {
+		return nil, result{doc: []byte(w.doc), position: nowMs()}, nil
+	}
+	return &pendingWrite{key: key, term: g.term}, result{}, nil
+}
+
+// endWrite records a write, unless it is lost with its primary.
+func (g *group) endWrite(h *Host, w write, pending *pendingWrite) result {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	key := pending.key
+	defer close(key.ended)
+	if g.term != pending.term || g.primary != h || h.isDown() {
+		g.aborted++
+		if g.keys[w.key] == key {
+			delete(g.keys, w.key)
 		}
-		for range times {
-			e := Execution{row, key, doc, nowMs()}
-			g.log = append(g.log, e)
-			if _, ok := g.rows[row]; !ok {
-				g.rows[row] = len(g.log) - 1
-			}
+		return result{code: codeAborted}
+	}
+	times := 1
+	if g.opt.Sabotage == RunsTwice && g.rand.Float64() < sabotageChance {
+		times = 2
+	}
+	for range times {
+		g.log = append(g.log, Execution{Row: w.row, Key: w.key, Doc: w.doc, At: nowMs()})
+		if _, ok := g.rows[w.row]; !ok {
+			g.rows[w.row] = len(g.log) - 1
 		}
-		k.done, k.entry = true, len(g.log)-1
-		return result{doc: []byte(g.log[g.rows[row]].Doc), lsn: nowMs()}
 	}
+	key.done = true
+	key.entry = len(g.log) - 1
+	return result{doc: g.rowDoc(w.row), position: nowMs()}
 }
 
-// read runs a read at h. A replica sees what it has applied.
-func (g *group) read(h *Host, row, class string, after float64) result {
-	came := nowMs()
+// rowDoc returns a row's document, which is that of its first write.
+func (g *group) rowDoc(row string) []byte { return []byte(g.log[g.rows[row]].Doc) }
+
+// read runs a read of a class at h. A replica answers with what it has applied,
+// and rejects a read that must see a later position.
+func (g *group) read(h *Host, row, class string, minPosition float64) result {
+	arrived := nowMs()
 	g.mu.Lock()
-	if g.primary != h && (class == g.opt.Fresh || after > came-h.lag) {
-		g.mu.Unlock()
-		return result{code: "72000"}
-	}
+	tooStale := g.primary != h && (class == g.opt.FreshClass || minPosition > arrived-h.lag)
 	g.mu.Unlock()
+	if tooStale {
+		return result{code: codeStale}
+	}
 	h.work()
-	h.awake()
+	h.waitWhileHung()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if class == g.opt.Bounded && g.opt.BoundMs > 0 && g.primary != h && h.lag > g.opt.BoundMs {
-		g.stale++
+	isPrimary := g.primary == h
+	countsStale := class == g.opt.BoundedClass && g.opt.MaxStalenessMs > 0
+	if countsStale && !isPrimary && h.lag > g.opt.MaxStalenessMs {
+		g.staleReads++
 	}
-	if class == g.opt.Fresh && (g.primary != h || h.isDown()) { // it lost its role meanwhile
-		return result{code: "XX000"}
+	if class == g.opt.FreshClass && (!isPrimary || h.isDown()) { // it lost its role meanwhile
+		return result{code: codeAborted}
 	}
-	pos := nowMs()
-	if g.primary != h {
-		pos -= h.lag
+	position := nowMs()
+	if !isPrimary {
+		position -= h.lag
 	}
 	var doc []byte
-	if i, ok := g.rows[row]; ok && g.log[i].At <= pos {
+	if i, ok := g.rows[row]; ok && g.log[i].At <= position {
 		doc = []byte(g.log[i].Doc)
 	}
-	return result{doc: doc, lsn: pos}
+	return result{doc: doc, position: position}
 }
 
-// fail gives up a primary that is gone, after a while, and elects another.
+// fail replaces h if it is a primary that stays lost. It returns once another
+// host is primary.
 func (g *group) fail(h *Host) {
 	g.mu.Lock()
-	if g.primary != h {
-		g.mu.Unlock()
-		return
-	}
 	term := g.term
+	isPrimary := g.primary == h
 	g.mu.Unlock()
+	if !isPrimary {
+		return
+	}
 	sleepMs(g.draw(g.opt.DetectMin, g.opt.DetectMax))
 	g.mu.Lock()
-	if g.term != term || g.primary != h || !h.isDown() && !h.isHung() { // it came back in time
+	cameBack := !h.isDown() && !h.isHung()
+	if g.term != term || g.primary != h || cameBack {
 		g.mu.Unlock()
 		return
 	}
@@ -215,13 +217,19 @@
 	g.term++
 	g.mu.Unlock()
 	sleepMs(g.draw(g.opt.ElectMin, g.opt.ElectMax))
+	g.elect(h)
+}
+
+// elect makes the first running host primary, other than the lost one if
+// possible. Every replica has the whole log.
+func (g *group) elect(lost *Host) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, c := range g.hosts { // the log is held by all; whoever lives may lead
-		if c != h && !c.isDown() && !c.isHung() {
-			g.primary = c
+	for _, h := range g.hosts {
+		if h != lost && !h.isDown() && !h.isHung() {
+			g.primary = h
 			return
 		}
 	}
-	g.primary = h
+	g.primary = lost
 }
--- /dev/null
+++ b/internal/standin/link_datagram.go
@@ -0,0 +1,145 @@
+package standin
+
+import (
+	"fmt"
+	"net"
+	"sync"
+	"time"
+)
+
+const (
+	// maxDatagramSockets bounds the sockets of one datagram link.
+	maxDatagramSockets = 4096
+	// maxReadFailures bounds how often a socket in a row fails to read before
+	// it is given up.
+	maxReadFailures = 1000
+	maxDatagram     = 1 << 16
+)
+
+// datagramLink is the state of a link for UDP.
+type datagramLink struct {
+	link *Link
+	near net.PacketConn // towards the devices
+	to   *net.UDPAddr   // the target
+
+	mu     sync.Mutex
+	far    map[string]*net.UDPConn // towards the target, by the device's address
+	all    []*net.UDPConn          // every socket that was in far
+	closed bool
+}
+
+// DatagramLink starts a link for UDP. Each device behind it has an address of
+// its own towards the target, as behind a carrier's address translation.
+func DatagramLink(target string, faults Faults, seed uint64) (*Link, error) {
+	near, err := net.ListenPacket("udp", "127.0.0.1:0")
+	if err != nil {
+		return nil, fmt.Errorf("standin: listening for datagrams: %w", err)
+	}
+	to, err := net.ResolveUDPAddr("udp", target)
+	if err != nil {
+		_ = near.Close()
+		return nil, fmt.Errorf("standin: target of a link: %w", err)
+	}
+	l := newLink(target, faults, seed)
+	l.Address = near.LocalAddr().String()
+	d := &datagramLink{link: l, near: near, to: to, far: map[string]*net.UDPConn{}}
+	l.close = d.close
+	go d.carryOut()
+	return l, nil
+}
+
+func (d *datagramLink) close() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.closed = true
+	_ = d.near.Close()
+	for _, conn := range d.all {
+		_ = conn.Close()
+	}
+}
+
+// carryOut carries datagrams from devices to the target until the link is
+// closed.
+func (d *datagramLink) carryOut() {
+	buffer := make([]byte, maxDatagram)
+	for {
+		size, from, err := d.near.ReadFrom(buffer)
+		if err != nil {
+			return
+		}
+		if conn := d.socketFor(from); conn != nil {
+			d.carry(buffer[:size], func(data []byte) { _, _ = conn.Write(data) })
+		}
+	}
+}
+
+// socketFor returns a device's socket towards the target, which is replaced now
+// and then; nil if there cannot be one.
+func (d *datagramLink) socketFor(device net.Addr) *net.UDPConn {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	name := device.String()
+	conn := d.far[name]
+	rebind := conn == nil || d.link.chance(d.link.faults.Rebind)
+	if !rebind || d.closed || len(d.all) >= maxDatagramSockets {
+		return conn
+	}
+	fresh, err := net.DialUDP("udp", nil, d.to)
+	if err != nil {
+		return conn
+	}
+	d.far[name] = fresh
+	d.all = append(d.all, fresh)
+	go d.carryBack(fresh, device)
+	return fresh
+}
+
+// carryBack carries datagrams from the target to a device until the link is
+// closed. Reads fail while nobody listens at the target.
+func (d *datagramLink) carryBack(conn *net.UDPConn, device net.Addr) {
+	buffer := make([]byte, maxDatagram)
+	for failures := 0; failures < maxReadFailures; {
+		size, err := conn.Read(buffer)
+		if err != nil {
+			failures++
+			time.Sleep(time.Millisecond)
+			if d.isClosed() {
+				return
+			}
+			continue
+		}
+		failures = 0
+		d.carry(buffer[:size], func(data []byte) { _, _ = d.near.WriteTo(data, device) })
+	}
+}
+
+func (d *datagramLink) isClosed() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.closed
+}
+
+// carry delivers a copy of a datagram, late, twice or not at all.
+func (d *datagramLink) carry(datagram []byte, deliver func([]byte)) {
+	l := d.link
+	faults := &l.faults
+	l.Carried.Add(1)
+	copies := 1
+	if l.chance(faults.Duplicate) {
+		copies = 2
+	}
+	for range copies {
+		if l.chance(faults.Loss) {
+			continue
+		}
+		delayMs := faults.DelayMs * (1 + l.draw())
+		if l.chance(faults.Reorder) {
+			delayMs += 4*faults.DelayMs + 200*l.draw()
+		}
+		if l.chance(faults.Stall) {
+			delayMs += faults.StallMs * l.draw()
+		}
+		data := append([]byte(nil), datagram...)
+		time.AfterFunc(milliseconds(delayMs), func() { deliver(data) })
+	}
+}
--- /dev/null
+++ b/internal/standin/link_stream.go
@@ -0,0 +1,138 @@
+package standin
+
+import (
+	"fmt"
+	"net"
+	"sync"
+)
+
+// streamLink is the state of a link for TCP.
+type streamLink struct {
+	link     *Link
+	listener net.Listener
+
+	mu     sync.Mutex
+	conns  map[net.Conn]bool
+	closed bool
+}
+
+// StreamLink starts a link for TCP.
+func StreamLink(target string, faults Faults, seed uint64) (*Link, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, fmt.Errorf("standin: listening for streams: %w", err)
+	}
+	l := newLink(target, faults, seed)
+	l.Address = listener.Addr().String()
+	s := &streamLink{link: l, listener: listener, conns: map[net.Conn]bool{}}
+	l.close = s.close
+	go s.accept()
+	return l, nil
+}
+
+func (s *streamLink) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closed = true
+	_ = s.listener.Close()
+	for conn := range s.conns {
+		_ = conn.Close()
+	}
+}
+
+// accept serves devices' connections until the link is closed.
+func (s *streamLink) accept() {
+	for {
+		near, err := s.listener.Accept()
+		if err != nil {
+			return
+		}
+		go s.serve(near)
+	}
+}
+
+// serve carries one connection both ways until either side ends it.
+func (s *streamLink) serve(near net.Conn) {
+	defer near.Close()
+	far, err := net.Dial("tcp", s.link.target)
+	if err != nil {
+		return
+	}
+	defer far.Close()
+	if !s.add(near) || !s.add(far) {
+		return
+	}
+	done := make(chan struct{}, 2)
+	carry := func(from, to net.Conn) {
+		s.link.carryStream(from, to)
+		done <- struct{}{}
+	}
+	go carry(near, far)
+	go carry(far, near)
+	<-done
+	_ = near.Close()
+	_ = far.Close()
+	<-done
+	s.remove(near)
+	s.remove(far)
+}
+
+// add has close end the connection. It reports false if the link is closed.
+func (s *streamLink) add(conn net.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.closed {
+		s.conns[conn] = true
+	}
+	return !s.closed
+}
+
+func (s *streamLink) remove(conn net.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.conns, conn)
+}
+
+// carryStream carries one direction of a connection, in order, until it ends or
+// breaks.
+func (l *Link) carryStream(from, to net.Conn) {
+	buffer := make([]byte, 2048)
+	for {
+		size, readErr := from.Read(buffer)
+		if size > 0 && !l.carryChunk(to, buffer[:size]) {
+			return
+		}
+		if readErr != nil {
+			return
+		}
+	}
+}
+
+// carryChunk writes a chunk late. It reports false if the connection breaks,
+// perhaps after half of it.
+func (l *Link) carryChunk(to net.Conn, chunk []byte) bool {
+	faults := &l.faults
+	l.Carried.Add(1)
+	delayMs := faults.DelayMs * (1 + l.draw())
+	if l.chance(faults.Loss) {
+		delayMs += 100 + 200*l.draw()
+	}
+	if faults.Rate > 0 {
+		delayMs += float64(len(chunk)) / faults.Rate * 1000
+	}
+	sleepMs(delayMs)
+	half := len(chunk) / 2
+	if l.chance(faults.Break) {
+		_, _ = to.Write(chunk[:half])
+		return false
+	}
+	if l.chance(faults.Stall) {
+		if _, err := to.Write(chunk[:half]); err != nil {
+			return false
+		}
+		chunk = chunk[half:]
+		sleepMs(faults.StallMs * l.draw())
+	}
+	_, err := to.Write(chunk)
+	return err == nil
+}
--- /dev/null
+++ b/internal/standin/statement.go
@@ -0,0 +1,223 @@
+package standin
+
+import (
+	"bufio"
+	"encoding/hex"
+	"fmt"
+	"io"
+	"net"
+	"regexp"
+	"strconv"
+
+	"lotusbend/internal/postgres/wire"
+)
+
+// serve speaks the PostgreSQL protocol on a connection until it ends: the
+// startup, then simple queries.
+func (h *Host) serve(conn net.Conn) {
+	defer conn.Close()
+	defer h.removeConn(conn)
+	in := bufio.NewReaderSize(conn, 4096)
+	if err := skipStartup(in); err != nil {
+		return
+	}
+	if !h.group.opt.Steady {
+		h.waitWhileHung()
+	}
+	greeting := wire.AppendReady(wire.AppendKeyData(wire.AppendAuthenticationOk(nil), 1, 1))
+	if _, err := conn.Write(greeting); err != nil {
+		return
+	}
+	for {
+		kind, body, err := readMessage(in)
+		if err != nil || kind == wire.Terminate {
+			return
+		}
+		if kind != wire.Query {
+			continue
+		}
+		text, err := wire.Text(body)
+		if err != nil {
+			return
+		}
+		answer, reset := h.query(string(text))
+		if reset {
+			resetOnClose(conn)
+			return
+		}
+		if _, err := conn.Write(answer); err != nil {
+			return
+		}
+	}
+}
+
+// skipStartup reads a client's startup message.
+func skipStartup(in *bufio.Reader) error {
+	header := make([]byte, 4)
+	if _, err := io.ReadFull(in, header); err != nil {
+		return err
+	}
+	size, err := wire.StartupLen(header)
+	if err != nil {
+		return err
+	}
+	_, err = in.Discard(size)
+	return err
+}
+
+// readMessage reads one message after the startup.
+func readMessage(in *bufio.Reader) (kind byte, body []byte, err error) {
+	header := make([]byte, wire.HeaderLen)
+	if _, err := io.ReadFull(in, header); err != nil {
+		return 0, nil, err
+	}
+	kind, size, err := wire.Header(header)
+	if err != nil {
+		return 0, nil, err
+	}
+	body = make([]byte, size)
+	_, err = io.ReadFull(in, body)
+	return kind, body, err
+}
+
+// The forms of the router's statements. A comment carries the request's
+// parameters.
+var (
+	insertForm = regexp.MustCompile(
+		`^INSERT INTO \w+ \(id, doc\) VALUES \('([^']*)', '\\x([0-9a-f]*)'\) RETURNING doc /\* (.*) \*/$`)
+	selectForm    = regexp.MustCompile(`^SELECT .*WHERE id = '([^']*)'.* /\* (.*) \*/$`)
+	parameterForm = regexp.MustCompile(`(\w+)=([^,]*)`)
+)
+
+// healthQuery is the statement of the router's health checks.
+const healthQuery = "SHOW health"
+
+// statement is a parsed statement.
+type statement struct {
+	insert     bool
+	row        string
+	docHex     string            // of an insert
+	parameters map[string]string // of the comment
+}
+
+// parseStatement reports false for a statement of neither form.
+func parseStatement(text string) (statement, bool) {
+	var s statement
+	comment := ""
+	if match := insertForm.FindStringSubmatch(text); match != nil {
+		s.insert = true
+		s.row = match[1]
+		s.docHex = match[2]
+		comment = match[3]
+	} else if match := selectForm.FindStringSubmatch(text); match != nil {
+		s.row = match[1]
+		comment = match[2]
+	} else {
+		return s, false
+	}
+	s.parameters = map[string]string{}
+	for _, match := range parameterForm.FindAllStringSubmatch(comment, -1) {
+		s.parameters[match[1]] = match[2]
+	}
+	return s, true
+}
+
+// number returns a numeric parameter, 0 if there is none.
+func (s *statement) number(name string) float64 {
+	value, _ := strconv.ParseFloat(s.parameters[name], 64)
+	return value
+}
+
+// query runs one statement. It returns the answer, or that the connection
+// breaks without one.
+func (h *Host) query(text string) (answer []byte, reset bool) {
+	if text == healthQuery {
+		return h.health(), false
+	}
+	s, ok := parseStatement(text)
+	if !ok {
+		return errorAnswer(wire.CodeProtocol, "not a statement of this form"), false
+	}
+	deadline := nowMs() + s.number("d")
+	if !h.enqueue(s.parameters["id"]) {
+		return errorAnswer(wire.CodeTooManyConnections, "queue full"), false
+	}
+	defer h.leaveQueue()
+	if h.group.chance(h.group.opt.RejectChance) {
+		return errorAnswer(wire.CodeTooManyConnections, "queue full"), false
+	}
+	h.waitWhileHung()
+	outcome, err := h.run(&s, deadline)
+	if err != nil || h.isDown() {
+		return nil, true
+	}
+	if s.insert && outcome.code == "" && h.group.chance(h.group.opt.ResetChance) {
+		return nil, true
+	}
+	h.waitWhileHung()
+	recovery := "on"
+	if h.group.isPrimary(h) {
+		recovery = "off"
+	}
+	if outcome.code != "" {
+		status := wire.AppendParameter(nil, "recovery", recovery)
+		return append(status, errorAnswer(outcome.code, "not here")...), false
+	}
+	return rowAnswer(&s, outcome, recovery), false
+}
+
+// run runs a statement in the host's group. An error is a malformed document.
+func (h *Host) run(s *statement, deadline float64) (result, error) {
+	if !s.insert {
+		return h.group.read(h, s.row, s.parameters["c"], s.number("after")), nil
+	}
+	doc, err := hex.DecodeString(s.docHex)
+	if err != nil {
+		return result{}, err
+	}
+	w := write{row: s.row, key: s.parameters["k"], doc: string(doc), deadline: deadline}
+	return h.group.write(h, w), nil
+}
+
+// health answers a health check with the host's replication position in seconds
+// (x0) and whether it is the primary (x1).
+func (h *Host) health() []byte {
+	h.waitWhileHung()
+	h.group.mu.Lock()
+	position := nowMs()
+	primary := 0
+	if h.group.primary == h {
+		primary = 1
+	} else {
+		position -= h.lag
+	}
+	h.group.mu.Unlock()
+	report := fmt.Appendf(nil, "x0=%.3f,x1=%d", position/1000, primary)
+	return wire.AppendReady(appendRow(nil, report, "SHOW 1"))
+}
+
+// errorAnswer is the answer of a statement that failed.
+func errorAnswer(code, text string) []byte {
+	return wire.AppendReady(wire.AppendError(nil, "ERROR", code, text, ""))
+}
+
+// rowAnswer is the answer of a statement that succeeded, with the host's role
+// and replication position.
+func rowAnswer(s *statement, outcome result, recovery string) []byte {
+	tag := "SELECT 1"
+	if s.insert {
+		tag = "INSERT 0 1"
+	}
+	answer := appendRow(nil, outcome.doc, tag)
+	answer = wire.AppendParameter(answer, "recovery", recovery)
+	answer = wire.AppendParameter(answer, "lsn_ms", strconv.FormatInt(int64(outcome.position), 10))
+	return wire.AppendReady(answer)
+}
+
+// appendRow appends a result of one row.
+func appendRow(to, doc []byte, tag string) []byte {
+	const typeBytea = 17
+	column := wire.Column{Name: []byte("doc"), Type: typeBytea, Size: -1, Binary: true}
+	to = wire.AppendRowDescription(to, column)
+	return wire.AppendComplete(wire.AppendDataRow(to, doc), []byte(tag))
+}
