--- a/cmd/lotuslab/main_test.go
+++ b/cmd/lotuslab/main_test.go
@@ -20,12 +20,14 @@
 	os.Exit(m.Run())
 }
 
-// What is no drill, or cannot run, must never look like a fault that an audit
-// found, nor like a drill that held.
+// Wrong usage, or a drill that cannot run, must not look like a fault that an audit
+// found, nor like a drill that passed.
 func TestWrongUsageIsNoFault(t *testing.T) {
 	for _, args := range []string{
-		"drill", "drill nothing", "drill edge --loss 2", "drill edge --sabotage other", "drill edge --seed x", "drill edge --devices 0",
-		"drill edge --router /nowhere/lotusbend", "up --router /nowhere/lotusbend", "measure edge --requests 1", "drill edge --kill-router 50",
+		"drill", "drill nothing", "drill edge --loss 2", "drill edge --sabotage other", "drill edge --seed x",
+		"drill edge --devices 0",
+		"drill edge --router /nowhere/lotusbend", "up --router /nowhere/lotusbend", "measure edge --requests 1",
+		"drill edge --kill-router 50",
 	} {
 		program := exec.Command(os.Args[0])
 		program.Env = append(os.Environ(), asProgram+"="+args)
--- /dev/null
+++ b/internal/lab/baseline.go
@@ -0,0 +1,191 @@
+package lab
+
+import (
+	"bufio"
+	"context"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"time"
+
+	"lotusbend/internal/edge/batch"
+	"lotusbend/internal/edge/frames"
+)
+
+const (
+	baselineWriters  = 4
+	baselineAttempts = 3 // of each write
+	baselineQueue    = 10000
+)
+
+// baselineEdge is the edge that a drill compares the router's edge with. It
+// acknowledges readings on receipt and writes them afterwards, each attempt
+// under a new idempotency key. It sits before a router's PostgreSQL front and
+// keeps running when the router is killed.
+type baselineEdge struct {
+	address  string
+	listener net.Listener
+	router   string
+	codec    *batch.Codec
+	queue    chan string // values to write
+	stop     context.CancelFunc
+
+	mu   sync.Mutex
+	rand *rand.Rand
+}
+
+// startBaselineEdge starts an edge before a router. close ends it.
+func startBaselineEdge(ctx context.Context, router string, seed uint64) (*baselineEdge, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, fmt.Errorf("lab: starting the baseline edge: %w", err)
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	e := &baselineEdge{
+		address:  listener.Addr().String(),
+		listener: listener,
+		router:   router,
+		codec:    batch.NewCodec(),
+		queue:    make(chan string, baselineQueue),
+		rand:     rand.New(rand.NewPCG(seed, 0x97a1)),
+		stop:     cancel,
+	}
+	go e.accept()
+	for range baselineWriters {
+		go e.writeQueued(ctx)
+	}
+	return e, nil
+}
+
+func (e *baselineEdge) close() {
+	e.stop()
+	_ = e.listener.Close()
+}
+
+// accept serves devices' connections until close.
+func (e *baselineEdge) accept() {
+	for {
+		conn, err := e.listener.Accept()
+		if err != nil {
+			return
+		}
+		go e.serve(conn)
+	}
+}
+
+// serve answers a device's frames until the connection ends.
+func (e *baselineEdge) serve(conn net.Conn) {
+	defer conn.Close()
+	in := bufio.NewReader(conn)
+	for {
+		if err := conn.SetReadDeadline(time.Now().Add(time.Minute)); err != nil {
+			return
+		}
+		body, err := readFrame(in, 1<<16)
+		if err != nil || len(body) < 2 {
+			return
+		}
+		answer, err := e.answer(body)
+		if err != nil {
+			return
+		}
+		if _, err := conn.Write(frames.Append(nil, e.codec, answer)); err != nil {
+			return
+		}
+	}
+}
+
+// readFrame reads a frame of at most so many bytes.
+func readFrame(in io.Reader, maxBytes uint32) ([]byte, error) {
+	header := make([]byte, frames.HeaderLen)
+	if _, err := io.ReadFull(in, header); err != nil {
+		return nil, err
+	}
+	body := make([]byte, min(binary.BigEndian.Uint32(header), maxBytes))
+	_, err := io.ReadFull(in, body)
+	return body, err
+}
+
+// answer answers a frame, and queues its readings. Those for which the queue
+// has no capacity are lost, as such an edge loses them.
+func (e *baselineEdge) answer(body []byte) (any, error) {
+	switch frames.Kind(body[1]) {
+	case frames.KindHello:
+		now := float64(time.Now().UnixMilli())
+		return frames.Welcome{Kind: frames.KindWelcome, Mark: now, Window: 8}, nil
+	case frames.KindReadings:
+		var readings frames.Readings
+		if err := e.codec.Decode(body, &readings); err != nil {
+			return nil, err
+		}
+		answer := frames.Answer{Kind: frames.KindAnswer, ID: readings.ID, Mark: readings.Mark}
+		for _, reading := range readings.Batch.Readings {
+			answer.Ranges = append(answer.Ranges, frames.Range{From: reading.Seq, To: reading.Seq})
+			select {
+			case e.queue <- string(reading.Value):
+			default:
+			}
+		}
+		return answer, nil
+	}
+	return nil, nil
+}
+
+// writeQueued writes queued values to the router until ctx ends.
+func (e *baselineEdge) writeQueued(ctx context.Context) {
+	var client *pgClient
+	for {
+		select {
+		case <-ctx.Done():
+			if client != nil {
+				client.close()
+			}
+			return
+		case value := <-e.queue:
+			client = e.write(client, value)
+		}
+	}
+}
+
+// write attempts to write a value, on the given connection or a new one if that
+// is nil. It returns the connection, nil if it broke.
+func (e *baselineEdge) write(client *pgClient, value string) *pgClient {
+	for range baselineAttempts {
+		if client == nil {
+			var err error
+			client, err = dialPostgres(e.router, pgDialTimeout)
+			if err != nil {
+				client = nil
+				if !errors.Is(err, errStartup) { // the router is down
+					time.Sleep(200 * time.Millisecond)
+				}
+				continue
+			}
+		}
+		code, err := client.query(e.insert(value))
+		if err != nil {
+			client.close()
+			client = nil
+			continue
+		}
+		if code == "" {
+			break
+		}
+	}
+	return client
+}
+
+// insert is a write of a value under a new key and row.
+func (e *baselineEdge) insert(value string) string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	id := e.rand.Uint64()
+	key := e.rand.Uint64()
+	row := e.rand.Uint64()
+	group := 1 + e.rand.IntN(2)
+	return insertStatement(row, value, id, key, group)
+}
--- a/internal/lab/device.go
+++ b/internal/lab/device.go
@@ -12,97 +12,136 @@
 	"lotusbend/internal/edge/intake"
 )
 
-// Reading is one reading that a device of the lab has made, and what it knows
-// of it. An audit compares it with what the stand-ins recorded.
+// maxBatch bounds the readings that a device sends at once.
+const maxBatch = 6
+
+// Reading is one reading of a device, and what the device knows of it. An audit
+// compares it with what the stand-ins recorded.
 type Reading struct {
 	Device string
 	Epoch  uint64
 	Seq    uint64
-	Value  string // names the reading, so that an audit needs no row or key
+	Value  string // unique, so that an audit needs neither rows nor keys
 	Urgent bool
+	Acked  bool
 
-	sent  uint64 // how often it may have reached somebody
-	due   time.Time
-	Final string // the last final answer, "" for none
-	Acked bool
+	sent uint64    // how often it may have reached a router
+	due  time.Time // not to be sent again before
 }
 
 // device makes readings and sends each until it is acknowledged.
 type device struct {
-	name     string
-	number   int
-	rand     *rand.Rand
-	codec    *batch.Codec
-	links    []string // of each router, for this device's protocol
-	router   int
+	name      string
+	number    int
+	rand      *rand.Rand
+	codec     *batch.Codec
+	addresses []string // of each router, for this device's protocol
+	router    int      // index in addresses
+	interval  time.Duration
+	started   time.Time
+
 	mu       sync.Mutex
 	readings []*Reading
-	pace     time.Duration // between readings
-	from     time.Time
-	pad      int
-	answers  int
-	trouble  error // the last
+	lastErr  error
 }
 
-// transport speaks one protocol to one router. It sends a batch and waits for
-// its answer. sent tells that the batch may have reached the router.
+// transport is a device's connection to one router by one protocol.
 type transport interface {
+	// exchange sends a batch and waits for its answer; again says that some of
+	// the readings were sent before. sent reports whether the batch may have
+	// reached the router, also with an error.
 	exchange(ctx context.Context, b *batch.Batch, again bool) (results []batch.Result, sent bool, err error)
-	// elapsed is how long ago the greeting was heard; nil where a batch's age
-	// is told otherwise.
+	// elapsed is how long ago the router's last time mark came, in
+	// milliseconds; nil where the protocol reports a batch's age otherwise.
 	elapsed() *float64
 	close()
 }
 
-func newDevice(name string, number, readings int, pace time.Duration, pad int, links []string, seed uint64) *device {
+// dialFunc connects a device to the router at an address.
+type dialFunc func(ctx context.Context, d *device, address string) (transport, error)
+
+// dialFuncs are the protocols by their names.
+var dialFuncs = map[string]dialFunc{"coap": dialCoAP, "mqtt": dialMQTT, "frames": dialFrames}
+
+// deviceOptions say what device to make.
+type deviceOptions struct {
+	name      string
+	number    int // decides the variant of the protocol
+	readings  int
+	interval  time.Duration // between readings
+	valueSize int           // bytes that each value has at least
+	addresses []string      // of each router
+	seed      uint64
+}
+
+func newDevice(o deviceOptions) *device {
 	d := &device{
-		name: name, number: number, rand: rand.New(rand.NewPCG(seed, uint64(number))), codec: batch.NewCodec(),
-		links: links, pace: pace, from: time.Now(), pad: pad,
+		name:      o.name,
+		number:    o.number,
+		rand:      rand.New(rand.NewPCG(o.seed, uint64(o.number))),
+		codec:     batch.NewCodec(),
+		addresses: o.addresses,
+		interval:  o.interval,
+		started:   time.Now(),
 	}
-	d.router = d.rand.IntN(len(links))
-	// Half way it restarts: another epoch, and it counts from zero again.
-	for n := range readings {
-		epoch, seq := uint64(1), uint64(n)
-		if n >= readings/2 {
-			epoch, seq = 2, uint64(n-readings/2)
+	d.changeRouter()
+	// Half way the device restarts: its epoch changes and it counts from zero.
+	for n := range o.readings {
+		epoch := uint64(1)
+		seq := uint64(n)
+		if n >= o.readings/2 {
+			epoch = 2
+			seq = uint64(n - o.readings/2)
 		}
-		value := fmt.Sprintf("%s/%d/%d=%.1f kWh", name, epoch, seq, d.rand.Float64()*100)
-		if pad > len(value) {
-			value += strings.Repeat(".", pad-len(value))
+		value := fmt.Sprintf("%s/%d/%d=%.1f kWh", o.name, epoch, seq, d.rand.Float64()*100)
+		if o.valueSize > len(value) {
+			value += strings.Repeat(".", o.valueSize-len(value))
 		}
-		d.readings = append(d.readings, &Reading{Device: name, Epoch: epoch, Seq: seq, Value: value, Urgent: d.rand.IntN(8) == 0})
+		urgent := d.rand.IntN(8) == 0
+		d.readings = append(d.readings, &Reading{
+			Device: o.name,
+			Epoch:  epoch,
+			Seq:    seq,
+			Value:  value,
+			Urgent: urgent,
+		})
 	}
 	return d
 }
 
-// next returns readings of one epoch that are made, not acknowledged and due,
-// a few at most.
-func (d *device) next(now time.Time) (out []*Reading, done bool) {
+// changeRouter draws the router for the next connection.
+func (d *device) changeRouter() { d.router = d.rand.IntN(len(d.addresses)) }
+
+// next returns readings of one epoch that exist by now, are due and not
+// acknowledged, at most maxBatch. done reports that all are acknowledged.
+func (d *device) next(now time.Time) (readings []*Reading, done bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	done = true
-	made := int(now.Sub(d.from)/d.pace) + 1
-	for i, r := range d.readings {
-		if r.Acked {
+	made := int(now.Sub(d.started)/d.interval) + 1
+	for i, reading := range d.readings {
+		if reading.Acked {
 			continue
 		}
 		done = false
-		if i >= made || now.Before(r.due) || len(out) > 0 && out[0].Epoch != r.Epoch {
+		otherEpoch := len(readings) > 0 && readings[0].Epoch != reading.Epoch
+		if i >= made || now.Before(reading.due) || otherEpoch {
 			continue
 		}
-		if out = append(out, r); len(out) == 6 {
+		readings = append(readings, reading)
+		if len(readings) == maxBatch {
 			break
 		}
 	}
-	return out, done
+	return readings, done
 }
 
 // run sends until every reading is acknowledged or ctx ends.
-func (d *device) run(ctx context.Context, dial func(ctx context.Context, d *device, address string) (transport, error)) {
-	var t transport
+func (d *device) run(ctx context.Context, dial dialFunc) {
+	var conn transport
 	defer func() {
-		if t != nil {
-			t.close()
+		if conn != nil {
+			conn.close()
 		}
 	}()
 	for ctx.Err() == nil {
@@ -114,58 +153,75 @@
 			d.pause(ctx, 20)
 			continue
 		}
-		if t != nil && d.rand.IntN(25) == 0 { // it comes back by another way
-			t.close()
-			t = nil
-			d.router = d.rand.IntN(len(d.links))
+		if conn != nil && d.rand.IntN(25) == 0 { // now and then it reconnects
+			conn.close()
+			conn = nil
+			d.changeRouter()
 		}
-		if t == nil {
+		if conn == nil {
 			var err error
-			if t, err = dial(ctx, d, d.links[d.router]); err != nil {
-				t = nil
-				d.router = d.rand.IntN(len(d.links))
+			conn, err = dial(ctx, d, d.addresses[d.router])
+			if err != nil {
+				conn = nil
+				d.changeRouter()
 				d.pause(ctx, 50+200*d.rand.Float64())
 				continue
 			}
 		}
-		b := &batch.Batch{Device: d.name, Epoch: readings[0].Epoch, Elapsed: t.elapsed()}
-		again := false
-		for _, r := range readings {
-			b.Readings = append(b.Readings, batch.Reading{Seq: r.Seq, Sent: r.sent, Urgent: r.Urgent, Value: []byte(r.Value)})
-			again = again || r.sent > 0
-		}
-		results, sent, err := t.exchange(ctx, b, again)
-		d.mu.Lock()
-		for _, r := range readings {
-			if sent {
-				r.sent++
-			}
-			for _, res := range results {
-				if res.Seq != r.Seq {
-					continue
-				}
-				status := intake.Status(res.Status)
-				d.answers++
-				r.Final = status.String()
-				r.Acked = r.Acked || status.Done()
-				r.due = time.Now().Add(time.Duration(min(res.Wait, 2000)) * time.Millisecond)
-			}
-		}
-		d.mu.Unlock()
-		if err != nil {
-			d.mu.Lock()
-			d.trouble = fmt.Errorf("after %.1f s: %w", time.Since(d.from).Seconds(), err)
-			d.mu.Unlock()
-			t.close()
-			t = nil
+		if err := d.send(ctx, conn, readings); err != nil {
+			d.setLastErr(err)
+			conn.close()
+			conn = nil
 			if d.rand.IntN(2) == 0 {
-				d.router = d.rand.IntN(len(d.links))
+				d.changeRouter()
 			}
 			d.pause(ctx, 50+300*d.rand.Float64())
 		}
 	}
 }
 
+// send sends readings once and takes the answer.
+func (d *device) send(ctx context.Context, conn transport, readings []*Reading) error {
+	b := &batch.Batch{Device: d.name, Epoch: readings[0].Epoch, Elapsed: conn.elapsed()}
+	again := false
+	for _, reading := range readings {
+		b.Readings = append(b.Readings, batch.Reading{
+			Seq:    reading.Seq,
+			Sent:   reading.sent,
+			Urgent: reading.Urgent,
+			Value:  []byte(reading.Value),
+		})
+		again = again || reading.sent > 0
+	}
+	results, sent, err := conn.exchange(ctx, b, again)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, reading := range readings {
+		if sent {
+			reading.sent++
+		}
+		for _, result := range results {
+			if result.Seq == reading.Seq {
+				reading.answered(result)
+			}
+		}
+	}
+	return err
+}
+
+// answered takes a router's answer to the reading.
+func (r *Reading) answered(result batch.Result) {
+	r.Acked = r.Acked || intake.Status(result.Status).Done()
+	r.due = time.Now().Add(time.Duration(min(result.Wait, 2000)) * time.Millisecond)
+}
+
+func (d *device) setLastErr(err error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.lastErr = fmt.Errorf("after %.1f s: %w", time.Since(d.started).Seconds(), err)
+}
+
+// pause sleeps, but not past the end of ctx.
 func (d *device) pause(ctx context.Context, ms float64) {
 	select {
 	case <-ctx.Done():
@@ -173,8 +229,8 @@
 	}
 }
 
-// since gives elapsed milliseconds by a device's clock.
-func since(t time.Time) *float64 {
+// millisecondsSince returns how long ago t is, for a batch's elapsed time.
+func millisecondsSince(t time.Time) *float64 {
 	ms := float64(time.Since(t)) / float64(time.Millisecond)
 	return &ms
 }
--- a/internal/lab/measure.go
+++ b/internal/lab/measure.go
@@ -1,23 +1,22 @@
 package lab
 
 import (
-	"bufio"
 	"context"
 	"fmt"
 	"io"
-	"net"
 	"slices"
 	"time"
 
 	"lotusbend/internal/edge/batch"
-	"lotusbend/internal/postgres/wire"
+	"lotusbend/internal/edge/intake"
 	"lotusbend/internal/standin"
 )
 
-// EdgeFigures are what the edge costs beside the PostgreSQL front, measured in
-// one run against stand-in hosts that answer at once.
+// EdgeFigures are what the edge costs compared with the PostgreSQL front,
+// measured in one run against stand-in hosts that answer at once. Latencies are
+// in milliseconds by front.
 type EdgeFigures struct {
-	Requests    int                `json:"requests"`
+	Requests    int                `json:"requests"` // through each front
 	MedianMs    map[string]float64 `json:"median_ms"`
 	P99Ms       map[string]float64 `json:"p99_ms"`
 	IdleDevices int                `json:"idle_devices"`
@@ -26,120 +25,192 @@
 	BesideIdle  map[string]float64 `json:"median_ms_beside_idle"`
 }
 
-// MeasureEdge sends requests one at a time, the fronts in turn, and then holds
-// idle MQTT devices.
-func MeasureEdge(ctx context.Context, binary string, requests, idle int, progress io.Writer) (f EdgeFigures, err error) {
-	f = EdgeFigures{Requests: requests, IdleDevices: idle, MedianMs: map[string]float64{}, P99Ms: map[string]float64{}, BesideIdle: map[string]float64{}}
-	so := standin.Defaults()
-	so.WorkMin, so.WorkMax, so.ReplicateMin, so.ReplicateMax, so.ResetChance, so.RejectChance = 0, 0, 0, 0, 0, 0
-	fleet, err := StartFleet(FleetOptions{Binary: binary, Standin: so, Routers: 1, Log: progress, Sockets: 2*idle + 4096,
-		Edge: fmt.Sprintf(`"connections": %d, "sessions": %d, `, idle+100, idle+100)})
+const (
+	postgresFront  = "postgresql"
+	warmUpRequests = 50
+	// restTime lies between requests: a connection to a host rests 2 ms after
+	// an answer, and no front shall wait for another's.
+	restTime = 5 * time.Millisecond
+)
+
+// measuredFronts are the fronts in the order in which they take turns.
+var measuredFronts = []string{postgresFront, "coap", "mqtt", "frames"}
+
+// edgeMeasurement is one run of MeasureEdge.
+type edgeMeasurement struct {
+	router     *Router
+	send       map[string]func(n int) error // sends the n-th request, by front
+	requests   int                          // sent through each front
+	transports []transport
+	postgres   *pgClient
+}
+
+// MeasureEdge sends requests one at a time, the fronts in turn, first without
+// and then beside idle MQTT devices. progress is the router's standard error.
+func MeasureEdge(ctx context.Context, binary string, requests, idle int, progress io.Writer) (
+	EdgeFigures, error,
+) {
+	figures := EdgeFigures{Requests: requests, IdleDevices: idle}
+	fleet, err := StartFleet(FleetOptions{
+		Binary:  binary,
+		Standin: immediateHosts(),
+		Routers: 1,
+		Log:     progress,
+		Sockets: 2*idle + defaultSockets,
+		Edge:    fmt.Sprintf(`"connections": %d, "sessions": %d, `, idle+100, idle+100),
+	})
 	if err != nil {
-		return f, err
+		return figures, err
 	}
 	defer fleet.Close()
-	r := fleet.Routers[0]
-	took := map[string][]float64{}
-	sends := map[string]func(n int) error{}
-	if sends["postgresql"], err = postgres(r.Listen); err != nil {
-		return f, err
-	}
-	for name, dial := range map[string]func(context.Context, *device, string) (transport, error){"coap": dialCoAP, "mqtt": dialMQTT, "frames": dialFrames} {
-		d := newDevice("latency-"+name, 0, 0, time.Second, 0, []string{map[string]string{"coap": r.CoAP, "mqtt": r.MQTT, "frames": r.Frame}[name]}, 1)
-		t, err := dial(ctx, d, d.links[0])
-		if err != nil {
-			return f, err
-		}
-		defer t.close()
-		sends[name] = func(n int) error {
-			b := &batch.Batch{Device: d.name, Epoch: 1, Elapsed: t.elapsed(), Readings: []batch.Reading{{Seq: uint64(n), Value: fmt.Appendf(nil, "%s %d", name, n)}}}
-			results, _, err := t.exchange(ctx, b, false)
-			if err == nil && (len(results) != 1 || results[0].Status != 0) {
-				err = fmt.Errorf("%s: %+v", name, results)
-			}
-			return err
-		}
+	m := &edgeMeasurement{router: fleet.Routers[0], send: map[string]func(int) error{}}
+	defer m.close()
+	if err := m.connect(ctx); err != nil {
+		return figures, err
 	}
-	const warm = 50
-	n := 0
-	rounds := func(most int) error {
-		for last := n + most; n < last; n++ {
-			for _, name := range []string{"postgresql", "coap", "mqtt", "frames"} {
-				time.Sleep(5 * time.Millisecond) // a connection to a host rests 2 ms after an answer: no front shall wait for another's
-				began := time.Now()
-				if err := sends[name](n); err != nil {
-					return fmt.Errorf("%s, request %d: %w", name, n, err)
-				}
-				took[name] = append(took[name], float64(time.Since(began))/float64(time.Millisecond))
-			}
-		}
-		return nil
+	if _, err := m.rounds(warmUpRequests); err != nil {
+		return figures, err
 	}
-	if err := rounds(warm); err != nil {
-		return f, err
+	latencies, err := m.rounds(requests)
+	if err != nil {
+		return figures, err
 	}
-	clear(took)
-	if err := rounds(requests); err != nil {
-		return f, err
+	figures.MedianMs = percentiles(latencies, 50)
+	figures.P99Ms = percentiles(latencies, 99)
+	figures.BeforeBytes = m.router.resident()
+	if err := m.connectIdle(ctx, idle); err != nil {
+		return figures, err
 	}
-	for name, all := range took {
-		slices.Sort(all)
-		f.MedianMs[name], f.P99Ms[name] = all[len(all)/2], all[len(all)*99/100]
-	}
-	clear(took)
-	f.BeforeBytes = r.resident()
-	conns := make([]net.Conn, 0, idle)
-	defer func() {
-		for _, c := range conns {
-			_ = c.Close()
-		}
-	}()
-	for n := range idle {
-		d := newDevice(fmt.Sprint("idle-", n), 4*n, 0, time.Second, 0, []string{r.MQTT}, 1) // each speaks 3.1.1
-		t, err := dialMQTT(ctx, d, r.MQTT)
+	time.Sleep(2 * time.Second) // for the garbage collector
+	figures.IdleBytes = m.router.resident()
+	if err := m.connectPostgres(); err != nil { // the first connection was idle for too long
+		return figures, err
+	}
+	latencies, err = m.rounds(max(requests/4, 50))
+	figures.BesideIdle = percentiles(latencies, 50)
+	return figures, err
+}
+
+// immediateHosts are hosts that answer at once and without faults.
+func immediateHosts() standin.Options {
+	opt := standin.Defaults()
+	opt.WorkMin = 0
+	opt.WorkMax = 0
+	opt.ReplicateMin = 0
+	opt.ReplicateMax = 0
+	opt.ResetChance = 0
+	opt.RejectChance = 0
+	return opt
+}
+
+// connect connects to every front.
+func (m *edgeMeasurement) connect(ctx context.Context) error {
+	if err := m.connectPostgres(); err != nil {
+		return err
+	}
+	for protocol, dial := range dialFuncs {
+		address := m.router.edgeAddresses()[protocol]
+		d := newDevice(deviceOptions{name: "latency-" + protocol, addresses: []string{address}, seed: 1})
+		conn, err := dial(ctx, d, address)
 		if err != nil {
-			return f, fmt.Errorf("idle device %d: %w", n, err)
+			return err
 		}
-		conns = append(conns, t.(*mqttDevice).conn)
+		m.transports = append(m.transports, conn)
+		m.send[protocol] = func(n int) error { return sendReading(ctx, d, conn, protocol, n) }
 	}
-	time.Sleep(2 * time.Second) // for the collector
-	f.IdleBytes = r.resident()
-	if sends["postgresql"], err = postgres(r.Listen); err != nil { // the first was idle for too long
-		return f, err
+	return nil
+}
+
+// connectPostgres connects to the PostgreSQL front, in place of an earlier
+// connection.
+func (m *edgeMeasurement) connectPostgres() error {
+	client, err := dialPostgres(m.router.Listen, 0)
+	if err != nil {
+		return err
 	}
-	if err := rounds(max(requests/4, 50)); err != nil {
-		return f, err
+	if m.postgres != nil {
+		m.postgres.close()
 	}
-	for name, all := range took {
-		slices.Sort(all)
-		f.BesideIdle[name] = all[len(all)/2]
+	m.postgres = client
+	m.send[postgresFront] = func(n int) error {
+		id := uint64(n + 1)
+		code, err := client.query(insertStatement(id, "12.5 kWh", id, id, 1+n%2))
+		if err == nil && code != "" {
+			err = fmt.Errorf("answered with %s", code)
+		}
+		return err
 	}
-	return f, nil
+	return nil
 }
 
-// postgres returns what sends one write through the PostgreSQL front.
-func postgres(address string) (func(n int) error, error) {
-	c, err := net.Dial("tcp", address)
-	if err != nil {
-		return nil, err
+// sendReading sends the n-th reading of a device, which must be recorded.
+func sendReading(ctx context.Context, d *device, conn transport, protocol string, n int) error {
+	b := &batch.Batch{
+		Device:   d.name,
+		Epoch:    1,
+		Elapsed:  conn.elapsed(),
+		Readings: []batch.Reading{{Seq: uint64(n), Value: fmt.Appendf(nil, "%s %d", protocol, n)}},
 	}
-	in := bufio.NewReader(c)
-	if _, err := c.Write(wire.AppendStartup(nil, "app", "shop")); err != nil {
-		return nil, err
+	results, _, err := conn.exchange(ctx, b, false)
+	if err != nil {
+		return err
 	}
-	if code, err := answer(c, in); err != nil || code != "" {
-		return nil, fmt.Errorf("greeted with %q: %w", code, err)
+	if len(results) != 1 || intake.Status(results[0].Status) != intake.Recorded {
+		return fmt.Errorf("%s: %+v", protocol, results)
 	}
-	return func(n int) error {
-		text := fmt.Sprintf(`INSERT INTO items (id, doc) VALUES ('%016x', '\x%x') RETURNING doc /* id=%016x,c=ledger-write,d=1200,k=%016x,cluster=%d */`,
-			n+1, "12.5 kWh", n+1, n+1, 1+n%2)
-		if _, err := c.Write(wire.AppendQuery(nil, []byte(text))); err != nil {
-			return err
+	return nil
+}
+
+// rounds sends so many requests through each front and returns their latencies
+// in milliseconds.
+func (m *edgeMeasurement) rounds(count int) (map[string][]float64, error) {
+	latencies := map[string][]float64{}
+	for last := m.requests + count; m.requests < last; m.requests++ {
+		for _, front := range measuredFronts {
+			time.Sleep(restTime)
+			began := time.Now()
+			if err := m.send[front](m.requests); err != nil {
+				return nil, fmt.Errorf("%s, request %d: %w", front, m.requests, err)
+			}
+			latencies[front] = append(latencies[front], *millisecondsSince(began))
 		}
-		code, err := answer(c, in)
-		if err == nil && code != "" {
-			err = fmt.Errorf("answered with %s", code)
+	}
+	return latencies, nil
+}
+
+// connectIdle connects idle MQTT devices, all with version 3.1.1.
+func (m *edgeMeasurement) connectIdle(ctx context.Context, count int) error {
+	for n := range count {
+		d := newDevice(deviceOptions{
+			name:      fmt.Sprint("idle-", n),
+			number:    4 * n, // decides the version
+			addresses: []string{m.router.MQTT},
+			seed:      1,
+		})
+		conn, err := dialMQTT(ctx, d, m.router.MQTT)
+		if err != nil {
+			return fmt.Errorf("idle device %d: %w", n, err)
 		}
-		return err
-	}, nil
+		m.transports = append(m.transports, conn)
+	}
+	return nil
+}
+
+func (m *edgeMeasurement) close() {
+	for _, conn := range m.transports {
+		conn.close()
+	}
+	if m.postgres != nil {
+		m.postgres.close()
+	}
+}
+
+// percentiles returns a percentile of each front's latencies.
+func percentiles(latencies map[string][]float64, percent int) map[string]float64 {
+	result := map[string]float64{}
+	for front, all := range latencies {
+		slices.Sort(all)
+		result[front] = all[len(all)*percent/100]
+	}
+	return result
 }
--- a/internal/lab/members.go
+++ b/internal/lab/members.go
@@ -13,116 +13,144 @@
 	"lotusbend/internal/standin"
 )
 
+// memberSockets is the limit of each member's sockets.
+const memberSockets = 256
+
 // member is one router of a drill on the fleet, in a process of its own.
 type member struct {
-	r           *Router
-	admin       string
-	start       int64 // the instance's start as its own view tells, 0 before known
-	running     bool
-	zone        int
-	calm        time.Time // until then, its deaths in others' views are no fault
-	pausedUntil time.Time
+	router        *Router
+	admin         string // address of the admin page
+	start         int64  // the instance's start as its own view reports it, 0 if not known yet
+	running       bool
+	zone          int
+	settlingUntil time.Time // until then, its death in others' views is no fault
+	pausedUntil   time.Time
 }
 
+func (m *member) paused() bool { return m.pausedUntil.After(time.Now()) }
+
 // memberOptions say what routers a drill starts: each with membership on,
 // reaching the others only through a relay.
 type memberOptions struct {
 	Seed     uint64
-	Procs    int
+	Procs    int // routers
 	Binary   string
-	Log      io.Writer
-	Level    string // of the routers' log
+	Log      io.Writer // the routers' standard error
+	Level    string    // of the routers' log
 	Standin  standin.Options
 	Faults   faultnet.Faults
-	Settings string             // of the classes and rules, with a place for the number of routers
-	Sabotage string             // of membership
-	Shared   func(i int) string // the section of the i-th router, nil for off
+	Settings string             // of the classes and rules, with a verb for the number of routers
+	Sabotage string             // of membership, "" for none
+	Shared   func(i int) string // the i-th router's settings of shared state; nil for off
 }
 
-// members are the routers of a drill, with what stands around them.
-type members struct {
-	ms      []*member
-	backs   []netip.AddrPort
+// memberFleet is the routers of a drill and what surrounds them.
+type memberFleet struct {
+	members []*member
+	sockets []netip.AddrPort // the members' own, behind the relay
 	relay   *faultnet.Relay
 	cluster *standin.Cluster
 	dir     string
 }
 
-// startMembers starts everything; what was started before an error is for
-// close to end.
-func startMembers(o memberOptions) (f *members, err error) {
-	f = &members{}
-	if f.cluster, err = standin.Start(o.Standin); err != nil {
+// startMembers starts everything. close ends it, also what was started before
+// an error.
+func startMembers(o memberOptions) (f *memberFleet, err error) {
+	f = &memberFleet{}
+	f.cluster, err = standin.Start(o.Standin)
+	if err != nil {
 		return f, err
 	}
-	if f.dir, err = os.MkdirTemp("", "lotuslab-members"); err != nil {
+	f.dir, err = os.MkdirTemp("", "lotuslab-members")
+	if err != nil {
 		return f, err
 	}
-	// Held until the relay has its own: it must not be given one of them.
-	var held []net.PacketConn
-	for range o.Procs {
-		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
-		if err != nil {
-			return f, err
-		}
-		held = append(held, c)
-		f.backs = append(f.backs, netip.MustParseAddrPort(c.LocalAddr().String()))
-	}
-	f.relay, err = faultnet.New(o.Seed, f.backs)
-	for _, c := range held {
-		_ = c.Close()
-	}
-	if err != nil {
+	if err := f.startRelay(o); err != nil {
 		return f, err
 	}
-	f.relay.Set(o.Faults)
 	for i := range o.Procs {
-		m := &member{zone: i % 2, running: true}
-		f.ms = append(f.ms, m)
-		if m.admin, err = freeAddress("tcp"); err != nil {
-			return f, err
-		}
-		m.r = &Router{Name: fmt.Sprint("m", i+1), Frame: m.admin, dir: f.dir, binary: o.Binary, log: o.Log}
-		if m.r.Listen, err = freeAddress("tcp"); err != nil {
-			return f, err
-		}
-		sabotage, shared := "", ""
-		if o.Sabotage != "" {
-			sabotage = fmt.Sprintf(`, "sabotage": %q`, o.Sabotage)
-		}
-		if o.Shared != nil {
-			shared = fmt.Sprintf(`, "shared": {%s}`, o.Shared(i))
-		}
-		opts := fmt.Sprintf(`{"log": {"level": %q}, "membership": {"bind": %q, "advertise": %q, "seeds": [%q], "admin": %q, "zone": "z%d", "period_ms": %d%s}%s}`,
-			o.Level, f.backs[i], f.relay.Address(i), f.relay.Address(0), m.admin, m.zone, periodMs, sabotage, shared)
-		config := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":256},"known":%s,"settings":%s}`,
-			m.r.Name, m.r.Listen, f.cluster.Discovery, o.Seed+uint64(i), f.cluster.EndpointList(), fmt.Sprintf(o.Settings, o.Procs))
-		if err := os.WriteFile(m.r.configPath(), []byte(config), 0o600); err != nil {
-			return f, err
-		}
-		if err := os.WriteFile(m.r.settingsPath(), []byte(opts), 0o600); err != nil {
+		m, err := f.configure(i, o)
+		if err != nil {
 			return f, err
 		}
+		f.members = append(f.members, m)
 	}
-	for _, m := range f.ms {
-		if err := m.r.Start(); err != nil {
+	for _, m := range f.members {
+		if err := m.router.Start(); err != nil {
 			return f, err
 		}
-		if err := m.r.waitReady(10 * time.Second); err != nil {
+		if err := m.router.waitReady(); err != nil {
 			return f, err
 		}
 	}
 	return f, nil
 }
 
-// close ends every process that was started, by its id, and all around them.
-func (f *members) close() {
-	for _, m := range f.ms {
-		if m.r == nil {
-			continue
+// startRelay finds sockets for the members and starts the relay before them.
+func (f *memberFleet) startRelay(o memberOptions) (err error) {
+	// The sockets stay open until the relay has its own, which otherwise could
+	// get the same addresses.
+	for range o.Procs {
+		conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
+		if err != nil {
+			return err
 		}
-		m.signal(syscall.SIGCONT) // a paused one must hear its end
-		m.r.Kill()
+		defer conn.Close()
+		f.sockets = append(f.sockets, netip.MustParseAddrPort(conn.LocalAddr().String()))
+	}
+	f.relay, err = faultnet.New(o.Seed, f.sockets)
+	if err != nil {
+		return err
+	}
+	f.relay.Set(o.Faults)
+	return nil
+}
+
+// configure finds addresses for the i-th member and writes its files.
+func (f *memberFleet) configure(i int, o memberOptions) (*member, error) {
+	admin, err := freeAddress("tcp")
+	if err != nil {
+		return nil, err
+	}
+	listen, err := freeAddress("tcp")
+	if err != nil {
+		return nil, err
+	}
+	r := &Router{
+		Name:   fmt.Sprint("m", i+1),
+		Listen: listen,
+		ready:  admin,
+		dir:    f.dir,
+		binary: o.Binary,
+		log:    o.Log,
+	}
+	m := &member{router: r, admin: admin, zone: i % 2, running: true}
+	config := fmt.Sprintf(deploymentFile, r.Name, r.Listen, f.cluster.Discovery, o.Seed+uint64(i),
+		memberSockets, f.cluster.EndpointList(), fmt.Sprintf(o.Settings, o.Procs))
+	return m, r.writeFiles(config, f.memberSettings(i, m, o))
+}
+
+// memberSettings is the operators' settings file of the i-th member.
+func (f *memberFleet) memberSettings(i int, m *member, o memberOptions) string {
+	sabotage := ""
+	if o.Sabotage != "" {
+		sabotage = fmt.Sprintf(`, "sabotage": %q`, o.Sabotage)
+	}
+	shared := ""
+	if o.Shared != nil {
+		shared = fmt.Sprintf(`, "shared": {%s}`, o.Shared(i))
+	}
+	membership := fmt.Sprintf(
+		`"bind": %q, "advertise": %q, "seeds": [%q], "admin": %q, "zone": "z%d", "period_ms": %d%s`,
+		f.sockets[i], f.relay.Address(i), f.relay.Address(0), m.admin, m.zone, probePeriodMs, sabotage)
+	return fmt.Sprintf(`{"log": {"level": %q}, "membership": {%s}%s}`, o.Level, membership, shared)
+}
+
+// close ends every process that was started, and all around them.
+func (f *memberFleet) close() {
+	for _, m := range f.members {
+		m.router.signal(syscall.SIGCONT) // a paused process can only be waited for once it runs
+		m.router.Kill()
 	}
 	if f.relay != nil {
 		f.relay.Close()
@@ -135,11 +163,14 @@
 	}
 }
 
-// signal sends s to the process, if it runs, without waiting.
-func (m *member) signal(s syscall.Signal) {
-	m.r.mu.Lock()
-	defer m.r.mu.Unlock()
-	if m.r.cmd != nil {
-		_ = m.r.cmd.Process.Signal(s)
+// cut returns the links that a cut named by a drill's option loses: between the
+// zones, one way between them, or nil for none.
+func (f *memberFleet) cut(name string) func(from, to int) bool {
+	switch name {
+	case "zones":
+		return func(from, to int) bool { return f.members[from].zone != f.members[to].zone }
+	case "oneway":
+		return func(from, to int) bool { return f.members[from].zone == 1 && f.members[to].zone == 0 }
 	}
+	return nil
 }
--- a/internal/lab/shared_audit.go
+++ b/internal/lab/shared_audit.go
@@ -14,155 +14,203 @@
 	"lotusbend/internal/standin"
 )
 
-// budget holds what the cold host received, in every second since all were
-// told of its start, against what the rules allow it then: OverloadFactor
-// times its capacity at that moment, without the slack of three roots that the
-// operators' standing test adds.
-func (r *sharedRun) budget(h *standin.Host, since float64, so standin.Options) {
-	var at []float64
-	for _, x := range h.Received() {
-		if x.At >= since+toldMs && x.At < since+so.WarmUp {
-			at = append(at, x.At-since)
+// auditBudget compares what the warming endpoint received in every second,
+// since all routers had its start from discovery, with what the rules allow it
+// then: OverloadFactor times its capacity in the middle of that second, without
+// the slack of three square roots that the operators' standing test adds.
+func (r *sharedRun) auditBudget(host *standin.Host, startedAt float64, opt standin.Options) {
+	const overloadFactor = 2
+	const windowMs = 1000
+	var atMs []float64 // after the start
+	for _, received := range host.Received() {
+		if received.At >= startedAt+discoveredMs && received.At < startedAt+opt.WarmUp {
+			atMs = append(atMs, received.At-startedAt)
 		}
 	}
-	r.res.ColdReceived = len(at)
-	for i, t := range at {
-		k, _ := slices.BinarySearch(at, t+1000)
-		if t+1000 > so.WarmUp {
+	r.result.WarmingReceived = len(atMs)
+	for first, from := range atMs {
+		if from+windowMs > opt.WarmUp {
 			break
 		}
-		warm := so.StartCapacity + (1-so.StartCapacity)*(t+500)/so.WarmUp
-		n := 2 * warm * 1000 / coldWork
-		r.res.BudgetOverrun = max(r.res.BudgetOverrun, float64(k-i)/n)
+		end, _ := slices.BinarySearch(atMs, from+windowMs)
+		capacity := opt.StartCapacity + (1-opt.StartCapacity)*(from+windowMs/2)/opt.WarmUp
+		budget := overloadFactor * capacity * windowMs / hostWorkMs
+		r.result.BudgetOverrun = max(r.result.BudgetOverrun, float64(end-first)/budget)
 	}
 }
 
-// sharedPage is what the admin page tells.
+// sharedPage is what a router's admin page reports.
 type sharedPage struct {
 	View    membership.View
 	Shared  fleetstate.StatusPage
 	Classes []string
 }
 
-func (r *sharedRun) page(i int) (p sharedPage, err error) {
+// errNotRunning is a router that is paused or was killed.
+var errNotRunning = errors.New("lab: the router does not run")
+
+// page reads the i-th router's admin page.
+func (r *sharedRun) page(i int) (page sharedPage, err error) {
+	m := r.fleet.members[i]
 	r.mu.Lock()
-	m := r.f.ms[i]
-	away := !m.running || m.paused()
+	runs := m.running && !m.paused()
 	r.mu.Unlock()
-	if away {
-		return p, errAway
+	if !runs {
+		return page, errNotRunning
 	}
-	resp, err := r.client.Get("http://" + m.admin + "/fleet")
+	response, err := r.client.Get("http://" + m.admin + "/fleet")
 	if err != nil {
-		return p, err
+		return page, err
 	}
-	defer resp.Body.Close()
-	return p, json.NewDecoder(resp.Body).Decode(&p)
+	defer response.Body.Close()
+	return page, json.NewDecoder(response.Body).Decode(&page)
 }
 
-var errAway = errors.New("lab: the router does not run")
-
-// poll reads every honest router's page: how much is borrowed, and which hosts
-// are wrongly passed over.
+// poll reads every honest router's page: how much budget is borrowed, and which
+// endpoints are wrongly ejected.
 func (r *sharedRun) poll() {
 	borrowed := map[string]float64{}
-	groups := map[string]int{}
-	ready := map[int]int{}
-	for g := coldGroup; g >= hangGroup; g-- {
-		for _, h := range r.f.cluster.Hosts(g) {
-			groups[h.Name] = g
-			ready[g]++
-		}
-	}
-	for i := range r.f.ms {
-		if r.o.liar(i) {
+	for i := range r.fleet.members {
+		if r.byzantine(i) {
 			continue
 		}
-		p, err := r.page(i)
+		page, err := r.page(i)
 		if err != nil {
 			continue
 		}
-		for k, v := range p.Shared.Borrowed {
-			borrowed[k] += v
+		for key, fraction := range page.Shared.Borrowed {
+			borrowed[key] += fraction
 		}
-		wrong := map[int]int{}
-		r.mu.Lock()
-		for _, j := range p.Shared.Ejections {
-			if !j.ObservedHere && !r.excuse[j.Endpoint] {
-				wrong[groups[j.Endpoint]]++
-			}
+		r.checkEjections(page)
+	}
+	for key, fraction := range borrowed {
+		if key != fleetstate.RetryBudgetKey {
+			r.result.MaxBorrowed = max(r.result.MaxBorrowed, fraction)
 		}
-		r.mu.Unlock()
-		for g, k := range wrong {
-			r.res.WronglyExcluded = max(r.res.WronglyExcluded, float64(k)/float64(ready[g]))
+	}
+}
+
+// checkEjections finds the largest fraction of a group that a router ejects on
+// others' reports without cause.
+func (r *sharedRun) checkEjections(page sharedPage) {
+	wrong := map[string]bool{}
+	r.mu.Lock()
+	for _, ejection := range page.Shared.Ejections {
+		if !ejection.ObservedHere && !r.excused[ejection.Endpoint] {
+			wrong[ejection.Endpoint] = true
 		}
 	}
-	for k, v := range borrowed {
-		if k != fleetstate.RetryBudgetKey {
-			r.res.BorrowedMost = max(r.res.BorrowedMost, v)
+	r.mu.Unlock()
+	for group := hangGroup; group <= warmGroup; group++ {
+		hosts := r.fleet.cluster.Hosts(group)
+		ejected := 0
+		for _, host := range hosts {
+			if wrong[host.Name] {
+				ejected++
+			}
 		}
+		r.result.WronglyEjected = max(r.result.WronglyEjected, float64(ejected)/float64(len(hosts)))
 	}
 }
 
-// settled waits until every router sees every other.
-func (r *sharedRun) settled(ctx context.Context, most int64) error {
-	for end := time.Now().Add(time.Duration(most) * time.Millisecond); ctx.Err() == nil; sleep(ctx, 200) {
-		why := ""
-		for i := range r.f.ms {
-			if p, err := r.page(i); err != nil {
-				why += fmt.Sprintf(" m%d: %v;", i+1, err)
-			} else if n := p.View.Fleet.High; n != len(r.f.ms) {
-				why += fmt.Sprintf(" m%d sees %d;", i+1, n)
+// countOutlivedEjections counts the honest routers that still eject the
+// endpoint which hung on others' reports.
+func (r *sharedRun) countOutlivedEjections() {
+	for i := range r.fleet.members {
+		page, err := r.page(i)
+		if err != nil || r.byzantine(i) {
+			continue
+		}
+		for _, ejection := range page.Shared.Ejections {
+			if !ejection.ObservedHere && ejection.Endpoint == r.hung {
+				r.result.OutlivedEjections++
+				break
 			}
 		}
-		if why == "" {
+	}
+}
+
+// settled waits until every router sees every other. That it takes longer than
+// so many milliseconds is a fault of the result, not an error.
+func (r *sharedRun) settled(ctx context.Context, boundMs int64) error {
+	end := time.Now().Add(time.Duration(boundMs) * time.Millisecond)
+	for ; ctx.Err() == nil; sleep(ctx, 200) {
+		unsettled := r.unsettledViews()
+		if unsettled == "" {
 			return nil
 		}
 		if time.Now().After(end) {
-			r.res.Faults = append(r.res.Faults, "the views did not settle:"+why)
+			r.result.Faults = append(r.result.Faults, "the views did not settle:"+unsettled)
 			return nil
 		}
 	}
 	return ctx.Err()
 }
 
-// counts waits, once nothing more is asked, until every router's total is what
-// the hosts counted, or long enough to say that it never will be.
+// unsettledViews describes the routers that do not see every other.
+func (r *sharedRun) unsettledViews() string {
+	unsettled := ""
+	for i := range r.fleet.members {
+		page, err := r.page(i)
+		if err != nil {
+			unsettled += fmt.Sprintf(" m%d: %v;", i+1, err)
+		} else if seen := page.View.Fleet.High; seen != len(r.fleet.members) {
+			unsettled += fmt.Sprintf(" m%d sees %d;", i+1, seen)
+		}
+	}
+	return unsettled
+}
+
+// counts waits, once no more requests are sent, until every router's total is
+// what the endpoints counted, or for so long that it never will be.
 func (r *sharedRun) counts(ctx context.Context) error {
+	const boundMs = 25_000
 	from := time.Now()
-	for ctx.Err() == nil {
-		r.res.HostsCounted = 0
-		for g := hangGroup; g <= coldGroup; g++ {
-			for _, h := range r.f.cluster.Hosts(g) {
-				r.res.HostsCounted += uint64(len(h.Received()))
-			}
-		}
-		r.res.TotalsLeast, r.res.TotalsMost = math.MaxUint64, 0
-		for i := range r.f.ms {
-			p, err := r.page(i)
-			if err != nil {
-				continue
-			}
-			t := uint64(0)
-			for c := range p.Classes {
-				t += p.Shared.Totals.Get(c, fleetstate.Attempts)
-			}
-			r.res.TotalsLeast, r.res.TotalsMost = min(r.res.TotalsLeast, t), max(r.res.TotalsMost, t)
-		}
-		r.res.CountsSettleMs = time.Since(from).Milliseconds()
-		if r.res.TotalsLeast == r.res.HostsCounted && r.res.TotalsMost == r.res.HostsCounted {
-			r.res.CountsExact = true
+	for ; ctx.Err() == nil; sleep(ctx, 200) {
+		counted := r.countReceived()
+		least, largest := r.totals()
+		r.result.HostsCounted = counted
+		r.result.MinTotal = least
+		r.result.MaxTotal = largest
+		r.result.CountsSettleMs = time.Since(from).Milliseconds()
+		r.result.CountsExact = least == counted && largest == counted
+		if r.result.CountsExact || r.result.CountsSettleMs > boundMs {
 			break
 		}
-		if r.res.CountsSettleMs > 25_000 {
-			break
-		}
-		sleep(ctx, 200)
 	}
-	r.res.StaleReads = r.f.cluster.StaleReads()
-	for _, a := range r.askers {
-		r.res.Served += a.Served.Load()
-		a.close()
+	r.result.StaleReads = r.fleet.cluster.StaleReads()
+	for _, client := range r.clients {
+		r.result.Served += client.served.Load()
+		client.close()
 	}
 	return ctx.Err()
 }
+
+// countReceived returns how many statements all endpoints have received.
+func (r *sharedRun) countReceived() (count uint64) {
+	for group := hangGroup; group <= warmGroup; group++ {
+		for _, host := range r.fleet.cluster.Hosts(group) {
+			count += uint64(len(host.Received()))
+		}
+	}
+	return count
+}
+
+// totals returns the least and the largest total of attempts on the routers'
+// pages.
+func (r *sharedRun) totals() (least, largest uint64) {
+	least = math.MaxUint64
+	for i := range r.fleet.members {
+		page, err := r.page(i)
+		if err != nil {
+			continue
+		}
+		total := uint64(0)
+		for class := range page.Classes {
+			total += page.Shared.Totals.Get(class, fleetstate.Attempts)
+		}
+		least = min(least, total)
+		largest = max(largest, total)
+	}
+	return least, largest
+}
--- /dev/null
+++ b/internal/lab/shared_run.go
@@ -0,0 +1,160 @@
+package lab
+
+import (
+	"context"
+	"log/slog"
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+)
+
+// sharedRun is one fleet of the drill on shared state.
+type sharedRun struct {
+	SharedDrill
+	fleet   *memberFleet
+	clients []*loadClient // one for each router
+	result  *SharedResult
+	log     *slog.Logger
+	client  http.Client
+	rand    *rand.Rand
+	hung    string // name of the endpoint that hung
+
+	mu      sync.Mutex      // also guards the members' running and pausedUntil
+	excused map[string]bool // endpoints that may rightly be ejected
+}
+
+// start starts a fleet. shared returns the settings of shared state of a
+// router; nil for a fleet without it. close ends it, also after an
+// error.
+func (o SharedDrill) start(result *SharedResult, shared func(int) string) (r *sharedRun, err error) {
+	r = &sharedRun{
+		SharedDrill: o,
+		result:      result,
+		log:         newProgress(o.Progress, "shared"),
+		client:      http.Client{Timeout: adminTimeout},
+		rand:        rand.New(rand.NewPCG(o.Seed, 0x5a4ed)),
+		excused:     map[string]bool{},
+	}
+	r.fleet, err = startMembers(memberOptions{
+		Seed:     o.Seed,
+		Procs:    o.Procs,
+		Binary:   o.Binary,
+		Log:      o.RouterLog,
+		Level:    "info",
+		Standin:  o.standinOptions(),
+		Faults:   memberFaults(o.Loss),
+		Settings: o.routerSettings(),
+		Shared:   shared,
+	})
+	if err != nil {
+		return r, err
+	}
+	for i, m := range r.fleet.members {
+		r.clients = append(r.clients, newLoadClient(i, m.router.Listen, o.Seed))
+	}
+	// One replica falls behind: it must receive no bounded read.
+	late := r.fleet.cluster.Hosts(hangGroup)[4]
+	late.SetLag(3000)
+	r.excused[late.Name] = true
+	return r, nil
+}
+
+func (r *sharedRun) close() { r.fleet.close() }
+
+// sleep sleeps for some milliseconds, but not past the end of ctx.
+func sleep(ctx context.Context, ms int64) { sleepFor(ctx, float64(ms)) }
+
+// excuse lets routers eject an endpoint from now on.
+func (r *sharedRun) excuse(endpoint string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.excused[endpoint] = true
+}
+
+// waitClients waits until every request of the load clients has ended.
+func (r *sharedRun) waitClients() {
+	for _, client := range r.clients {
+		client.wait()
+	}
+}
+
+// play runs the phases of a fleet with shared state.
+func (r *sharedRun) play(ctx context.Context) error {
+	watch, stop := context.WithCancel(ctx)
+	var wg sync.WaitGroup
+	wg.Go(func() {
+		for watch.Err() == nil {
+			r.poll()
+			sleep(watch, 150)
+		}
+	})
+	defer wg.Wait()
+	defer stop()
+	if err := r.settled(ctx, 15_000); err != nil {
+		return err
+	}
+	sleep(ctx, leaseMs+leaseSkewMs) // leases that an earlier incarnation may have granted
+	if err := r.warmUp(ctx); err != nil {
+		return err
+	}
+	if err := r.settled(ctx, 20_000); err != nil {
+		return err
+	}
+	lost, detectMs, err := r.hang(ctx)
+	r.result.LostSharing = lost
+	r.result.DetectSharingMs = detectMs
+	if err != nil {
+		return err
+	}
+	r.log.Info("hang measured sharing", "lost", lost, "detect_ms", int64(detectMs))
+	hangEnded := time.Now()
+	if err := r.counts(ctx); err != nil {
+		return err
+	}
+	sleep(ctx, outliveMs-time.Since(hangEnded).Milliseconds())
+	r.countOutlivedEjections()
+	return ctx.Err()
+}
+
+// hang has every router read from the group of replicas, one of which hangs. It
+// returns how many requests of honest routers that endpoint received without
+// answering, and how long after the begin a router last sent it one, the mean
+// over the honest routers.
+func (r *sharedRun) hang(ctx context.Context) (lost int, detectMs float64, err error) {
+	traffic, stop := context.WithCancel(ctx)
+	defer stop()
+	for _, client := range r.clients {
+		// As sparse as on the deployment: a router reaches each endpoint about
+		// once a second.
+		client.run(traffic, hangGroup, "browse", func() float64 { return 4 })
+		client.run(traffic, hangGroup, "park-view", func() float64 { return 1 })
+	}
+	sleep(ctx, 4000)
+	host := r.fleet.cluster.Hosts(hangGroup)[1+r.rand.IntN(3)]
+	r.excuse(host.Name)
+	r.hung = host.Name
+	from := float64(time.Now().UnixMicro()) / 1e3
+	r.fleet.cluster.Hang(host, hangMs)
+	sleep(ctx, hangMs-200)
+	lastMs := make([]float64, len(r.clients)) // of each router, after from
+	for _, received := range host.Received() {
+		id, err := strconv.ParseUint(received.ID, 16, 64)
+		router := int(id >> routerIDShift)
+		if err != nil || router >= len(lastMs) || r.byzantine(router) {
+			continue
+		}
+		if received.Hung && received.At >= from {
+			lost++
+			lastMs[router] = received.At - from
+		}
+	}
+	stop()
+	r.waitClients()
+	honest := float64(len(lastMs) - r.Liars)
+	for _, ms := range lastMs {
+		detectMs += ms / honest
+	}
+	return lost, detectMs, ctx.Err()
+}
--- /dev/null
+++ b/internal/lab/shared_warmup.go
@@ -0,0 +1,204 @@
+package lab
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"lotusbend/internal/fleetstate"
+)
+
+// warmUpPhase is the phase in which an endpoint warms up.
+type warmUpPhase struct {
+	*sharedRun
+	began  time.Time
+	loaded atomic.Bool   // the warming endpoint gets traffic
+	silent []atomic.Bool // routers that get no traffic
+}
+
+// warmUp cuts the fleet and restarts an endpoint during the cut. Half of the
+// routers demand all of its budget always, the others now and then: these lend
+// it while they demand nothing. Meanwhile routers are paused past their leases,
+// and killed.
+func (r *sharedRun) warmUp(ctx context.Context) error {
+	p := &warmUpPhase{sharedRun: r, began: time.Now(), silent: make([]atomic.Bool, len(r.clients))}
+	cluster := r.fleet.cluster
+	host := cluster.Hosts(warmGroup)[0]
+	traffic, stop := context.WithCancel(ctx)
+	defer stop()
+	p.startTraffic(traffic)
+	sleep(ctx, 1500)
+	cluster.Crash(host, 1000)
+	cut := r.fleet.cut(r.Cut)
+	if cut != nil {
+		r.fleet.relay.Cut(cut)
+		r.log.Info("fleet cut", "cut", r.Cut)
+	}
+	sleep(ctx, 1000+discoveredMs)
+	p.loaded.Store(true)
+	startedAt := host.StartedAt()
+	paused, killed := p.drawRouters()
+	sleep(ctx, 2500)
+	p.pause(ctx, paused)
+	p.setSilent(killed, true)
+	sleep(ctx, leaseMs+leaseSkewMs)
+	p.resume(paused)
+	if err := p.restart(ctx, killed); err != nil {
+		return err
+	}
+	opt := r.standinOptions()
+	sleep(ctx, int64(startedAt+opt.WarmUp-float64(time.Now().UnixMilli())))
+	r.auditBudget(host, startedAt, opt)
+	r.log.Info("endpoint warm", "received", r.result.WarmingReceived,
+		"budget_overrun", r.result.BudgetOverrun)
+	if cut != nil {
+		sleep(ctx, r.CutMs-time.Since(p.began).Milliseconds())
+		r.fleet.relay.Cut(nil)
+	}
+	stop()
+	r.waitClients()
+	return ctx.Err()
+}
+
+// startTraffic has the routers' clients send until ctx ends.
+func (p *warmUpPhase) startTraffic(ctx context.Context) {
+	for i, client := range p.clients {
+		background := func() float64 {
+			if p.silent[i].Load() {
+				return 0
+			}
+			return 4
+		}
+		client.run(ctx, hangGroup, "browse", background)
+		client.run(ctx, hangGroup, "park-view", background)
+		client.run(ctx, warmGroup, "invoice-check", func() float64 {
+			if p.silent[i].Load() || !p.loaded.Load() || p.demandsNothing(i) {
+				return 0
+			}
+			return warmDemand / float64(len(p.clients))
+		})
+	}
+}
+
+// demandsNothing reports whether a router has no demand just now: half of the
+// routers have none for every second two seconds.
+func (p *warmUpPhase) demandsNothing(router int) bool {
+	return (router/2)%2 == 1 && int(time.Since(p.began).Seconds()/2)%2 == 0
+}
+
+// drawRouters draws the routers to pause and to kill. The first one, the
+// others' seed, is spared.
+func (p *warmUpPhase) drawRouters() (paused, killed []int) {
+	order := p.rand.Perm(len(p.clients) - 1)
+	for i := range order {
+		order[i]++
+	}
+	pause := min(p.Pause, len(order))
+	paused = order[:pause]
+	order = order[pause:]
+	killed = order[:min(p.Kill, len(order))]
+	return paused, killed
+}
+
+func (p *warmUpPhase) setSilent(routers []int, silent bool) {
+	for _, i := range routers {
+		p.silent[i].Store(silent)
+	}
+}
+
+// pause stops processes. No request may be on its way to an endpoint just then:
+// a router cannot know whether it left. What clients send to a router that is
+// paused waits, and is read when it resumes.
+func (p *warmUpPhase) pause(ctx context.Context, routers []int) {
+	p.setSilent(routers, true)
+	sleep(ctx, 500)
+	for _, i := range routers {
+		m := p.fleet.members[i]
+		m.router.signal(syscall.SIGSTOP)
+		p.setPausedUntil(m, time.Now().Add(time.Hour))
+		p.silent[i].Store(false)
+	}
+	p.log.Info("routers paused past their leases", "routers", len(routers))
+}
+
+func (p *warmUpPhase) resume(routers []int) {
+	for _, i := range routers {
+		m := p.fleet.members[i]
+		p.setPausedUntil(m, time.Time{})
+		m.router.signal(syscall.SIGCONT)
+	}
+}
+
+func (p *warmUpPhase) setPausedUntil(m *member, until time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	m.pausedUntil = until
+}
+
+func (p *warmUpPhase) setRunning(m *member, running bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	m.running = running
+}
+
+// restart kills routers and starts them again, without their state.
+func (p *warmUpPhase) restart(ctx context.Context, routers []int) error {
+	for _, i := range routers {
+		if !p.countersReplicated(ctx, i) {
+			p.result.Faults = append(p.result.Faults,
+				fmt.Sprintf("m%d replicated its counters to no router within 10 s", i+1))
+		}
+		m := p.fleet.members[i]
+		p.setRunning(m, false)
+		m.router.Kill()
+	}
+	sleep(ctx, 1000)
+	for _, i := range routers {
+		m := p.fleet.members[i]
+		if err := m.router.Start(); err != nil {
+			return err
+		}
+		if err := m.router.waitReady(); err != nil {
+			return err
+		}
+		p.setRunning(m, true)
+		p.silent[i].Store(false)
+	}
+	p.log.Info("routers killed and restarted", "routers", len(routers))
+	return nil
+}
+
+// countersReplicated waits until some other router has all counters of the i-th
+// router: those that no other has are lost with its process.
+func (r *sharedRun) countersReplicated(ctx context.Context, i int) bool {
+	end := time.Now().Add(10 * time.Second)
+	for ; ctx.Err() == nil && time.Now().Before(end); sleep(ctx, 100) {
+		own, err := r.page(i)
+		if err != nil {
+			continue
+		}
+		if r.anyOtherHas(i, own.Shared.Counters[0]) {
+			return true
+		}
+	}
+	return false
+}
+
+// anyOtherHas reports whether a router other than the i-th has these counters.
+func (r *sharedRun) anyOtherHas(i int, want fleetstate.CounterEntry) bool {
+	for other := range r.fleet.members {
+		page, err := r.page(other)
+		if err != nil || other == i {
+			continue
+		}
+		for _, has := range page.Shared.Counters {
+			if has.Name == want.Name && has.Epoch == want.Epoch && slices.Equal(has.Counters, want.Counters) {
+				return true
+			}
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/lab/viewwatcher.go
@@ -0,0 +1,240 @@
+package lab
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"lotusbend/internal/membership"
+)
+
+const (
+	// viewPollInterval is the pause between polls of the views.
+	viewPollInterval = 100 * time.Millisecond
+	// adminTimeout bounds a request to an admin page.
+	adminTimeout = 500 * time.Millisecond
+)
+
+// viewWatcher polls every member's view and compares it with what the drill
+// did to the members.
+type viewWatcher struct {
+	fleet   *memberFleet
+	result  *FleetviewResult
+	log     *slog.Logger
+	client  http.Client
+	boundMs int64 // for the views to settle
+
+	cut       func(from, to int) bool // the cut in force, nil for none
+	fault     string                  // the fault in force, for the findings
+	views     map[int]membership.View // of the last poll, by member
+	reported  map[string]bool         // findings, each of which counts once
+	seenDead  map[string]bool         // "viewer member start": was seen dead
+	unsettled string                  // the first pair that was not settled
+}
+
+func newViewWatcher(
+	fleet *memberFleet, result *FleetviewResult, log *slog.Logger, boundMs int64,
+) *viewWatcher {
+	return &viewWatcher{
+		fleet:    fleet,
+		result:   result,
+		log:      log,
+		client:   http.Client{Timeout: adminTimeout},
+		boundMs:  boundMs,
+		views:    map[int]membership.View{},
+		reported: map[string]bool{},
+		seenDead: map[string]bool{},
+	}
+}
+
+// poll reads the views of the members that run and are not paused, and checks
+// them.
+func (w *viewWatcher) poll() {
+	clear(w.views)
+	for i, m := range w.fleet.members {
+		if !m.running || m.paused() {
+			continue
+		}
+		view, err := w.view(m)
+		if err != nil {
+			continue
+		}
+		w.views[i] = view
+		m.start = view.Self.Start
+	}
+	w.check()
+}
+
+// view reads a member's view from its admin page.
+func (w *viewWatcher) view(m *member) (view membership.View, err error) {
+	response, err := w.client.Get("http://" + m.admin + "/membership")
+	if err != nil {
+		return view, err
+	}
+	defer response.Body.Close()
+	return view, json.NewDecoder(response.Body).Decode(&view)
+}
+
+// check counts running members that others see dead (false_dead), and ended
+// ones that others see alive again after they saw them dead (ghosts).
+func (w *viewWatcher) check() {
+	now := time.Now()
+	for viewer, view := range w.views {
+		for _, update := range view.Members {
+			subject := w.index(update.Name)
+			if subject >= 0 && subject != viewer {
+				w.checkPair(now, viewer, subject, update)
+			}
+		}
+	}
+}
+
+// checkPair checks what a viewer's view says of a subject.
+func (w *viewWatcher) checkPair(now time.Time, viewer, subject int, update membership.Update) {
+	m := w.fleet.members[subject]
+	instance := fmt.Sprint(viewer, " ", update.Name, " ", update.Start)
+	ended := !m.running || update.Start != m.start
+	switch {
+	case update.State == membership.Dead && !ended && w.mustReach(now, viewer, subject):
+		if w.report(fmt.Sprint("dead ", instance, " ", update.Incarnation),
+			fmt.Sprintf("m%d held %s dead while it ran (%s, incarnation %d)",
+				viewer+1, update.Name, w.fault, update.Incarnation)) {
+			w.result.FalseDead++
+		}
+	case update.State >= membership.Dead && ended:
+		w.seenDead[instance] = true
+	case update.State == membership.Alive && ended && w.seenDead[instance]:
+		if w.report("ghost "+instance,
+			fmt.Sprintf("m%d holds %s alive again, which does not run", viewer+1, update.Name)) {
+			w.result.Ghosts++
+		}
+	}
+}
+
+// mustReach reports whether no fault explains that a viewer sees a running
+// subject dead.
+func (w *viewWatcher) mustReach(now time.Time, viewer, subject int) bool {
+	m := w.fleet.members[subject]
+	settling := !now.After(m.settlingUntil) || !now.After(w.fleet.members[viewer].settlingUntil)
+	cutOff := w.cut != nil && (w.cut(viewer, subject) || w.cut(subject, viewer))
+	return !m.paused() && !settling && !cutOff
+}
+
+// report adds a finding. It reports false if the key was reported before.
+func (w *viewWatcher) report(key, finding string) bool {
+	if w.reported[key] {
+		return false
+	}
+	w.reported[key] = true
+	w.result.Faults = append(w.result.Faults, finding)
+	return true
+}
+
+// index returns the number of the member of a name, -1 if there is none.
+func (w *viewWatcher) index(name string) int {
+	for i, m := range w.fleet.members {
+		if m.router.Name == name {
+			return i
+		}
+	}
+	return -1
+}
+
+// settled reports whether every view of the last poll has the members that
+// it should. wanted says whether a viewer should see a subject as a member;
+// nil for exactly those that run.
+func (w *viewWatcher) settled(wanted func(viewer, subject int) bool) bool {
+	if len(w.views) == 0 {
+		return false
+	}
+	for viewer, view := range w.views {
+		byName := map[string]membership.Update{}
+		for _, update := range view.Members {
+			byName[update.Name] = update
+		}
+		for subject, m := range w.fleet.members {
+			if subject == viewer {
+				continue
+			}
+			want := m.running
+			if wanted != nil {
+				want = wanted(viewer, subject)
+			}
+			update, known := byName[m.router.Name]
+			// A suspect is still a member: under loss some member is always
+			// suspected by another for a moment, and refutes.
+			isMember := known && update.State <= membership.Suspect && update.Start == m.start
+			if isMember != want {
+				w.unsettled = fmt.Sprintf("m%d holds %s as %v (start %d, known %v), want member %v",
+					viewer+1, m.router.Name, update.State, update.Start, known, want)
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// phase waits for the views to settle after a fault, up to the bound. It
+// reports whether they did.
+func (w *viewWatcher) phase(ctx context.Context, fault string, wanted func(viewer, subject int) bool) bool {
+	from := time.Now()
+	phase := Phase{Fault: fault, BoundMs: w.boundMs}
+	w.fault = fault
+	for ctx.Err() == nil && time.Since(from) < w.bound() {
+		w.poll()
+		phase.Settled = w.settled(wanted)
+		if phase.Settled {
+			break
+		}
+		time.Sleep(viewPollInterval)
+	}
+	phase.SettleMs = time.Since(from).Milliseconds()
+	w.result.Phases = append(w.result.Phases, phase)
+	w.log.Info("phase ended", "fault", fault, "settled", phase.Settled,
+		"settle_ms", phase.SettleMs, "bound_ms", phase.BoundMs)
+	if !phase.Settled {
+		w.result.Faults = append(w.result.Faults, fault+": "+w.unsettled)
+	}
+	return phase.Settled
+}
+
+// bound is boundMs as a duration.
+func (w *viewWatcher) bound() time.Duration { return time.Duration(w.boundMs) * time.Millisecond }
+
+// wait polls the views for some milliseconds.
+func (w *viewWatcher) wait(ctx context.Context, ms int64) {
+	w.fault = "waiting after " + w.fault
+	end := time.Now().Add(time.Duration(ms) * time.Millisecond)
+	for ctx.Err() == nil && time.Now().Before(end) {
+		w.poll()
+		time.Sleep(viewPollInterval)
+	}
+}
+
+// dropped returns how many packets a member's transport dropped, from its
+// metrics page; 0 if that cannot be read.
+func (w *viewWatcher) dropped(m *member) (sum uint64) {
+	response, err := w.client.Get("http://" + m.admin + "/metrics")
+	if err != nil {
+		return 0
+	}
+	defer response.Body.Close()
+	lines := bufio.NewScanner(io.LimitReader(response.Body, 1<<16))
+	for lines.Scan() {
+		name, value, _ := strings.Cut(lines.Text(), " ")
+		if !strings.HasPrefix(name, "membership_dropped_") || name == "membership_dropped_send_errors" {
+			continue
+		}
+		if count, err := strconv.ParseUint(value, 10, 64); err == nil {
+			sum += count
+		}
+	}
+	return sum
+}
