--- a/internal/pooling/characterization_test.go
+++ b/internal/pooling/characterization_test.go
@@ -167,12 +167,14 @@
 func (w *leaseWorld) Open(conn uint64, key pooling.PoolKey) {
 	w.digest.numbers(1, int(conn), int(key.Endpoint))
 	w.digest.texts(key.User, key.Database)
-	w.opening, w.all = append(w.opening, conn), append(w.all, conn)
+	w.opening = append(w.opening, conn)
+	w.all = append(w.all, conn)
 }
 
 func (w *leaseWorld) Grant(client, conn uint64) {
 	w.digest.numbers(2, int(client), int(conn))
-	w.waiting, w.leased = without(w.waiting, client), append(w.leased, conn)
+	w.waiting = without(w.waiting, client)
+	w.leased = append(w.leased, conn)
 }
 
 func (w *leaseWorld) Reject(client uint64, retryAfter float64) {
@@ -187,7 +189,9 @@
 }
 
 func (w *leaseWorld) gone(conn uint64) {
-	w.opening, w.leased, w.all = without(w.opening, conn), without(w.leased, conn), without(w.all, conn)
+	w.opening = without(w.opening, conn)
+	w.leased = without(w.leased, conn)
+	w.all = without(w.all, conn)
 }
 
 // leaseStream runs a stream of events and returns the digest of all actions.
@@ -671,12 +675,12 @@
 
 // extendedWorld is several clients on connections that they share in turn.
 type extendedWorld struct {
-	digest  digest
-	random  *rand.Rand
-	catalog pooling.Catalog
-	held    []*pooling.ConnectionStatements
-	clients []*extendedClient
-	count   int // of messages
+	digest     digest
+	random     *rand.Rand
+	catalog    pooling.Catalog
+	statements []*pooling.ConnectionStatements // of each connection
+	clients    []*extendedClient
+	count      int // of messages
 }
 
 // pipelineStream runs clients' messages and a server's answers, and hashes what
@@ -685,16 +689,16 @@
 	const events = 6000
 	w := &extendedWorld{digest: newDigest(), random: rand.New(rand.NewPCG(12, 13))}
 	for range 3 {
-		w.held = append(w.held, &pooling.ConnectionStatements{Max: limits.perConnection})
+		w.statements = append(w.statements, &pooling.ConnectionStatements{Max: limits.perConnection})
 		w.clients = append(w.clients, &extendedClient{names: pooling.ClientStatements{Max: limits.perClient}})
 	}
 	for n, c := range w.clients {
-		c.pipeline = pooling.NewPipeline(&w.catalog, &c.names, w.held[n])
+		c.pipeline = pooling.NewPipeline(&w.catalog, &c.names, w.statements[n])
 	}
 	for range events {
 		n := w.random.IntN(len(w.clients))
 		w.event(n, w.clients[n])
-		w.digest.numbers(w.catalog.Len(), w.held[n].Len())
+		w.digest.numbers(w.catalog.Len(), w.statements[n].Len())
 		w.digest.flags(w.clients[n].pipeline.Idle(), w.clients[n].pipeline.Ready())
 	}
 	return w.digest.sum()
@@ -713,13 +717,13 @@
 	case share < 192 && c.pipeline.Idle():
 		c.names.Clear(&w.catalog)
 	case share < 194 && c.pipeline.Idle():
-		w.held[n].Clear()
+		w.statements[n].Clear()
 	case share < 198 && c.pipeline.Idle() && len(c.unsent) == 0: // its client goes to another connection
 		other := w.random.IntN(len(w.clients))
 		if o := w.clients[other]; o.pipeline.Idle() && len(o.unsent) == 0 {
-			w.held[n], w.held[other] = w.held[other], w.held[n]
-			o.pipeline = pooling.NewPipeline(&w.catalog, &o.names, w.held[other])
-			c.pipeline = pooling.NewPipeline(&w.catalog, &c.names, w.held[n])
+			w.statements[n], w.statements[other] = w.statements[other], w.statements[n]
+			o.pipeline = pooling.NewPipeline(&w.catalog, &o.names, w.statements[other])
+			c.pipeline = pooling.NewPipeline(&w.catalog, &c.names, w.statements[n])
 		}
 	default:
 		w.reply(n, c, pick(w.random, byte('N'), 'S', 'A'))
@@ -738,8 +742,8 @@
 		m.Statement = pick(w.random, "", "", "s", "t", "u", "lb_forged", strings.Repeat("long", 30))
 	}
 	if m.Kind == 'P' {
-		m.Text, m.Types = pick(w.random, "select 1", "select $1", "select 2", ""), pick(w.random, nil, []uint32{23},
-			[]uint32{0, 25})
+		m.Text = pick(w.random, "select 1", "select $1", "select 2", "")
+		m.Types = pick(w.random, nil, []uint32{23}, []uint32{0, 25})
 	}
 	sent, now := c.pipeline.FromClient(m)
 	w.digest.numbers(len(sent))
@@ -819,8 +823,10 @@
 	if ok {
 		return
 	}
-	w.held[n] = &pooling.ConnectionStatements{Max: w.held[n].Max}
-	c.pipeline, c.unsent, c.skipping = pooling.NewPipeline(&w.catalog, &c.names, w.held[n]), nil, false
+	w.statements[n] = &pooling.ConnectionStatements{Max: w.statements[n].Max}
+	c.pipeline = pooling.NewPipeline(&w.catalog, &c.names, w.statements[n])
+	c.unsent = nil
+	c.skipping = false
 }
 
 // catalogStream uses prepared statements without a pipeline around them.
@@ -830,9 +836,9 @@
 	random := rand.New(rand.NewPCG(14, 15))
 	var catalog pooling.Catalog
 	names := []*pooling.ClientStatements{{}, {Max: 3}}
-	held := []*pooling.ConnectionStatements{{}, {Max: 2}}
+	statements := []*pooling.ConnectionStatements{{}, {Max: 2}}
 	for range events {
-		client, connection := pick(random, names...), pick(random, held...)
+		client, connection := pick(random, names...), pick(random, statements...)
 		name := pick(random, "", "a", "b", "c", "d")
 		switch random.IntN(12) {
 		case 0, 1, 2:
@@ -865,7 +871,7 @@
 				connection.Restore(steps.Close[0])
 			}
 		}
-		d.numbers(catalog.Len(), held[0].Len(), held[1].Len())
+		d.numbers(catalog.Len(), statements[0].Len(), statements[1].Len())
 	}
 	return d.sum()
 }
--- a/internal/pooling/lease_test.go
+++ b/internal/pooling/lease_test.go
@@ -230,7 +230,7 @@
 	model.expect(t, fmt.Sprintf("grant1:%d", conns[0]))
 	model.acquire(9, 1, "a", false)
 	model.expect(t, fmt.Sprintf("grant9:%d", conns[2]))
-	model.release(conns[2], false) // not clean: nobody gets it
+	model.release(conns[2], false) // not clean: no client gets it
 	model.expect(t, fmt.Sprintf("close%d", conns[2]))
 }
 
--- a/internal/pooling/pipeline_test.go
+++ b/internal/pooling/pipeline_test.go
@@ -102,8 +102,8 @@
 func TestPipelineMatchesPrivateConnection(t *testing.T) {
 	texts := []string{"select 1", "select 2", "select 3", "a syntax error", "nobind 1", "noexec 1"}
 	rapid.Check(t, func(t *rapid.T) {
-		var cat Catalog
-		held := &ConnectionStatements{Max: rapid.IntRange(1, 4).Draw(t, "most")}
+		var catalog Catalog
+		onServer := &ConnectionStatements{Max: rapid.IntRange(1, 4).Draw(t, "most")}
 		shared := newBackend()
 		type client struct {
 			names   *ClientStatements
@@ -116,15 +116,15 @@
 		for range rapid.IntRange(1, 12).Draw(t, "turns") {
 			c := rapid.SampledFrom(clients).Draw(t, "client")
 			if rapid.IntRange(0, 6).Draw(t, "ddl") == 0 {
-				cat.SchemaChanged()
+				catalog.SchemaChanged()
 			}
-			p := NewPipeline(&cat, c.names, held)
+			pipeline := NewPipeline(&catalog, c.names, onServer)
 			var want, got []string
-			var onTheWay []wireMessage
+			var inTransit []wireMessage
 			deliver := func(n int) {
-				for ; n > 0 && len(onTheWay) > 0; n-- {
-					for _, reply := range shared.take(onTheWay[0]) {
-						r, ok := p.FromServer(reply[0])
+				for ; n > 0 && len(inTransit) > 0; n-- {
+					for _, reply := range shared.take(inTransit[0]) {
+						r, ok := pipeline.FromServer(reply[0])
 						if !ok {
 							t.Fatalf("%q answers nothing", reply)
 						}
@@ -135,7 +135,7 @@
 							got = append(got, string(own))
 						}
 					}
-					onTheWay = onTheWay[1:]
+					inTransit = inTransit[1:]
 				}
 			}
 			steps := rapid.IntRange(1, 12).Draw(t, "messages")
@@ -147,30 +147,30 @@
 				m.Statement = rapid.SampledFrom([]string{"", "s", "t"}).Draw(t, "statement")
 				m.Portal = rapid.Bool().Draw(t, "portal")
 				m.Text = rapid.SampledFrom(texts).Draw(t, "text")
-				for !p.Ready() {
+				for !pipeline.Ready() {
 					deliver(1)
 				}
 				w := wireMessage{m.Kind, m.Statement, m.Text, "", m.Portal}
 				want = append(want, c.private.take(w)...)
-				send, now := p.FromClient(m)
+				send, now := pipeline.FromClient(m)
 				for _, s := range send {
 					x := wireMessage{kind: s.Kind, statement: s.Name, text: s.Text, isPortal: m.Portal && s.Message != nil}
 					if s.Message != nil {
 						x.text = s.Message.Text
 					}
-					onTheWay = append(onTheWay, x)
+					inTransit = append(inTransit, x)
 				}
 				for _, own := range now {
 					got = append(got, string(own))
 				}
 				deliver(rapid.IntRange(0, 3).Draw(t, "delivered"))
 			}
-			deliver(len(onTheWay))
+			deliver(len(inTransit))
 			if !slices.Equal(got, want) {
 				t.Fatalf("the client got %q, alone it would get %q", got, want)
 			}
-			if !p.Idle() {
-				t.Fatalf("%d messages are still pending", len(p.pending))
+			if !pipeline.Idle() {
+				t.Fatalf("%d messages are still pending", len(pipeline.pending))
 			}
 			for name, text := range c.private.statements {
 				if st, err := c.names.Get(name); err != nil || st.Text != text {
@@ -180,8 +180,8 @@
 			if len(c.names.byName) != len(c.private.statements) {
 				t.Fatalf("%d names, want %d", len(c.names.byName), len(c.private.statements))
 			}
-			if len(shared.statements) != held.Len() {
-				t.Fatalf("the server has %d statements, %d are recorded", len(shared.statements), held.Len())
+			if len(shared.statements) != onServer.Len() {
+				t.Fatalf("the server has %d statements, %d are recorded", len(shared.statements), onServer.Len())
 			}
 		}
 	})
@@ -190,9 +190,9 @@
 // A pipeline of 100 Executes whose 50th fails: 49 are answered, then the error,
 // then nothing but the Sync's own answer.
 func TestPipelineErrorInTheMiddle(t *testing.T) {
-	var cat Catalog
-	p := NewPipeline(&cat, &ClientStatements{}, &ConnectionStatements{})
-	b := newBackend()
+	var catalog Catalog
+	pipeline := NewPipeline(&catalog, &ClientStatements{}, &ConnectionStatements{})
+	server := newBackend()
 	counts := map[byte]int{}
 	var sends []ServerMessage
 	for i := range 100 {
@@ -201,34 +201,34 @@
 			text = "noexec"
 		}
 		for _, m := range []*Message{{Kind: 'P', Text: text}, {Kind: 'B'}, {Kind: 'E'}} {
-			s, _ := p.FromClient(m)
+			s, _ := pipeline.FromClient(m)
 			sends = append(sends, s...)
 		}
 	}
-	s, _ := p.FromClient(&Message{Kind: 'S'})
+	s, _ := pipeline.FromClient(&Message{Kind: 'S'})
 	for _, s := range append(sends, s...) {
-		for _, reply := range b.take(wireMessage{kind: s.Kind, statement: s.Name, text: s.Message.Text}) {
-			if r, ok := p.FromServer(reply[0]); !ok || !r.Forward {
+		for _, reply := range server.take(wireMessage{kind: s.Kind, statement: s.Name, text: s.Message.Text}) {
+			if r, ok := pipeline.FromServer(reply[0]); !ok || !r.Forward {
 				t.Fatalf("%q: %+v %t", reply, r, ok)
 			}
 			counts[reply[0]]++
 		}
 	}
-	if counts['C'] != 49 || counts['E'] != 1 || counts['Z'] != 1 || !p.Idle() {
+	if counts['C'] != 49 || counts['E'] != 1 || counts['Z'] != 1 || !pipeline.Idle() {
 		t.Errorf("%v", counts)
 	}
 }
 
 func TestPipelineRejectsUnexpectedAnswer(t *testing.T) {
-	var cat Catalog
+	var catalog Catalog
 	for _, c := range []struct{ sent, came byte }{{'B', '1'}, {'E', 'Z'}, {'S', 'C'}, {'D', '2'}} {
-		p := NewPipeline(&cat, &ClientStatements{}, &ConnectionStatements{})
-		p.FromClient(&Message{Kind: c.sent, Portal: true})
-		if _, ok := p.FromServer(c.came); ok {
+		pipeline := NewPipeline(&catalog, &ClientStatements{}, &ConnectionStatements{})
+		pipeline.FromClient(&Message{Kind: c.sent, Portal: true})
+		if _, ok := pipeline.FromServer(c.came); ok {
 			t.Errorf("%c was answered by %c", c.sent, c.came)
 		}
 	}
-	if _, ok := NewPipeline(&cat, &ClientStatements{}, &ConnectionStatements{}).FromServer('Z'); ok {
+	if _, ok := NewPipeline(&catalog, &ClientStatements{}, &ConnectionStatements{}).FromServer('Z'); ok {
 		t.Error("an answer to nothing was taken")
 	}
 }
@@ -236,48 +236,48 @@
 // Messages behind a Sync wait where an error before it would take back what
 // they rest on: here a Close that the server passed over.
 func TestPipelineWaitsBehindUncertainSync(t *testing.T) {
-	var cat Catalog
-	p := NewPipeline(&cat, &ClientStatements{}, &ConnectionStatements{Max: 1})
-	b := newBackend()
-	var heard []string
-	var onTheWay []ServerMessage
+	var catalog Catalog
+	pipeline := NewPipeline(&catalog, &ClientStatements{}, &ConnectionStatements{Max: 1})
+	server := newBackend()
+	var received []string
+	var inTransit []ServerMessage
 	deliver := func() {
-		for _, s := range onTheWay {
+		for _, s := range inTransit {
 			text := s.Text
 			if s.Message != nil {
 				text = s.Message.Text
 			}
-			for _, reply := range b.take(wireMessage{kind: s.Kind, statement: s.Name, text: text}) {
-				r, ok := p.FromServer(reply[0])
+			for _, reply := range server.take(wireMessage{kind: s.Kind, statement: s.Name, text: text}) {
+				r, ok := pipeline.FromServer(reply[0])
 				if !ok {
 					t.Fatalf("%q answers nothing", reply)
 				}
 				if r.Forward {
-					heard = append(heard, reply)
+					received = append(received, reply)
 				}
 				for _, own := range r.Synthesized {
-					heard = append(heard, string(own))
+					received = append(received, string(own))
 				}
 			}
 		}
-		onTheWay = nil
+		inTransit = nil
 	}
 	waited := 0
 	for _, m := range []*Message{{Kind: 'P', Text: "select 1"}, {Kind: 'P', Statement: "s", Text: "select 1"},
 		{Kind: 'P', Statement: "s", Text: "select 1"},
 		{Kind: 'P', Text: "select 2"}, {Kind: 'S'}, {Kind: 'P', Text: "select 1"}, {Kind: 'S'}} {
-		if !p.Ready() {
+		if !pipeline.Ready() {
 			waited++
 			deliver()
 		}
-		send, now := p.FromClient(m)
-		onTheWay = append(onTheWay, send...)
+		send, now := pipeline.FromClient(m)
+		inTransit = append(inTransit, send...)
 		for _, own := range now {
-			heard = append(heard, string(own))
+			received = append(received, string(own))
 		}
 	}
 	deliver()
-	if got := strings.Join(heard, " "); got != "1 1 E:42P05 Z 1 Z" || waited != 1 {
-		t.Errorf("heard %q, waited %d times", got, waited)
+	if got := strings.Join(received, " "); got != "1 1 E:42P05 Z 1 Z" || waited != 1 {
+		t.Errorf("received %q, waited %d times", got, waited)
 	}
 }
--- a/internal/pooling/prepared_test.go
+++ b/internal/pooling/prepared_test.go
@@ -10,70 +10,70 @@
 
 // The same name with two texts by two clients on one connection.
 func TestClientsSharePreparedStatementsByText(t *testing.T) {
-	var cat Catalog
+	var catalog Catalog
 	var a, b ClientStatements
-	h := ConnectionStatements{Max: 2}
-	p1, err := a.Parse(&cat, "s", "select 1", nil)
+	onServer := ConnectionStatements{Max: 2}
+	p1, err := a.Parse(&catalog, "s", "select 1", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p2, _ := b.Parse(&cat, "s", "select 2", nil)
-	p3, _ := b.Parse(&cat, "t", "select 1", nil)
-	p4, _ := b.Parse(&cat, "u", "select 1", []uint32{23})
+	p2, _ := b.Parse(&catalog, "s", "select 2", nil)
+	p3, _ := b.Parse(&catalog, "t", "select 1", nil)
+	p4, _ := b.Parse(&catalog, "u", "select 1", []uint32{23})
 	sameNames := p1.ServerName == p2.ServerName || p1.ServerName == p4.ServerName
 	if p1 != p3 || p1 == p2 || p1 == p4 || sameNames || len(p1.ServerName) > maxName {
 		t.Errorf("%v %v %v %v", p1, p2, p3, p4)
 	}
-	if _, err := a.Parse(&cat, "s", "select 3", nil); !errors.Is(err, ErrDuplicate) {
+	if _, err := a.Parse(&catalog, "s", "select 3", nil); !errors.Is(err, ErrDuplicate) {
 		t.Error(err)
 	}
-	if s := h.Ensure(&cat, p1); !s.Parse || len(s.Close) > 0 {
+	if s := onServer.Ensure(&catalog, p1); !s.Parse || len(s.Close) > 0 {
 		t.Errorf("%+v", s)
 	}
-	if s := h.Ensure(&cat, p3); s.Parse {
+	if s := onServer.Ensure(&catalog, p3); s.Parse {
 		t.Errorf("prepared twice: %+v", s)
 	}
-	h.Ensure(&cat, p2)
-	if s := h.Ensure(&cat,
-		p4); !s.Parse || fmt.Sprint(s.Close) != fmt.Sprint([]string{p1.ServerName}) { // the one used longest ago
+	onServer.Ensure(&catalog, p2)
+	leastRecentlyUsed := []string{p1.ServerName}
+	if s := onServer.Ensure(&catalog, p4); !s.Parse || fmt.Sprint(s.Close) != fmt.Sprint(leastRecentlyUsed) {
 		t.Errorf("%+v", s)
 	}
-	cat.SchemaChanged() // DDL: what is there is old
-	if s := h.Ensure(&cat, p2); !s.Parse || fmt.Sprint(s.Close) != fmt.Sprint([]string{p2.ServerName}) {
+	catalog.SchemaChanged() // DDL: the statements on the server are stale
+	if s := onServer.Ensure(&catalog, p2); !s.Parse || fmt.Sprint(s.Close) != fmt.Sprint([]string{p2.ServerName}) {
 		t.Errorf("%+v", s)
 	}
-	h.Forget(p2) // its Parse failed there
-	if s := h.Ensure(&cat, p2); !s.Parse {
+	onServer.Forget(p2) // its Parse failed there
+	if s := onServer.Ensure(&catalog, p2); !s.Parse {
 		t.Errorf("%+v", s)
 	}
-	a.Close(&cat, "s")
-	a.Close(&cat, "s")
-	b.Clear(&cat)
-	if _, err := a.Get("s"); !errors.Is(err, ErrUnknown) || cat.Len() != 0 {
-		t.Errorf("%v, %d left", err, cat.Len())
+	a.Close(&catalog, "s")
+	a.Close(&catalog, "s")
+	b.Clear(&catalog)
+	if _, err := a.Get("s"); !errors.Is(err, ErrUnknown) || catalog.Len() != 0 {
+		t.Errorf("%v, %d left", err, catalog.Len())
 	}
 	for range 2 { // the unnamed one is replaced
-		if _, err := a.Parse(&cat, "", fmt.Sprint("select ", cat.Len()), nil); err != nil || cat.Len() != 1 {
-			t.Errorf("%v, %d", err, cat.Len())
+		if _, err := a.Parse(&catalog, "", fmt.Sprint("select ", catalog.Len()), nil); err != nil || catalog.Len() != 1 {
+			t.Errorf("%v, %d", err, catalog.Len())
 		}
 	}
 	few := ClientStatements{Max: 1}
-	_, _ = few.Parse(&cat, "x", "select 1", nil)
-	if _, err := few.Parse(&cat, "y", "select 1", nil); !errors.Is(err, ErrTooMany) {
+	_, _ = few.Parse(&catalog, "x", "select 1", nil)
+	if _, err := few.Parse(&catalog, "y", "select 1", nil); !errors.Is(err, ErrTooMany) {
 		t.Error(err)
 	}
 }
 
-// What a connection holds stays within its bound, and Ensure always tells the
-// truth about what the server has.
+// The statements on a connection stay within their bound, and Ensure always
+// agrees with what the server has.
 func TestConnectionStatementsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var cat Catalog
-		var n ClientStatements
-		h := ConnectionStatements{Max: rapid.IntRange(1, 4).Draw(t, "most")}
+		var catalog Catalog
+		var names ClientStatements
+		onServer := ConnectionStatements{Max: rapid.IntRange(1, 4).Draw(t, "most")}
 		var all []*Prepared
 		for i := range 6 {
-			p, _ := n.Parse(&cat, fmt.Sprint(i), fmt.Sprint("select ", i), nil)
+			p, _ := names.Parse(&catalog, fmt.Sprint(i), fmt.Sprint("select ", i), nil)
 			all = append(all, p)
 		}
 		server := map[string]uint64{}
@@ -81,18 +81,18 @@
 			p := rapid.SampledFrom(all).Draw(t, "statement")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				cat.SchemaChanged()
+				catalog.SchemaChanged()
 			case 1:
-				h.Clear()
+				onServer.Clear()
 				clear(server)
 			case 2:
-				h.Forget(p)
+				onServer.Forget(p)
 				delete(server, p.ServerName)
 			default:
-				s := h.Ensure(&cat, p)
+				s := onServer.Ensure(&catalog, p)
 				for _, name := range s.Close {
 					if _, ok := server[name]; !ok {
-						t.Fatalf("closed what is not there")
+						t.Fatalf("closed a statement that the server does not have")
 					}
 					delete(server, name)
 				}
@@ -100,14 +100,14 @@
 					t.Fatalf("parse %t, there %t", s.Parse, ok)
 				}
 				if s.Parse {
-					server[p.ServerName] = cat.generation
+					server[p.ServerName] = catalog.generation
 				}
-				if server[p.ServerName] != cat.generation {
-					t.Fatal("bound an old plan")
+				if server[p.ServerName] != catalog.generation {
+					t.Fatal("bound a stale plan")
 				}
 			}
-			if h.Len() > h.Max || h.Len() != len(server) {
-				t.Fatalf("%d held, %d there, %d allowed", h.Len(), len(server), h.Max)
+			if onServer.Len() > onServer.Max || onServer.Len() != len(server) {
+				t.Fatalf("%d recorded, %d on the server, %d allowed", onServer.Len(), len(server), onServer.Max)
 			}
 		}
 	})
--- a/internal/pooling/session_test.go
+++ b/internal/pooling/session_test.go
@@ -48,9 +48,9 @@
 func TestConnectionIsReusableOnlyWithoutOpenState(t *testing.T) {
 	for sql, want := range map[string]bool{"set a to 1": true, "begin": false, "listen a": false,
 		"begin; commit and chain": false, "begin; select 1; rollback": true} {
-		var c Connection
+		var connection Connection
 		s := &Session{}
-		if applySQL(s, sql); c.Release(s) != want {
+		if applySQL(s, sql); connection.Release(s) != want {
 			t.Errorf("%s: reusable %t", sql, !want)
 		}
 	}
@@ -67,7 +67,7 @@
 		"set local a to 6", "prepare p as select 1", "prepare p as select 2", `prepare "Q q" as select 3`, "deallocate p",
 		"deallocate all", "discard all", "select 1"}
 	rapid.Check(t, func(t *rapid.T) {
-		var c Connection
+		var connection Connection
 		real := &server{} // the session on the server
 		clients := make([]*Session, rapid.IntRange(2, 4).Draw(t, "clients"))
 		for i := range clients {
@@ -76,16 +76,16 @@
 		trips := 0
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			s := rapid.SampledFrom(clients).Draw(t, "client")
-			if q := c.HandoverSQL(s); q != "" {
+			if q := connection.HandoverSQL(s); q != "" {
 				trips++
 				applySQL(&real.Session, q)
 			}
-			c.HandedOver(s)
-			if again := c.HandoverSQL(s); again != "" {
+			connection.HandedOver(s)
+			if again := connection.HandoverSQL(s); again != "" {
 				t.Fatalf("states agree, and yet %q", again)
 			}
-			if !maps.Equal(real.Session.Session(),
-				s.Session()) && fmt.Sprint(real.Session.Session()) != fmt.Sprint(s.Session()) {
+			onServer := real.Session.Session()
+			if !maps.Equal(onServer, s.Session()) && fmt.Sprint(onServer) != fmt.Sprint(s.Session()) {
 				t.Fatalf("the server has %v, the client %v", real.Session.Session(), s.Session())
 			}
 			if fmt.Sprint(real.prepared) != fmt.Sprint(s.prepared) && len(real.prepared)+len(s.prepared) > 0 {
@@ -97,7 +97,7 @@
 			}
 			applySQL(s, sql)
 			applySQL(&real.Session, sql)
-			if !c.Release(s) {
+			if !connection.Release(s) {
 				t.Fatalf("%s left something open", sql)
 			}
 		}
