--- a/internal/edge/connection_test.go
+++ b/internal/edge/connection_test.go
@@ -25,6 +25,7 @@
 			break
 		}
 		test.waitFor("a byte", func() bool { return test.edge.unfinished.Len() == 1 || i > 9 })
+		test.waitForSent()
 		test.advance(1000)
 		usual.sendReading(uint32(i), "usual", uint64(i))
 		var a frames.Answer
@@ -76,6 +77,7 @@
 	if err := gateway.receive(&a); err != nil || a.Ranges[0].Status != uint8(intake.Recorded) {
 		t.Fatalf("%+v, %v", a, err)
 	}
+	test.waitForSent()
 	test.advance(test.edge.options.FirstMessageMs + 1)
 	test.waitFor("their end", func() bool { return test.edge.openConnections == 1 })
 }
--- a/internal/edge/fixture_test.go
+++ b/internal/edge/fixture_test.go
@@ -152,6 +152,18 @@
 	}
 }
 
+// waitForSent waits until the edge has noted that every answer was written. A
+// client may read its answer before that, and a clock that is set ahead then would
+// take the answer for one that the client leaves unread.
+func (test *testEdge) waitForSent() {
+	test.t.Helper()
+	test.waitFor("answers written", func() bool {
+		unread := 0
+		test.edge.connections.Each(func(_ slotmap.Handle, conn *connection) { unread += conn.unreadBytes })
+		return unread == 0
+	})
+}
+
 func (test *testEdge) encodeBatch(device string, seqs ...uint64) []byte {
 	b := &batch.Batch{Device: device, Epoch: 1}
 	for _, s := range seqs {
