--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -99,11 +99,11 @@
 		{"tcp", &r.MQTT},
 		{"tcp", &r.Frame},
 	} {
-		free, err := freeAddress(address.network)
+		free, err := addresses.allocate(address.network)
 		if err != nil {
 			return err
 		}
-		*address.to = free
+		*address.to = free.String()
 	}
 	r.ready = r.Frame
 	sockets := o.Sockets
--- a/internal/lab/members.go
+++ b/internal/lab/members.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"net"
 	"net/netip"
 	"os"
 	"syscall"
@@ -88,15 +87,12 @@
 
 // startRelay finds sockets for the members and starts the relay before them.
 func (f *memberFleet) startRelay(o memberOptions) (err error) {
-	// The sockets stay open until the relay has its own, which otherwise could
-	// get the same addresses.
 	for range o.Procs {
-		conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
+		socket, err := addresses.allocate("udp")
 		if err != nil {
 			return err
 		}
-		defer conn.Close()
-		f.sockets = append(f.sockets, netip.MustParseAddrPort(conn.LocalAddr().String()))
+		f.sockets = append(f.sockets, socket)
 	}
 	f.relay, err = faultnet.New(o.Seed, f.sockets)
 	if err != nil {
@@ -108,23 +104,23 @@
 
 // configure finds addresses for the i-th member and writes its files.
 func (f *memberFleet) configure(i int, o memberOptions) (*member, error) {
-	admin, err := freeAddress("tcp")
+	admin, err := addresses.allocate("tcp")
 	if err != nil {
 		return nil, err
 	}
-	listen, err := freeAddress("tcp")
+	listen, err := addresses.allocate("tcp")
 	if err != nil {
 		return nil, err
 	}
 	r := &Router{
 		Name:   fmt.Sprint("m", i+1),
-		Listen: listen,
-		ready:  admin,
+		Listen: listen.String(),
+		ready:  admin.String(),
 		dir:    f.dir,
 		binary: o.Binary,
 		log:    o.Log,
 	}
-	m := &member{router: r, admin: admin, zone: i % 2, running: true}
+	m := &member{router: r, admin: admin.String(), zone: i % 2, running: true}
 	config := fmt.Sprintf(deploymentFile, r.Name, r.Listen, f.cluster.Discovery, o.Seed+uint64(i),
 		memberSockets, f.cluster.EndpointList(), fmt.Sprintf(o.Settings, o.Procs))
 	return m, r.writeFiles(config, f.memberSettings(i, m, o))
--- a/internal/lab/router.go
+++ b/internal/lab/router.go
@@ -37,9 +37,10 @@
 	binary string
 	log    io.Writer // standard error of the process
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd     // nil unless the process was started
-	ended chan struct{} // closed at the end of the process
+	mu     sync.Mutex
+	cmd    *exec.Cmd       // nil unless the process was started
+	output *lastLineWriter // standard error of the process started last
+	ended  chan struct{}   // closed at the end of the process
 }
 
 // edgeAddresses are the addresses of the edge by protocol.
@@ -65,13 +66,15 @@
 	defer r.mu.Unlock()
 	cmd := exec.Command(r.binary, "serve", "--settings", r.settingsPath())
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+r.configPath())
-	cmd.Stderr = r.log
+	output := &lastLineWriter{next: r.log}
+	cmd.Stderr = output
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("starting router %s: %w", r.Name, err)
 	}
 	ended := make(chan struct{})
 	r.cmd = cmd
+	r.output = output
 	r.ended = ended
 	go func() {
 		_ = cmd.Wait() // its error is for the one who ended the process
@@ -89,7 +92,7 @@
 		}
 		select {
 		case <-r.ended:
-			return fmt.Errorf("router %s ended at its start", r.Name)
+			return fmt.Errorf("router %s ended at its start; its last log line: %q", r.Name, r.output.last())
 		default:
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -172,19 +175,3 @@
 	}
 	return filepath.Abs(named)
 }
-
-// freeAddress finds an address on loopback at which nobody listens.
-func freeAddress(network string) (string, error) {
-	if network == "udp" {
-		conn, err := net.ListenPacket("udp", "127.0.0.1:0")
-		if err != nil {
-			return "", err
-		}
-		return conn.LocalAddr().String(), conn.Close()
-	}
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return "", err
-	}
-	return listener.Addr().String(), listener.Close()
-}
