--- a/cmd/lotusbend/shutdown.go
+++ b/cmd/lotusbend/shutdown.go
@@ -44,7 +44,7 @@
 func (s *shutdown) check() {
 	now := s.loop.Now()
 	if now >= s.beganAt+s.longestWaitMs() {
-		s.router.Expire()
+		s.router.ExpireAll()
 	}
 	clients, leaving := s.server.Open()
 	s.clients = clients + leaving
--- a/internal/edge/connection.go
+++ b/internal/edge/connection.go
@@ -46,7 +46,7 @@
 		peer = address.AddrPort().Addr()
 	}
 	e.loop.Do(func() {
-		if e.draining || e.openConnections >= e.options.MaxConnections || !e.budget.TakeClient() {
+		if e.draining || e.openConnections >= e.options.MaxConnections || !e.budget.AcquireClient() {
 			return
 		}
 		e.openConnections++
@@ -140,7 +140,7 @@
 		e.unfinished.End(id)
 		e.connections.Remove(conn.handle)
 		e.openConnections--
-		e.budget.GiveClient()
+		e.budget.ReleaseClient()
 		if conn.protocol == protocolMQTT {
 			e.mqtt.Closed(e.loop.Now(), id)
 		} else {
--- a/internal/faultnet/relay.go
+++ b/internal/faultnet/relay.go
@@ -35,9 +35,9 @@
 // Relay carries packets between members, numbered from 0. It is safe for
 // concurrent use.
 type Relay struct {
-	Bytes   atomic.Uint64 // delivered
-	Carried atomic.Uint64 // packets delivered
-	Dropped atomic.Uint64 // packets lost or cut off
+	Bytes     atomic.Uint64 // delivered
+	Delivered atomic.Uint64 // packets delivered
+	Dropped   atomic.Uint64 // packets lost or cut off
 
 	fronts  []*net.UDPConn         // the members' advertised sockets
 	members []netip.AddrPort       // the members' own sockets
@@ -135,7 +135,7 @@
 	time.AfterFunc(delay, func() {
 		defer r.pending.Add(-1)
 		if _, err := r.fronts[from].WriteToUDPAddrPort(packet, r.members[to]); err == nil {
-			r.Carried.Add(1)
+			r.Delivered.Add(1)
 			r.Bytes.Add(uint64(len(packet)))
 		}
 	})
--- a/internal/fleetstate/unresponsive_test.go
+++ b/internal/fleetstate/unresponsive_test.go
@@ -232,7 +232,7 @@
 }
 
 // Send implements router.Transport.
-func (h *hangRouter) Send(endpoint uint32, a router.Attempt, _ router.Statement, _ float64) slotmap.Handle {
+func (h *hangRouter) Send(endpoint uint32, a router.AttemptID, _ router.Statement, _ float64) slotmap.Handle {
 	f := h.f
 	h.next++
 	ref := slotmap.FromID(uint64(h.next))
--- a/internal/netio/close_test.go
+++ b/internal/netio/close_test.go
@@ -67,12 +67,12 @@
 	} {
 		c, near, far := newPair(t)
 		speak(near, far)
-		if c.FinishQuiet() || c.Finishing() || ended(far) {
+		if c.FinishIfQuiet() || c.Finishing() || ended(far) {
 			t.Errorf("%s: the connection was ended", name)
 		}
 	}
 	c, _, far := newPair(t)
-	if !c.FinishQuiet() || !c.Finishing() || !ended(far) {
+	if !c.FinishIfQuiet() || !c.Finishing() || !ended(far) {
 		t.Error("a quiet connection was not ended")
 	}
 }
--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -24,7 +24,7 @@
 // the connection.
 //
 // A connection ends in one way. While it is open it queues what is sent. Finish
-// and FinishQuiet end that: the queue is still written, and then this side
+// and FinishIfQuiet end that: the queue is still written, and then this side
 // half-closes. The peer closes the connection, or its owner does with Close when
 // the peer takes too long. Closing at once while the peer's bytes arrive would
 // reset the connection, and the reset may overtake what was sent last.
@@ -145,9 +145,9 @@
 	c.finish()
 }
 
-// FinishQuiet is Finish if the connection is Quiet; it reports whether it was. What
+// FinishIfQuiet is Finish if the connection is Quiet; it reports whether it was. What
 // arrives later was sent before the peer received this side's end.
-func (c *Conn) FinishQuiet() bool {
+func (c *Conn) FinishIfQuiet() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.quiet() {
--- a/internal/netio/descriptors.go
+++ b/internal/netio/descriptors.go
@@ -4,11 +4,11 @@
 // database hosts. It is not safe for concurrent use: it is part of its owner's
 // state.
 type DescriptorBudget struct {
-	Total   int // sockets that may be open
-	Clients int // of these, the most for clients
-	Asking  int // of these, the most for clients with requests in flight
-	clients int // sockets reserved for clients
-	hosts   int // sockets reserved for database hosts
+	MaxSockets       int // sockets that may be open
+	MaxClients       int // of these, the most for clients
+	MaxActiveClients int // of these, the most for clients with requests in flight
+	clients          int // sockets reserved for clients
+	hosts            int // sockets reserved for database hosts
 }
 
 // systemDescriptors are reserved for the listener, pollers, discovery and the
@@ -24,42 +24,42 @@
 
 // Resize divides another limit. Reservations beyond it remain.
 func (b *DescriptorBudget) Resize(descriptors int) {
-	b.Total = max(descriptors-systemDescriptors, 2)
-	b.Clients = max(b.Total*2/3, 1)
-	b.Asking = max(descriptors/3, 1)
+	b.MaxSockets = max(descriptors-systemDescriptors, 2)
+	b.MaxClients = max(b.MaxSockets*2/3, 1)
+	b.MaxActiveClients = max(descriptors/3, 1)
 }
 
 // Open returns how many sockets are reserved.
 func (b *DescriptorBudget) Open() (clients, hosts int) { return b.clients, b.hosts }
 
-// TakeClient reserves a client's socket; it reports whether one was available.
-func (b *DescriptorBudget) TakeClient() bool {
-	if b.clients >= b.Clients || b.clients+b.hosts >= b.Total {
+// AcquireClient reserves a client's socket; it reports whether one was available.
+func (b *DescriptorBudget) AcquireClient() bool {
+	if b.clients >= b.MaxClients || b.clients+b.hosts >= b.MaxSockets {
 		return false
 	}
 	b.clients++
 	return true
 }
 
-// GiveClient releases a client's socket.
-func (b *DescriptorBudget) GiveClient() { b.clients-- }
+// ReleaseClient releases a client's socket.
+func (b *DescriptorBudget) ReleaseClient() { b.clients-- }
 
-// Spare returns how many more sockets may be open.
-func (b *DescriptorBudget) Spare() int { return max(b.Total-b.clients-b.hosts, 0) }
+// Available returns how many more sockets may be open.
+func (b *DescriptorBudget) Available() int { return max(b.MaxSockets-b.clients-b.hosts, 0) }
 
-// ClientsShort reports whether clients have more than half of their sockets: the
+// ClientPressure reports whether clients have more than half of their sockets: the
 // rest is for new ones.
-func (b *DescriptorBudget) ClientsShort() bool { return b.clients > b.Clients/2 }
+func (b *DescriptorBudget) ClientPressure() bool { return b.clients > b.MaxClients/2 }
 
-// TakeHost reserves a socket to a database host; it reports whether one was
+// AcquireEndpoint reserves a socket to a database host; it reports whether one was
 // available.
-func (b *DescriptorBudget) TakeHost() bool {
-	if b.clients+b.hosts >= b.Total {
+func (b *DescriptorBudget) AcquireEndpoint() bool {
+	if b.clients+b.hosts >= b.MaxSockets {
 		return false
 	}
 	b.hosts++
 	return true
 }
 
-// GiveHost releases a socket to a database host.
-func (b *DescriptorBudget) GiveHost() { b.hosts-- }
+// ReleaseEndpoint releases a socket to a database host.
+func (b *DescriptorBudget) ReleaseEndpoint() { b.hosts-- }
--- a/internal/netio/descriptors_test.go
+++ b/internal/netio/descriptors_test.go
@@ -6,15 +6,15 @@
 func TestDescriptorBudgetDividesSockets(t *testing.T) {
 	b := NewDescriptorBudget(systemDescriptors + 9)
 	for range 6 {
-		if !b.TakeClient() {
+		if !b.AcquireClient() {
 			t.Fatal("a client is rejected too early")
 		}
 	}
-	if b.TakeClient() || !b.TakeHost() || !b.TakeHost() || !b.TakeHost() || b.TakeHost() {
+	if b.AcquireClient() || !b.AcquireEndpoint() || !b.AcquireEndpoint() || !b.AcquireEndpoint() || b.AcquireEndpoint() {
 		t.Error("the sockets are not divided")
 	}
-	b.GiveClient()
-	if !b.TakeHost() || b.TakeClient() {
+	b.ReleaseClient()
+	if !b.AcquireEndpoint() || b.AcquireClient() {
 		t.Error("a free socket is not used")
 	}
 }
--- a/internal/postgres/back/cancel_test.go
+++ b/internal/postgres/back/cancel_test.go
@@ -21,7 +21,7 @@
 	ended chan router.AttemptReport
 }
 
-func (r reportChannels) AttemptEnded(_ router.Attempt, report router.AttemptReport) {
+func (r reportChannels) AttemptEnded(_ router.AttemptID, report router.AttemptReport) {
 	r.ended <- report
 }
 
@@ -67,7 +67,7 @@
 	f.pool = New(clock.NewLoop(f.clock), Options{}, netio.NewDescriptorBudget(100), f.events)
 	f.pool.loop.Do(func() {
 		f.pool.SetEndpoint(1, listener.Addr().String(), true)
-		f.sent = f.pool.Send(1, router.Attempt{}, selectStatement(write), 100)
+		f.sent = f.pool.Send(1, router.AttemptID{}, selectStatement(write), 100)
 	})
 	accepted, err := listener.Accept()
 	if err != nil {
@@ -207,9 +207,9 @@
 	f = newInFlight(t, false)
 	f.cancel()
 	f.pool.loop.Do(func() {
-		for f.pool.budget.TakeHost() {
+		for f.pool.budget.AcquireEndpoint() {
 		}
-		f.pool.Send(1, router.Attempt{}, selectStatement(false), 100)
+		f.pool.Send(1, router.AttemptID{}, selectStatement(false), 100)
 		dialling := 0
 		f.pool.conns.Each(func(_ slotmap.Handle, c *conn) {
 			if c.phase == opening {
--- a/internal/postgres/back/characterization_exchanges_test.go
+++ b/internal/postgres/back/characterization_exchanges_test.go
@@ -139,7 +139,7 @@
 // failures are attempts and health checks that are not ended by an answer.
 var failures = map[string]func(*world) string{
 	"without-host": func(w *world) string {
-		w.loop.Do(func() { w.pool.Send(2, router.Attempt{Number: 3}, router.Statement{}, 10) })
+		w.loop.Do(func() { w.pool.Send(2, router.AttemptID{Number: 3}, router.Statement{}, 10) })
 		return w.report()
 	},
 	"host-not-there": func(w *world) string {
--- a/internal/postgres/back/characterization_test.go
+++ b/internal/postgres/back/characterization_test.go
@@ -103,9 +103,9 @@
 	reports   chan string
 }
 
-func (e *events) MaySend(router.Attempt) bool { return !e.forbidden }
+func (e *events) MaySend(router.AttemptID) bool { return !e.forbidden }
 
-func (e *events) AttemptEnded(a router.Attempt, rep router.AttemptReport) {
+func (e *events) AttemptEnded(a router.AttemptID, rep router.AttemptReport) {
 	e.reports <- reportText(1, uint64(a.Number), rep)
 }
 
@@ -176,7 +176,7 @@
 			WaitTo:   parsed.WaitTo,
 			Write:    e.write,
 		}
-		sent = w.pool.Send(1, router.Attempt{Number: 7}, statement, 480.7)
+		sent = w.pool.Send(1, router.AttemptID{Number: 7}, statement, 480.7)
 	})
 	return sent
 }
@@ -298,7 +298,7 @@
 
 func (w *world) takeAllSockets() {
 	w.loop.Do(func() {
-		for w.budget.TakeHost() {
+		for w.budget.AcquireEndpoint() {
 		}
 	})
 }
--- a/internal/postgres/back/connection.go
+++ b/internal/postgres/back/connection.go
@@ -190,7 +190,7 @@
 	c.phase = closed
 	p.loop.Cancel(c.timeout)
 	p.conns.Remove(c.handle)
-	p.budget.GiveHost()
+	p.budget.ReleaseEndpoint()
 	if c.socket != nil {
 		c.socket.Close()
 	}
--- a/internal/postgres/back/job.go
+++ b/internal/postgres/back/job.go
@@ -26,7 +26,7 @@
 	handle      slotmap.Handle
 	endpoint    *endpoint // nil if unknown
 	healthCheck bool
-	attempt     router.Attempt
+	attempt     router.AttemptID
 	statement   router.Statement
 	deadline    float64         // Unix milliseconds
 	conn        *conn           // nil while it waits for one
@@ -36,7 +36,7 @@
 
 // Send implements router.Transport.
 func (p *Pool) Send(
-	id uint32, attempt router.Attempt, statement router.Statement, wait float64,
+	id uint32, attempt router.AttemptID, statement router.Statement, wait float64,
 ) slotmap.Handle {
 	return p.start(&job{attempt: attempt, statement: statement, deadline: p.loop.Now() + wait}, id)
 }
--- a/internal/postgres/back/open.go
+++ b/internal/postgres/back/open.go
@@ -37,10 +37,10 @@
 // takeDescriptor books a descriptor. If none is left, it closes a connection
 // that can be spared.
 func (p *Pool) takeDescriptor() bool {
-	if p.budget.TakeHost() {
+	if p.budget.AcquireEndpoint() {
 		return true
 	}
-	return (p.closeAbandoned() || p.closeOldestIdle()) && p.budget.TakeHost()
+	return (p.closeAbandoned() || p.closeOldestIdle()) && p.budget.AcquireEndpoint()
 }
 
 // closeAbandoned closes a connection whose attempt was cancelled, and reports
--- a/internal/postgres/back/pool.go
+++ b/internal/postgres/back/pool.go
@@ -24,9 +24,9 @@
 type Events interface {
 	// MaySend reports whether an attempt that waited for its connection may be
 	// written now. One that may not is reported as NotSent.
-	MaySend(waited router.Attempt) bool
+	MaySend(waited router.AttemptID) bool
 	// AttemptEnded reports the end of an attempt that was not cancelled.
-	AttemptEnded(ended router.Attempt, report router.AttemptReport)
+	AttemptEnded(ended router.AttemptID, report router.AttemptReport)
 	// LateAnswer reports the answer to an attempt that was cancelled.
 	LateAnswer(endpoint uint32, report router.AttemptReport)
 	// HealthChecked reports the end of a health check.
--- a/internal/postgres/back/pool_test.go
+++ b/internal/postgres/back/pool_test.go
@@ -57,7 +57,7 @@
 		}
 		disturb(far, near)
 		p.loop.Do(func() { // checked before the new connection is refused
-			p.Send(1, router.Attempt{}, router.Statement{}, 100)
+			p.Send(1, router.AttemptID{}, router.Statement{}, 100)
 			if c.phase != closed || e.pendingConns != 1 {
 				t.Errorf("%s: phase %d, %d connections pending, want a new one instead", name, c.phase, e.pendingConns)
 			}
@@ -69,13 +69,13 @@
 type recorder struct {
 	ignoreEvents
 	forbidden int // the number of the attempt that may not be sent
-	ended     []router.Attempt
+	ended     []router.AttemptID
 	outcomes  []decide.Outcome
 }
 
-func (r *recorder) MaySend(waited router.Attempt) bool { return waited.Number != r.forbidden }
+func (r *recorder) MaySend(waited router.AttemptID) bool { return waited.Number != r.forbidden }
 
-func (r *recorder) AttemptEnded(ended router.Attempt, report router.AttemptReport) {
+func (r *recorder) AttemptEnded(ended router.AttemptID, report router.AttemptReport) {
 	r.ended = append(r.ended, ended)
 	r.outcomes = append(r.outcomes, report.Outcome)
 }
@@ -95,7 +95,7 @@
 		e.pendingConns = 9 // nothing is dialled for the attempts that wait
 		for number := 1; number <= 2; number++ {
 			text := []byte{'a' + byte(number)}
-			p.Send(1, router.Attempt{Number: number}, router.Statement{Text: text, WaitTo: 1}, 100)
+			p.Send(1, router.AttemptID{Number: number}, router.Statement{Text: text, WaitTo: 1}, 100)
 		}
 		p.ready(c)
 		if c.job == nil || c.job.attempt.Number != 2 {
--- a/internal/postgres/back/stub_test.go
+++ b/internal/postgres/back/stub_test.go
@@ -26,9 +26,9 @@
 // ignoreEvents ignores all events.
 type ignoreEvents struct{}
 
-func (ignoreEvents) MaySend(router.Attempt) bool { return true }
+func (ignoreEvents) MaySend(router.AttemptID) bool { return true }
 
-func (ignoreEvents) AttemptEnded(router.Attempt, router.AttemptReport) {}
+func (ignoreEvents) AttemptEnded(router.AttemptID, router.AttemptReport) {}
 
 func (ignoreEvents) LateAnswer(uint32, router.AttemptReport) {}
 
--- a/internal/postgres/back/truncated_test.go
+++ b/internal/postgres/back/truncated_test.go
@@ -19,7 +19,7 @@
 	ended chan decide.Outcome
 }
 
-func (o outcomes) AttemptEnded(_ router.Attempt, report router.AttemptReport) {
+func (o outcomes) AttemptEnded(_ router.AttemptID, report router.AttemptReport) {
 	o.ended <- report.Outcome
 }
 
@@ -66,7 +66,7 @@
 	p := New(clock.NewLoop(clock.Manual(1000)), Options{}, netio.NewDescriptorBudget(100), events)
 	p.loop.Do(func() {
 		p.SetEndpoint(1, listener.Addr().String(), true)
-		p.Send(1, router.Attempt{}, selectStatement(false), 100)
+		p.Send(1, router.AttemptID{}, selectStatement(false), 100)
 	})
 	accepted, err := listener.Accept()
 	if err != nil {
--- a/internal/postgres/front/answers_test.go
+++ b/internal/postgres/front/answers_test.go
@@ -82,7 +82,7 @@
 	stuck := &stuckConn{readAhead: readAhead{in: netpoll.NewLinkBuffer()}, closed: make(chan struct{})}
 	c := &client{server: s.server, conn: netio.NewConn(stuck), started: true}
 	s.loop.Do(func() {
-		s.server.budget.TakeClient()
+		s.server.budget.AcquireClient()
 		c.handle = s.server.clients.Add(c)
 		for n := range statements {
 			if err := c.receive(wire.Query, readQuery(n)[wire.HeaderLen:]); err != nil {
--- a/internal/postgres/front/characterization_test.go
+++ b/internal/postgres/front/characterization_test.go
@@ -118,7 +118,7 @@
 
 func (s *server) takeAllClients() {
 	s.loop.Do(func() {
-		for s.budget.TakeClient() {
+		for s.budget.AcquireClient() {
 		}
 	})
 }
--- a/internal/postgres/front/client.go
+++ b/internal/postgres/front/client.go
@@ -56,7 +56,7 @@
 	if c.released {
 		return true
 	}
-	c.server.unreadMemory.Book(n - c.unreadBytes)
+	c.server.unreadMemory.Reserve(n - c.unreadBytes)
 	c.unreadBytes = n
 	return n <= smallMessage || !c.server.unreadMemory.Exceeded()
 }
@@ -64,6 +64,6 @@
 // bookCommand returns the record of a command that is not executed, with size
 // bytes booked for it.
 func (c *client) bookCommand(size int) *statement {
-	c.server.queuedMemory.Book(size)
+	c.server.queuedMemory.Reserve(size)
 	return &statement{client: c, bookedBytes: size}
 }
--- a/internal/postgres/front/closing.go
+++ b/internal/postgres/front/closing.go
@@ -46,7 +46,7 @@
 // halfCloseIfQuiet is halfClose if everything that has arrived was read. It
 // reports whether it was.
 func (c *client) halfCloseIfQuiet() bool {
-	if !c.conn.FinishQuiet() {
+	if !c.conn.FinishIfQuiet() {
 		return false
 	}
 	c.awaitClose()
@@ -77,7 +77,7 @@
 	c.server.loop.Cancel(c.idleTimer)
 	c.server.loop.Cancel(c.closeTimer)
 	c.server.clients.Remove(c.handle)
-	c.server.budget.GiveClient()
+	c.server.budget.ReleaseClient()
 	if c.active {
 		c.server.activeClients--
 	}
--- a/internal/postgres/front/commands.go
+++ b/internal/postgres/front/commands.go
@@ -74,7 +74,7 @@
 	if problem != "" {
 		return c.reply(errorAnswer(wire.CodeSyntax, problem))
 	}
-	c.server.queuedMemory.Book(size)
+	c.server.queuedMemory.Reserve(size)
 	received.bookedBytes = size
 	received.receivedAt = c.server.loop.Now()
 	received.command = c.queue.Add(access, received)
--- a/internal/postgres/front/eviction.go
+++ b/internal/postgres/front/eviction.go
@@ -16,7 +16,7 @@
 
 // maxReserveClients is how many clients may use descriptors of the reserve.
 func (s *Server) maxReserveClients() int {
-	return minReserveClients + int(spareFraction*float64(s.budget.Spare()))
+	return minReserveClients + int(spareFraction*float64(s.budget.Available()))
 }
 
 // evictOne ends the connection that has been idle longest, one that never sent
@@ -74,7 +74,7 @@
 // the client's side, unseen here. The protocol lets a router close between
 // requests.
 func (s *Server) evictIdle() {
-	if float64(s.activeClients) <= activeFraction*float64(s.budget.Asking) {
+	if float64(s.activeClients) <= activeFraction*float64(s.budget.MaxActiveClients) {
 		return
 	}
 	evicted := s.longestIdle(func(c *client) bool { return c.active && !c.partial && c.conn.Quiet() })
--- a/internal/postgres/front/front.go
+++ b/internal/postgres/front/front.go
@@ -58,8 +58,8 @@
 type Server struct {
 	loop           *clock.Loop
 	budget         *netio.DescriptorBudget
-	queuedMemory   netio.Memory // queued statements, and answers that wait to be sent
-	unreadMemory   netio.Memory // bytes that were received and not parsed
+	queuedMemory   netio.MemoryBudget // queued statements, and answers that wait to be sent
+	unreadMemory   netio.MemoryBudget // bytes that were received and not parsed
 	requests       Requests
 	clients        slotmap.Table[client]
 	running        slotmap.Table[statement] // statements that the router has
@@ -150,7 +150,7 @@
 		case s.draining:
 			c.reject(wire.CodeCannotConnectNow, "the router is stopping")
 			return
-		case !s.budget.TakeClient() && !(s.evictOne() && s.budget.TakeClient()):
+		case !s.budget.AcquireClient() && !(s.evictOne() && s.budget.AcquireClient()):
 			c.reject(wire.CodeTooManyConnections, "too many clients")
 			return
 		}
--- a/internal/postgres/front/idle.go
+++ b/internal/postgres/front/idle.go
@@ -27,7 +27,7 @@
 // nothing is unread: the end must not cross a statement that is being received.
 func (c *client) checkIdle() {
 	now := c.server.loop.Now()
-	expired := now >= c.idleSince+idleTimeout || c.server.budget.ClientsShort()
+	expired := now >= c.idleSince+idleTimeout || c.server.budget.ClientPressure()
 	switch {
 	case c.released, c.closing:
 	case c.busy(): // only a part of the next message is there
--- a/internal/postgres/front/statement.go
+++ b/internal/postgres/front/statement.go
@@ -118,6 +118,6 @@
 
 // rebook books another number of bytes for s.
 func (s *statement) rebook(size int) {
-	s.client.server.queuedMemory.Book(size - s.bookedBytes)
+	s.client.server.queuedMemory.Reserve(size - s.bookedBytes)
 	s.bookedBytes = size
 }
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -28,7 +28,7 @@
 	if timeout > 0 {
 		wait = min(wait, clock.Millis(timeout))
 	}
-	name := Attempt{Request: handle, Number: number}
+	name := AttemptID{Request: handle, Number: number}
 	request.attempts = append(request.attempts, attempt{
 		endpoint: endpoint,
 		sentAt:   now,
@@ -51,7 +51,7 @@
 // Cancel implements decide.Actions.
 func (a *actions) Cancel(id uint64, number int) {
 	r := (*Router)(a)
-	name := Attempt{Request: slotmap.FromID(id), Number: number}
+	name := AttemptID{Request: slotmap.FromID(id), Number: number}
 	request := r.attemptInFlight(name)
 	if request == nil {
 		return
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -10,8 +10,8 @@
 // know any more.
 const unknownAttempt = -1
 
-// Attempt names one attempt at a request.
-type Attempt struct {
+// AttemptID names one attempt at a request.
+type AttemptID struct {
 	Request slotmap.Handle
 	Number  int
 }
@@ -35,7 +35,7 @@
 
 // attemptInFlight returns the request of an attempt, nil if the attempt is not
 // in flight.
-func (r *Router) attemptInFlight(of Attempt) *trackedRequest {
+func (r *Router) attemptInFlight(of AttemptID) *trackedRequest {
 	request := r.requests.Get(of.Request)
 	if request == nil || of.Number >= len(request.attempts) || !request.attempts[of.Number].inFlight {
 		return nil
@@ -45,7 +45,7 @@
 
 // AttemptEnded takes the end of an attempt. It ignores one that has ended
 // otherwise before.
-func (r *Router) AttemptEnded(ended Attempt, report AttemptReport) {
+func (r *Router) AttemptEnded(ended AttemptID, report AttemptReport) {
 	request := r.attemptInFlight(ended)
 	if request == nil {
 		return
@@ -67,7 +67,7 @@
 
 // MaySend reports whether an attempt that waited for its connection may still
 // be written. One that may not must be reported as NotSent.
-func (r *Router) MaySend(waited Attempt) bool {
+func (r *Router) MaySend(waited AttemptID) bool {
 	request := r.attemptInFlight(waited)
 	return request != nil && r.decider.MaySend(r.now(), request.id, waited.Number)
 }
@@ -116,7 +116,7 @@
 
 // attemptTimedOut ends an attempt at its own timeout, which comes before its
 // request's deadline.
-func (r *Router) attemptTimedOut(timedOut Attempt) {
+func (r *Router) attemptTimedOut(timedOut AttemptID) {
 	request := r.requests.Get(timedOut.Request)
 	if request == nil || !request.attempts[timedOut.Number].inFlight {
 		return
--- a/internal/router/observer_test.go
+++ b/internal/router/observer_test.go
@@ -13,11 +13,11 @@
 
 // scriptedTransport ends each attempt as the test says.
 type scriptedTransport struct {
-	sent  []Attempt
+	sent  []AttemptID
 	begun bool // what Cancel returns
 }
 
-func (s *scriptedTransport) Send(_ uint32, attempt Attempt, _ Statement, _ float64) slotmap.Handle {
+func (s *scriptedTransport) Send(_ uint32, attempt AttemptID, _ Statement, _ float64) slotmap.Handle {
 	s.sent = append(s.sent, attempt)
 	return slotmap.FromID(uint64(len(s.sent)))
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -123,8 +123,8 @@
 	r.release(handle, request)
 }
 
-// Expire ends every request as its deadline would.
-func (r *Router) Expire() {
+// ExpireAll ends every request as its deadline would.
+func (r *Router) ExpireAll() {
 	r.requests.Each(func(handle slotmap.Handle, _ *trackedRequest) { r.expire(handle) })
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -23,7 +23,7 @@
 type Transport interface {
 	// Send starts an attempt that may take up to wait milliseconds. The returned
 	// handle names it to Cancel.
-	Send(endpoint uint32, attempt Attempt, statement Statement, wait float64) slotmap.Handle
+	Send(endpoint uint32, attempt AttemptID, statement Statement, wait float64) slotmap.Handle
 	// Cancel ends an attempt. It returns false only if surely no byte of it has
 	// been written.
 	Cancel(sent slotmap.Handle) (begun bool)
