--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -8,13 +8,16 @@
 	"lotusbend/internal/slotmap"
 )
 
-// actions is the Router as the decision module sees it. No method calls back
-// into the module: what must be reported at once is posted to the loop.
+// actions implements decide.Actions for a Router. Its methods are called from
+// within the decision module and must not call back into it, so events that
+// result from an action are posted to the loop.
 type actions Router
 
 var _ decide.Actions = (*actions)(nil)
 
-// Send implements decide.Actions.
+// Send implements decide.Actions. It reports the attempt as NotSent, without
+// starting it, if the request is answered, its time is up or the limit on
+// attempts is reached.
 func (a *actions) Send(id uint64, endpoint uint32, timeout time.Duration) {
 	r := (*Router)(a)
 	handle := slotmap.FromID(id)
@@ -28,37 +31,37 @@
 	if timeout > 0 {
 		wait = min(wait, clock.Millis(timeout))
 	}
-	name := AttemptID{Request: handle, Number: number}
+	attemptID := AttemptID{Request: handle, Number: number}
 	request.attempts = append(request.attempts, attempt{
-		endpoint: endpoint,
-		sentAt:   now,
-		inFlight: true,
-		begun:    true,
+		endpoint:     endpoint,
+		sentAt:       now,
+		inFlight:     true,
+		maybeWritten: true,
 	})
 	request.inFlight++
 	r.observer.attemptSent(request.Class, number, endpoint, now)
 	attemptsSpent := r.cfg.MaxAttempts > 0 && number >= r.cfg.MaxAttempts
 	if request.answered || wait <= 0 || attemptsSpent {
-		r.loop.Post(func() { r.AttemptEnded(name, AttemptReport{Outcome: decide.NotSent}) })
+		r.loop.Post(func() { r.AttemptEnded(attemptID, AttemptReport{Outcome: decide.NotSent}) })
 		return
 	}
-	request.attempts[number].sent = r.transport.Send(endpoint, name, request.Statement, wait)
+	request.attempts[number].transportHandle = r.transport.Send(endpoint, attemptID, request.Statement, wait)
 	if now+wait < request.deadline {
-		request.attempts[number].timeout = r.loop.At(now+wait, func() { r.attemptTimedOut(name) })
+		request.attempts[number].timeout = r.loop.At(now+wait, func() { r.attemptTimedOut(attemptID) })
 	}
 }
 
-// Cancel implements decide.Actions.
+// Cancel implements decide.Actions. It ignores an attempt that is not in flight.
 func (a *actions) Cancel(id uint64, number int) {
 	r := (*Router)(a)
-	name := AttemptID{Request: slotmap.FromID(id), Number: number}
-	request := r.attemptInFlight(name)
+	attemptID := AttemptID{Request: slotmap.FromID(id), Number: number}
+	request := r.attemptInFlight(attemptID)
 	if request == nil {
 		return
 	}
 	cancelled := &request.attempts[number]
-	cancelled.begun = r.transport.Cancel(cancelled.sent)
-	r.loop.Post(func() { r.AttemptEnded(name, AttemptReport{Outcome: decide.Cancelled}) })
+	cancelled.maybeWritten = r.transport.Cancel(cancelled.transportHandle)
+	r.loop.Post(func() { r.AttemptEnded(attemptID, AttemptReport{Outcome: decide.Cancelled}) })
 }
 
 // Reject implements decide.Actions.
@@ -69,8 +72,8 @@
 // Fail implements decide.Actions.
 func (a *actions) Fail(id uint64) { a.answer(id, Answer{Verdict: Failed}) }
 
-// answer gives a request its final answer. Its slot is freed later: the module
-// may still be at the request.
+// answer delivers a request's final answer. The request's slot is freed in a
+// later event, because the decision module may still use the request's ID.
 func (a *actions) answer(id uint64, answer Answer) {
 	r := (*Router)(a)
 	handle := slotmap.FromID(id)
@@ -86,8 +89,8 @@
 // CloseIdle implements decide.Actions.
 func (a *actions) CloseIdle(endpoint uint32) { a.transport.CloseIdle(endpoint) }
 
-// WatchEndpoints implements decide.Actions. Discovery keeps its watch without
-// it.
+// WatchEndpoints implements decide.Actions. It does nothing: the discovery
+// watcher polls on its own schedule.
 func (a *actions) WatchEndpoints() {}
 
 // SetTimer implements decide.Actions.
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -6,56 +6,57 @@
 	"lotusbend/internal/slotmap"
 )
 
-// unknownAttempt is the number of an attempt that the decision module does not
-// know any more.
+// unknownAttempt is the attempt number in a report about an attempt that the
+// decision module no longer tracks.
 const unknownAttempt = -1
 
-// AttemptID names one attempt at a request.
+// AttemptID identifies one attempt of a request.
 type AttemptID struct {
 	Request slotmap.Handle
-	Number  int
+	Number  int // counted from 0 for each request
 }
 
-// AttemptReport is how an attempt or a health check ended.
+// AttemptReport is the result of an attempt or a health check.
 type AttemptReport struct {
 	Outcome decide.Outcome
 	Status  decide.ReplicationStatus
-	Row     *Row // if it was served; valid only during the call
+	Row     *Row // the answer of a served attempt; valid only during the call
 }
 
-// attempt is one attempt, in flight or ended.
+// attempt is the state of one attempt, in flight or ended.
 type attempt struct {
-	endpoint uint32
-	sent     slotmap.Handle  // the transport's name for it
-	sentAt   float64         // Unix milliseconds
-	timeout  *clock.Deadline // nil if the request's deadline comes first
-	inFlight bool
-	begun    bool // false if it was cancelled and surely no byte of it was written
+	endpoint        uint32
+	transportHandle slotmap.Handle  // identifies the attempt to Transport.Cancel
+	sentAt          float64         // Unix milliseconds
+	timeout         *clock.Deadline // nil if the request's deadline comes first
+	inFlight        bool
+	maybeWritten    bool // false only if it was cancelled before any byte was written
 }
 
-// attemptInFlight returns the request of an attempt, nil if the attempt is not
-// in flight.
-func (r *Router) attemptInFlight(of AttemptID) *trackedRequest {
-	request := r.requests.Get(of.Request)
-	if request == nil || of.Number >= len(request.attempts) || !request.attempts[of.Number].inFlight {
+// attemptInFlight returns the request of an attempt, or nil if the attempt is
+// not in flight.
+func (r *Router) attemptInFlight(id AttemptID) *trackedRequest {
+	request := r.requests.Get(id.Request)
+	if request == nil || id.Number >= len(request.attempts) || !request.attempts[id.Number].inFlight {
 		return nil
 	}
 	return request
 }
 
-// AttemptEnded takes the end of an attempt. It ignores one that has ended
-// otherwise before.
-func (r *Router) AttemptEnded(ended AttemptID, report AttemptReport) {
-	request := r.attemptInFlight(ended)
+// AttemptEnded handles the end of an attempt, as reported by the transport. It
+// ignores an attempt that has already ended, for example by its timeout.
+func (r *Router) AttemptEnded(attemptID AttemptID, report AttemptReport) {
+	request := r.attemptInFlight(attemptID)
 	if request == nil {
 		return
 	}
-	r.endAttempt(request, ended.Number, report)
-	r.release(ended.Request, request)
+	r.endAttempt(request, attemptID.Number, report)
+	r.release(attemptID.Request, request)
 }
 
-// LateAnswer takes what an endpoint answered to an attempt that was cancelled:
-// evidence on the endpoint alone.
+// LateAnswer handles an endpoint's answer to an attempt that was cancelled. It
+// updates the endpoint's health and replication status; the request is not
+// affected.
 func (r *Router) LateAnswer(endpoint uint32, report AttemptReport) {
 	r.decider.AttemptEnded(r.now(), decide.AttemptResult{
 		Attempt:  unknownAttempt,
@@ -65,15 +66,15 @@
 	})
 }
 
-// MaySend reports whether an attempt that waited for its connection may still
-// be written. One that may not must be reported as NotSent.
-func (r *Router) MaySend(waited AttemptID) bool {
-	request := r.attemptInFlight(waited)
-	return request != nil && r.decider.MaySend(r.now(), request.id, waited.Number)
+// MaySend reports whether an attempt that waited for a connection may still be
+// written. If not, the transport must report it as NotSent.
+func (r *Router) MaySend(attemptID AttemptID) bool {
+	request := r.attemptInFlight(attemptID)
+	return request != nil && r.decider.MaySend(r.now(), request.id, attemptID.Number)
 }
 
-// endAttempt reports the end of an attempt in flight to the client, if that
-// serves the request, and to the decision module.
+// endAttempt ends an attempt in flight. It answers the client if the attempt
+// was served, and reports the result to the decision module.
 func (r *Router) endAttempt(request *trackedRequest, number int, report AttemptReport) {
 	ended := &request.attempts[number]
 	ended.inFlight = false
@@ -94,18 +95,19 @@
 	})
 }
 
-// cancelAttempt has the transport give an attempt up and returns its outcome.
-// One that timed out while it waited for its connection was never executed.
+// cancelAttempt cancels an attempt at the transport and returns the outcome to
+// report. An attempt that timed out before anything was written was not
+// executed, so its outcome is ConnectFailed instead of TimedOut.
 func (r *Router) cancelAttempt(request *trackedRequest, number int, outcome decide.Outcome) decide.Outcome {
 	cancelled := &request.attempts[number]
-	cancelled.begun = r.transport.Cancel(cancelled.sent)
-	if !cancelled.begun && outcome == decide.TimedOut {
+	cancelled.maybeWritten = r.transport.Cancel(cancelled.transportHandle)
+	if !cancelled.maybeWritten && outcome == decide.TimedOut {
 		return decide.ConnectFailed
 	}
 	return outcome
 }
 
-// endAttempts cancels the attempts of a request that are in flight.
+// endAttempts cancels all attempts of a request that are in flight.
 func (r *Router) endAttempts(request *trackedRequest, outcome decide.Outcome) {
 	for number := range request.attempts {
 		if request.attempts[number].inFlight {
@@ -114,14 +116,14 @@
 	}
 }
 
-// attemptTimedOut ends an attempt at its own timeout, which comes before its
+// attemptTimedOut ends an attempt at its own timeout, which is earlier than its
 // request's deadline.
-func (r *Router) attemptTimedOut(timedOut AttemptID) {
-	request := r.requests.Get(timedOut.Request)
-	if request == nil || !request.attempts[timedOut.Number].inFlight {
+func (r *Router) attemptTimedOut(attemptID AttemptID) {
+	request := r.requests.Get(attemptID.Request)
+	if request == nil || !request.attempts[attemptID.Number].inFlight {
 		return
 	}
-	outcome := r.cancelAttempt(request, timedOut.Number, decide.TimedOut)
-	r.endAttempt(request, timedOut.Number, AttemptReport{Outcome: outcome})
-	r.release(timedOut.Request, request)
+	outcome := r.cancelAttempt(request, attemptID.Number, decide.TimedOut)
+	r.endAttempt(request, attemptID.Number, AttemptReport{Outcome: outcome})
+	r.release(attemptID.Request, request)
 }
--- a/internal/router/observer.go
+++ b/internal/router/observer.go
@@ -7,61 +7,63 @@
 )
 
 const (
-	// overdueLatencies is for how many latencies an attempt may go without an
-	// answer before the endpoint counts as overdue.
+	// overdueLatencies is the multiple of the latency after which an attempt
+	// without an answer marks its endpoint as overdue.
 	overdueLatencies = 2.0
-	// unresponsiveLatencies is the same before silence counts as a fault.
+	// unresponsiveLatencies is the multiple of the latency after which an attempt
+	// without an answer counts as a fault of its endpoint.
 	unresponsiveLatencies = 4.0
-	// faultMemory is how long, in milliseconds, a failure that this router saw
-	// supports what other routers report.
-	faultMemory = 2000
-	// slowLatencyFactor is the multiple of the typical latency past which an
+	// faultWindowMs is how long after a failed attempt was sent, in
+	// milliseconds, its endpoint is reported as overdue. Such a report supports
+	// the fault reports of other routers.
+	faultWindowMs = 2000
+	// slowLatencyFactor is the multiple of the typical latency above which an
 	// endpoint is reported as slow.
 	slowLatencyFactor = 4.0
-	// rateSmoothing is the period, in milliseconds, over which the rate of
-	// requests is smoothed.
-	rateSmoothing = 2000
+	// rateSmoothingMs is the time, in milliseconds, over which the request rate is
+	// smoothed.
+	rateSmoothingMs = 2000
 )
 
-// Observer records what this router serves and how endpoints answer it, to be
-// shared with other routers. It does not influence the router. Its methods are
-// called inside the loop's Do; a nil Observer records nothing.
+// Observer counts what this router serves and records how endpoints answer, to
+// be shared with other routers. It has no effect on routing. Its methods must be
+// called inside the loop's Do. A nil Observer records nothing.
 type Observer struct {
-	zone        int
-	zones       map[uint32]int // of the listed endpoints
-	endpoints   map[uint32]*endpointRecord
-	counters    fleetstate.Counters // since the last observation
-	requests    uint64              // since the start
-	rated       uint64              // of requests, those that requestRate covers
-	requestRate float64             // requests a second, smoothed
-	ratedAt     float64             // Unix milliseconds
+	zone          int            // this router's zone
+	zones         map[uint32]int // zones of the listed endpoints, by endpoint ID
+	endpoints     map[uint32]*endpointRecord
+	counters      fleetstate.Counters // since the last observation
+	requests      uint64              // number of requests since the start
+	ratedRequests uint64              // value of requests when requestRate was updated
+	requestRate   float64             // requests per second, smoothed
+	rateUpdatedAt float64             // Unix milliseconds
 }
 
-// endpointRecord is how one endpoint answers. All fields are Unix milliseconds
-// at which attempts were sent, 0 for none.
+// endpointRecord summarizes how one endpoint answers attempts. Each field is the
+// time at which an attempt was sent, in Unix milliseconds, 0 for no such attempt.
 type endpointRecord struct {
 	lastSentAt     float64 // the last attempt
-	answeredSentAt float64 // the last that was answered well
-	failedSentAt   float64 // the last that is known to have failed
-	awaitedSentAt  float64 // the one whose silence is being timed
+	answeredSentAt float64 // the last attempt with a valid answer
+	failedSentAt   float64 // the last attempt that is known to have failed
+	awaitedSentAt  float64 // the attempt since which the endpoint's silence is timed
 }
 
-// StartObserving has the router record, from now on, what Observe returns.
+// StartObserving makes the router record what Observe returns.
 func (r *Router) StartObserving() {
 	for _, class := range r.cfg.Classes {
 		if class.Consistency == decide.Bounded {
-			r.staleness = max(r.staleness, class.MaxStaleness)
+			r.maxStaleness = max(r.maxStaleness, class.MaxStaleness)
 		}
 	}
 	r.observer = &Observer{
-		zone:      r.cfg.Zone,
-		zones:     map[uint32]int{},
-		endpoints: map[uint32]*endpointRecord{},
-		ratedAt:   r.loop.Now(),
+		zone:          r.cfg.Zone,
+		zones:         map[uint32]int{},
+		endpoints:     map[uint32]*endpointRecord{},
+		rateUpdatedAt: r.loop.Now(),
 	}
 }
 
-// endpointsUpdated takes an update of the endpoint list.
+// endpointsUpdated applies an update of the endpoint list.
 func (o *Observer) endpointsUpdated(endpoints []decide.Endpoint) {
 	if o == nil {
 		return
@@ -90,7 +92,7 @@
 	}
 }
 
-// attemptSent records an attempt; number is 0 for the first of its request.
+// attemptSent records an attempt. number is 0 for the first attempt of a request.
 func (o *Observer) attemptSent(class, number int, endpoint uint32, now float64) {
 	if o == nil {
 		return
@@ -105,7 +107,7 @@
 	record := o.endpoints[endpoint]
 	if record == nil {
 		record = &endpointRecord{}
-		if listed { // nothing is kept of an endpoint that is no longer listed
+		if listed { // no record is kept for an endpoint that is no longer listed
 			o.endpoints[endpoint] = record
 		}
 	}
@@ -115,13 +117,13 @@
 	}
 }
 
-// attemptEnded counts an attempt of which the endpoint may have received
-// something, and records what its outcome shows of the endpoint.
+// attemptEnded counts an attempt if the endpoint may have received any of it, and
+// updates the endpoint's record with the outcome.
 func (o *Observer) attemptEnded(class int, ended *attempt, outcome decide.Outcome) {
 	if o == nil {
 		return
 	}
-	if ended.begun && outcome != decide.NotSent && outcome != decide.ConnectFailed {
+	if ended.maybeWritten && outcome != decide.NotSent && outcome != decide.ConnectFailed {
 		o.counters.Add(class, fleetstate.Attempts, 1)
 	}
 	record := o.endpoints[ended.endpoint]
@@ -139,9 +141,9 @@
 	}
 }
 
-// Observe returns what was observed since the last call, and the state of each
-// endpoint. name returns an endpoint's name, "" for one that is not to be
-// reported. StartObserving must have been called before.
+// Observe returns the counters since the last call and the health of each
+// endpoint. name returns an endpoint's name, or "" to leave the endpoint out.
+// StartObserving must have been called before.
 func (r *Router) Observe(name func(endpoint uint32) string) fleetstate.Observation {
 	now := r.loop.Now()
 	observation := fleetstate.Observation{Counters: r.observer.counters}
@@ -161,19 +163,20 @@
 	return observation
 }
 
-// updateRequestRate smooths the rate with the requests since the last update.
+// updateRequestRate updates the smoothed request rate with the requests since the
+// last update. now is in Unix milliseconds.
 func (o *Observer) updateRequestRate(now float64) {
-	elapsed := now - o.ratedAt
+	elapsed := now - o.rateUpdatedAt
 	if elapsed <= 0 {
 		return
 	}
-	weight := min(1, elapsed/rateSmoothing)
-	o.requestRate += weight * (float64(o.requests-o.rated)/elapsed*1000 - o.requestRate)
-	o.ratedAt = now
-	o.rated = o.requests
+	weight := min(1, elapsed/rateSmoothingMs)
+	o.requestRate += weight * (float64(o.requests-o.ratedRequests)/elapsed*1000 - o.requestRate)
+	o.rateUpdatedAt = now
+	o.ratedRequests = o.requests
 }
 
-// endpointHealth describes one endpoint to other routers.
+// endpointHealth returns the health of one endpoint as reported to other routers.
 func (r *Router) endpointHealth(
 	view decide.EndpointView, name string, now float64,
 ) fleetstate.EndpointHealth {
@@ -190,9 +193,10 @@
 	if record := r.observer.endpoints[view.ID]; record != nil {
 		record.assess(view, now, &health)
 	}
-	// A position that another router reported may only ever exclude a replica.
-	if r.staleness > 0 && view.LagMeasuredAt > 0 {
-		if view.Lag <= r.staleness {
+	// Other routers may use a reported position only to exclude a replica, never
+	// to select it.
+	if r.maxStaleness > 0 && view.LagMeasuredAt > 0 {
+		if view.Lag <= r.maxStaleness {
 			health.FreshAt = view.LagMeasuredAt.Milliseconds()
 		} else if health.Fault == 0 {
 			health.Fault = fleetstate.Lagging
@@ -202,19 +206,20 @@
 	return health
 }
 
-// assess adds to health what the record shows of its endpoint. Silence that has
-// lasted becomes a failure of the attempt that was awaited.
+// assess sets the fields of health that follow from the record. An attempt that
+// has gone without an answer for too long becomes a failed attempt. now is in
+// Unix milliseconds.
 func (record *endpointRecord) assess(
 	view decide.EndpointView, now float64, health *fleetstate.EndpointHealth,
 ) {
 	latency := clock.Millis(max(view.Latency, view.TypicalLatency))
 	silence := now - record.awaitedSentAt
-	failedLately := record.failedSentAt > record.answeredSentAt && now-record.failedSentAt < faultMemory
+	failedRecently := record.failedSentAt > record.answeredSentAt && now-record.failedSentAt < faultWindowMs
 	awaited := record.awaitedSentAt > 0
-	health.Overdue = failedLately || awaited && silence > overdueLatencies*latency
+	health.Overdue = failedRecently || awaited && silence > overdueLatencies*latency
 	if awaited && silence > unresponsiveLatencies*latency {
 		record.failedSentAt = max(record.failedSentAt, record.awaitedSentAt)
-		record.awaitedSentAt = 0 // the next attempt is timed anew
+		record.awaitedSentAt = 0 // timing restarts with the next attempt
 	}
 	health.AnsweredSentAt = int64(record.answeredSentAt)
 	health.LastSentAt = int64(record.lastSentAt)
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -6,34 +6,35 @@
 	"lotusbend/internal/slotmap"
 )
 
-// Statement is what an endpoint is sent: the client's text. The digits
-// Text[WaitFrom:WaitTo] state how long the sender waits, in milliseconds.
+// Statement is the client's statement as it is sent to an endpoint. The digits
+// Text[WaitFrom:WaitTo] are the time in milliseconds for which the sender waits
+// for an answer.
 type Statement struct {
 	Text     []byte
-	WaitFrom int
-	WaitTo   int
-	Write    bool // the position in its answer is a commit
+	WaitFrom int  // index of the first digit in Text
+	WaitTo   int  // index after the last digit in Text
+	Write    bool // the position in the answer is that of the statement's commit
 }
 
-// Request is a client's request, independent of its protocol. Its Statement
-// must not change until the last attempt of the request has ended.
+// Request is a client's request, independent of the client's protocol. Its
+// Statement must not change until the last attempt of the request has ended.
 type Request struct {
 	Statement       Statement
-	Class           int
-	Group           int
+	Class           int     // index in decide.Config.Classes
+	Group           int     // replica group
 	Session         uint64  // 0 if none
 	SessionCommitAt float64 // Unix milliseconds of the session's last commit, 0 if none
-	TimeLeft        float64 // milliseconds until the client gives up
+	TimeLeft        float64 // milliseconds until the client stops waiting
 }
 
-// Row is an endpoint's answer: one value of one column.
+// Row is the single row of an endpoint's answer, with one column.
 type Row struct {
 	Column []byte
-	Type   uint32 // PostgreSQL's object identifier of the column's type
-	Size   int16  // of the type, in bytes; negative if it varies
-	Binary bool
+	Type   uint32 // OID of the column's PostgreSQL type
+	Size   int16  // size of the type in bytes, negative for a variable-length type
+	Binary bool   // Value is in binary format, otherwise in text format
 	Value  []byte
-	Tag    []byte // the endpoint's CommandComplete tag
+	Tag    []byte // command tag of the endpoint's CommandComplete message
 }
 
 // Verdict is how a request ended.
@@ -41,51 +42,52 @@
 
 // The verdicts.
 const (
-	Served   Verdict = iota
-	Rejected         // not executed: a retry is harmless
-	Failed           // it may have been executed
+	Served   Verdict = iota // executed, with an answer
+	Rejected                // not executed, so it is safe to retry
+	Failed                  // may have been executed
 )
 
-// Answer is the final answer to a request. Row and what it refers to are valid
-// only during the call that delivers it.
+// Answer is the final answer to a request. Row and the memory that it refers to
+// are valid only during the call that delivers the answer.
 type Answer struct {
 	Verdict    Verdict
-	Row        *Row    // if Served
-	RetryAfter float64 // if Rejected: milliseconds, 0 for no advice
+	Row        *Row    // nil unless Served
+	RetryAfter float64 // milliseconds to wait before a retry if Rejected, 0 for no advice
 }
 
-// Client receives the final answer to each of its requests, once.
+// Client receives the final answer to each request that it has submitted.
 type Client interface {
-	Answer(client slotmap.Handle, answer Answer)
+	// Answer delivers the final answer, once for each request. clientHandle is
+	// the handle that was passed to Submit.
+	Answer(clientHandle slotmap.Handle, answer Answer)
 }
 
 // trackedRequest is a request from its submission until its last attempt ends.
 type trackedRequest struct {
 	Request
-	id            uint64 // to the decision module
-	from          Client
-	client        slotmap.Handle // from's name for the request
+	id            uint64 // identifies the request to the decision module
+	client        Client
+	clientHandle  slotmap.Handle // identifies the request to client
 	deadline      float64        // Unix milliseconds
 	deadlineTimer *clock.Deadline
 	attempts      []attempt
-	inFlight      int  // attempts
-	answered      bool // the client has its final answer, or has cancelled
+	inFlight      int  // number of attempts in flight
+	answered      bool // the client has its final answer, or has cancelled the request
 }
 
-// PendingRequests returns how many requests wait for their final answer.
+// PendingRequests returns the number of requests without a final answer.
 func (r *Router) PendingRequests() int { return r.pending }
 
-// Submit takes a request. Its final answer goes to from, with client as the
-// name of the request there. The returned handle names the request to
-// ClientCancelled.
-func (r *Router) Submit(submitted Request, from Client, client slotmap.Handle) slotmap.Handle {
+// Submit routes a request. Its final answer is delivered to client with
+// clientHandle. The returned handle identifies the request to ClientCancelled.
+func (r *Router) Submit(submitted Request, client Client, clientHandle slotmap.Handle) slotmap.Handle {
 	consistency := r.cfg.Classes[submitted.Class].Consistency
 	submitted.Statement.Write = consistency == decide.Write
 	request := &trackedRequest{
-		Request:  submitted,
-		from:     from,
-		client:   client,
-		deadline: r.loop.Now() + submitted.TimeLeft,
+		Request:      submitted,
+		client:       client,
+		clientHandle: clientHandle,
+		deadline:     r.loop.Now() + submitted.TimeLeft,
 	}
 	handle := r.requests.Add(request)
 	request.id = handle.ID()
@@ -109,8 +111,8 @@
 	return handle
 }
 
-// ClientCancelled ends a request whose client does not wait any more. It gets
-// no answer.
+// ClientCancelled ends a request that its client no longer waits for, without an
+// answer. It ignores a request that has been answered.
 func (r *Router) ClientCancelled(handle slotmap.Handle) {
 	request := r.requests.Get(handle)
 	if request == nil || request.answered {
@@ -123,14 +125,14 @@
 	r.release(handle, request)
 }
 
-// ExpireAll ends every request as its deadline would.
+// ExpireAll ends every request as if its deadline had passed.
 func (r *Router) ExpireAll() {
 	r.requests.Each(func(handle slotmap.Handle, _ *trackedRequest) { r.expire(handle) })
 }
 
-// expire ends a request at its client's deadline: its attempts time out, and
-// the decision module answers. The module itself looks at its deadlines a
-// little later, so that a request which it still queues is failed here.
+// expire ends a request at its client's deadline. Its attempts time out, and the
+// decision module may answer it. The module checks its own deadlines slightly
+// later, so a request that it still queues is failed here.
 func (r *Router) expire(handle slotmap.Handle) {
 	request := r.requests.Get(handle)
 	if request == nil {
@@ -144,7 +146,7 @@
 	r.release(handle, request)
 }
 
-// answer gives a request its final answer, once.
+// answer delivers a request's final answer unless it already has one.
 func (r *Router) answer(request *trackedRequest, answer Answer) {
 	if request.answered {
 		return
@@ -154,7 +156,7 @@
 	if answer.Verdict == Rejected {
 		r.observer.requestRejected(request.Class)
 	}
-	request.from.Answer(request.client, answer)
+	request.client.Answer(request.clientHandle, answer)
 }
 
 // release frees the slot of a request that is answered and has no attempt in
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,12 +1,12 @@
 // Package router connects the decision module (package decide) to the code that
-// carries out its decisions. It turns calls from the protocol servers and from
-// discovery into events for the module, and the module's actions into calls to
-// a [Transport] and to the clients. It tracks requests, attempts and deadlines,
-// and knows no protocol.
+// carries out its decisions. It translates calls from the protocol servers and
+// from discovery into events for the module, and the module's actions into calls
+// to a [Transport] and to the clients. It tracks requests, attempts and
+// deadlines, and is independent of any protocol.
 //
-// The files follow the life of a request: request.go (submission to final
-// answer), attempt.go (what is sent to endpoints) and actions.go (what the
-// module decided). observer.go records what is shared with other routers.
+// request.go handles requests from submission to the final answer, attempt.go
+// the attempts at endpoints, and actions.go the actions of the decision module.
+// observer.go records the observations that are shared with other routers.
 package router
 
 import (
@@ -17,16 +17,17 @@
 	"lotusbend/internal/slotmap"
 )
 
-// Transport carries out attempts and health checks. Its methods do not block
-// and do not call back before they have returned. Each attempt that was not
-// cancelled and each health check is reported once.
+// Transport carries out attempts and health checks. Its methods do not block,
+// and do not call the Router before they have returned. It reports each attempt
+// that was not cancelled to AttemptEnded and each health check to HealthChecked,
+// once.
 type Transport interface {
 	// Send starts an attempt that may take up to wait milliseconds. The returned
-	// handle names it to Cancel.
-	Send(endpoint uint32, attempt AttemptID, statement Statement, wait float64) slotmap.Handle
-	// Cancel ends an attempt. It returns false only if surely no byte of it has
-	// been written.
-	Cancel(sent slotmap.Handle) (begun bool)
+	// handle identifies it to Cancel.
+	Send(endpoint uint32, attemptID AttemptID, statement Statement, wait float64) slotmap.Handle
+	// Cancel ends an attempt. It returns false only if it is certain that no byte
+	// of the attempt has been written.
+	Cancel(handle slotmap.Handle) (maybeWritten bool)
 	// CheckHealth starts a health check of an endpoint.
 	CheckHealth(endpoint uint32)
 	// CloseIdle closes the idle connections to an endpoint.
@@ -41,15 +42,19 @@
 	decider   *decide.Router
 	transport Transport
 	requests  slotmap.Table[trackedRequest]
-	pending   int           // requests without a final answer
-	observer  *Observer     // nil where nothing is shared with other routers
-	staleness time.Duration // greatest staleness bound of any class, 0 if none has one
+	pending   int       // number of requests without a final answer
+	observer  *Observer // nil if nothing is shared with other routers
+
+	// maxStaleness is the largest staleness bound of any class, 0 if no class has
+	// one or nothing is shared with other routers.
+	maxStaleness time.Duration
 }
 
-// New returns a router that runs inside loop. The seed is for the decision
-// module's randomness. It fails if cfg is invalid.
+// New returns a router that runs inside loop. seed seeds the decision module's
+// random numbers. New returns an error if cfg is invalid.
 func New(loop *clock.Loop, cfg decide.Config, seed uint64) (*Router, error) {
-	// Discovery polls on its own schedule, without requests by the module.
+	// The discovery watcher polls on its own schedule, so the decision module must
+	// not request polls.
 	cfg.PollOnly = false
 	r := &Router{loop: loop, cfg: cfg}
 	var err error
@@ -57,7 +62,8 @@
 	return r, err
 }
 
-// Start begins routing over transport, with the endpoint list as last known.
+// Start begins routing over transport. known is the last known endpoint list,
+// which may be stale.
 func (r *Router) Start(transport Transport, known []decide.Endpoint) {
 	r.transport = transport
 	r.decider.Start(r.now())
@@ -65,16 +71,16 @@
 	r.decider.EndpointsUpdated(r.now(), decide.UpdateCachedSnapshot, known)
 }
 
-// now is the time on the decision module's clock: Unix time.
+// now returns the current Unix time, the decision module's clock.
 func (r *Router) now() time.Duration { return clock.Duration(r.loop.Now()) }
 
-// EndpointsUpdated takes an update of the endpoint list.
+// EndpointsUpdated applies an update of the endpoint list.
 func (r *Router) EndpointsUpdated(kind decide.EndpointUpdateKind, endpoints []decide.Endpoint) {
 	r.observer.endpointsUpdated(endpoints)
 	r.decider.EndpointsUpdated(r.now(), kind, endpoints)
 }
 
-// HealthChecked takes the result of a health check.
+// HealthChecked handles the result of a health check.
 func (r *Router) HealthChecked(endpoint uint32, report AttemptReport) {
 	r.decider.HealthChecked(r.now(), decide.HealthCheckResult{
 		Endpoint: endpoint,
@@ -87,17 +93,18 @@
 // the module decides as a standalone router.
 func (r *Router) JoinFleet(fleet decide.Fleet) { r.decider.JoinFleet(fleet) }
 
-// Class describes what a client's statement must fit.
+// Class describes a request class to the protocol servers, which check a
+// client's statements against it.
 type Class struct {
-	Number              int
+	Number              int     // index in decide.Config.Classes
 	Write               bool    // only a primary serves it
-	NeedsIdempotencyKey bool    // its statements carry an idempotency key
-	Fresh               bool    // a read that sees every write before it
+	NeedsIdempotencyKey bool    // each statement must have an idempotency key
+	Fresh               bool    // a read that sees every commit made before it arrived
 	Session             bool    // a read that sees its session's own writes
-	IdempotencyWindow   float64 // milliseconds for which a shard drops duplicates of a key
+	IdempotencyWindow   float64 // milliseconds for which endpoints drop duplicates of a key
 }
 
-// Class returns a class by its name, and whether there is one.
+// Class returns the class with the given name, and whether there is one.
 func (r *Router) Class(name []byte) (Class, bool) {
 	for number := range r.cfg.Classes {
 		class := &r.cfg.Classes[number]
