--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock provides the program's time (clock.go) and its event loop with
-// all deadlines (loop.go). Times are milliseconds since the Unix epoch as float64,
-// the form of every time on the sockets; only the decision module takes a
-// time.Duration.
+// Package clock provides the program's time source (clock.go) and the event loop
+// that runs its deadlines (loop.go). Times are milliseconds since the Unix epoch
+// as float64, the form in which the network protocols carry them. Only the
+// decision module uses time.Duration.
 package clock
 
 import (
@@ -10,35 +10,35 @@
 	"time"
 )
 
-// Clock is a source of time, safe for concurrent use. A clock made by Manual stands
-// still until it is set.
+// Clock is a source of time. It is safe for concurrent use.
 type Clock struct {
-	started time.Time      // with its monotonic reading
-	base    float64        // ms, the wall time at started
-	manual  *atomic.Uint64 // the bits of a manual clock's time in ms, nil for the system's
-	offset  float64        // ms
+	started time.Time      // has a monotonic clock reading
+	base    float64        // wall time at started, in ms
+	manual  *atomic.Uint64 // float64 bits of a manual clock's time in ms, nil for the system's clock
+	offset  float64        // added to the time, in ms
 }
 
-// System returns the machine's clock: the wall time at this call, advanced by
-// the monotonic clock so that it never goes backwards.
+// System returns a clock that starts at the machine's wall time and advances with
+// its monotonic clock, so it never goes backwards.
 func System() *Clock {
 	now := time.Now()
 	return &Clock{started: now, base: float64(now.UnixMicro()) / 1e3}
 }
 
-// Manual returns a clock for tests, which stands at a time in milliseconds until
-// Set.
+// Manual returns a clock for tests. It stands still at the given time in
+// milliseconds until Set changes it.
 func Manual(at float64) *Clock {
 	c := &Clock{manual: new(atomic.Uint64)}
 	c.Set(at)
 	return c
 }
 
-// Set moves a manual clock to a time in milliseconds.
+// Set sets a manual clock to a time in milliseconds. It panics for a clock that
+// was not made by Manual.
 func (c *Clock) Set(at float64) { c.manual.Store(math.Float64bits(at)) }
 
-// Shifted returns a clock that is always ms ahead of c, for drills of clocks
-// that disagree.
+// Shifted returns a clock that is always ms milliseconds ahead of c. It is used to
+// test routers whose clocks disagree.
 func (c *Clock) Shifted(ms float64) *Clock {
 	shifted := *c
 	shifted.offset += ms
@@ -53,11 +53,12 @@
 	return c.offset + c.base + float64(time.Since(c.started))/float64(time.Millisecond)
 }
 
-// maxMs keeps times far from overflow: over a century of Unix time.
+// maxMs bounds the times that Duration converts, so that the result does not
+// overflow. It is over a century of Unix time.
 const maxMs = 4e12
 
-// Duration converts milliseconds to a time.Duration of whole microseconds. NaN
-// becomes zero.
+// Duration converts milliseconds to a time.Duration, rounded to microseconds.
+// Values beyond ±4e12 are clamped and NaN becomes 0.
 func Duration(ms float64) time.Duration {
 	if math.IsNaN(ms) {
 		return 0
--- a/internal/clock/loop.go
+++ b/internal/clock/loop.go
@@ -8,29 +8,30 @@
 	"lotusbend/internal/timerheap"
 )
 
-// Loop is the event loop that owns the program's state: whatever touches the
-// decision module, a table of slots or a pool runs inside Do, one call at a time,
-// and never blocks there. It also has every deadline, in one heap.
+// Loop is the event loop that serializes access to the program's state. All code
+// that uses the decision module, a slot table or a connection pool runs inside
+// Do, one call at a time, and must not block there. The loop also holds all
+// deadlines, in one heap.
 //
-// Do, After, Fire, Next and Run are safe for concurrent use; the other methods are
-// called inside Do.
+// Do, After, Fire, Next and Run are safe for concurrent use. The other methods
+// must be called inside Do.
 type Loop struct {
 	clock *Clock
-	wake  chan struct{} // the first deadline has changed
+	wake  chan struct{} // receives a value when the earliest deadline has changed
 
 	mu        sync.Mutex
-	now       float64 // ms, of the event in progress
+	now       float64 // time of the event in progress, in ms
 	deadlines timerheap.Heap[func()]
 	posted    []func()
 }
 
-// NewLoop returns a Loop whose time is that of c.
+// NewLoop returns a Loop that takes its time from c.
 func NewLoop(c *Clock) *Loop {
 	return &Loop{clock: c, now: c.Now(), wake: make(chan struct{}, 1)}
 }
 
-// Do runs fn exclusively, then what fn has posted. It must not be called inside
-// itself.
+// Do runs fn, and then the functions that fn has posted, while no other event
+// runs. It must not be called inside another Do, which would deadlock.
 func (l *Loop) Do(fn func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,7 +40,7 @@
 	l.drain()
 }
 
-// drain runs what was posted, and what that posts.
+// drain runs the posted functions, including those that they post themselves.
 func (l *Loop) drain() {
 	for i := 0; i < len(l.posted); i++ {
 		l.posted[i]()
@@ -48,18 +49,20 @@
 	l.posted = l.posted[:0]
 }
 
-// Post runs fn after the event in progress: an action must not call back into the
-// module that requested it. Call it inside Do.
+// Post schedules fn to run right after the event in progress. It is used for
+// callbacks into a module that must not be called again before it has returned.
+// Call it inside Do.
 func (l *Loop) Post(fn func()) { l.posted = append(l.posted, fn) }
 
-// Now returns the time in milliseconds of the event in progress. Call it inside Do.
+// Now returns the time of the event in progress, in milliseconds. It never goes
+// backwards. Call it inside Do.
 func (l *Loop) Now() float64 { return l.now }
 
-// Deadline is a function that At has scheduled. A nil Deadline is none.
+// Deadline is a function scheduled by At. nil stands for no deadline.
 type Deadline = timerheap.Timer[func()]
 
-// At runs fn inside Do at a time in milliseconds, unless it is cancelled. Call it
-// inside Do.
+// At schedules fn to run inside Do at a time in milliseconds, unless it is
+// cancelled before. Call it inside Do.
 func (l *Loop) At(at float64, fn func()) *Deadline {
 	deadline, first := l.deadlines.Schedule(at, fn)
 	if first {
@@ -71,21 +74,24 @@
 	return deadline
 }
 
-// Cancel cancels a deadline that has not run, and releases what its function refers
-// to. A nil deadline, or one that has run, is left as it is. Call it inside Do.
+// Cancel cancels a deadline that has not run and drops its function, so that the
+// memory it refers to can be freed. It does nothing if the deadline is nil or has
+// run. Call it inside Do.
 func (l *Loop) Cancel(deadline *Deadline) { l.deadlines.Cancel(deadline) }
 
 // Pending returns the number of scheduled deadlines. Call it inside Do.
 func (l *Loop) Pending() int { return l.deadlines.Len() }
 
-// After returns a channel that is closed after so many milliseconds.
+// After returns a channel that is closed after ms milliseconds. It must not be
+// called inside Do.
 func (l *Loop) After(ms float64) <-chan struct{} {
 	fired := make(chan struct{})
 	l.Do(func() { l.At(l.now+ms, func() { close(fired) }) })
 	return fired
 }
 
-// Fire runs every deadline that is due, in order.
+// Fire runs all deadlines that are due, in the order of their times. It must not
+// be called inside Do.
 func (l *Loop) Fire() {
 	l.Do(func() {
 		for {
@@ -99,15 +105,15 @@
 	})
 }
 
-// Next returns the time in milliseconds of the first deadline, if there is one.
+// Next returns the time of the earliest deadline, in milliseconds, and whether
+// there is one. It must not be called inside Do.
 func (l *Loop) Next() (float64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.deadlines.Next()
 }
 
-// Run fires deadlines when they are due until ctx ends. Its caller owns the
-// goroutine.
+// Run fires deadlines when they are due. It blocks until ctx is done.
 func (l *Loop) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/clock/loop_test.go
+++ b/internal/clock/loop_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A cancelled deadline neither fires nor stays: a day of requests would fill the
-// heap with the deadlines of those answered.
+// A cancelled deadline does not fire and leaves the heap at once. Otherwise the
+// deadlines of answered requests would accumulate in memory.
 func TestCancelledDeadlinesAreRemoved(t *testing.T) {
 	c := Manual(1000)
 	l := NewLoop(c)
@@ -21,42 +21,42 @@
 		}
 		l.Cancel(nil)
 		if l.Pending() != 2 {
-			t.Errorf("%d pending, want 2", l.Pending())
+			t.Errorf("Pending() = %d, want 2", l.Pending())
 		}
 	})
 	c.Set(1100)
 	l.Fire()
-	l.Do(func() { l.Cancel(all[1]) }) // too late, and harmless
+	l.Do(func() { l.Cancel(all[1]) }) // it has run, so this has no effect
 	if !slices.Equal(got, []int{1, 3}) {
-		t.Errorf("fired %v", got)
+		t.Errorf("fired %v, want [1 3]", got)
 	}
 }
 
-// Deadlines fire in order, and what one posts runs before the next one: its actions
-// must not be overtaken.
+// Deadlines fire in the order of their times, and a function posted by one runs
+// before the next one fires.
 func TestDeadlinesFireInOrder(t *testing.T) {
 	c := Manual(1000)
 	l := NewLoop(c)
 	var got []int
-	note := func(n int) func() { return func() { got = append(got, n) } }
+	record := func(n int) func() { return func() { got = append(got, n) } }
 	l.Do(func() {
-		l.At(1030, note(4))
-		l.At(1010, func() { l.Post(note(2)); note(1)() })
-		l.At(1010, note(3))
-		l.At(1040, note(9))
+		l.At(1030, record(4))
+		l.At(1010, func() { l.Post(record(2)); record(1)() })
+		l.At(1010, record(3))
+		l.At(1040, record(9))
 	})
 	c.Set(1030)
 	l.Fire()
 	if !slices.Equal(got, []int{1, 2, 3, 4}) {
-		t.Errorf("fired %v", got)
+		t.Errorf("fired %v, want [1 2 3 4]", got)
 	}
 	if at, ok := l.Next(); !ok || at != 1040 {
-		t.Errorf("next at %v, %v", at, ok)
+		t.Errorf("Next() = %v, %v, want 1040, true", at, ok)
 	}
-	c.Set(900) // the loop's time never goes backwards
+	c.Set(900) // the loop's time must not go back with the clock
 	l.Do(func() {
 		if l.Now() != 1030 {
-			t.Errorf("time went back to %v", l.Now())
+			t.Errorf("Now() = %v after the clock went back, want 1030", l.Now())
 		}
 	})
 }
--- a/internal/slotmap/slotmap.go
+++ b/internal/slotmap/slotmap.go
@@ -1,35 +1,38 @@
-// Package slotmap keeps connections and requests in tables of numbered slots, whose
-// handles detect that a slot was reused. Tables are not safe for concurrent use.
+// Package slotmap provides tables of numbered slots, used for connections and
+// requests. A handle holds a slot's generation, so that a handle to a removed
+// value is detected after its slot is reused. Tables are not safe for concurrent
+// use.
 package slotmap
 
-// Handle refers to a slot at one generation. After the removal of what it refers to
-// it finds nothing, so a late event does not reach the slot's next value.
+// Handle refers to a slot at one generation. Once the value is removed, the handle
+// refers to nothing, so a late event does not reach the slot's next value. The
+// zero Handle refers to nothing.
 type Handle struct {
 	Slot uint32
-	Gen  uint32 // the generation, 0 for no handle
+	Gen  uint32 // the slot's generation, from 1; 0 in the zero Handle
 }
 
-// ID packs a handle into one number, never 0 for one that a Table made.
+// ID packs a handle into one number. It is never 0 for a handle returned by Add.
 func (h Handle) ID() uint64 { return uint64(h.Gen)<<32 | uint64(h.Slot) }
 
-// FromID returns the handle of an ID.
+// FromID returns the handle that ID packed.
 func FromID(id uint64) Handle { return Handle{Slot: uint32(id), Gen: uint32(id >> 32)} }
 
-// maxGen keeps an ID below 2^52, as the decisions' simulator does.
-const maxGen = 1<<20 - 1
+// maxGeneration keeps IDs below 2^52, as in the simulator of the decision module.
+const maxGeneration = 1<<20 - 1
 
 type slot[T any] struct {
-	gen   uint32 // of the value, or of the last one
-	value *T     // nil for a free slot
+	gen   uint32 // generation of the value, or of the last value if the slot is free
+	value *T     // nil if the slot is free
 }
 
-// Table is a table of slots. The zero Table is empty and ready.
+// Table is a table of slots. The zero Table is empty and ready to use.
 type Table[T any] struct {
 	slots []slot[T]
-	free  []uint32 // free slots, the next one last
+	free  []uint32 // indexes of the free slots; Add uses the last one
 }
 
-// Add puts a value, not nil, into a free slot.
+// Add puts value, which must not be nil, into a free slot and returns its handle.
 func (t *Table[T]) Add(value *T) Handle {
 	if len(t.free) == 0 {
 		t.slots = append(t.slots, slot[T]{})
@@ -38,12 +41,12 @@
 	index := t.free[len(t.free)-1]
 	t.free = t.free[:len(t.free)-1]
 	added := &t.slots[index]
-	added.gen = added.gen%maxGen + 1
+	added.gen = added.gen%maxGeneration + 1
 	added.value = value
 	return Handle{Slot: index, Gen: added.gen}
 }
 
-// Get returns the value that a handle refers to, nil if it was removed.
+// Get returns the value that a handle refers to, or nil if it was removed.
 func (t *Table[T]) Get(h Handle) *T {
 	if int(h.Slot) >= len(t.slots) || t.slots[h.Slot].gen != h.Gen {
 		return nil
@@ -51,8 +54,8 @@
 	return t.slots[h.Slot].value
 }
 
-// AtSlot returns the present value of a slot, whatever its generation, nil if it is
-// free.
+// AtSlot returns the current value of a slot at any generation, or nil if the slot
+// is free.
 func (t *Table[T]) AtSlot(slot uint32) *T {
 	if int(slot) >= len(t.slots) {
 		return nil
@@ -60,8 +63,8 @@
 	return t.slots[slot].value
 }
 
-// Remove frees the slot that a handle refers to. It does nothing if the value was
-// removed already.
+// Remove removes the value that a handle refers to and frees its slot. It does
+// nothing if the value has already been removed.
 func (t *Table[T]) Remove(h Handle) {
 	if t.Get(h) != nil {
 		t.slots[h.Slot].value = nil
@@ -69,7 +72,8 @@
 	}
 }
 
-// Each calls do for each value in the table, in the order of the slots.
+// Each calls do for each value in the table, in the order of the slots. do may
+// remove values.
 func (t *Table[T]) Each(do func(Handle, *T)) {
 	for i := range t.slots {
 		if value := t.slots[i].value; value != nil {
--- a/internal/slotmap/slotmap_test.go
+++ b/internal/slotmap/slotmap_test.go
@@ -2,21 +2,22 @@
 
 import "testing"
 
-// A late event must not reach the next value of its slot.
-func TestHandleDoesNotReachNextValueOfSlot(t *testing.T) {
+// An event that arrives after its value was removed must not reach the value that
+// has reused the slot.
+func TestHandleIsInvalidAfterSlotIsReused(t *testing.T) {
 	var table Table[int]
 	one, two := 1, 2
 	first := table.Add(&one)
 	if FromID(first.ID()) != first || first.ID() == 0 {
-		t.Errorf("%+v is not restored from its ID", first)
+		t.Errorf("FromID(%d) = %+v, want %+v", first.ID(), FromID(first.ID()), first)
 	}
 	table.Remove(first)
-	table.Remove(first) // late: frees nothing twice
+	table.Remove(first) // must not free the slot a second time
 	second := table.Add(&two)
 	if second.Slot != first.Slot || table.Get(first) != nil || table.Get(second) != &two {
-		t.Errorf("%+v after %+v", second, first)
+		t.Errorf("handle %+v after removal of %+v, want the same slot at a new generation", second, first)
 	}
 	if third := table.Add(&one); third.Slot == second.Slot {
-		t.Error("one slot was used twice")
+		t.Errorf("slot %d is used for two values", third.Slot)
 	}
 }
--- a/internal/timerheap/timerheap.go
+++ b/internal/timerheap/timerheap.go
@@ -1,26 +1,27 @@
-// Package timerheap is a heap of functions by the time at which they are due. It
-// reads no clock and runs nothing: its owner asks Next and takes what is due with
-// PopDue. Times are Unix milliseconds. A Heap is not safe for concurrent use.
+// Package timerheap provides a heap of functions ordered by the time at which they
+// are due. It reads no clock and runs no function: its owner calls Next for the
+// earliest time and PopDue for the functions that are due. Times are Unix
+// milliseconds. A Heap is not safe for concurrent use.
 package timerheap
 
 import "container/heap"
 
-// Timer is one scheduled function of type F. A nil Timer is none.
+// Timer is a scheduled function of type F.
 type Timer[F any] struct {
-	at       float64 // ms
-	sequence uint64  // orders timers of the same time
+	at       float64 // due time in ms
+	sequence uint64  // orders timers with the same due time
 	function F
-	index    int // in the heap, -1 once it was taken or cancelled
+	index    int // position in the heap, -1 once the timer is popped or cancelled
 }
 
 // Heap is a set of timers. The zero Heap is empty and ready to use.
 type Heap[F any] struct {
 	timers   timers[F]
-	sequence uint64 // of the last timer
+	sequence uint64 // sequence number of the last timer added
 }
 
-// Schedule adds a function that is due at a time. It reports whether the new
-// timer is the first of all.
+// Schedule adds a function that is due at a time in milliseconds. first reports
+// whether the new timer is the earliest in the heap.
 func (h *Heap[F]) Schedule(at float64, function F) (added *Timer[F], first bool) {
 	h.sequence++
 	added = &Timer[F]{at: at, sequence: h.sequence, function: function}
@@ -28,8 +29,8 @@
 	return added, added.index == 0
 }
 
-// Cancel removes a timer that has not been taken, and releases its function. A
-// nil timer, or one that is gone, is left as it is.
+// Cancel removes a timer from the heap and drops its function. It does nothing if
+// t is nil or the timer has been popped or cancelled.
 func (h *Heap[F]) Cancel(t *Timer[F]) {
 	if t == nil || t.index < 0 {
 		return
@@ -38,10 +39,10 @@
 	t.release()
 }
 
-// Len returns the number of timers.
+// Len returns the number of timers in the heap.
 func (h *Heap[F]) Len() int { return len(h.timers) }
 
-// Next returns the time of the first timer, if there is one.
+// Next returns the due time of the earliest timer, and whether there is one.
 func (h *Heap[F]) Next() (at float64, ok bool) {
 	if len(h.timers) == 0 {
 		return 0, false
@@ -49,8 +50,9 @@
 	return h.timers[0].at, true
 }
 
-// PopDue takes the first timer that is due at now, and returns its function. Of
-// timers with the same time the one that was scheduled first comes first.
+// PopDue removes the earliest timer and returns its function if the timer is due
+// at now; otherwise ok is false. Timers with the same due time are returned in
+// the order in which they were scheduled.
 func (h *Heap[F]) PopDue(now float64) (function F, ok bool) {
 	if len(h.timers) == 0 || h.timers[0].at > now {
 		return function, false
@@ -61,10 +63,11 @@
 	return function, true
 }
 
-// release drops what the function refers to.
+// release drops the function, so that the memory it refers to can be freed even
+// while the caller keeps the timer.
 func (t *Timer[F]) release() {
-	var none F
-	t.function = none
+	var zero F
+	t.function = zero
 }
 
 // timers implements heap.Interface.
@@ -91,7 +94,7 @@
 func (t *timers[F]) Pop() any {
 	old := *t
 	popped := old[len(old)-1]
-	old[len(old)-1] = nil // so that it can be garbage-collected
+	old[len(old)-1] = nil // so that the timer can be garbage-collected
 	*t = old[:len(old)-1]
 	popped.index = -1
 	return popped
--- a/internal/timerheap/timerheap_test.go
+++ b/internal/timerheap/timerheap_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-func TestTimersComeInOrderOfTimeThenOfScheduling(t *testing.T) {
+func TestPopDueReturnsTimersByTimeThenByScheduling(t *testing.T) {
 	var h Heap[int]
 	for i, at := range []float64{30, 10, 20, 10} {
 		if _, first := h.Schedule(at, i); first != (i < 2) {
-			t.Errorf("timer %d is the first: %v", i, first)
+			t.Errorf("Schedule(%g) of timer %d: first = %v, want %v", at, i, first, i < 2)
 		}
 	}
 	var order []int
@@ -24,14 +24,14 @@
 		}
 	}
 	if want := []int{1, 3, 2, 0}; !slices.Equal(order, want) {
-		t.Errorf("order %v, want %v", order, want)
+		t.Errorf("popped %v, want %v", order, want)
 	}
 	if at, ok := h.Next(); ok {
-		t.Errorf("an empty heap has a timer at %g", at)
+		t.Errorf("Next() of an empty heap = %g, true, want false", at)
 	}
 }
 
-func TestCancelledTimersDoNotCome(t *testing.T) {
+func TestPopDueSkipsCancelledTimers(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var h Heap[int]
 	var timers []*Timer[int]
@@ -44,11 +44,11 @@
 		i := random.IntN(len(timers))
 		cancelled[i] = true
 		h.Cancel(timers[i])
-		h.Cancel(timers[i]) // again, which changes nothing
+		h.Cancel(timers[i]) // a second Cancel has no effect
 	}
 	h.Cancel(nil)
 	if h.Len() != len(timers)-len(cancelled) {
-		t.Errorf("%d timers left of %d with %d cancelled", h.Len(), len(timers), len(cancelled))
+		t.Errorf("Len() = %d of %d timers after %d were cancelled", h.Len(), len(timers), len(cancelled))
 	}
 	count := 0
 	for {
@@ -58,11 +58,11 @@
 		}
 		count++
 		if cancelled[n] {
-			t.Errorf("timer %d was cancelled and came", n)
+			t.Errorf("PopDue returned timer %d, which was cancelled", n)
 		}
-		h.Cancel(timers[n]) // taken already, which changes nothing
+		h.Cancel(timers[n]) // cancelling a popped timer has no effect
 	}
 	if count != len(timers)-len(cancelled) {
-		t.Errorf("%d timers came", count)
+		t.Errorf("PopDue returned %d timers, want %d", count, len(timers)-len(cancelled))
 	}
 }
