--- a/internal/faultnet/relay_test.go
+++ b/internal/faultnet/relay_test.go
@@ -8,8 +8,8 @@
 )
 
 // A packet arrives from its sender's advertised address, and a one-way cut loses
-// packets one way only.
-func TestRelayCarriesAndCuts(t *testing.T) {
+// the packets of one direction only.
+func TestRelayForwardsExceptAcrossCut(t *testing.T) {
 	a, _ := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	b, _ := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	defer a.Close()
@@ -29,18 +29,18 @@
 	}
 	_, _ = a.WriteToUDPAddrPort([]byte("ping"), advertised(1))
 	if got, from, ok := recv(b); !ok || got != "ping" || from != advertised(0) {
-		t.Fatalf("b got %q from %v (%v), want ping from %v", got, from, ok, advertised(0))
+		t.Fatalf("b received %q from %v (%v), want \"ping\" from %v", got, from, ok, advertised(0))
 	}
 	r.Cut(func(from, to int) bool { return from == 0 && to == 1 })
 	_, _ = a.WriteToUDPAddrPort([]byte("lost"), advertised(1))
 	_, _ = b.WriteToUDPAddrPort([]byte("back"), advertised(0))
 	if got, _, ok := recv(a); !ok || got != "back" {
-		t.Fatalf("a got %q (%v), want back: the cut is one way", got, ok)
+		t.Fatalf("a received %q (%v), want \"back\": only a to b is cut", got, ok)
 	}
 	if got, _, ok := recv(b); ok {
-		t.Fatalf("b got %q across the cut", got)
+		t.Fatalf("b received %q, want nothing across the cut", got)
 	}
 	if r.Dropped.Load() != 1 {
-		t.Fatalf("dropped %d, want 1", r.Dropped.Load())
+		t.Fatalf("Dropped = %d, want 1", r.Dropped.Load())
 	}
 }
--- a/internal/netio/close_test.go
+++ b/internal/netio/close_test.go
@@ -11,102 +11,106 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// pair is a connection that no poller reads, and the descriptor of its peer.
-type pair struct {
+// socketConnection is a netpoll connection on one end of a socket pair. No poller
+// reads it.
+type socketConnection struct {
 	netpoll.Connection
-	fd   int
-	in   *netpoll.LinkBuffer
-	gate chan struct{} // writes block until it closes
+	fd           int
+	in           *netpoll.LinkBuffer
+	allowWriting chan struct{} // writes block until it is closed
 }
 
-func (p *pair) Fd() int                { return p.fd }
-func (p *pair) Reader() netpoll.Reader { return p.in }
-func (p *pair) Close() error           { return nil }
-func (p *pair) Write(b []byte) (int, error) {
-	<-p.gate
-	return syscall.Write(p.fd, b)
+func (s *socketConnection) Fd() int                { return s.fd }
+func (s *socketConnection) Reader() netpoll.Reader { return s.in }
+func (s *socketConnection) Close() error           { return nil }
+func (s *socketConnection) Write(b []byte) (int, error) {
+	<-s.allowWriting
+	return syscall.Write(s.fd, b)
 }
 
-func newPair(t *testing.T) (c *Conn, near *pair, far int) {
+// newPair returns a Conn, the connection below it and the descriptor of its peer.
+func newPair(t *testing.T) (c *Conn, local *socketConnection, peer int) {
 	t.Helper()
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _, _ = syscall.Close(fds[0]), syscall.Close(fds[1]) })
-	near = &pair{fd: fds[0], in: netpoll.NewLinkBuffer(), gate: make(chan struct{})}
-	return NewConn(near), near, fds[1]
+	local = &socketConnection{fd: fds[0], in: netpoll.NewLinkBuffer(), allowWriting: make(chan struct{})}
+	return NewConn(local), local, fds[1]
 }
 
-// ended reports whether the peer's system was notified of the end.
-func ended(far int) bool {
-	n, _, err := syscall.Recvfrom(far, make([]byte, 9), syscall.MSG_DONTWAIT)
+// receivedEOF reports whether the peer's socket has received the end of the stream.
+func receivedEOF(peer int) bool {
+	n, _, err := syscall.Recvfrom(peer, make([]byte, 9), syscall.MSG_DONTWAIT)
 	return n == 0 && err == nil
 }
 
-// An attempt is abandoned by closing its connection, and its retry may be written
-// to another at once: the host must be notified of the first end first.
-func TestCloseNotifiesPeerBeforeReturning(t *testing.T) {
-	c, _, far := newPair(t)
-	if ended(far) {
-		t.Fatal("it ends by itself")
+// An attempt is cancelled by closing its connection, and its retry may be written
+// to another connection right after. The endpoint must receive the end of the
+// first connection before the retry.
+func TestClosePeerReceivesEOFBeforeReturn(t *testing.T) {
+	c, _, peer := newPair(t)
+	if receivedEOF(peer) {
+		t.Fatal("the peer received EOF before Close")
 	}
 	c.Close()
-	if !ended(far) {
-		t.Error("the peer was not notified")
+	if !receivedEOF(peer) {
+		t.Error("the peer had not received EOF when Close returned")
 	}
 }
 
-// What the peer has sent by then is read before the connection ends, whether it
-// is in the system's receive queue or already in the buffer.
-func TestFinishQuietOnlyWithoutUnreadBytes(t *testing.T) {
-	for name, speak := range map[string]func(near *pair, far int){
-		"unread by the poller": func(_ *pair, far int) { _, _ = syscall.Write(far, []byte("Q")) },
-		"unread by us":         func(near *pair, _ int) { _, _ = near.in.WriteString("Q"); _ = near.in.Flush() },
-		"its end":              func(_ *pair, far int) { _ = syscall.Shutdown(far, syscall.SHUT_WR) },
+// Bytes that the peer has sent must be read before the connection is finished,
+// whether they are in the socket's receive queue or in the read buffer.
+func TestFinishIfQuietOnlyWithoutUnreadBytes(t *testing.T) {
+	for name, send := range map[string]func(local *socketConnection, peer int){
+		"bytes in the receive queue": func(_ *socketConnection, peer int) { _, _ = syscall.Write(peer, []byte("Q")) },
+		"bytes in the read buffer":   func(local *socketConnection, _ int) { _, _ = local.in.WriteString("Q"); _ = local.in.Flush() },
+		"EOF from the peer":          func(_ *socketConnection, peer int) { _ = syscall.Shutdown(peer, syscall.SHUT_WR) },
 	} {
-		c, near, far := newPair(t)
-		speak(near, far)
-		if c.FinishIfQuiet() || c.Finishing() || ended(far) {
-			t.Errorf("%s: the connection was ended", name)
+		c, local, peer := newPair(t)
+		send(local, peer)
+		if c.FinishIfQuiet() || c.Finishing() || receivedEOF(peer) {
+			t.Errorf("%s: the connection was finished", name)
 		}
 	}
-	c, _, far := newPair(t)
-	if !c.FinishIfQuiet() || !c.Finishing() || !ended(far) {
-		t.Error("a quiet connection was not ended")
+	c, _, peer := newPair(t)
+	if !c.FinishIfQuiet() || !c.Finishing() || !receivedEOF(peer) {
+		t.Error("a quiet connection was not finished")
 	}
 }
 
-// What was sent before the end is still written; nothing after it is.
-func TestFinishFlushesWhatWasSent(t *testing.T) {
-	c, near, far := newPair(t)
+// Bytes queued before Finish are still written, and bytes sent after it are not.
+func TestFinishWritesQueuedBytes(t *testing.T) {
+	c, local, peer := newPair(t)
 	done := make(chan error, 2)
 	c.Send([]byte("answer"), func(err error) { done <- err })
 	c.Finish()
-	if ended(far) {
-		t.Error("the end overtakes what was sent")
+	if receivedEOF(peer) {
+		t.Error("the peer received EOF before the queued bytes")
 	}
 	c.Send([]byte("more"), func(err error) { done <- err })
 	if err := <-done; !errors.Is(err, ErrUnsent) {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("Send after Finish: %v, want ErrUnsent", err)
 	}
-	close(near.gate)
+	close(local.allowWriting)
 	if err := <-done; err != nil {
-		t.Error(err)
+		t.Errorf("Send before Finish: %v", err)
 	}
 	b := make([]byte, 99)
-	n, err := syscall.Read(far, b)
+	n, err := syscall.Read(peer, b)
 	if string(b[:max(n, 0)]) != "answer" || err != nil {
-		t.Errorf("the peer reads %q, %v", b[:max(n, 0)], err)
+		t.Errorf("the peer read %q, %v, want \"answer\"", b[:max(n, 0)], err)
 	}
-	if n, err := syscall.Read(far, b); n != 0 || err != nil { // it waits for the end
-		t.Errorf("then %d bytes, %v", n, err)
+	if n, err := syscall.Read(peer, b); n != 0 || err != nil { // blocks until EOF
+		t.Errorf("the peer then read %d bytes, %v, want EOF", n, err)
 	}
 }
 
-// Small writes must leave at once: those that the system delays are lost with a
-// reset. netpoll sees to that, on both sides.
-func TestConnectionsDoNotDelayWrites(t *testing.T) {
+// Small writes must be sent at once: bytes that the operating system delays are
+// lost if the connection is reset. netpoll sets TCP_NODELAY on dialled and on
+// accepted connections.
+func TestNetpollConnectionsHaveNoDelay(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -129,7 +133,7 @@
 	for side, c := range map[string]netpoll.Connection{"dialled": dialled, "accepted": <-accepted} {
 		on, err := syscall.GetsockoptInt(c.(interface{ Fd() int }).Fd(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 		if err != nil || on == 0 {
-			t.Errorf("%s: TCP_NODELAY is %d, %v", side, on, err)
+			t.Errorf("%s connection: TCP_NODELAY = %d, %v, want set", side, on, err)
 		}
 	}
 }
--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -1,5 +1,5 @@
 // Package netio provides connections whose writes never block the caller, so that
-// a slow peer delays nobody (conn.go), and budgets of file descriptors
+// a slow peer does not delay others (conn.go), and budgets of file descriptors
 // (descriptors.go) and memory (memory.go).
 package netio
 
@@ -12,43 +12,46 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// maxUnsent bounds the bytes queued for a peer that does not read.
-const maxUnsent = 1 << 20
+// maxQueuedBytes bounds the bytes queued on one connection. A peer that lets more
+// accumulate is disconnected.
+const maxQueuedBytes = 1 << 20
 
-// ErrUnsent is the error of a Send whose bytes were not all handed to the system:
-// the peer does not read, or the connection has ended.
-var ErrUnsent = errors.New("netio: the peer does not read")
+// ErrUnsent is the error of a Send whose bytes were not all passed to the operating
+// system, because the peer does not read or the connection is closing or closed.
+var ErrUnsent = errors.New("netio: data not written: the peer does not read or the connection is closed")
 
-// Conn is one connection. Its methods are safe for concurrent use and do not
-// block. One goroutine writes while bytes are queued, and ends with the queue or
-// the connection.
+// Conn is a connection with a write queue. Its methods are safe for concurrent use
+// and do not block. A goroutine writes the queue; it runs only while bytes are
+// queued and the connection is open.
 //
-// A connection ends in one way. While it is open it queues what is sent. Finish
-// and FinishIfQuiet end that: the queue is still written, and then this side
-// half-closes. The peer closes the connection, or its owner does with Close when
-// the peer takes too long. Closing at once while the peer's bytes arrive would
-// reset the connection, and the reset may overtake what was sent last.
+// An open connection queues the bytes that are sent. After Finish or
+// FinishIfQuiet it accepts no more; once the queue is written, this side is
+// half-closed. Then the peer closes the connection, or the owner calls Close if
+// the peer takes too long. Closing at once while bytes from the peer arrive would
+// reset the connection, and the reset could discard the bytes sent last before
+// the peer reads them.
 type Conn struct {
 	nc net.Conn
 
 	mu        sync.Mutex
 	queued    []byte
-	callbacks []func(error) // of the queued bytes
-	flushing  bool          // flush runs
-	closing   bool          // nothing more is queued; half-closed once all is flushed
+	callbacks []func(error) // called when the queued bytes are written or dropped
+	flushing  bool          // the flush goroutine is running
+	closing   bool          // no more bytes are accepted; half-closed once the queue is written
 	closed    bool
 }
 
-// NewConn returns a Conn on nc, netpoll's or the standard library's.
+// NewConn returns a Conn on nc, a connection of netpoll or of the standard library.
 func NewConn(nc net.Conn) *Conn { return &Conn{nc: nc} }
 
-// Send queues a copy of b. done, if not nil, is called once from another
-// goroutine: with nil when the system has accepted the last byte of b, with
-// ErrUnsent or the error of the write if it did not.
+// Send queues a copy of b. If more than maxQueuedBytes would be queued, it closes
+// the connection instead. done, if not nil, is called once from another goroutine:
+// with nil when the operating system has accepted all of b, otherwise with
+// ErrUnsent or the error of the write.
 func (c *Conn) Send(b []byte, done func(error)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || c.closing || len(c.queued)+len(b) > maxUnsent {
+	if c.closed || c.closing || len(c.queued)+len(b) > maxQueuedBytes {
 		if done != nil {
 			go done(ErrUnsent)
 		}
@@ -67,10 +70,10 @@
 	}
 }
 
-// flush writes until the queue is empty or the connection closed. Only one runs at
-// a time; it alone may block on the peer.
+// flush writes until the queue is empty or the connection is closed. At most one
+// flush runs at a time, in its own goroutine. Nothing else blocks on the peer.
 func (c *Conn) flush() {
-	var buffer []byte // of the last write, reused for the queue
+	var buffer []byte // buffer of the last write, reused for the queue
 	for {
 		batch, callbacks, more := c.nextBatch(buffer)
 		if !more {
@@ -86,9 +89,9 @@
 	}
 }
 
-// nextBatch takes the queue, which goes on in buffer, with its callbacks. If
-// there is nothing to write any more it ends flushing, with the callbacks of what
-// is unsent.
+// nextBatch takes the queued bytes and their callbacks; further bytes are queued in
+// buffer. If the queue is empty or the connection is closed, it ends flushing,
+// returns false for more, and returns the callbacks of the bytes not written.
 func (c *Conn) nextBatch(buffer []byte) (batch []byte, callbacks []func(error), more bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,23 +110,24 @@
 	return nil, callbacks, false
 }
 
-// report calls the callbacks of a batch.
+// report calls the callbacks of a batch with the result of its write.
 func report(callbacks []func(error), err error) {
 	for _, callback := range callbacks {
 		callback(err)
 	}
 }
 
-// Quiet reports whether the peer has sent nothing that is still unread, not even
-// its end. The system's receive queue counts too; it is looked at before the
-// buffer, as the poller may move bytes to the buffer meanwhile.
+// Quiet reports whether the connection is open and nothing from the peer is
+// unread, neither bytes nor the end of its stream. It checks the socket's receive
+// queue before the read buffer, because the poller may move bytes from the first
+// to the second in between.
 func (c *Conn) Quiet() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.quiet()
 }
 
-// quiet is called with the lock held.
+// quiet implements Quiet. c.mu must be held.
 func (c *Conn) quiet() bool {
 	if c.closed || c.closing {
 		return false
@@ -138,15 +142,16 @@
 	return !ok || buffered.Reader().Len() == 0
 }
 
-// Finish half-closes the connection once the system has accepted what was sent.
+// Finish accepts no more bytes and half-closes the connection once the operating
+// system has accepted the queued ones.
 func (c *Conn) Finish() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.finish()
 }
 
-// FinishIfQuiet is Finish if the connection is Quiet; it reports whether it was. What
-// arrives later was sent before the peer received this side's end.
+// FinishIfQuiet calls Finish if the connection is Quiet, and reports whether it
+// did. Bytes that arrive later were sent before the peer received the half-close.
 func (c *Conn) FinishIfQuiet() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,7 +162,7 @@
 	return true
 }
 
-// finish is called with the lock held.
+// finish implements Finish. c.mu must be held.
 func (c *Conn) finish() {
 	if c.closed || c.closing {
 		return
@@ -168,8 +173,9 @@
 	}
 }
 
-// Abandon half-closes the connection at once, discards what is unsent and goes on
-// reading. The peer's system is notified before it returns, as with Close.
+// Abandon half-closes the connection at once and discards the queued bytes. The
+// connection can still be read. As with Close, the end of the stream is sent to
+// the peer before Abandon returns.
 func (c *Conn) Abandon() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -181,11 +187,11 @@
 	c.halfClose()
 }
 
-// Close closes the connection at once and discards what is unsent. The peer's
-// system is notified before it returns: what is sent next on another connection
-// must not overtake the end, or an abandoned attempt could run beside its retry.
-// netpoll's close callbacks run in another goroutine, as they take the owner's
-// lock.
+// Close closes the connection at once and discards the queued bytes. The end of
+// the stream is sent to the peer before Close returns: if bytes sent next on
+// another connection arrived before it, a cancelled attempt could execute
+// concurrently with its retry. The close callbacks of netpoll run in another
+// goroutine, because they acquire the owner's lock.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,24 +200,26 @@
 	}
 }
 
-// abort is called with the lock held, and not closed.
+// abort closes the connection. c.mu must be held and c must not be closed.
 func (c *Conn) abort() {
 	c.halfClose()
 	c.closed = true
 	go func() { _ = c.nc.Close() }()
 }
 
-// Finishing reports whether nothing more can be sent.
+// Finishing reports whether the connection accepts no more bytes, because it is
+// closing or closed.
 func (c *Conn) Finishing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closing || c.closed
 }
 
-// halfClose is called with the lock held, and not closed: the descriptor is still
-// this connection's, as its close callback takes the lock first.
+// halfClose shuts down the writing side. c.mu must be held and c must not be
+// closed. Then the descriptor still belongs to this connection, because the close
+// callback acquires the lock before the descriptor is closed.
 func (c *Conn) halfClose() {
-	switch conn := c.nc.(type) { // it fails only if the peer has gone
+	switch conn := c.nc.(type) { // errors are ignored: the peer has closed the connection
 	case interface{ Fd() int }:
 		_ = syscall.Shutdown(conn.Fd(), syscall.SHUT_WR)
 	case interface{ CloseWrite() error }:
--- a/internal/netio/conn_test.go
+++ b/internal/netio/conn_test.go
@@ -8,44 +8,44 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// stuck is the connection of a peer that reads nothing: a write blocks until
+// stuckConnection is a connection whose peer reads nothing: a write blocks until
 // the connection is closed.
-type stuck struct {
+type stuckConnection struct {
 	netpoll.Connection
 	once   sync.Once
 	closed chan struct{}
 }
 
-func (s *stuck) Write([]byte) (int, error) {
+func (s *stuckConnection) Write([]byte) (int, error) {
 	<-s.closed
 	return 0, errors.New("closed")
 }
 
-func (s *stuck) Close() error {
+func (s *stuckConnection) Close() error {
 	s.once.Do(func() { close(s.closed) })
 	return nil
 }
 
-// The owner's lock is held while something is sent: a peer that does not read
-// must neither delay the sender nor fill the memory.
+// A peer that does not read must neither block Send, which is called with the
+// owner's lock held, nor make the queue grow without bound.
 func TestSlowPeerIsDisconnectedWithoutBlocking(t *testing.T) {
-	s := &stuck{closed: make(chan struct{})}
+	s := &stuckConnection{closed: make(chan struct{})}
 	c := NewConn(s)
 	done := make(chan error, 100)
 	sent := 0
-	for ; sent <= 2*maxUnsent; sent += 1 << 17 {
+	for ; sent <= 2*maxQueuedBytes; sent += 1 << 17 {
 		c.Send(make([]byte, 1<<17), func(err error) { done <- err })
 	}
-	c.mu.Lock() // flush, in its own goroutine, writes it
+	c.mu.Lock() // flush changes the queue concurrently
 	queued := len(c.queued)
 	c.mu.Unlock()
-	if queued > maxUnsent {
-		t.Errorf("%d bytes are queued", queued)
+	if queued > maxQueuedBytes {
+		t.Errorf("%d bytes queued, want at most %d", queued, maxQueuedBytes)
 	}
-	<-s.closed // too much is unsent
+	<-s.closed // Send closes the connection when the queue is full
 	for range sent >> 17 {
 		if err := <-done; err == nil {
-			t.Error("a write that never ended was reported as sent")
+			t.Error("done(nil) for a write that did not complete")
 		}
 	}
 }
--- a/internal/netio/descriptors.go
+++ b/internal/netio/descriptors.go
@@ -1,40 +1,41 @@
 package netio
 
-// DescriptorBudget divides the process's file descriptors between clients and
-// database hosts. It is not safe for concurrent use: it is part of its owner's
-// state.
+// DescriptorBudget divides the process's file descriptors between connections from
+// clients and connections to endpoints. It is not safe for concurrent use.
 type DescriptorBudget struct {
-	MaxSockets       int // sockets that may be open
-	MaxClients       int // of these, the most for clients
-	MaxActiveClients int // of these, the most for clients with requests in flight
-	clients          int // sockets reserved for clients
-	hosts            int // sockets reserved for database hosts
+	MaxSockets       int // limit on all sockets
+	MaxClients       int // limit on clients' sockets
+	MaxActiveClients int // limit on sockets of clients that have sent a request, enforced by the owner
+	clients          int // reserved sockets of clients
+	endpoints        int // reserved sockets to endpoints
 }
 
-// systemDescriptors are reserved for the listener, pollers, discovery and the
-// runtime.
-const systemDescriptors = 24
+// reservedDescriptors is the number of descriptors left to the listener, the
+// pollers, discovery and the runtime.
+const reservedDescriptors = 24
 
-// NewDescriptorBudget divides a limit on descriptors.
+// NewDescriptorBudget returns a budget that divides the given number of
+// descriptors.
 func NewDescriptorBudget(descriptors int) *DescriptorBudget {
 	b := &DescriptorBudget{}
 	b.Resize(descriptors)
 	return b
 }
 
-// Resize divides another limit. Reservations beyond it remain.
+// Resize changes the number of descriptors to divide. Existing reservations remain,
+// even if they exceed the new limits.
 func (b *DescriptorBudget) Resize(descriptors int) {
-	b.MaxSockets = max(descriptors-systemDescriptors, 2)
+	b.MaxSockets = max(descriptors-reservedDescriptors, 2)
 	b.MaxClients = max(b.MaxSockets*2/3, 1)
 	b.MaxActiveClients = max(descriptors/3, 1)
 }
 
-// Open returns how many sockets are reserved.
-func (b *DescriptorBudget) Open() (clients, hosts int) { return b.clients, b.hosts }
+// Open returns the numbers of reserved sockets of clients and to endpoints.
+func (b *DescriptorBudget) Open() (clients, endpoints int) { return b.clients, b.endpoints }
 
-// AcquireClient reserves a client's socket; it reports whether one was available.
+// AcquireClient reserves a client's socket and reports whether one was available.
 func (b *DescriptorBudget) AcquireClient() bool {
-	if b.clients >= b.MaxClients || b.clients+b.hosts >= b.MaxSockets {
+	if b.clients >= b.MaxClients || b.clients+b.endpoints >= b.MaxSockets {
 		return false
 	}
 	b.clients++
@@ -44,22 +45,22 @@
 // ReleaseClient releases a client's socket.
 func (b *DescriptorBudget) ReleaseClient() { b.clients-- }
 
-// Available returns how many more sockets may be open.
-func (b *DescriptorBudget) Available() int { return max(b.MaxSockets-b.clients-b.hosts, 0) }
+// Available returns how many more sockets may be reserved.
+func (b *DescriptorBudget) Available() int { return max(b.MaxSockets-b.clients-b.endpoints, 0) }
 
-// ClientPressure reports whether clients have more than half of their sockets: the
-// rest is for new ones.
+// ClientPressure reports whether clients use more than half of their sockets. The
+// other half is kept for new clients.
 func (b *DescriptorBudget) ClientPressure() bool { return b.clients > b.MaxClients/2 }
 
-// AcquireEndpoint reserves a socket to a database host; it reports whether one was
+// AcquireEndpoint reserves a socket to an endpoint and reports whether one was
 // available.
 func (b *DescriptorBudget) AcquireEndpoint() bool {
-	if b.clients+b.hosts >= b.MaxSockets {
+	if b.clients+b.endpoints >= b.MaxSockets {
 		return false
 	}
-	b.hosts++
+	b.endpoints++
 	return true
 }
 
-// ReleaseEndpoint releases a socket to a database host.
-func (b *DescriptorBudget) ReleaseEndpoint() { b.hosts-- }
+// ReleaseEndpoint releases a socket to an endpoint.
+func (b *DescriptorBudget) ReleaseEndpoint() { b.endpoints-- }
