--- a/internal/discovery/polling/backoff.go
+++ b/internal/discovery/polling/backoff.go
@@ -1,108 +1,109 @@
-// Package polling decides when a router polls discovery for the endpoint list,
-// and what it requests. It holds rules only: randomness is seeded, and there is
-// no I/O and no clock. All times are milliseconds.
+// Package polling decides when a router polls the discovery service for the
+// endpoint list, and what it requests. It contains only rules: random numbers are
+// seeded, and it uses neither I/O nor a clock. All times are in milliseconds.
 //
 // Where the list must be polled, one service answers the whole fleet. Requests
-// queue there, and one that has queued for too long fails but is still served.
-// Routers that all retry at once would keep the service busy with requests that
-// nobody waits for any more. So each router leaves capacity for every other
-// router's request, draws its moment at random, and backs off exponentially
-// while requests fail.
+// queue at the service, and a request that has queued for too long fails at the
+// router but is still served. If all routers retried at once, the service would
+// stay busy with requests that nobody waits for any more. So each router leaves
+// capacity for a request of every other router, picks the time of its request at
+// random, and backs off exponentially while requests fail.
 package polling
 
 import "math/rand/v2"
 
 const (
-	// pollCost is how long one router's request is taken to occupy the service,
-	// until failures show that it takes longer. It is also the first delay where
-	// the endpoint list is pushed.
-	pollCost = 50
-	// maxPushDelay bounds the delays where the endpoint list is pushed: what the
-	// agent has counts as known, received or not, and a request costs nothing.
-	maxPushDelay = 200
-	// maxDelay bounds the delay before the first request and after every failure.
-	// A change counts as known 6 s after discovery had it and could be reached,
-	// whatever became of earlier requests. A dial that hangs and the request's
-	// queueing at the service come on top. Only a service that reports that it
-	// is overloaded, and that cannot answer the whole fleet in that time, is
-	// given more.
-	maxDelay = 3000
-	// overloadedPolls is how many requests of every router, at pollCost each, an
-	// overloaded service gets the time for. Requests that came sooner would keep
-	// it overloaded for good.
+	// pollCostMs is the time for which one request is assumed to occupy the
+	// service, until failures show that it takes longer. It is also the first
+	// delay if the endpoint list is pushed.
+	pollCostMs = 50
+	// maxPushDelayMs bounds the delays if the endpoint list is pushed. Then a
+	// router must know every change that its local agent has, whether it has
+	// received it or not, and a request to the agent costs nothing.
+	maxPushDelayMs = 200
+	// maxDelayMs bounds the delay before the first request and after each failure.
+	// A router must know a change 6 s after discovery has it and can be reached,
+	// whatever happened to earlier requests. The delay leaves time for a dial that
+	// hangs and for the request's queueing at the service. It may be longer only
+	// after a service that cannot answer the whole fleet in that time has reported
+	// that it is overloaded.
+	maxDelayMs = 3000
+	// overloadedPolls is the number of requests per router, at pollCostMs each,
+	// for which an overloaded service is given time. A shorter delay would keep
+	// the service overloaded permanently.
 	overloadedPolls = 4
-	// maxDelayIntervals is the bound on the backoff, in poll intervals: the
-	// settings allow four intervals after a failed request, and the jitter adds
-	// up to a half.
+	// maxDelayIntervals bounds the backoff, in poll intervals. The settings allow
+	// a delay of four intervals after a failed request, and the jitter adds up to
+	// a half of the backoff.
 	maxDelayIntervals = 2
-	// initialDelayIntervals bounds the first delay, in poll intervals: a router
-	// that has not polled by the end of the interval counts as informed, and its
-	// request has to queue.
+	// initialDelayIntervals bounds the initial delay, in poll intervals. A router
+	// must know the list at the end of the interval even if it has not polled, and
+	// its request has to queue first.
 	initialDelayIntervals = 0.5
 )
 
-// Config holds the settings that polling depends on.
+// Config holds the settings of polling.
 type Config struct {
-	Routers      int     // size of the fleet; fewer than one counts as one
-	PollOnly     bool    // the endpoint list comes only when polled
+	Routers      int     // number of routers in the fleet; less than 1 stands for 1
+	PollOnly     bool    // the endpoint list is not pushed and must be polled
 	PollInterval float64 // milliseconds within which a router must poll, 0 if unknown
 }
 
 // Backoff computes the delays between one router's requests. It is not safe for
 // concurrent use.
 type Backoff struct {
-	rng                *rand.Rand
-	pollOnly           bool
-	initialDelay       float64
-	maxDelay           float64
-	nextDelay          float64 // after the next failure, before jitter
-	maxOverloadedDelay float64 // after a failure by overload
+	rng                  *rand.Rand
+	pollOnly             bool
+	initialDelayMs       float64 // delay after the first failure, before jitter
+	maxDelayMs           float64 // bound on nextDelayMs
+	nextDelayMs          float64 // delay after the next failure, before jitter
+	maxOverloadedDelayMs float64 // bound on the delay after an overloaded service
 }
 
 // NewBackoff returns the backoff of a router that has not polled yet.
 func NewBackoff(cfg Config, seed uint64) *Backoff {
 	b := &Backoff{
-		rng:          rand.New(rand.NewPCG(seed, seed^0xd1b54a32d192ed03)),
-		pollOnly:     cfg.PollOnly,
-		initialDelay: pollCost,
-		maxDelay:     maxPushDelay,
+		rng:            rand.New(rand.NewPCG(seed, seed^0xd1b54a32d192ed03)),
+		pollOnly:       cfg.PollOnly,
+		initialDelayMs: pollCostMs,
+		maxDelayMs:     maxPushDelayMs,
 	}
 	if b.pollOnly {
-		b.initialDelay *= float64(max(cfg.Routers, 1))
+		b.initialDelayMs *= float64(max(cfg.Routers, 1))
 		if cfg.PollInterval > 0 {
-			b.initialDelay = min(b.initialDelay, initialDelayIntervals*cfg.PollInterval)
+			b.initialDelayMs = min(b.initialDelayMs, initialDelayIntervals*cfg.PollInterval)
 		}
-		b.maxDelay = max(maxPushDelay, maxDelayIntervals*cfg.PollInterval, b.initialDelay)
+		b.maxDelayMs = max(maxPushDelayMs, maxDelayIntervals*cfg.PollInterval, b.initialDelayMs)
 	}
-	b.maxOverloadedDelay = max(maxDelay, overloadedPolls*pollCost*float64(cfg.Routers))
-	b.nextDelay = b.initialDelay
+	b.maxOverloadedDelayMs = max(maxDelayMs, overloadedPolls*pollCostMs*float64(cfg.Routers))
+	b.nextDelayMs = b.initialDelayMs
 	return b
 }
 
-// InitialDelay returns the delay before the first request, in milliseconds. A
-// router that holds no endpoint list polls at once.
+// InitialDelay returns the delay before the first request, in milliseconds. hasList
+// says that the router holds an endpoint list; a router without one polls at once.
 func (b *Backoff) InitialDelay(hasList bool) float64 {
 	if !b.pollOnly || !hasList {
 		return 0
 	}
-	return min(b.initialDelay, maxDelay) * b.rng.Float64()
+	return min(b.initialDelayMs, maxDelayMs) * b.rng.Float64()
 }
 
-// Failed returns the delay after a failed request, in milliseconds. overloaded
-// says that the service was reached and rejected the request for its load.
+// Failed returns the delay after a failed request, in milliseconds. overloaded says
+// that the service rejected the request because it is overloaded.
 func (b *Backoff) Failed(overloaded bool) float64 {
-	delay := b.nextDelay * (0.5 + b.rng.Float64())
-	b.nextDelay = min(2*b.nextDelay, b.maxDelay)
-	limit := float64(maxDelay)
+	delay := b.nextDelayMs * (0.5 + b.rng.Float64())
+	b.nextDelayMs = min(2*b.nextDelayMs, b.maxDelayMs)
+	limit := float64(maxDelayMs)
 	if overloaded {
-		limit = b.maxOverloadedDelay
+		limit = b.maxOverloadedDelayMs
 	}
 	return min(delay, limit*(0.5+b.rng.Float64()/2))
 }
 
-// TimedOut returns the delay after a request that timed out, in milliseconds:
-// a short one, as the timeout took its time already.
-func (b *Backoff) TimedOut() float64 { return maxTimeoutDelay * b.rng.Float64() }
+// TimedOut returns the delay after a request that timed out, in milliseconds. The
+// delay is short because the timeout has already taken time.
+func (b *Backoff) TimedOut() float64 { return maxTimeoutDelayMs * b.rng.Float64() }
 
-// Succeeded takes a request that was answered: the backoff starts anew.
-func (b *Backoff) Succeeded() { b.nextDelay = b.initialDelay }
+// Succeeded resets the backoff after a request that was answered.
+func (b *Backoff) Succeeded() { b.nextDelayMs = b.initialDelayMs }
--- a/internal/discovery/polling/characterization_test.go
+++ b/internal/discovery/polling/characterization_test.go
@@ -18,8 +18,9 @@
 	"lotusbend/internal/discovery/polling"
 )
 
-// update rewrites the golden file. Its values may change only together with a
-// deliberate change of behaviour, never with a renaming or a refactoring.
+// update makes the test rewrite the golden file. The values in the file may change
+// only with a deliberate change of behaviour, never with a renaming or a
+// refactoring.
 var update = flag.Bool("update", false,
 	"rewrite testdata/characterization.txt; its values may change only with a deliberate change of behaviour")
 
@@ -28,10 +29,11 @@
 	eventsPerStream = 4000
 )
 
-// TestCharacterization replays seeded event streams and compares a digest of
-// everything that was returned. The digest covers numbers only, so that it
-// survives any renaming. It was taken on amd64: on other architectures Go may
-// fuse floating-point operations, whose last bits differ then.
+// TestCharacterization replays seeded event streams and compares a digest of all
+// returned values with the golden file. The digest covers numbers only, so it does
+// not depend on names. It was computed on amd64: on other architectures Go may fuse
+// floating-point operations, which changes the last bits of their results. The
+// scenarios have the names that the golden file has.
 func TestCharacterization(t *testing.T) {
 	digests := map[string]string{}
 	for i, config := range characterizedConfigs() {
@@ -59,8 +61,8 @@
 	return configs
 }
 
-// replayBackoff returns the digest of one router's delays. Failures come in
-// runs, so that the delays grow up to their bounds.
+// replayBackoff returns the digest of one router's delays. Most events are
+// failures, so that the delays grow up to their bounds.
 func replayBackoff(config polling.Config, seed uint64) string {
 	events := rand.New(rand.NewPCG(seed, 1))
 	backoff := polling.NewBackoff(config, seed)
@@ -110,8 +112,8 @@
 	return d.sum()
 }
 
-// nextIndex draws the index of an answer: more often than not it grows, else
-// it stays or falls.
+// nextIndex draws the index of a response. In three of five cases it increases,
+// otherwise it stays the same or decreases.
 func nextIndex(events *rand.Rand, index uint64) uint64 {
 	switch events.IntN(5) {
 	case 0:
@@ -123,8 +125,8 @@
 	}
 }
 
-// answerTime draws how long an answer took. Half of the time for which the
-// service may wait is the bound between an early answer and one in time.
+// answerTime draws how long a response took. Its values include the bound below
+// which a response to a long poll is early, which is half of the long poll.
 func answerTime(events *rand.Rand, poll polling.Poll) float64 {
 	switch events.IntN(6) {
 	case 0:
@@ -165,10 +167,10 @@
 // rewrites the file if the update flag is set.
 func compareWithGolden(t *testing.T, got map[string]string) {
 	t.Helper()
-	played := slices.Sorted(maps.Keys(got))
+	replayed := slices.Sorted(maps.Keys(got))
 	if *update {
 		var b strings.Builder
-		for _, scenario := range played {
+		for _, scenario := range replayed {
 			fmt.Fprintf(&b, "%s %s\n", scenario, got[scenario])
 		}
 		if err := os.WriteFile(goldenFile, []byte(b.String()), 0o644); err != nil {
@@ -177,7 +179,7 @@
 		return
 	}
 	want := readGolden(t)
-	for _, scenario := range played {
+	for _, scenario := range replayed {
 		expected, ok := want[scenario]
 		switch {
 		case !ok:
@@ -188,7 +190,7 @@
 		delete(want, scenario)
 	}
 	for _, scenario := range slices.Sorted(maps.Keys(want)) {
-		t.Errorf("%s: in %s, but not played", scenario, goldenFile)
+		t.Errorf("%s: in %s, but not replayed", scenario, goldenFile)
 	}
 }
 
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -9,33 +9,34 @@
 	"strconv"
 )
 
-// Limits on what a response may occupy, in bytes.
+// Limits on the size of a response, in bytes.
 const (
-	maxBody   = 4 << 20
-	maxHeader = 64 << 10 // also of the trailers
+	maxBodyBytes   = 4 << 20
+	maxHeaderBytes = 64 << 10 // applies to the header and to the trailers
 )
 
 var (
-	errHTTP       = errors.New("discovery: malformed response")
-	errStatus     = errors.New("discovery: no list")
-	errOverloaded = errors.New("busy")
+	errHTTP       = errors.New("discovery: malformed HTTP response")
+	errStatus     = errors.New("discovery: unexpected HTTP status")
+	errOverloaded = errors.New("503, the service is overloaded")
 )
 
 // response is an HTTP response with status 200.
 type response struct {
 	body []byte
-	last bool // no other can follow on the connection
+	last bool // no other response can follow on the connection
 }
 
-// header is what a response's header says of its body.
+// header holds the header fields that describe a response's body.
 type header struct {
-	length  int // of the body, -1 if not given
+	length  int // Content-Length, -1 if not given
 	chunked bool
-	closing bool // the connection ends after the response
+	closing bool // the connection is closed after the response
 }
 
-// readResponse reads one HTTP/1.1 response. A body without a length ends with
-// the connection's end; a reset means that part of it is missing.
+// readResponse reads one HTTP/1.1 response. A body without a length ends at EOF. A
+// connection reset before that is an error, because part of the body may be
+// missing.
 func readResponse(in *bufio.Reader) (response, error) {
 	if err := readStatus(in); err != nil {
 		return response{}, err
@@ -60,7 +61,8 @@
 	return answer, nil
 }
 
-// readStatus reads the status line. A status other than 200 is an error.
+// readStatus reads the status line. A status other than 200 is an error that wraps
+// errStatus, and errOverloaded if the status is 503.
 func readStatus(in *bufio.Reader) error {
 	line, err := readLine(in)
 	if err != nil {
@@ -74,7 +76,7 @@
 	case bytes.HasPrefix(line, []byte("HTTP/1.")):
 		return fmt.Errorf("%w: %.40q", errStatus, line)
 	}
-	return fmt.Errorf("%w: %.40q", errHTTP, line)
+	return fmt.Errorf("%w: status line %.40q", errHTTP, line)
 }
 
 // readHeader reads the header fields up to the empty line.
@@ -89,8 +91,8 @@
 			return parsed, nil
 		}
 		size += len(line)
-		if size > maxHeader {
-			return header{}, fmt.Errorf("%w: a head of over %d bytes", errHTTP, maxHeader)
+		if size > maxHeaderBytes {
+			return header{}, fmt.Errorf("%w: header of more than %d bytes", errHTTP, maxHeaderBytes)
 		}
 		if err := parsed.parseField(line); err != nil {
 			return header{}, err
@@ -98,15 +100,15 @@
 	}
 }
 
-// parseField reads one header field; it ignores unknown ones.
+// parseField parses one header field. It ignores unknown fields.
 func (h *header) parseField(line []byte) error {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimSpace(value)
 	switch {
 	case bytes.EqualFold(name, []byte("Content-Length")):
 		length, err := strconv.Atoi(string(value))
-		if err != nil || length < 0 || length > maxBody {
-			return fmt.Errorf("%w: length %q", errHTTP, value)
+		if err != nil || length < 0 || length > maxBodyBytes {
+			return fmt.Errorf("%w: Content-Length %q, want 0 to %d", errHTTP, value, maxBodyBytes)
 		}
 		h.length = length
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
@@ -117,12 +119,13 @@
 	return nil
 }
 
-// readLine reads a line without its end. It may be as long as the reader's
-// buffer and is valid until the next read.
+// readLine reads a line and returns it without its line ending. A line longer than
+// the reader's buffer is an error. The returned slice is valid until the next
+// read.
 func readLine(in *bufio.Reader) ([]byte, error) {
 	line, err := in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		return nil, fmt.Errorf("%w: a line of over %d bytes", errHTTP, len(line))
+		return nil, fmt.Errorf("%w: line of more than %d bytes", errHTTP, len(line))
 	}
 	if errors.Is(err, io.EOF) {
 		return nil, io.ErrUnexpectedEOF
@@ -133,16 +136,17 @@
 	return bytes.TrimRight(line, "\r\n"), nil
 }
 
-// readUntilEOF reads a body that ends with its connection.
+// readUntilEOF reads a body that ends at the end of its connection.
 func readUntilEOF(in *bufio.Reader) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(in, maxBody+1))
-	if err == nil && len(body) > maxBody {
-		err = fmt.Errorf("%w: over %d bytes", errHTTP, maxBody)
+	body, err := io.ReadAll(io.LimitReader(in, maxBodyBytes+1))
+	if err == nil && len(body) > maxBodyBytes {
+		err = fmt.Errorf("%w: body of more than %d bytes", errHTTP, maxBodyBytes)
 	}
 	return body, err
 }
 
-// readFull reads n bytes. It allocates memory only for bytes that arrive.
+// readFull reads n bytes. It allocates memory only as bytes arrive, because the
+// service may announce more than it sends.
 func readFull(in *bufio.Reader, n int) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(in, int64(n)))
 	if err == nil && len(body) < n {
@@ -161,8 +165,8 @@
 		}
 		size, _, _ := bytes.Cut(line, []byte{';'})
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 32)
-		if err != nil || len(body)+int(n) > maxBody {
-			return nil, fmt.Errorf("%w: chunk %.40q", errHTTP, line)
+		if err != nil || len(body)+int(n) > maxBodyBytes {
+			return nil, fmt.Errorf("%w: chunk size %.40q", errHTTP, line)
 		}
 		if n == 0 {
 			return body, skipTrailers(in)
@@ -177,19 +181,19 @@
 			return nil, err
 		}
 		if len(end) > 0 {
-			return nil, fmt.Errorf("%w: a chunk without its end", errHTTP)
+			return nil, fmt.Errorf("%w: chunk longer than its size", errHTTP)
 		}
 	}
 }
 
 // skipTrailers skips the fields after the last chunk, up to the empty line.
 func skipTrailers(in *bufio.Reader) error {
-	for size := 0; size <= maxHeader; {
+	for size := 0; size <= maxHeaderBytes; {
 		line, err := readLine(in)
 		if err != nil || len(line) == 0 {
 			return err
 		}
 		size += len(line)
 	}
-	return fmt.Errorf("%w: trailers of over %d bytes", errHTTP, maxHeader)
+	return fmt.Errorf("%w: trailers of more than %d bytes", errHTTP, maxHeaderBytes)
 }
--- a/internal/discovery/response_test.go
+++ b/internal/discovery/response_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A response of each form is read; a malformed one is rejected.
+// Each form of response is read, and malformed responses are rejected. An empty
+// string stands for an error.
 func TestReadResponse(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for text, want := range map[string]string{
@@ -14,7 +15,7 @@
 		ok + "Transfer-Encoding: chunked\r\n\r\n2;x=y\r\nbo\r\n2\r\ndy\r\n0\r\nA: b\r\n\r\n": "body",
 		ok + "Content-Length: -1\r\n\r\n":                                                    "",
 		ok + "Content-Length: 99999999\r\n\r\n":                                              "",
-		ok + "\r\nbody":                                                                      "body", // up to EOF
+		ok + "\r\nbody":                                                                      "body", // ends at EOF
 		ok + "Transfer-Encoding: chunked\r\n\r\n-2\r\nbo":                                    "",
 		ok + "Transfer-Encoding: chunked\r\n\r\nfffffff\r\nbo":                               "",
 		"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n":                                       "",
@@ -23,7 +24,7 @@
 	} {
 		got, err := readResponse(bufio.NewReader(strings.NewReader(text)))
 		if string(got.body) != want || (err == nil) != (want != "") {
-			t.Errorf("%q: %q, %v", text, got.body, err)
+			t.Errorf("readResponse(%q) = %q, %v, want %q", text, got.body, err, want)
 		}
 	}
 }
--- a/internal/discovery/response_truncated_test.go
+++ b/internal/discovery/response_truncated_test.go
@@ -10,13 +10,13 @@
 	"testing"
 )
 
-// truncated is a connection that fails after what it still holds.
-type truncated struct {
+// truncatedReader is a connection that fails after the rest of its text.
+type truncatedReader struct {
 	text string
 	err  error
 }
 
-func (c *truncated) Read(b []byte) (int, error) {
+func (c *truncatedReader) Read(b []byte) (int, error) {
 	if c.text == "" {
 		return 0, c.err
 	}
@@ -25,8 +25,8 @@
 	return n, nil
 }
 
-// A response that is truncated after any of its bytes, by an EOF or by a reset,
-// must not be taken for a whole one; nor one without a length before the EOF.
+// A response that is truncated after any of its bytes, by EOF or by a reset, must
+// not be accepted as complete. A response without a length is complete at EOF only.
 func TestTruncatedResponseIsAnError(t *testing.T) {
 	ids := NewEndpointIDs([]string{"a"})
 	const list = "{\n \"index\": 43, \"snapshot\": true,\n \"endpoints\": " +
@@ -45,51 +45,53 @@
 	} {
 		for _, end := range []error{io.EOF, syscall.ECONNRESET} {
 			for i := range len(c.text) + 1 {
-				answer, err := readResponse(bufio.NewReader(&truncated{c.text[:i], end}))
+				answer, err := readResponse(bufio.NewReader(&truncatedReader{c.text[:i], end}))
 				var got Update
 				if err == nil {
 					got, err = ids.ParseBytes(answer.body)
 				}
 				isEOF := errors.Is(end, io.EOF)
-				whole := i == len(c.text) && (!c.untilEOF || isEOF) ||
-					i == len(c.text)-1 && c.untilEOF && isEOF // but for the last line's end
+				complete := i == len(c.text) && (!c.untilEOF || isEOF) ||
+					i == len(c.text)-1 && c.untilEOF && isEOF // only the last newline is missing
 				wrong := got.Index != 43 || len(got.Endpoints) != 1 || answer.last != c.untilEOF
-				if (err == nil) != whole || whole && wrong {
-					t.Errorf("%s, %v after %d of %d bytes: %+v, %v", name, end, i, len(c.text), got, err)
+				if (err == nil) != complete || complete && wrong {
+					t.Errorf("%s, %v after %d of %d bytes: got %+v, %v, want a list: %v",
+						name, end, i, len(c.text), got, err, complete)
 				}
 			}
 		}
 	}
 }
 
-// A response without an end is given up within a bound on memory.
-func TestEndlessResponseIsGivenUp(t *testing.T) {
+// Reading a response that never ends stops with an error before it uses too much
+// memory.
+func TestEndlessResponseIsRejected(t *testing.T) {
 	for name, text := range map[string]string{
-		"a line":    "HTTP/1.1 200 OK",
-		"a header":  "HTTP/1.1 200 OK\r\nX: ",
-		"headers":   "HTTP/1.1 200 OK\r\n",
-		"a body":    "HTTP/1.1 200 OK\r\n\r\n",
-		"a trailer": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n",
+		"line":    "HTTP/1.1 200 OK",
+		"header":  "HTTP/1.1 200 OK\r\nX: ",
+		"headers": "HTTP/1.1 200 OK\r\n",
+		"body":    "HTTP/1.1 200 OK\r\n\r\n",
+		"trailer": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n",
 	} {
 		more := "x"
-		if name == "headers" || name == "a trailer" {
+		if name == "headers" || name == "trailer" {
 			more = "X: y\r\n"
 		}
-		in := &endless{text: text, more: strings.Repeat(more, 1000)}
-		if _, err := readResponse(bufio.NewReader(in)); !errors.Is(err, errHTTP) || in.read > 2*maxBody {
-			t.Errorf("%s: %v after %d bytes", name, err, in.read)
+		in := &endlessReader{text: text, more: strings.Repeat(more, 1000)}
+		if _, err := readResponse(bufio.NewReader(in)); !errors.Is(err, errHTTP) || in.read > 2*maxBodyBytes {
+			t.Errorf("%s: got %v after %d bytes, want %v within %d", name, err, in.read, errHTTP, 2*maxBodyBytes)
 		}
 	}
 }
 
-// endless is a connection that repeats more after text.
-type endless struct {
+// endlessReader is a connection that repeats more after text.
+type endlessReader struct {
 	text string
 	more string
-	read int // bytes
+	read int // bytes read so far
 }
 
-func (e *endless) Read(b []byte) (int, error) {
+func (e *endlessReader) Read(b []byte) (int, error) {
 	if e.text == "" {
 		e.text = e.more
 	}
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -1,9 +1,8 @@
-// Package discovery keeps a router's endpoint list current: it parses the list
-// and watches its changes over HTTP.
+// Package discovery keeps a router's endpoint list up to date. It polls the
+// discovery service over HTTP and parses the endpoint list.
 //
-// update.go parses the list's JSON, watcher.go keeps the watch, response.go
-// reads HTTP responses. When to poll, and for what, is decided in package
-// polling.
+// update.go parses the list's JSON, watcher.go polls the service, and response.go
+// reads HTTP responses. Package polling decides when to poll and what to request.
 package discovery
 
 import (
@@ -19,39 +18,42 @@
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	decide.Endpoint // its ID is assigned by an EndpointIDs
+	decide.Endpoint // its ID is assigned by EndpointIDs
 	Name            string
-	Address         string // host and port
+	Address         string // host:port
 }
 
-// Update is the whole endpoint list, or what has changed of it.
+// Update is a snapshot of the endpoint list, or the changes since an earlier
+// version.
 type Update struct {
-	Index     uint64 // the list's version
-	Snapshot  bool   // Endpoints is the whole list
+	Index     uint64 // version of the list
+	Snapshot  bool   // Endpoints is the whole list, otherwise only the changed entries
 	Endpoints []Endpoint
 }
 
-// EndpointIDs assigns endpoints their IDs by their names. An ID stays the same
-// as long as the program runs. It is not safe for concurrent use.
+// EndpointIDs parses updates and assigns an ID to each endpoint name. A name keeps
+// its ID as long as the program runs. EndpointIDs is not safe for concurrent use.
 type EndpointIDs struct {
 	zones []string
-	ids   map[string]uint32
+	ids   map[string]uint32 // by endpoint name
 }
 
-// NewEndpointIDs returns an EndpointIDs that has assigned none. zones are the
-// names of the zones in the settings; an endpoint's zone is an index into them.
+// NewEndpointIDs returns an EndpointIDs that has assigned no IDs. zones are the
+// zone names in the settings. An endpoint's Zone is an index into them, -1 if its
+// zone is not among them.
 func NewEndpointIDs(zones []string) *EndpointIDs {
 	return &EndpointIDs{zones: zones, ids: map[string]uint32{}}
 }
 
-var errList = errors.New("discovery: not a list of endpoints")
+var errMalformedList = errors.New(`discovery: parsing endpoint list: "endpoints" is not an array`)
 
-// Parse reads an update. It skips entries that are malformed or of unknown
-// status: one of them must not cost the others.
+// Parse reads an update from a JSON document. It skips entries that have no name or
+// an unknown status, so that a malformed entry does not invalidate the others.
+// It returns an error if the document has no array of endpoints.
 func (n *EndpointIDs) Parse(document *fastjson.Value) (Update, error) {
 	entries := document.Get("endpoints")
 	if entries == nil || entries.Type() != fastjson.TypeArray {
-		return Update{}, errList
+		return Update{}, errMalformedList
 	}
 	update := Update{
 		Index:    document.GetUint64("index"),
@@ -65,7 +67,7 @@
 	return update, nil
 }
 
-// parseEndpoint reads one entry, and reports whether it can be used.
+// parseEndpoint reads one entry and reports whether it is valid.
 func (n *EndpointIDs) parseEndpoint(entry *fastjson.Value) (Endpoint, bool) {
 	endpoint := Endpoint{
 		Name:    string(entry.GetStringBytes("name")),
@@ -92,7 +94,7 @@
 	return endpoint, true
 }
 
-// id returns the ID of a name, a new one for a new name.
+// id returns the ID of an endpoint name, and assigns one to a new name.
 func (n *EndpointIDs) id(name string) uint32 {
 	id, ok := n.ids[name]
 	if !ok {
@@ -102,11 +104,11 @@
 	return id
 }
 
-// ParseBytes reads an update from JSON.
+// ParseBytes is like Parse, for a JSON text.
 func (n *EndpointIDs) ParseBytes(body []byte) (Update, error) {
 	document, err := fastjson.ParseBytes(body)
 	if err != nil {
-		return Update{}, fmt.Errorf("discovery: %w", err)
+		return Update{}, fmt.Errorf("discovery: parsing endpoint list: %w", err)
 	}
 	return n.Parse(document)
 }
--- a/internal/discovery/update_test.go
+++ b/internal/discovery/update_test.go
@@ -10,36 +10,36 @@
 	"lotusbend/decide"
 )
 
-// A malformed entry costs no other; a name keeps its ID.
+// A malformed entry does not invalidate the others, and a name keeps its ID.
 func TestParseUpdate(t *testing.T) {
 	ids := NewEndpointIDs([]string{"a", "b"})
 	first, err := ids.ParseBytes([]byte(`{"index":41,"snapshot":true,"endpoints":[{"name":"x","status":"odd"},{"status":"ready"},
 		{"name":"s","address":"127.0.0.1:1","zone":"b","group":3,"status":"ready",
 		"since_ms":1767225600000,"recovery":"off"}]}`))
 	if err != nil || first.Index != 41 || !first.Snapshot || len(first.Endpoints) != 1 {
-		t.Fatalf("%+v, %v", first, err)
+		t.Fatalf("ParseBytes of a snapshot = %+v, %v, want one endpoint at index 41", first, err)
 	}
 	endpoint := first.Endpoints[0]
 	if endpoint.Zone != 1 || endpoint.Group != 3 || endpoint.State != decide.Ready || !endpoint.Primary ||
 		endpoint.StartedAt.Milliseconds() != 1767225600000 {
-		t.Errorf("%+v", endpoint)
+		t.Errorf("endpoint s = %+v, want a ready primary of group 3 in zone 1", endpoint)
 	}
 	second, err := ids.ParseBytes([]byte(`{"index":42,"endpoints":[{"name":"s","status":"gone"}]}`))
 	if err != nil || second.Snapshot {
-		t.Errorf("%+v, %v", second, err)
+		t.Errorf("ParseBytes of changes = %+v, %v, want no snapshot", second, err)
 	}
 	if second.Endpoints[0].ID != endpoint.ID || second.Endpoints[0].State != decide.Removed {
-		t.Errorf("%+v", second)
+		t.Errorf("ParseBytes of changes = %+v, want endpoint %d removed", second, endpoint.ID)
 	}
 	for _, malformed := range []string{"", "[]", "{}", `{"endpoints":{}}`} {
 		if _, err := ids.ParseBytes([]byte(malformed)); err == nil {
-			t.Errorf("%q is parsed as a list", malformed)
+			t.Errorf("ParseBytes(%q) = nil error, want an error", malformed)
 		}
 	}
 }
 
-// A list of 3,100 endpoints, indented, is read and parsed whole.
-func TestListOfThousandsOfEndpoints(t *testing.T) {
+// An indented list of 3,100 endpoints is read and parsed completely.
+func TestParseListOfThousandsOfEndpoints(t *testing.T) {
 	const count = 3100
 	var entries []map[string]any
 	for n := range count {
@@ -67,6 +67,6 @@
 	}
 	update, err := NewEndpointIDs([]string{"zone-0"}).ParseBytes(got.body)
 	if err != nil || len(update.Endpoints) != count || update.Endpoints[count-1].Group != (count-1)/4 {
-		t.Errorf("%d endpoints of %d, %v", len(update.Endpoints), count, err)
+		t.Errorf("parsed %d of %d endpoints in groups of four, %v", len(update.Endpoints), count, err)
 	}
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -14,27 +14,29 @@
 	"lotusbend/internal/netio"
 )
 
-// dialTimeout is in milliseconds: a connection comes up at once or never.
-const dialTimeout = 500
+// dialTimeoutMs is the timeout of a dial, in milliseconds. It is short because a
+// connection is established at once or not at all.
+const dialTimeoutMs = 500
 
-// Watcher watches the endpoint list at one address. It is the one place that
-// uses the standard library's connections instead of netpoll's: a list may end
-// with its connection, and netpoll does not distinguish an end from a reset.
+// Watcher watches the endpoint list of the discovery service at one address. It
+// uses connections of the standard library, unlike the rest of the program, which
+// uses netpoll: a response may end at EOF, and netpoll does not distinguish EOF
+// from a reset.
 type Watcher struct {
 	Loop     *clock.Loop
 	Log      *slog.Logger
-	Address  string
+	Address  string // host:port of the discovery service
 	IDs      *EndpointIDs
 	Schedule *polling.Schedule
 	OnUpdate func(Update) // called inside the loop's Do
 
-	dial func(ctx context.Context, address string) (net.Conn, error) // nil for the system's
+	dial func(ctx context.Context, address string) (net.Conn, error) // nil for a TCP dial
 }
 
-// Run watches the endpoint list until ctx ends. It first requests the whole
-// list, unless the schedule resumes from one that the router holds, and then
-// the changes. It blocks the calling goroutine, which owns IDs and Schedule
-// meanwhile.
+// Run watches the endpoint list until ctx is done. It first requests the whole
+// list, unless the schedule resumes from a list that the router holds, and then
+// the changes. It blocks, and no one else may use IDs and Schedule until it
+// returns.
 func (w *Watcher) Run(ctx context.Context) {
 	delay := w.Schedule.InitialDelay()
 	for {
@@ -56,9 +58,9 @@
 	}
 }
 
-// pollConnection opens a connection and polls on it until it ends, a request
-// fails or the schedule sets a delay. It returns the delay before the next
-// connection, in milliseconds.
+// pollConnection opens a connection and polls on it until the connection ends, a
+// request fails or the schedule requires a delay. It returns the delay before the
+// next connection, in milliseconds.
 func (w *Watcher) pollConnection(ctx context.Context) (delay float64, err error) {
 	nc, err := w.connect(ctx)
 	if err != nil {
@@ -73,7 +75,7 @@
 		poll := w.Schedule.NextPoll()
 		answer, took, err := w.poll(conn, in, poll)
 		if err != nil {
-			return w.Schedule.Failed(failureOf(err)), err
+			return w.Schedule.Failed(classifyFailure(err)), err
 		}
 		update, err := w.IDs.ParseBytes(answer.body)
 		if err != nil {
@@ -88,8 +90,9 @@
 	}
 }
 
-// poll sends a request and reads its response. It closes the connection at the
-// request's timeout. took is in milliseconds.
+// poll sends a request and reads its response. If the request times out, it closes
+// the connection and returns errTimeout. took is the time from the request to the
+// response, in milliseconds.
 func (w *Watcher) poll(
 	conn *netio.Conn, in *bufio.Reader, poll polling.Poll,
 ) (answer response, took float64, err error) {
@@ -115,12 +118,12 @@
 	return answer, took, err
 }
 
-// connect dials within dialTimeout.
+// connect dials the discovery service. It gives up after dialTimeoutMs.
 func (w *Watcher) connect(ctx context.Context) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var timeout *clock.Deadline
-	w.Loop.Do(func() { timeout = w.Loop.At(w.Loop.Now()+dialTimeout, cancel) })
+	w.Loop.Do(func() { timeout = w.Loop.At(w.Loop.Now()+dialTimeoutMs, cancel) })
 	defer w.Loop.Do(func() { w.Loop.Cancel(timeout) })
 	if w.dial != nil {
 		return w.dial(ctx, w.Address)
@@ -128,7 +131,7 @@
 	return (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", w.Address)
 }
 
-// request returns the bytes of a poll's HTTP request.
+// request returns the HTTP request of a poll.
 func (w *Watcher) request(poll polling.Poll) []byte {
 	b := []byte("GET /v1/endpoints")
 	if poll.Incremental {
@@ -137,11 +140,11 @@
 	return fmt.Appendf(b, " HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", w.Address)
 }
 
-// errTimeout ends a request that got no response within its timeout.
-var errTimeout = errors.New("discovery: no answer in time")
+// errTimeout is the error of a request without a response within its timeout.
+var errTimeout = errors.New("discovery: request timed out")
 
-// failureOf classifies the error of a request for the schedule.
-func failureOf(err error) polling.Failure {
+// classifyFailure returns the kind of failure that the schedule distinguishes.
+func classifyFailure(err error) polling.Failure {
 	switch {
 	case errors.Is(err, errTimeout):
 		return polling.TimedOut
--- a/internal/discovery/watcher_failure_test.go
+++ b/internal/discovery/watcher_failure_test.go
@@ -17,16 +17,16 @@
 	"lotusbend/internal/discovery/polling"
 )
 
-// scriptedService runs a Watcher whose dials the test answers. The clock stands
-// still until the test moves it to the next deadline.
+// scriptedService runs a Watcher and lets the test answer its dials and requests.
+// The clock stands still until the test moves it to the next deadline.
 type scriptedService struct {
 	t        *testing.T
 	clock    *clock.Clock
 	loop     *clock.Loop
 	updates  chan Update
-	dials    chan chan net.Conn // to answer with a connection, nil to refuse it
+	dials    chan chan net.Conn // each dial sends a channel for its connection, nil to refuse it
 	listener net.Listener
-	conn     *net.TCPConn // the service's end
+	conn     *net.TCPConn // the service's end of the connection
 	in       *bufio.Reader
 }
 
@@ -66,7 +66,7 @@
 	return s
 }
 
-// dial is the watcher's: it waits for the test's answer.
+// dial is the Watcher's dial function. It waits for the test's answer.
 func (s *scriptedService) dial(ctx context.Context, _ string) (net.Conn, error) {
 	answer := make(chan net.Conn)
 	select {
@@ -108,7 +108,7 @@
 	s.t.Helper()
 	request, err := http.ReadRequest(s.in)
 	if err != nil || request.URL.String() != want {
-		s.t.Fatalf("requested %v, %v; want %s", request, err, want)
+		s.t.Fatalf("got request %v, %v, want URL %s", request, err, want)
 	}
 }
 
@@ -119,12 +119,12 @@
 	}
 }
 
-// awaitRetry moves the clock to the end of the delay before the next request,
-// past the deadlines of the dial and the request that began at began.
-func (s *scriptedService) awaitRetry(began float64) {
+// awaitRetry moves the clock to the end of the delay before the next request. It
+// ignores the timeouts of a dial and a request that began at beganAt.
+func (s *scriptedService) awaitRetry(beganAt float64) {
 	for {
 		due, ok := s.loop.Next()
-		if ok && due != began+dialTimeout && due != began+requestTimeout {
+		if ok && due != beganAt+dialTimeoutMs && due != beganAt+requestTimeoutMs {
 			s.clock.Set(due)
 			s.loop.Fire()
 			return
@@ -133,10 +133,10 @@
 	}
 }
 
-// requestTimeout is the timeout of any request, in milliseconds.
-const requestTimeout = 4000
+// requestTimeoutMs is the timeout of every request, in milliseconds.
+const requestTimeoutMs = 4000
 
-// receive accepts the dial in progress and reads the request.
+// receive accepts the dial in progress and reads a request.
 func (s *scriptedService) receive() {
 	s.t.Helper()
 	s.connect()
@@ -145,7 +145,7 @@
 	}
 }
 
-// writeStatus answers without a list.
+// writeStatus answers a request with a status and an empty body.
 func (s *scriptedService) writeStatus(status string) {
 	s.t.Helper()
 	if _, err := fmt.Fprintf(s.conn, "HTTP/1.1 %s\r\nContent-Length: 0\r\n\r\n", status); err != nil {
@@ -153,18 +153,18 @@
 	}
 }
 
-// writeSnapshot answers with an empty list, which must reach OnUpdate.
+// writeSnapshot answers a request with an empty list, which must reach OnUpdate.
 func (s *scriptedService) writeSnapshot(index int) {
 	s.t.Helper()
 	body := fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[]}`, index)
 	s.write("Content-Length: %d\r\n\r\n%s", len(body), body)
 	if update := <-s.updates; update.Index != uint64(index) {
-		s.t.Fatalf("received %+v", update)
+		s.t.Fatalf("OnUpdate(%+v), want the index of the response", update)
 	}
 }
 
-// step moves the clock to the next deadline, once there is one within the given
-// milliseconds.
+// step waits until there is a deadline within the given milliseconds and moves the
+// clock to it.
 func (s *scriptedService) step(within float64) {
 	for {
 		if due, ok := s.loop.Next(); ok && due <= s.clock.Now()+within {
@@ -181,19 +181,19 @@
 	after43URL  = "/v1/endpoints?after=43&wait_ms=3000"
 )
 
-// A watch that falls silent, in a long poll or in a request for the snapshot, is
-// opened anew before what it misses counts as known.
+// A connection that falls silent, in a long poll or in a request for the whole
+// list, is reopened before the router must know the changes that it misses.
 func TestSilentWatchIsReopened(t *testing.T) {
 	s := newScriptedService(t, polling.Config{})
 	s.connect()
 	s.expect(snapshotURL)
-	for range 2 { // for the snapshot, then for changes
+	for range 2 { // a request for the whole list, then one for changes
 		silentFrom := s.clock.Now()
 		s.step(6000) // the request times out
-		s.step(500)  // the delay before the next
+		s.step(500)  // the delay before the next request
 		s.connect()
 		if took := s.clock.Now() - silentFrom; took > 4500 {
-			t.Errorf("opened anew after %.0f ms of silence", took)
+			t.Errorf("reopened after %.0f ms of silence, want at most 4500", took)
 		}
 		request, err := http.ReadRequest(s.in)
 		if err != nil {
@@ -203,19 +203,19 @@
 			s.writeSnapshot(43)
 			s.expect(after43URL)
 		} else if request.URL.String() != after43URL {
-			t.Errorf("requested %s", request.URL)
+			t.Errorf("got request for %s, want the snapshot or the changes after 43", request.URL)
 		}
 	}
 }
 
-// Whatever became of earlier requests, and however often, a change is requested
-// before it counts as known: 6 s after discovery had it and could be reached,
-// at the earliest just after the last failed request had begun.
+// However earlier requests failed, and however often, a change is requested before
+// the router must know it: 6 s after discovery has it and can be reached. That can
+// be as early as just after the last failed request began.
 func TestChangeIsRequestedInTimeAfterFailures(t *testing.T) {
-	const limit = 5000 // queueing at the service comes on top
+	const limit = 5000 // leaves time for queueing at the service
 	failures := map[string]func(s *scriptedService){
 		"refused":   func(s *scriptedService) { <-s.dials <- nil },
-		"hangs":     func(s *scriptedService) { <-s.dials; s.step(dialTimeout) },
+		"hangs":     func(s *scriptedService) { <-s.dials; s.step(dialTimeoutMs) },
 		"ended":     func(s *scriptedService) { s.receive(); _ = s.conn.Close() },
 		"reset":     func(s *scriptedService) { s.receive(); _ = s.conn.SetLinger(0); _ = s.conn.Close() },
 		"silent":    func(s *scriptedService) { s.receive(); s.step(6000) },
@@ -232,39 +232,39 @@
 		"polled by few":            {Routers: 15, PollOnly: true, PollInterval: 10000},
 	} {
 		failures := maps.Clone(failures)
-		if !config.PollOnly || config.Routers <= 15 { // one service can answer so many in this time, however busy
+		if !config.PollOnly || config.Routers <= 15 { // an overloaded service can answer that many routers in time
 			failures["overloaded"] = overloaded
 		}
 		for name, fail := range failures {
 			s := newScriptedService(t, config)
 			for range 12 {
-				began := s.clock.Now()
+				beganAt := s.clock.Now()
 				fail(s)
-				s.awaitRetry(began)
-				if took := s.clock.Now() - began; took > limit {
-					t.Errorf("%s, %s: the next request comes after %.0f ms", mode, name, took)
+				s.awaitRetry(beganAt)
+				if took := s.clock.Now() - beganAt; took > limit {
+					t.Errorf("%s, %s: next request after %.0f ms, want at most %d", mode, name, took, limit)
 				}
 			}
 		}
 	}
 }
 
-// A dial that hangs times out, and the next one comes soon.
+// A dial that hangs times out, and the next one follows soon.
 func TestHangingDialTimesOut(t *testing.T) {
 	s := newScriptedService(t, polling.Config{})
-	<-s.dials // and it hangs
-	began := s.clock.Now()
+	<-s.dials // the dial hangs
+	beganAt := s.clock.Now()
 	s.step(500)
 	s.step(500)
 	s.connect()
-	if took := s.clock.Now() - began; took > 600 {
-		t.Errorf("dialled anew after %.0f ms", took)
+	if took := s.clock.Now() - beganAt; took > 600 {
+		t.Errorf("dialled again after %.0f ms, want at most 600", took)
 	}
 	s.expect(snapshotURL)
 }
 
-// A list without a length is whole at EOF, and not at a reset. The next request
-// comes within 200 ms, so that the watch goes on.
+// A list without a length is complete at EOF but not at a reset. In both cases the
+// next request follows within 200 ms.
 func TestEOFEndsListAndResetDoesNot(t *testing.T) {
 	s := newScriptedService(t, polling.Config{})
 	s.connect()
@@ -277,7 +277,7 @@
 	s.step(500)
 	s.connect()
 	if delay := s.clock.Now() - resetAt; delay > 200 {
-		t.Errorf("the watch is opened anew after %.0f ms", delay)
+		t.Errorf("reopened %.0f ms after a reset, want at most 200", delay)
 	}
 	s.expect(snapshotURL)
 	s.write("\r\n%s", "{\n\t\"index\": 43,\n\t\"snapshot\": true,\n\t\"endpoints\": []\n}\n")
@@ -285,11 +285,11 @@
 		t.Fatal(err)
 	}
 	if update := <-s.updates; update.Index != 43 || !update.Snapshot {
-		t.Errorf("received %+v", update)
+		t.Errorf("OnUpdate(%+v), want a snapshot at index 43", update)
 	}
-	s.connect() // at once: it was no failure
+	s.connect() // without a delay, because EOF is no failure
 	s.expect(after43URL)
 	if s.clock.Now() > resetAt+200 {
-		t.Error("a list that ends its connection is followed by a delay")
+		t.Error("reopened with a delay after a list that ended with its connection")
 	}
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -16,17 +16,18 @@
 	"lotusbend/internal/discovery/polling"
 )
 
-// service is the discovery service's end of a watch, scripted.
+// service is a discovery service whose responses the test writes.
 type service struct {
 	t        *testing.T
 	listener net.Listener
-	conn     net.Conn // nil once it was ended
+	conn     net.Conn // nil once the connection has ended
 	in       *bufio.Reader
 	clock    *clock.Clock
 	loop     *clock.Loop
 }
 
-// expect reads the next request, on a new connection if the last one has ended.
+// expect reads the next request, which must have the given URL. It accepts a new
+// connection if the last one has ended.
 func (s *service) expect(want string) {
 	s.t.Helper()
 	if s.conn == nil {
@@ -40,11 +41,11 @@
 	}
 	request, err := http.ReadRequest(s.in)
 	if err != nil || request.URL.String() != want {
-		s.t.Fatalf("requested %v, %v; want %s", request, err, want)
+		s.t.Fatalf("got request %v, %v, want URL %s", request, err, want)
 	}
 }
 
-// answer writes a response. One that is a failure to the watcher ends the
+// answer writes a response. After a status other than 200 the watcher ends the
 // connection.
 func (s *service) answer(status, body string) {
 	s.t.Helper()
@@ -57,7 +58,8 @@
 	}
 }
 
-// endConnection awaits the delay that follows a failed request.
+// endConnection forgets the connection and moves the clock past the delay that
+// follows a failed request.
 func (s *service) endConnection() {
 	s.conn = nil
 	for {
@@ -70,9 +72,9 @@
 	}
 }
 
-// A router that holds a list requests what has changed since, also after the
-// service was overloaded; a service that does not know the list's index, or
-// whose answer is malformed, is asked for the whole list.
+// A router that holds a list requests the changes since then, even after the
+// service was overloaded. If the service does not know the list's index, or its
+// response is malformed, the router requests the whole list.
 func TestWatchResumesFromHeldList(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -102,7 +104,7 @@
 	s.expect(snapshotURL + "?after=41&wait_ms=3000")
 	s.answer("200 OK", `{"index":43,"snapshot":false,"endpoints":[{"name":"a","status":"ready"}]}`)
 	if update := <-updates; update.Index != 43 || update.Snapshot || len(update.Endpoints) != 1 {
-		t.Errorf("received %+v", update)
+		t.Errorf("OnUpdate(%+v), want one change at index 43", update)
 	}
 	s.expect(snapshotURL + "?after=43&wait_ms=3000")
 	s.answer("410 Gone", "")
@@ -114,8 +116,8 @@
 	s.expect(snapshotURL)
 }
 
-// A failed poll is logged as one event with the component's name, by which
-// operators and cmd/lotusbend's tests find it.
+// A failed poll is logged as one event with its component, error and retry delay.
+// Operators and the tests of cmd/lotusbend look for it.
 func TestFailedPollIsLogged(t *testing.T) {
 	loop := clock.NewLoop(clock.Manual(1e6))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -132,12 +134,12 @@
 	line := <-lines
 	for _, want := range []string{`level=WARN msg="endpoint poll failed" component=discovery error="`, "retry_ms="} {
 		if !strings.Contains(line, want) {
-			t.Errorf("logged %q, want %q in it", line, want)
+			t.Errorf("logged %q, want it to contain %q", line, want)
 		}
 	}
 }
 
-// lineWriter sends each write as a line.
+// lineWriter sends each write to the channel as a line.
 type lineWriter chan<- string
 
 func (w lineWriter) Write(line []byte) (int, error) {
