--- a/internal/fleetstate/link/link.go
+++ b/internal/fleetstate/link/link.go
@@ -38,7 +38,7 @@
 	udp.Payload
 }
 
-// Link implements udp.SharedState. Membership's loop calls Fleet, Tick and
+// Link implements udp.SharedState. Membership's loop calls UpdatePeers, Tick and
 // Receive; the other methods and the counters are safe for concurrent use.
 type Link struct {
 	node      *fleetstate.Node
@@ -122,8 +122,8 @@
 	return l.page
 }
 
-// Fleet implements udp.SharedState.
-func (l *Link) Fleet(peers []string, size int, now int64) { l.node.SetView(peers, size, now) }
+// UpdatePeers implements udp.SharedState.
+func (l *Link) UpdatePeers(peers []string, size int, now int64) { l.node.SetView(peers, size, now) }
 
 // Tick implements udp.SharedState.
 func (l *Link) Tick(now int64) []udp.Payload {
--- a/internal/fleetstate/link/link_test.go
+++ b/internal/fleetstate/link/link_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	now := cfg.LeaseMs + cfg.SkewMs
-	l.Fleet([]string{"peer"}, 2, now)
+	l.UpdatePeers([]string{"peer"}, 2, now)
 	l.Offer(fleetstate.Observation{Endpoints: []fleetstate.EndpointHealth{{Name: "h", Ready: true, WarmingUp: true}}})
 	l.Tick(now)
 	before := (<-l.Advice()).SlowStart["h"].At(now)
--- a/internal/membership/udp/loop.go
+++ b/internal/membership/udp/loop.go
@@ -77,7 +77,7 @@
 	if version := t.view.Version; version != t.sharedVersion || version == 0 {
 		t.sharedVersion = version
 		peers, size := t.node.Peers()
-		t.shared.Fleet(peers, size, now)
+		t.shared.UpdatePeers(peers, size, now)
 	}
 	t.sendPayloads(t.shared.Tick(now), now)
 }
--- a/internal/membership/udp/udp.go
+++ b/internal/membership/udp/udp.go
@@ -52,9 +52,9 @@
 // sent within the byte budget of membership's packets. Its methods are called by
 // the transport's goroutine only and must not block. Times are in milliseconds.
 type SharedState interface {
-	// Fleet notifies of the names of the peers, and of how many routers there may
+	// UpdatePeers notifies of the names of the peers, and of how many routers there may
 	// be.
-	Fleet(peers []string, size int, now int64)
+	UpdatePeers(peers []string, size int, now int64)
 	// Tick is called every 10 ms; it returns what is to be sent.
 	Tick(now int64) []Payload
 	// Receive handles a peer's payload; it returns what is to be sent.
