--- a/internal/membership/faultinjection/faultinjection.go
+++ b/internal/membership/faultinjection/faultinjection.go
@@ -1,40 +1,39 @@
-// Package faultinjection disables single guards of the membership protocol, for
-// drills and tests that must see the check fail which the guard protects. No
-// router in service sets one. Package membership's FaultInjection interface is
-// implemented by [Fault].
+// Package faultinjection disables single guards of the membership protocol, so
+// that drills and tests can show that their checks fail without them. Routers in
+// production have no fault set. [Fault] implements the FaultInjection interface of
+// package membership.
 package faultinjection
 
 import "fmt"
 
-// Fault names the guard that is disabled. The zero Fault disables none. It is
-// immutable and safe for concurrent use.
+// Fault selects the guard that is disabled. It is safe for concurrent use.
 type Fault string
 
-// The faults, by the names that settings files and drills use.
+// The faults. Their values are the names in settings files and drill flags.
 const (
-	None         Fault = ""
-	NoRefutation Fault = "no-refute"    // suspicions and deaths of the member itself are not refuted
-	NoPushPull   Fault = "no-pushpull"  // no periodic push-pull
-	NoSuspicion  Fault = "no-suspicion" // a failed probe is declared a death at once
+	None         Fault = ""             // all guards are enabled
+	NoRefutation Fault = "no-refute"    // the member leaves suspicions and deaths of itself unrefuted
+	NoPushPull   Fault = "no-pushpull"  // the member starts no periodic push-pulls
+	NoSuspicion  Fault = "no-suspicion" // the target of a failed probe is declared dead at once
 )
 
-// Names lists the faults that may be selected by name.
+// Names returns the names of all faults but None.
 func Names() []string {
 	return []string{string(NoRefutation), string(NoPushPull), string(NoSuspicion)}
 }
 
-// UnknownFaultError is returned by Parse for a name that no fault has.
+// UnknownFaultError is the error of Parse for a name that is not that of a fault.
 type UnknownFaultError struct {
 	Name string
 }
 
 // Error implements error.
 func (e *UnknownFaultError) Error() string {
-	return fmt.Sprintf("membership: sabotage %q, want no-refute, no-pushpull or no-suspicion", e.Name)
+	return fmt.Sprintf("unknown membership fault %q: want no-refute, no-pushpull or no-suspicion", e.Name)
 }
 
-// Parse returns the fault of a name, None for "". Its error is an
-// *UnknownFaultError.
+// Parse returns the fault with the given name, None for "". It returns an
+// *UnknownFaultError for an unknown name.
 func Parse(name string) (Fault, error) {
 	switch fault := Fault(name); fault {
 	case None, NoRefutation, NoPushPull, NoSuspicion:
--- a/internal/membership/faultinjection/faultinjection_test.go
+++ b/internal/membership/faultinjection/faultinjection_test.go
@@ -8,7 +8,8 @@
 	"lotusbend/internal/membership/faultinjection"
 )
 
-// TestEachNameDisablesItsGuardAlone parses each name, none and an unknown one.
+// TestEachNameDisablesItsGuardAlone checks that each fault disables exactly the
+// guard it names, the empty name disables none, and an unknown name is rejected.
 func TestEachNameDisablesItsGuardAlone(t *testing.T) {
 	guards := []func(membership.FaultInjection) bool{
 		membership.FaultInjection.SkipsRefutation,
@@ -18,16 +19,16 @@
 	for i, name := range append(faultinjection.Names(), "") {
 		fault, err := faultinjection.Parse(name)
 		if err != nil || string(fault) != name {
-			t.Errorf("%q: parsed as %q, %v", name, fault, err)
+			t.Errorf("Parse(%q) = %q, %v, want the fault of that name", name, fault, err)
 		}
 		for j, skips := range guards {
 			if skips(fault) != (i == j) {
-				t.Errorf("%q: guard %d disabled %v", name, j, skips(fault))
+				t.Errorf("fault %q: guard %d disabled = %v, want %v", name, j, skips(fault), i == j)
 			}
 		}
 	}
 	var unknown *faultinjection.UnknownFaultError
 	if _, err := faultinjection.Parse("no-ping"); !errors.As(err, &unknown) || unknown.Name != "no-ping" {
-		t.Errorf("an unknown name: %v", err)
+		t.Errorf(`Parse("no-ping") returned error %v, want an *UnknownFaultError`, err)
 	}
 }
