--- a/internal/membership/udp/admin.go
+++ b/internal/membership/udp/admin.go
@@ -10,11 +10,11 @@
 	"lotusbend/internal/membership"
 )
 
-// Handler serves the admin page: GET /membership is the view as JSON (the
-// shape of membership.View), GET /metrics the counters as plain lines of
-// "name value", with those of more beside its own. It is safe for concurrent
-// use, and calls more in the request's goroutine.
-func (t *Transport) Handler(more ...func() map[string]uint64) http.Handler {
+// Handler returns the HTTP handler of the admin page. GET /membership returns the
+// view, a membership.View, as JSON. GET /metrics returns the metrics of the member
+// and those of extraMetrics as text, sorted lines of "name value". The handler is
+// safe for concurrent use and calls extraMetrics in the goroutine of the request.
+func (t *Transport) Handler(extraMetrics ...func() map[string]uint64) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /membership", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -25,7 +25,7 @@
 		for name, count := range t.Dropped() {
 			metrics["membership_dropped_"+name] = count
 		}
-		for _, source := range more {
+		for _, source := range extraMetrics {
 			maps.Copy(metrics, source())
 		}
 		for _, name := range slices.Sorted(maps.Keys(metrics)) {
@@ -35,7 +35,7 @@
 	return mux
 }
 
-// viewMetrics are the metrics of a view, by name.
+// viewMetrics returns the metrics of a view by name.
 func viewMetrics(view membership.View) map[string]uint64 {
 	stats := view.Stats
 	return map[string]uint64{
--- a/internal/membership/udp/loop.go
+++ b/internal/membership/udp/loop.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// tickInterval is at most a tenth of the default probe interval.
+	// tickInterval is less than a tenth of the default probe interval, as Node.Tick
+	// requires.
 	tickInterval = 10 * time.Millisecond
-	// leaveDuration is for how long, after the context ends, the update that this
-	// member left is disseminated.
+	// leaveDuration is the time, after the context ends, in which the update that
+	// this member left is disseminated.
 	leaveDuration     = 300 * time.Millisecond
 	leaveTickInterval = 20 * time.Millisecond
 )
 
-// run owns the protocol's Node: it feeds it packets and ticks until ctx ends,
-// then leaves the fleet and closes the socket.
+// run passes packets and ticks to the Node until ctx ends, then leaves the fleet
+// and closes the socket.
 func (t *Transport) run(ctx context.Context) {
 	defer t.conn.Close()
 	ticker := time.NewTicker(tickInterval)
@@ -41,11 +42,11 @@
 	}
 }
 
-// nowMs is the time in the protocol's form, milliseconds.
+// nowMs returns the time in whole milliseconds.
 func (t *Transport) nowMs() int64 { return int64(t.clock.Now()) }
 
-// receive decodes a datagram and hands it to the protocol, and its user data to
-// the shared state.
+// receive decodes a datagram and passes it to the Node, and its user data to the
+// shared state. A malformed datagram is dropped and counted.
 func (t *Transport) receive(d datagram) {
 	m, err := t.codec.Decode(d.content)
 	if err != nil {
@@ -60,7 +61,7 @@
 	}
 }
 
-// tick advances the protocol and the shared state.
+// tick advances the Node and the shared state.
 func (t *Transport) tick() {
 	now := t.nowMs()
 	t.execute(t.node.Tick(now))
@@ -68,12 +69,12 @@
 	t.tickShared(now)
 }
 
-// tickShared advances the shared state, after notifying it of a changed view.
+// tickShared passes a changed view to the shared state and advances it.
 func (t *Transport) tickShared(now int64) {
 	if t.shared == nil {
 		return
 	}
-	// Only this goroutine writes t.view.
+	// Reading t.view without the lock is safe: only this goroutine writes it.
 	if version := t.view.Version; version != t.sharedVersion || version == 0 {
 		t.sharedVersion = version
 		peers, size := t.node.Peers()
@@ -82,8 +83,8 @@
 	t.sendPayloads(t.shared.Tick(now), now)
 }
 
-// sendPayloads sends what the byte budget allows; the rest is lost, as any
-// datagram may be.
+// sendPayloads sends the payloads that the byte budget allows and drops the
+// others. The shared state must tolerate lost datagrams anyway.
 func (t *Transport) sendPayloads(payloads []Payload, now int64) {
 	for _, payload := range payloads {
 		ready, _ := t.node.SendUserData(payload.To, payload.Bytes, now)
@@ -91,8 +92,8 @@
 	}
 }
 
-// leave announces that this member leaves, and ticks on for a while so that the
-// update is disseminated.
+// leave announces that this member leaves, and keeps ticking for leaveDuration so
+// that the update is disseminated.
 func (t *Transport) leave() {
 	t.execute(t.node.Leave(t.nowMs()))
 	t.publishView()
@@ -104,9 +105,9 @@
 	}
 }
 
-// executeAndPublish executes what an event requires and publishes the view if it
-// changed. The view is copied and sorted on a change or a tick, not on every
-// packet: with many members a copy a packet would cost more than the packet.
+// executeAndPublish executes the result of an event and publishes the view if it
+// changed. Publishing copies and sorts the view, which in a large fleet costs more
+// than handling a packet, so it is not done for every packet.
 func (t *Transport) executeAndPublish(ready membership.Ready) {
 	t.execute(ready)
 	if len(ready.Changes) > 0 {
@@ -114,7 +115,7 @@
 	}
 }
 
-// execute sends the packets and logs the changes that an event requires.
+// execute sends the packets and logs the changes in the result of an event.
 func (t *Transport) execute(ready membership.Ready) {
 	for _, packet := range ready.Packets {
 		if err := t.send(packet); err != nil {
@@ -126,7 +127,7 @@
 	}
 }
 
-// send writes a packet to the socket.
+// send encodes a packet and writes it to the socket.
 func (t *Transport) send(packet membership.Packet) error {
 	encoded, err := t.codec.Encode(packet.Message)
 	if err != nil {
@@ -140,6 +141,8 @@
 	return err
 }
 
+// logChange logs a change of the view; a name conflict needs an operator, so it is
+// an error.
 func (t *Transport) logChange(change membership.Change) {
 	member := change.Member
 	if change.Kind == membership.Conflict {
@@ -156,6 +159,7 @@
 		"change", changeName(change.Kind))
 }
 
+// changeName returns the name of the kind of a change of the view for the log.
 func changeName(kind membership.ChangeKind) string {
 	switch kind {
 	case membership.Joined:
@@ -166,9 +170,10 @@
 	return "changed"
 }
 
-// publishView copies the protocol's view for other goroutines. A changed size is
-// offered first: whoever sees a view finds its size offered. An older size not
-// yet received is replaced; the send cannot block, as run is the only sender.
+// publishView publishes a copy of the view for other goroutines. A changed size is
+// sent to sizes before, so that it is available to any goroutine that has seen the
+// view. It replaces an older size that was not received. The send cannot block:
+// run is the only sender, and the channel was just emptied.
 func (t *Transport) publishView() {
 	view := t.node.View()
 	if view.Fleet.High != t.offeredSize {
--- a/internal/membership/udp/reader.go
+++ b/internal/membership/udp/reader.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// maxRateLimitedPeers bounds the rate limiter's table; past it, the table
-	// starts anew.
+	// maxRateLimitedPeers is the maximum number of addresses in the rate limiter.
+	// When it is reached, the next new address empties the table.
 	maxRateLimitedPeers = 4096
-	// packetsPerSecond is the rate that one address may send at: a member sends
-	// about 4 packets a period and answers others' probes; 200 leave capacity
-	// for a 20 ms period and a burst of indirect probes.
+	// packetsPerSecond is the rate at which one address may send. A member sends
+	// about 4 packets per probe interval and answers the probes of others, so 200
+	// suffice for a probe interval of 20 ms and a burst of indirect probes.
 	packetsPerSecond = 200
 )
 
-// datagram is a packet from the socket.
+// datagram is a datagram received from the socket.
 type datagram struct {
 	from    netip.AddrPort
 	content []byte
 }
 
-// read queues datagrams from the socket until run closes it, and then closes the
-// queue. It drops and counts datagrams that are too large, beyond their sender's
-// rate or beyond the queue. A datagram that fills the buffer, of one byte more
-// than the largest packet, was truncated.
+// read queues the datagrams from the socket until run closes the socket, and then
+// closes the queue. It drops and counts datagrams that are too large, exceed the
+// rate of their sender, or do not fit into the queue. The buffer is one byte larger
+// than the largest packet: a datagram that fills it was too large.
 func (t *Transport) read() {
 	limiter := newRateLimiter()
-	buffer := make([]byte, wire.MaxPacket+1)
+	buffer := make([]byte, wire.MaxPacketBytes+1)
 	for {
 		length, from, err := t.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -41,7 +41,7 @@
 			continue
 		}
 		switch {
-		case length > wire.MaxPacket:
+		case length > wire.MaxPacketBytes:
 			t.counters.Oversized.Add(1)
 		case !limiter.allow(from, t.clock.Now()):
 			t.counters.RateLimited.Add(1)
@@ -51,7 +51,8 @@
 	}
 }
 
-// enqueue never waits: what the queue has no capacity for is dropped and counted.
+// enqueue adds a datagram to the queue of run without blocking. If the queue is
+// full, the datagram is dropped and counted.
 func (t *Transport) enqueue(d datagram) {
 	select {
 	case t.received <- d:
@@ -60,14 +61,14 @@
 	}
 }
 
-// rateLimiter is a token bucket a source address.
+// rateLimiter limits the packets of each source address with a token bucket.
 type rateLimiter struct {
 	buckets map[netip.AddrPort]*tokenBucket
 }
 
-// tokenBucket holds at most one second's packets.
+// tokenBucket holds at most the packets of one second.
 type tokenBucket struct {
-	tokens     float64 // packets that may arrive now
+	tokens     float64 // packets that are accepted now
 	refilledAt float64 // ms
 }
 
@@ -75,19 +76,19 @@
 	return &rateLimiter{buckets: map[netip.AddrPort]*tokenBucket{}}
 }
 
-// allow takes a token of an address; it reports whether there was one. now is in
+// allow takes a token of an address and reports whether there was one. now is in
 // milliseconds.
 func (l *rateLimiter) allow(from netip.AddrPort, now float64) bool {
 	bucket := l.buckets[from]
 	if bucket == nil {
 		if len(l.buckets) >= maxRateLimitedPeers {
-			clear(l.buckets) // a flood from many addresses must not grow the table
+			clear(l.buckets) // packets from many addresses must not use unbounded memory
 		}
 		bucket = &tokenBucket{tokens: packetsPerSecond, refilledAt: now}
 		l.buckets[from] = bucket
 	}
-	earned := (now - bucket.refilledAt) * packetsPerSecond / 1000
-	bucket.tokens = min(packetsPerSecond, bucket.tokens+earned)
+	added := (now - bucket.refilledAt) * packetsPerSecond / 1000
+	bucket.tokens = min(packetsPerSecond, bucket.tokens+added)
 	bucket.refilledAt = now
 	if bucket.tokens < 1 {
 		return false
--- a/internal/membership/udp/udp.go
+++ b/internal/membership/udp/udp.go
@@ -1,12 +1,13 @@
-// Package udp carries the packets of package membership between routers over
-// UDP and publishes the latest view for the router and the admin page.
+// Package udp transports the packets of package membership over UDP, and publishes
+// the latest view for the router and the admin page.
 //
-// Each Transport has two goroutines: run (loop.go) owns the protocol's Node, and
-// read (reader.go) queues datagrams from the socket for it, up to a bound. run
-// ends after the context does, and closes the socket, which ends read. Nothing
-// that a peer sends can make it panic, delay it or use memory without bound:
-// datagrams that are oversized, malformed, beyond the sender's rate or beyond
-// the queue are dropped and counted.
+// A Transport has two goroutines. run (loop.go) owns the membership.Node, and read
+// (reader.go) queues datagrams from the socket for it. When the context ends, run
+// leaves the fleet and closes the socket, which ends read.
+//
+// No datagram from a peer can make the transport panic, block or use unbounded
+// memory. It drops and counts datagrams that are oversized or malformed, exceed the
+// rate of their sender, or do not fit into the queue.
 package udp
 
 import (
@@ -23,51 +24,55 @@
 	"lotusbend/internal/membership/wire"
 )
 
-// maxQueuedDatagrams bounds the queue between read and run: a flood fills it and
-// is dropped.
+// maxQueuedDatagrams is the capacity of the queue between read and run. Further
+// datagrams are dropped.
 const maxQueuedDatagrams = 256
 
-// Counters are the packets that the transport dropped or could not send.
+// Counters counts the packets that the transport dropped or failed to send.
 type Counters struct {
-	Oversized   atomic.Uint64 // over wire.MaxPacket bytes
-	Malformed   atomic.Uint64 // not decodable
-	RateLimited atomic.Uint64 // beyond the sender's rate
-	QueueFull   atomic.Uint64 // beyond the queue
+	Oversized   atomic.Uint64 // larger than wire.MaxPacketBytes
+	Malformed   atomic.Uint64 // rejected by the decoder
+	RateLimited atomic.Uint64 // exceeded the rate of their sender
+	QueueFull   atomic.Uint64 // did not fit into the queue
 	SendErrors  atomic.Uint64
 }
 
-// Options configure a Transport.
+// Options holds the settings of a Transport.
 type Options struct {
-	// Config holds the protocol's settings. Its Addr is where the other members
-	// send their packets, which may be a relay's address in front of Bind.
+	// Config holds the protocol settings. Its Addr is the address to which the
+	// other members send packets; it differs from Bind behind a relay.
 	Config membership.Config
-	Bind   string      // the address of the socket, "" for Config.Addr; port 0 for any
+	Bind   string      // address of the socket, "" for Config.Addr; port 0 selects a free port
 	Seeds  []string    // addresses of members to join through
 	Shared SharedState // nil for none
 	Clock  *clock.Clock
 	Log    *slog.Logger
 }
 
-// SharedState is state that routers share on top of the view. Its messages are
-// sent within the byte budget of membership's packets. Its methods are called by
-// the transport's goroutine only and must not block. Times are in milliseconds.
+// SharedState is state that routers share on top of the view. Its payloads are
+// sent within the byte budget of the membership protocol. Only one goroutine of
+// the transport calls its methods, which must not block. now is the time in
+// milliseconds.
 type SharedState interface {
-	// UpdatePeers notifies of the names of the peers, and of how many routers there may
-	// be.
+	// UpdatePeers is called before Tick if the view has changed, and before every
+	// Tick until its first change. peers are the names of the peers that are alive or
+	// suspect, and size is the number of routers that may be running.
 	UpdatePeers(peers []string, size int, now int64)
-	// Tick is called every 10 ms; it returns what is to be sent.
+	// Tick is called every 10 ms. It returns the payloads to send.
 	Tick(now int64) []Payload
-	// Receive handles a peer's payload; it returns what is to be sent.
+	// Receive handles a payload from the named peer. It returns the payloads to
+	// send.
 	Receive(from string, payload []byte, now int64) []Payload
 }
 
-// Payload is what a SharedState sends to a peer.
+// Payload is a message of a SharedState to a peer.
 type Payload struct {
-	To    string // the peer's name
+	To    string // name of the peer
 	Bytes []byte
 }
 
-// Transport is one member on a socket. Its methods are safe for concurrent use.
+// Transport runs one member on a UDP socket. Its methods are safe for concurrent
+// use.
 type Transport struct {
 	conn     *net.UDPConn
 	clock    *clock.Clock
@@ -75,30 +80,30 @@
 	codec    *wire.Codec
 	seeds    []string
 	received chan datagram // from read to run
-	sizes    chan int      // the latest size of the view, if not yet received
+	sizes    chan int      // capacity 1: the latest size of the view until it is received
 	counters Counters
 
-	// Owned by run.
+	// These fields are used only by run.
 	node          *membership.Node
 	shared        SharedState // nil for none
-	sharedVersion uint64      // of the view that shared was notified of
-	offeredSize   int
+	sharedVersion uint64      // version of the view that shared last received
+	offeredSize   int         // size last sent to sizes
 
 	mu   sync.Mutex
-	view membership.View // written by run
+	view membership.View // written only by run
 }
 
-// Start binds the socket and joins through the seeds. The transport runs until
-// ctx ends, then leaves the fleet. Its errors are wrapped: an address that does
-// not parse or cannot be bound, and settings that do not check
-// (*membership.ConfigError).
+// Start binds the socket and joins the fleet through the seeds. The transport runs
+// until ctx ends and then leaves the fleet. Start returns an error for an address
+// that cannot be parsed or bound, and a *membership.ConfigError for invalid
+// settings.
 func Start(ctx context.Context, options Options) (*Transport, error) {
 	cfg := options.Config
 	conn, err := listen(options)
 	if err != nil {
 		return nil, err
 	}
-	if options.Bind == "" || options.Bind == cfg.Addr { // port 0 has become a real one
+	if options.Bind == "" || options.Bind == cfg.Addr { // replaces port 0 by the bound port
 		cfg.Addr = conn.LocalAddr().(*net.UDPAddr).AddrPort().String()
 	}
 	if err := cfg.Check(); err != nil {
@@ -127,7 +132,7 @@
 	return t, nil
 }
 
-// listen opens the socket.
+// listen opens the socket on Bind, or on Config.Addr if Bind is empty.
 func listen(options Options) (*net.UDPConn, error) {
 	bind := options.Bind
 	if bind == "" {
@@ -135,27 +140,27 @@
 	}
 	address, err := netip.ParseAddrPort(bind)
 	if err != nil {
-		return nil, fmt.Errorf("bind address: %w", err)
+		return nil, fmt.Errorf("parsing the bind address: %w", err)
 	}
 	return net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 }
 
-// Addr is the address of the socket.
+// Addr returns the address of the socket.
 func (t *Transport) Addr() string { return t.conn.LocalAddr().String() }
 
-// View is the latest view, a copy.
+// View returns the latest view. The caller must not modify its slices and maps.
 func (t *Transport) View() membership.View {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.view
 }
 
-// Sizes delivers the number of members alive or suspect whenever it changes.
-// Only the latest is kept for a slow receiver, and the transport never waits for
-// one.
+// Sizes returns a channel that delivers the number of members alive or suspect
+// after each change. It keeps only the latest number, so that a slow receiver does
+// not block the transport.
 func (t *Transport) Sizes() <-chan int { return t.sizes }
 
-// Dropped returns the transport's counters by name.
+// Dropped returns the counters of dropped packets and send errors by name.
 func (t *Transport) Dropped() map[string]uint64 {
 	return map[string]uint64{
 		"oversized":    t.counters.Oversized.Load(),
--- a/internal/membership/udp/udp_test.go
+++ b/internal/membership/udp/udp_test.go
@@ -13,13 +13,13 @@
 	"lotusbend/internal/membership"
 )
 
-// TestThreeMembersJoinDuringAFlood starts three members on loopback, floods
-// one with garbage and oversized datagrams, and waits (bounded) for every
-// view to have all three alive; the flood is counted, nothing panics.
+// TestThreeMembersJoinDuringAFlood starts three members on loopback and floods one
+// with malformed and oversized datagrams. All views must contain the three members
+// as alive within 10 s, and the dropped datagrams must be counted.
 func TestThreeMembersJoinDuringAFlood(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
+	discard := slog.New(slog.NewTextHandler(io.Discard, nil))
 	var transports []*Transport
 	for i := range 3 {
 		cfg := membership.Defaults()
@@ -33,7 +33,7 @@
 		if i > 0 {
 			seeds = []string{transports[0].Addr()}
 		}
-		transport, err := Start(ctx, Options{Config: cfg, Seeds: seeds, Clock: clock.System(), Log: quiet})
+		transport, err := Start(ctx, Options{Config: cfg, Seeds: seeds, Clock: clock.System(), Log: discard})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -45,26 +45,26 @@
 	}
 	defer flood.Close()
 	for i := range 300 {
-		b := make([]byte, 1+i*7%1600)
-		b[0] = byte(i)
-		_, _ = flood.Write(b)
+		datagram := make([]byte, 1+i*7%1600)
+		datagram[0] = byte(i)
+		_, _ = flood.Write(datagram)
 	}
 	waitForViews(t, transports)
-	select { // the latest size is kept until it is received
+	select { // the channel keeps the latest size until it is received
 	case size := <-transports[2].Sizes():
 		if size != 3 {
-			t.Errorf("the size offered is %d once the view has 3", size)
+			t.Errorf("Sizes() delivered %d, want 3", size)
 		}
 	default:
-		t.Error("no size is offered")
+		t.Error("Sizes() delivered nothing, want 3")
 	}
 	dropped := transports[1].Dropped()
 	if dropped["malformed"]+dropped["oversized"]+dropped["rate_limited"]+dropped["queue_full"] == 0 {
-		t.Fatalf("the flood was not counted: %v", dropped)
+		t.Fatalf("Dropped() = %v after the flood, want some dropped datagrams", dropped)
 	}
 }
 
-// waitForViews waits, for a bounded time, until every view has all members alive.
+// waitForViews waits up to 10 s until every view contains all members as alive.
 func waitForViews(t *testing.T, transports []*Transport) {
 	t.Helper()
 	deadline := time.After(10 * time.Second)
@@ -80,7 +80,8 @@
 		}
 		select {
 		case <-deadline:
-			t.Fatalf("the views are incomplete: %+v", transports[0].View().Fleet)
+			t.Fatalf("incomplete views after 10 s: the first has %+v, want %d members alive",
+				transports[0].View().Fleet, len(transports))
 		case <-ticker.C:
 		}
 	}
--- a/internal/membership/wire/characterization_test.go
+++ b/internal/membership/wire/characterization_test.go
@@ -19,22 +19,21 @@
 	"lotusbend/internal/membership/wire"
 )
 
-// update rewrites the expected encodings. They are what other routers read, so
-// they may change only with a deliberate change of behaviour: a new version of
-// the format.
+// update rewrites the expected encodings. Other routers decode these bytes, so they
+// may change only with a new version of the format.
 var update = flag.Bool("update", false, "rewrite testdata/characterization.txt, only with a deliberate change of behaviour")
 
 var goldenFile = filepath.Join("testdata", "characterization.txt")
 
-// example is a message and the name of its line in the golden file, which
-// names kinds by their numbers.
+// example is a message and its name in the golden file. The name contains the
+// number of the kind, so that renaming a kind does not change it.
 type example struct {
 	name    string
 	message membership.Message
 }
 
 // TestCharacterization compares the encoding of every kind of message with the
-// recorded bytes, and decodes those to the message again.
+// recorded bytes, and checks that these decode to the message.
 func TestCharacterization(t *testing.T) {
 	codec := newCodec(t)
 	golden, got, all := readGolden(t), map[string]string{}, examples()
@@ -49,7 +48,7 @@
 				return
 			}
 			if got[e.name] != golden[e.name] {
-				t.Fatalf("encoded as %s, want %q", got[e.name], golden[e.name])
+				t.Fatalf("Encode = %s, want %q", got[e.name], golden[e.name])
 			}
 			checkDecoded(t, codec, golden[e.name], e.message)
 		})
@@ -60,11 +59,12 @@
 	}
 	for name := range golden {
 		if !slices.ContainsFunc(all, func(e example) bool { return e.name == name }) {
-			t.Errorf("%s has bytes for %q, which is no example", goldenFile, name)
+			t.Errorf("%s has bytes for %q, which is not an example", goldenFile, name)
 		}
 	}
 }
 
+// checkDecoded checks that the recorded bytes, in hex, decode to the message.
 func checkDecoded(t *testing.T, codec *wire.Codec, golden string, want membership.Message) {
 	t.Helper()
 	encoded, err := hex.DecodeString(golden)
@@ -76,12 +76,12 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(decoded, want) {
-		t.Errorf("decoded %+v, want %+v", decoded, want)
+		t.Errorf("Decode = %+v, want %+v", decoded, want)
 	}
 }
 
-// examples are three messages of each kind: with no other field set, with all
-// fields set, and with the largest values.
+// examples returns three messages of each kind, with no other field set, with all
+// fields set and with the largest values, and two special cases.
 func examples() []example {
 	var all []example
 	for kind := membership.Ping; kind <= membership.UserData; kind++ {
@@ -97,6 +97,7 @@
 		example{"least-start", membership.Message{Kind: membership.Sync, Updates: negativeStarts}})
 }
 
+// fullMessage returns a message with all fields set and an update of each state.
 func fullMessage() membership.Message {
 	m := membership.Message{Seq: 1000, From: "router-1", Target: "router-2", TargetAddr: "10.0.0.2:7000", After: "router-0",
 		Count: 300, Payload: []byte{0, 1, 2, 254, 255}}
@@ -114,6 +115,8 @@
 	return m
 }
 
+// largestMessage returns a message with the largest numbers and long strings of
+// four-byte characters.
 func largestMessage() membership.Message {
 	text := func(length int) string { return strings.Repeat("\U0010ffff", length/4) }
 	return membership.Message{Seq: math.MaxUint64, From: text(128), Target: text(128), TargetAddr: text(64), After: text(128),
@@ -129,7 +132,8 @@
 		}}}
 }
 
-// TestCharacterizationOfRefusals checks which bytes and messages are refused.
+// TestCharacterizationOfRefusals checks that Decode rejects invalid packets and
+// Encode rejects an oversized message.
 func TestCharacterizationOfRefusals(t *testing.T) {
 	codec := newCodec(t)
 	for name, packet := range map[string]string{
@@ -143,20 +147,20 @@
 		"update without name": "a4000101010361610781a10160",
 		"field twice":         "a4000101010102036161",
 		"trailing byte":       "a30001010103616100",
-		"1401 bytes":          strings.Repeat("00", wire.MaxPacket+1),
+		"1401 bytes":          strings.Repeat("00", wire.MaxPacketBytes+1),
 	} {
 		if encoded, err := hex.DecodeString(packet); err != nil {
 			t.Errorf("%s: %v", name, err)
 		} else if _, err := codec.Decode(encoded); err == nil {
-			t.Errorf("%s: decoded", name)
+			t.Errorf("%s: Decode returned no error", name)
 		}
 	}
-	if _, err := codec.Encode(membership.Message{Payload: make([]byte, wire.MaxPacket)}); err == nil {
-		t.Error("a message over the largest packet was encoded")
+	if _, err := codec.Encode(membership.Message{Payload: make([]byte, wire.MaxPacketBytes)}); err == nil {
+		t.Error("Encode of an oversized message returned no error")
 	}
 }
 
-// TestCharacterizationOfNegativeCount checks that a count below 0 is sent as 0.
+// TestCharacterizationOfNegativeCount checks that a negative count is encoded as 0.
 func TestCharacterizationOfNegativeCount(t *testing.T) {
 	codec := newCodec(t)
 	negative, err := codec.Encode(membership.Message{Kind: membership.Sync, Count: -1})
@@ -168,7 +172,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(negative, zero) {
-		t.Errorf("encoded as %x, want %x", negative, zero)
+		t.Errorf("Encode of count -1 = %x, want %x as for 0", negative, zero)
 	}
 }
 
@@ -181,7 +185,8 @@
 	return codec
 }
 
-// readGolden reads lines of an example's name and its bytes in hex.
+// readGolden reads the golden file, lines of an example's name and its bytes in
+// hex, into a map by name.
 func readGolden(t *testing.T) map[string]string {
 	t.Helper()
 	file, err := os.Open(goldenFile)
@@ -203,6 +208,8 @@
 	return golden
 }
 
+// writeGolden writes the golden file; want is the number of examples. It fails if
+// only a part of them ran.
 func writeGolden(t *testing.T, got map[string]string, want int) {
 	t.Helper()
 	if len(got) != want {
--- a/internal/membership/wire/wire.go
+++ b/internal/membership/wire/wire.go
@@ -1,9 +1,9 @@
-// Package wire encodes and decodes the packets of package membership in CBOR
-// (RFC 8949) by fxamacker/cbor, with integer keys to keep packets small.
+// Package wire encodes and decodes the packets of package membership in CBOR (RFC
+// 8949), with integer keys to keep packets small.
 //
-// Decoding is bounded: a packet over MaxPacket bytes, nested deeper than a
-// message is, or with more updates than fit in a packet is rejected with an
-// error that names the fault. No input makes it panic.
+// The decoder is safe for untrusted input: it rejects packets larger than
+// MaxPacketBytes, nested deeper than a message, or with more array elements than
+// fit into a packet. No input makes it panic.
 package wire
 
 import (
@@ -15,35 +15,37 @@
 	"lotusbend/internal/membership"
 )
 
-// MaxPacket is the most bytes of a packet: within an Ethernet frame, headers
-// included.
-const MaxPacket = 1400
+// MaxPacketBytes is the maximum size of an encoded packet. With the IP and UDP
+// headers it fits into an Ethernet frame.
+const MaxPacketBytes = 1400
 
 const (
-	// version is the first field of every packet; another one is rejected.
+	// version is the format version in the first field of every packet. Packets of
+	// other versions are rejected.
 	version = 1
 
 	maxNestedLevels = 4
-	// leastElementBytes is less than an element of an array takes in a packet.
-	leastElementBytes = 8
-	// maxMapPairs is the CBOR library's least bound on the fields of a map, more
-	// than a packet or an update has.
+	// minElementBytes is a lower bound on the encoded size of an array element.
+	minElementBytes = 8
+	// maxMapPairs is the smallest limit on the fields of a map that the CBOR library
+	// accepts. Packets and updates have fewer fields.
 	maxMapPairs = 16
 )
 
-// ErrTooLarge is returned for a packet, encoded or decoded, over MaxPacket bytes.
-var ErrTooLarge = errors.New("membership packet over 1400 bytes")
+// ErrTooLarge is the error for a packet that exceeds MaxPacketBytes, when encoding
+// or decoding.
+var ErrTooLarge = errors.New("membership packet exceeds 1400 bytes")
 
-// FormatError is returned by Decode for a packet that is valid CBOR but that no
-// member sends.
+// FormatError is the error of Decode for a packet that is valid CBOR but not a
+// valid message.
 type FormatError struct {
-	Problem string
+	Problem string // the invalid value and what is allowed
 }
 
 // Error implements error.
-func (e *FormatError) Error() string { return "membership packet: " + e.Problem }
+func (e *FormatError) Error() string { return "invalid membership packet: " + e.Problem }
 
-// update is a membership.Update as encoded.
+// update is the encoded form of a membership.Update.
 type update struct {
 	Name        string `cbor:"1,keyasint"`
 	Addr        string `cbor:"2,keyasint,omitempty"`
@@ -54,7 +56,7 @@
 	Suspector   string `cbor:"7,keyasint,omitempty"`
 }
 
-// packet is a membership.Message as encoded.
+// packet is the encoded form of a membership.Message.
 type packet struct {
 	Version    uint8    `cbor:"0,keyasint"`
 	Kind       uint8    `cbor:"1,keyasint"`
@@ -74,28 +76,28 @@
 	decoder cbor.DecMode
 }
 
-// New makes a codec with the decoding bounds above. Its errors are those of the
-// CBOR library on its options.
+// New returns a Codec. Its errors are those of the CBOR library for invalid
+// options.
 func New() (*Codec, error) {
 	encoder, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		return nil, fmt.Errorf("membership packet encoder: %w", err)
+		return nil, fmt.Errorf("creating the encoder of membership packets: %w", err)
 	}
 	decoder, err := cbor.DecOptions{
 		MaxNestedLevels:   maxNestedLevels,
-		MaxArrayElements:  MaxPacket / leastElementBytes,
+		MaxArrayElements:  MaxPacketBytes / minElementBytes,
 		MaxMapPairs:       maxMapPairs,
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 	}.DecMode()
 	if err != nil {
-		return nil, fmt.Errorf("membership packet decoder: %w", err)
+		return nil, fmt.Errorf("creating the decoder of membership packets: %w", err)
 	}
 	return &Codec{encoder: encoder, decoder: decoder}, nil
 }
 
-// Encode turns a message into a packet. It returns ErrTooLarge for a message
-// that exceeds MaxPacket bytes.
+// Encode encodes a message. A negative Count is encoded as 0. Encode returns
+// ErrTooLarge if the packet would exceed MaxPacketBytes.
 func (c *Codec) Encode(m membership.Message) ([]byte, error) {
 	p := packet{
 		Version:    version,
@@ -113,24 +115,24 @@
 	}
 	encoded, err := c.encoder.Marshal(p)
 	if err != nil {
-		return encoded, fmt.Errorf("membership packet: %w", err)
+		return encoded, fmt.Errorf("encoding membership packet: %w", err)
 	}
-	if len(encoded) > MaxPacket {
+	if len(encoded) > MaxPacketBytes {
 		return nil, ErrTooLarge
 	}
 	return encoded, nil
 }
 
-// Decode reads a packet. Its errors are ErrTooLarge, a wrapped error of the CBOR
-// library, and *FormatError for another version, or a kind or state that no
-// member sends.
+// Decode decodes a packet. It returns ErrTooLarge, a wrapped error of the CBOR
+// library, or a *FormatError for another format version, an unknown kind or state,
+// or an update without a name.
 func (c *Codec) Decode(encoded []byte) (membership.Message, error) {
-	if len(encoded) > MaxPacket {
+	if len(encoded) > MaxPacketBytes {
 		return membership.Message{}, ErrTooLarge
 	}
 	var p packet
 	if err := c.decoder.Unmarshal(encoded, &p); err != nil {
-		return membership.Message{}, fmt.Errorf("membership packet: %w", err)
+		return membership.Message{}, fmt.Errorf("decoding membership packet: %w", err)
 	}
 	if err := p.check(); err != nil {
 		return membership.Message{}, err
@@ -151,17 +153,18 @@
 	return m, nil
 }
 
-// check returns a *FormatError for a packet that no member sends.
+// check returns a *FormatError if the packet is not a valid message.
 func (p *packet) check() error {
 	if p.Version != version {
-		return &FormatError{fmt.Sprintf("version %d, want %d", p.Version, version)}
+		return &FormatError{fmt.Sprintf("version is %d, want %d", p.Version, version)}
 	}
 	if p.Kind < uint8(membership.Ping) || p.Kind > uint8(membership.UserData) {
-		return &FormatError{fmt.Sprintf("kind %d, want 1 to %d", p.Kind, membership.UserData)}
+		return &FormatError{fmt.Sprintf("kind is %d, want 1 to %d", p.Kind, membership.UserData)}
 	}
 	for i, u := range p.Updates {
 		if u.State > uint8(membership.Left) || u.Name == "" {
-			return &FormatError{fmt.Sprintf("update %d: state %d or name %q", i, u.State, u.Name)}
+			return &FormatError{fmt.Sprintf(
+				"update %d has state %d and name %q, want a known state and a name", i, u.State, u.Name)}
 		}
 	}
 	return nil
