--- a/internal/membership/characterization_test.go
+++ b/internal/membership/characterization_test.go
@@ -12,17 +12,16 @@
 	"testing"
 )
 
-// update rewrites the expected digests. They pin what the package does, so
-// they may change only with a deliberate change of behaviour, never to make a
-// refactoring pass.
+// update rewrites the expected digests. They may change only with a deliberate
+// change of behaviour, never to make a refactoring pass.
 var update = flag.Bool("update", false, "rewrite testdata/characterization.txt, only with a deliberate change of behaviour")
 
 var goldenFile = filepath.Join("testdata", "characterization.txt")
 
-// TestCharacterization replays seeded scenarios of a simulated network and
-// compares a digest of everything the nodes emitted with the recorded one. The
-// digests cover numbers, positions and bytes alone: renaming a type, a field
-// or a kind does not move them.
+// TestCharacterization runs scenarios in a simulated network and compares a digest
+// of everything that the nodes returned with the recorded one. Renaming a type, a
+// field or a kind does not change a digest, as it covers only values and their
+// order.
 func TestCharacterization(t *testing.T) {
 	golden, got := readGolden(t), map[string]string{}
 	for _, s := range scenarios {
@@ -32,7 +31,7 @@
 			n.recordViews()
 			got[s.name] = n.digest.sum()
 			if !*update && got[s.name] != golden[s.name] {
-				t.Errorf("digest %s, want %q", got[s.name], golden[s.name])
+				t.Errorf("digest = %s, want %q", got[s.name], golden[s.name])
 			}
 		})
 	}
@@ -42,12 +41,13 @@
 	}
 	for name := range golden {
 		if !slices.ContainsFunc(scenarios, func(s scenario) bool { return s.name == name }) {
-			t.Errorf("%s has a digest for %q, which is no scenario", goldenFile, name)
+			t.Errorf("%s has a digest for %q, which is not a scenario", goldenFile, name)
 		}
 	}
 }
 
-// readGolden reads lines of a scenario's name and its digest.
+// readGolden reads the golden file, lines of a scenario's name and its digest, into
+// a map by name.
 func readGolden(t *testing.T) map[string]string {
 	t.Helper()
 	file, err := os.Open(goldenFile)
@@ -69,6 +69,7 @@
 	return golden
 }
 
+// writeGolden writes the golden file. It fails if only a part of the scenarios ran.
 func writeGolden(t *testing.T, got map[string]string) {
 	t.Helper()
 	if len(got) != len(scenarios) {
--- a/internal/membership/digest_test.go
+++ b/internal/membership/digest_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// texts writes each string after its length, so that no two lists collide.
+// texts writes each string after its length, so that different lists give
+// different bytes.
 func (d *digest) texts(values ...string) {
 	for _, v := range values {
 		d.numbers(int64(len(v)))
@@ -51,25 +52,25 @@
 	}
 }
 
+// sum returns the digest in hex.
 func (d *digest) sum() string {
 	d.buffered.Flush()
 	return hex.EncodeToString(d.hash.Sum(nil))
 }
 
-// The functions from here to view turn the package's types into numbers and
-// bytes; a renamed field or type is adapted here.
+// The methods below write the types of package membership as numbers and strings.
 
-func (d *digest) update(r membership.Update) {
-	d.texts(r.Name, r.Addr, r.Zone, r.Suspector)
-	d.numbers(r.Start, int64(r.Incarnation), int64(r.State))
+func (d *digest) update(u membership.Update) {
+	d.texts(u.Name, u.Addr, u.Zone, u.Suspector)
+	d.numbers(u.Start, int64(u.Incarnation), int64(u.State))
 }
 
 func (d *digest) message(m membership.Message) {
 	d.numbers(int64(m.Kind), int64(m.Seq), int64(m.Count), int64(membership.PacketSize(m)))
 	d.texts(m.From, m.Target, m.TargetAddr, m.After, string(m.Payload))
 	d.numbers(int64(len(m.Updates)))
-	for _, r := range m.Updates {
-		d.update(r)
+	for _, u := range m.Updates {
+		d.update(u)
 	}
 }
 
@@ -98,8 +99,8 @@
 func (d *digest) view(v membership.View) {
 	d.numbers(int64(v.Version), v.ChangedAt, int64(v.Awareness), int64(len(v.Members)))
 	d.update(v.Self)
-	for _, r := range v.Members {
-		d.update(r)
+	for _, u := range v.Members {
+		d.update(u)
 	}
 	d.size(v.Fleet)
 	for _, zone := range slices.Sorted(maps.Keys(v.Zones)) {
--- a/internal/membership/faults.go
+++ b/internal/membership/faults.go
@@ -1,19 +1,20 @@
 package membership
 
-// FaultInjection disables guards of the protocol, so that drills and tests see
-// the checks fail that depend on them. Package faultinjection implements it; a
-// router in service has none.
+// FaultInjection disables guards of the protocol, so that drills and tests can
+// show that their checks fail without them. Package faultinjection implements it.
+// A router in production has none.
 type FaultInjection interface {
-	// SkipsRefutation reports whether the member does not refute suspicions and
-	// deaths of itself.
+	// SkipsRefutation reports whether the member leaves suspicions and deaths of
+	// itself unrefuted.
 	SkipsRefutation() bool
-	// SkipsPushPull reports whether the member starts no periodic push-pull.
+	// SkipsPushPull reports whether the member starts no periodic push-pulls.
 	SkipsPushPull() bool
-	// SkipsSuspicion reports whether a failed probe is declared a death at once.
+	// SkipsSuspicion reports whether the target of a failed probe is declared dead
+	// at once instead of suspect.
 	SkipsSuspicion() bool
 }
 
-// noFaults is the FaultInjection in service: every guard works.
+// noFaults is the FaultInjection of production: every guard is enabled.
 type noFaults struct{}
 
 func (noFaults) SkipsRefutation() bool { return false }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -5,60 +5,63 @@
 	"slices"
 )
 
-// updateQueue holds the updates to piggy-back: the newest of each member, each
-// sent on a bounded number of packets. It has at most one entry a member, so it
-// is bounded by the view.
+// updateQueue holds the updates to piggyback on packets: the newest one of each
+// member, sent on a limited number of packets. With at most one entry per member,
+// its size is bounded by the size of the view.
 type updateQueue struct {
 	entries []queuedUpdate
 }
 
-// queuedUpdate is an update with the number of packets it was sent on.
+// queuedUpdate is an update and the number of packets it was sent on.
 type queuedUpdate struct {
 	update        Update
 	transmissions int
 }
 
-// add queues an update in place of any other of the same name.
+// add queues an update and replaces an earlier one of the same member.
 func (q *updateQueue) add(update Update) {
 	q.drop(update.Name)
 	q.entries = append(q.entries, queuedUpdate{update: update})
 }
 
-// drop removes the update of a name.
+// drop removes the update of the named member.
 func (q *updateQueue) drop(name string) {
 	q.entries = slices.DeleteFunc(q.entries, func(e queuedUpdate) bool { return e.update.Name == name })
 }
 
-// sortByTransmissions puts the least sent updates first.
+// sortByTransmissions sorts the updates by number of transmissions, fewest first.
 func (q *updateQueue) sortByTransmissions() {
 	slices.SortStableFunc(q.entries, func(a, b queuedUpdate) int { return a.transmissions - b.transmissions })
 }
 
-// dropSent removes the updates that were sent on limit packets.
+// dropSent removes the updates that were sent on at least limit packets.
 func (q *updateQueue) dropSent(limit int) {
 	q.entries = slices.DeleteFunc(q.entries, func(e queuedUpdate) bool { return e.transmissions >= limit })
 }
 
-// retransmitLimit is how many packets an update is sent on: RetransmitMult x
-// ceil(log10(n+1)), which reaches all n members with high probability.
+// retransmitLimit returns the number of packets that an update is sent on:
+// RetransmitMult x ceil(log10(n+1)), which reaches all n members with high
+// probability.
 func (n *Node) retransmitLimit() int {
 	return n.cfg.RetransmitMult * int(math.Ceil(math.Log10(float64(len(n.members)+2))))
 }
 
-// sendProbe sends a packet of the failure detector, also when the byte budget is
-// spent: only the gossip on it is charged. The number of probe packets a period
-// is bounded. Charged, the probes of a short period spent the budget and
-// refutations waited: at 100 ms and 20% loss, 936 false deaths over 200 seeds of
-// 12 members, 24 without the charge.
-func (n *Node) sendProbe(to string, m Message, now int64) {
+// sendProbeMessage sends a message of the failure detector even when the byte
+// budget is spent: only the gossip on it is charged. The number of these messages
+// per probe interval is bounded. If they were charged, the probes of a short
+// interval would use up the budget and delay refutations: at a 100 ms interval
+// and 20% packet loss, simulations of 12 members over 200 seeds had 936 false
+// deaths with the charge and 24 without.
+func (n *Node) sendProbeMessage(to string, m Message, now int64) {
 	n.budget.refill(now)
 	m.From = n.self.Name
-	gossip := n.piggyBack(&m, 0)
+	gossip := n.piggyback(&m, 0)
 	n.budget.spend(gossip)
 	n.emit(to, m)
 }
 
-// sendBudgeted sends any other packet if the byte budget allows it.
+// sendBudgeted sends any other message if the byte budget allows it, and drops
+// and counts it otherwise.
 func (n *Node) sendBudgeted(to string, m Message, now int64) {
 	n.budget.refill(now)
 	m.From = n.self.Name
@@ -67,26 +70,28 @@
 		n.stats.Throttled++
 		return
 	}
-	gossip := n.piggyBack(&m, size)
+	gossip := n.piggyback(&m, size)
 	n.budget.spend(size + gossip)
 	n.emit(to, m)
 }
 
-// emit hands a packet to the caller.
+// emit adds a packet to those that the caller is to send.
 func (n *Node) emit(to string, m Message) {
 	n.stats.PacketsOut++
 	n.stats.BytesOut += uint64(m.size())
 	n.out.Packets = append(n.out.Packets, Packet{To: to, Message: m})
 }
 
-// piggyBack adds the least sent updates of the queue to a message, within the
-// largest packet and the byte budget, of which the message itself takes charged
-// bytes. It returns the size of what it added.
+// piggyback adds queued updates to a message, those with the fewest transmissions
+// first, as far as the maximum packet size and the byte budget allow. charged is
+// the part of the budget, in bytes, that the message itself takes. piggyback
+// returns the number of bytes that it added.
 //
-// Joins leave one page's bytes of the budget to the push-pull: when many members
-// join at once their updates would spend all of it and delay the pages that make
-// them redundant. Suspicions and refutations may use all of it.
-func (n *Node) piggyBack(m *Message, charged int) (added int) {
+// Updates that announce a join leave enough of the budget for one push-pull page.
+// When many members join at once, their updates would otherwise use up the budget
+// and delay the pages that make them redundant. Suspicions and refutations may
+// use the whole budget.
+func (n *Node) piggyback(m *Message, charged int) (added int) {
 	if m.isPage() || m.Kind == UserData || len(n.queue.entries) == 0 {
 		return 0
 	}
--- a/internal/membership/indirectprobe.go
+++ b/internal/membership/indirectprobe.go
@@ -5,17 +5,18 @@
 	"slices"
 )
 
-// indirectProbe is a ping that this member sends on a ping-req of another one.
+// indirectProbe is a ping that this member sends on behalf of another one, the
+// originator of a ping-req.
 type indirectProbe struct {
-	originator         string // its address
-	originatorSequence uint64
-	target             string
-	deadline           int64 // ms: without an ack by then a nack is returned
+	originator         string // address
+	originatorSequence uint64 // sequence number of the ping-req
+	target             string // name
+	deadline           int64  // ms, when a nack is sent unless an ack arrived
 }
 
-// startIndirectProbe pings a member for another one. The indirect probes are
-// bounded by the number of members: a ping-req beyond that is dropped and
-// counted.
+// startIndirectProbe pings the target of a ping-req. The number of indirect probes
+// in flight is bounded by the number of members. A ping-req beyond that bound, or
+// without the target's address, is dropped and counted.
 func (n *Node) startIndirectProbe(from string, m Message, now int64) {
 	if m.TargetAddr == "" || len(n.indirectProbes) > len(n.members) {
 		n.stats.Dropped++
@@ -28,10 +29,11 @@
 		target:             m.Target,
 		deadline:           now + n.cfg.ProbeTimeoutMs*4/5,
 	}
-	n.sendProbe(m.TargetAddr, Message{Kind: Ping, Seq: sequence, Target: m.Target}, now)
+	n.sendProbeMessage(m.TargetAddr, Message{Kind: Ping, Seq: sequence, Target: m.Target}, now)
 }
 
-// finishIndirectProbe returns an ack to the originator of an indirect probe.
+// finishIndirectProbe sends an ack to the originator of the indirect probe with
+// this sequence number. Unknown sequence numbers are ignored.
 func (n *Node) finishIndirectProbe(sequence uint64, now int64) {
 	if acked := n.indirectProbes[sequence]; acked != nil {
 		n.sendBudgeted(acked.originator, acked.reply(Ack), now)
@@ -39,8 +41,9 @@
 	}
 }
 
-// expireIndirectProbes returns a nack for each indirect probe whose deadline has
-// passed, in the order of their numbers, so that one seed gives one order.
+// expireIndirectProbes sends a nack to the originator of each indirect probe whose
+// deadline has passed. It visits them by sequence number, because the order of a
+// map would make the packets differ between runs with the same seed.
 func (n *Node) expireIndirectProbes(now int64) {
 	for _, sequence := range slices.Sorted(maps.Keys(n.indirectProbes)) {
 		if expired := n.indirectProbes[sequence]; now >= expired.deadline {
@@ -50,7 +53,7 @@
 	}
 }
 
-// reply is the message that reports the outcome to the originator.
+// reply returns the ack or nack that reports the result to the originator.
 func (p *indirectProbe) reply(kind Kind) Message {
 	return Message{Kind: kind, Seq: p.originatorSequence, Target: p.target}
 }
--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -2,32 +2,32 @@
 
 import "slices"
 
-// sampleAbove is the size of view above which members are sampled instead of
-// shuffled.
-const sampleAbove = 64
+// maxShuffledMembers is the largest view that is shuffled to choose random
+// members. A larger view is sampled.
+const maxShuffledMembers = 64
 
-// member is what this member believes of another.
+// member is the state of another member as this one believes it to be.
 type member struct {
 	Update
-	since     int64      // ms, when its state was set here
-	suspicion *suspicion // while State is Suspect
+	since     int64      // ms, when State was last set here
+	suspicion *suspicion // nil unless State is Suspect
 }
 
-// reachable reports whether packets to the member make sense: it is alive, or
-// suspect.
+// reachable reports whether the member is alive or suspect, so that packets are
+// sent to it.
 func (m *member) reachable() bool { return m.State <= Suspect }
 
-// origin is the way on which an update came.
-type origin int
+// updateSource is the way by which an update reached this member.
+type updateSource int
 
 const (
-	byGossip origin = iota // piggy-backed, or this member's own observation
-	byPage                 // in another member's page of its view
+	fromGossip updateSource = iota // piggybacked on a packet, or this member's own observation
+	fromPage                       // in a page of another member's view
 )
 
-// apply takes an update of any member: it changes the view if it is newer than
-// what is believed, and is disseminated further.
-func (n *Node) apply(update Update, by origin, now int64) {
+// apply processes an update of any member, including this one. An update that
+// supersedes the known state changes the view and is disseminated further.
+func (n *Node) apply(update Update, source updateSource, now int64) {
 	if update.Name == "" || update.State > Left {
 		n.stats.Malformed++
 		return
@@ -39,10 +39,10 @@
 	known := n.members[update.Name]
 	switch {
 	case known == nil:
-		n.addMember(update, by, now)
+		n.addMember(update, source, now)
 	case known.confirms(update):
 		if known.suspicion != nil && known.suspicion.confirm(update.Suspector) {
-			n.queue.add(update) // a new confirmation is disseminated, as in Lifeguard
+			n.queue.add(update) // Lifeguard: new confirmations are disseminated
 		}
 	case !update.supersedes(known.Update):
 		n.stats.Stale++
@@ -51,20 +51,20 @@
 	}
 }
 
-// confirms reports whether an update suspects the member as it is suspected
-// already.
+// confirms reports whether an update is a suspicion of the same instance and
+// incarnation as the current suspicion of the member.
 func (m *member) confirms(update Update) bool {
 	return update.State == Suspect && m.State == Suspect &&
 		update.Start == m.Start && update.Incarnation == m.Incarnation
 }
 
-// addMember takes an update of a name that is not in the view.
-func (n *Node) addMember(update Update, by origin, now int64) {
+// addMember adds the member of an update to the view if it is alive or suspect.
+func (n *Node) addMember(update Update, source updateSource, now int64) {
 	if update.State != Alive && update.State != Suspect {
-		return // the death of an unknown member is of no use: there is nothing to probe
+		return // an unknown member that is dead or left would never be probed
 	}
 	if len(n.members) >= n.cfg.MaxMembers {
-		n.stats.Dropped++ // a peer that invents names must not grow the view without end
+		n.stats.Dropped++ // a peer that sends made-up names must not use unbounded memory
 		return
 	}
 	added := &member{Update: update, since: now}
@@ -77,13 +77,14 @@
 		n.watched = append(n.watched, update.Name)
 	}
 	n.recordChange(Change{Kind: Joined, Member: update, Previous: update.State, At: now})
-	// The peer whose page names a new member disseminates it itself.
-	if by != byPage || update.State != Alive {
+	// A new member learned from a page is already disseminated by pages, so its
+	// join is not gossiped.
+	if source != fromPage || update.State != Alive {
 		n.queue.add(update)
 	}
 }
 
-// replaceMember takes a newer update of a member in the view.
+// replaceMember replaces the state of a known member by a newer update.
 func (n *Node) replaceMember(known *member, update Update, now int64) {
 	change := Change{Kind: Changed, Member: update, Previous: known.State, At: now}
 	if update.Start != known.Start {
@@ -103,9 +104,9 @@
 }
 
 // advanceMemberTimers declares suspects dead whose suspicion has ended, and
-// forgets members that were dead or left for ReclaimMs. Only the watched names
-// are visited, in the order in which they were added, so that one seed gives
-// one order of changes.
+// forgets members that have been dead or left for ReclaimMs. It visits only the
+// watched members, in the order in which they were added, so that runs with the
+// same seed produce the same order of changes.
 func (n *Node) advanceMemberTimers(now int64) {
 	watched := n.watched
 	n.watched = nil
@@ -116,8 +117,8 @@
 	}
 }
 
-// advanceMemberTimer reports whether the member, nil if it was forgotten, still
-// has a timer.
+// advanceMemberTimer advances the timer of a member and reports whether the timer
+// is still running. The member is nil if it was forgotten.
 func (n *Node) advanceMemberTimer(watched *member, now int64) bool {
 	switch {
 	case watched == nil || watched.State == Alive:
@@ -141,13 +142,14 @@
 	n.recordChange(Change{Kind: Forgotten, Member: gone.Update, Previous: gone.State, At: now})
 }
 
-// randomAlive draws up to count distinct members that are alive, other than
-// except. A small view is shuffled whole; of a large one a bounded number of
-// draws is made, so that the cost grows with count and not with the view.
+// randomAlive returns the names of up to count distinct random members that are
+// alive, without except. A view of up to maxShuffledMembers is shuffled. From a
+// larger view a limited number of random names is drawn, so that the cost depends
+// on count and not on the size of the view; fewer than count may be found.
 func (n *Node) randomAlive(count int, except string) []string {
 	order := n.probes.order
 	var drawn []string
-	if len(order) <= sampleAbove {
+	if len(order) <= maxShuffledMembers {
 		for _, name := range order {
 			if n.isOtherAlive(name, except) {
 				drawn = append(drawn, name)
@@ -168,7 +170,7 @@
 	return drawn
 }
 
-// isOtherAlive reports whether a name is that of an alive member other than
+// isOtherAlive reports whether name is a known member that is alive, and is not
 // except.
 func (n *Node) isOtherAlive(name, except string) bool {
 	candidate := n.members[name]
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -10,14 +10,14 @@
 
 const (
 	modelBasePort   = 7000
-	maxModelPackets = 2000 // in flight, the oldest are lost
+	maxModelPackets = 2000 // in flight; beyond that the oldest are lost
 )
 
-// TestInvariantsUnderAnyEventOrder plays 3 to 5 members under arbitrary orders of
-// delivery, losses, duplicates and ticks, and checks after every event: nothing
-// panics; a member's own incarnation never falls; what a member believes of
-// another never goes back in (start, incarnation, state) unless it is forgotten;
-// only a member itself raises its incarnation above what it has stated.
+// TestInvariantsUnderAnyEventOrder executes random sequences of deliveries, losses,
+// duplicates and ticks on 3 to 5 members. After every event: nothing panicked; no
+// member's own incarnation decreased; what a member believes of another did not go
+// back in (start, incarnation, state) unless it was forgotten; and no member
+// believes an incarnation of another that is higher than that one's own.
 func TestInvariantsUnderAnyEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(rapid.IntRange(3, 5).Draw(t, "members"))
@@ -30,19 +30,20 @@
 	})
 }
 
-// model is a set of members whose events happen in any order.
+// model is a set of members, and the packets between them, whose events happen in
+// random order.
 type model struct {
-	nodes    []*Node
-	stated   []uint64 // the highest own incarnation of each
-	inFlight []Packet
-	now      int64 // ms
+	nodes        []*Node
+	incarnations []uint64 // own incarnation of each node after the previous event
+	inFlight     []Packet
+	now          int64 // ms
 }
 
 func modelAddress(i int) string { return fmt.Sprintf("127.0.0.1:%d", modelBasePort+i) }
 
-// newModel makes members that join through the first.
+// newModel returns a model of members that join through the first.
 func newModel(count int) *model {
-	m := &model{stated: make([]uint64, count)}
+	m := &model{incarnations: make([]uint64, count)}
 	for i := range count {
 		cfg := Defaults()
 		cfg.Name = fmt.Sprint("m", i)
@@ -61,7 +62,7 @@
 	m.inFlight = append(m.inFlight, ready.Packets...)
 }
 
-// step delivers a packet, loses one, or lets time pass for one member.
+// step delivers a packet, loses one, or advances the time and ticks one member.
 func (m *model) step(t *rapid.T, step int) {
 	event := rapid.IntRange(0, 9).Draw(t, fmt.Sprint("event", step))
 	switch {
@@ -80,7 +81,7 @@
 	}
 }
 
-// deliver hands over any packet, perhaps to do so again later.
+// deliver delivers a random packet, and may keep it in flight as a duplicate.
 func (m *model) deliver(t *rapid.T) {
 	which := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "which")
 	packet := m.inFlight[which]
@@ -94,7 +95,8 @@
 	}
 }
 
-// beliefs are what each member believes of the others, by both names.
+// beliefs returns what each member believes of the others. The keys are the index
+// of the one followed by the name of the other.
 func (m *model) beliefs() map[string]Update {
 	beliefs := map[string]Update{}
 	for i, node := range m.nodes {
@@ -105,28 +107,31 @@
 	return beliefs
 }
 
+// checkOwnIncarnations checks that no member's own incarnation decreased.
 func (m *model) checkOwnIncarnations(t *rapid.T) {
 	for i, node := range m.nodes {
-		if node.self.Incarnation < m.stated[i] {
-			t.Fatalf("m%d's incarnation fell from %d to %d", i, m.stated[i], node.self.Incarnation)
+		if node.self.Incarnation < m.incarnations[i] {
+			t.Fatalf("the incarnation of m%d decreased from %d to %d", i, m.incarnations[i], node.self.Incarnation)
 		}
-		m.stated[i] = node.self.Incarnation
+		m.incarnations[i] = node.self.Incarnation
 	}
 }
 
+// checkBeliefs checks that no belief went back since before, and that no member
+// believes a higher incarnation of another than that one's own.
 func (m *model) checkBeliefs(t *rapid.T, before map[string]Update) {
 	after := m.beliefs()
-	for names, old := range before {
-		if update, ok := after[names]; ok && old.supersedes(update) {
-			t.Fatalf("%s went back from %+v to %+v", names, old, update)
+	for key, old := range before {
+		if update, ok := after[key]; ok && old.supersedes(update) {
+			t.Fatalf("%s: the belief went back from %+v to %+v", key, old, update)
 		}
 	}
-	for names, update := range after {
+	for key, update := range after {
 		var subject int
 		fmt.Sscanf(update.Name, "m%d", &subject)
-		if stated := m.nodes[subject].self.Incarnation; update.Incarnation > stated {
-			t.Fatalf("%s believes m%d at incarnation %d, which it never stated (%d)",
-				names, subject, update.Incarnation, stated)
+		if own := m.nodes[subject].self.Incarnation; update.Incarnation > own {
+			t.Fatalf("%s believes m%d at incarnation %d, want at most its own incarnation %d",
+				key, subject, update.Incarnation, own)
 		}
 	}
 }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// maxLearnedSeeds bounds the seeds that a member without any other member
-// learns from the packets it receives.
+// maxLearnedSeeds bounds learnSeed, which adds the sender of a packet only while
+// there are fewer seeds than this, configured ones included.
 const maxLearnedSeeds = 16
 
-// afterAllNames sorts after every member's name: a page after it is empty.
+// afterAllNames sorts after every name, so a page that starts after it is empty.
 const afterAllNames = "\xff"
 
-// Node is one member's protocol. Its methods are not safe for concurrent use:
-// one goroutine owns a Node.
+// Node is the protocol state machine of one member. It is not safe for concurrent
+// use.
 type Node struct {
 	cfg    Config
 	faults FaultInjection
@@ -21,12 +21,12 @@
 	self   Update
 	seeds  []string // addresses
 
-	members map[string]*member
-	names   []string // of all members, sorted, for the push-pull's pages
-	watched []string // names of members that are suspect, dead or left: their timers run
+	members map[string]*member // the other members, by name
+	names   []string           // keys of members, sorted, for the pages of the push-pull
+	watched []string           // names of the members with a timer: suspect, dead or left
 
 	probes         probeSchedule
-	indirectProbes map[uint64]*indirectProbe // by the sequence number of this member's ping
+	indirectProbes map[uint64]*indirectProbe // by sequence number of this member's ping
 	lastSequence   uint64
 	health         localHealth
 	refutations    refutations
@@ -34,16 +34,16 @@
 	budget         byteBudget
 	pushPull       pushPullCursor
 
-	version      uint64
-	changedAt    int64 // ms
+	version      uint64 // of the view, see View.Version
+	changedAt    int64  // ms
 	leaving      bool
-	nameConflict bool // another instance keeps this member's name
+	nameConflict bool // a newer instance uses this member's name
 	stats        Stats
-	out          Ready
+	out          Ready // result of the current event
 }
 
-// New makes a member from checked settings (Config.Check). now is in
-// milliseconds, as for all methods of a Node.
+// New returns a Node with the given settings, which must be valid
+// ([Config.Check]). now is the time in milliseconds, here and in all methods.
 func New(cfg Config, now int64) *Node {
 	n := &Node{
 		cfg:            cfg,
@@ -63,8 +63,8 @@
 	return n
 }
 
-// Join requests the views of the seeds, addresses of members. Until some
-// member is known, each push-pull goes to a seed in turn.
+// Join requests a page of the view from each seed, the address of a member. Until
+// another member is known, the push-pulls go to the seeds in turn.
 func (n *Node) Join(seeds []string, now int64) Ready {
 	n.seeds = slices.DeleteFunc(slices.Clone(seeds), func(seed string) bool { return seed == n.self.Addr })
 	for _, seed := range n.seeds {
@@ -74,9 +74,10 @@
 	return n.takeReady()
 }
 
-// Leave announces that this member leaves: an update to Left at a higher
-// incarnation goes at once to up to IndirectProbes+1 members, and is then
-// piggy-backed while the caller keeps ticking for a few periods. Probes stop.
+// Leave announces that this member leaves. It sends an update with state Left and
+// a higher incarnation to up to IndirectProbes+1 members, and stops probing. The
+// caller should keep calling Tick for a few probe intervals, so that the update is
+// also piggybacked.
 func (n *Node) Leave(now int64) Ready {
 	if n.leaving {
 		return n.takeReady()
@@ -92,8 +93,8 @@
 	return n.takeReady()
 }
 
-// Tick advances the protocol to now: the timers of probes, indirect probes,
-// suspicions and the push-pull. Call it at least every tenth of a period.
+// Tick advances the protocol to now: probes, indirect probes, suspicions and the
+// push-pull. The caller should call it at least ten times per probe interval.
 func (n *Node) Tick(now int64) Ready {
 	n.budget.refill(now)
 	n.expireIndirectProbes(now)
@@ -108,10 +109,10 @@
 	return n.takeReady()
 }
 
-// SendUserData sends a payload to a member of the view, for state that the
-// routers share on top of it. Half of a second's byte budget is reserved for
-// gossip and push-pull, which the view itself needs. It reports whether the
-// payload was sent.
+// SendUserData sends a payload to the named member, for the state that routers
+// share on top of the view. It reports whether the payload was sent: the member
+// must be alive or suspect, the packet must not exceed MaxPacketBytes, and half a
+// second's byte budget must remain, which is reserved for gossip and push-pull.
 func (n *Node) SendUserData(to string, payload []byte, now int64) (Ready, bool) {
 	n.budget.refill(now)
 	receiver := n.members[to]
@@ -127,21 +128,22 @@
 	return n.takeReady(), true
 }
 
-// recordChange moves the view's version and reports a change to the caller.
+// recordChange increments the version of the view and adds a change to the result
+// of the event.
 func (n *Node) recordChange(change Change) {
 	n.version++
 	n.changedAt = change.At
 	n.out.Changes = append(n.out.Changes, change)
 }
 
-// takeReady returns what the event requires of the caller.
+// takeReady returns the result of the current event and resets it.
 func (n *Node) takeReady() Ready {
 	ready := n.out
 	n.out = Ready{}
 	return ready
 }
 
-// nextSequence numbers a ping.
+// nextSequence returns a new sequence number for a ping.
 func (n *Node) nextSequence() uint64 {
 	n.lastSequence++
 	return n.lastSequence
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// probe is the probe in flight: a ping, then, if no ack comes in time, indirect
-// pings through other members, until the period ends.
+// probe is a probe in flight: a direct ping and, if its ack does not arrive in
+// time, indirect pings through other members until the probe interval ends.
 type probe struct {
-	target         string
+	target         string // name
 	sequence       uint64
-	ackDeadline    int64 // ms, for the direct ping's ack
-	endsAt         int64 // ms: without an ack by then the target is suspect
-	indirect       bool  // the indirect pings were requested
-	nacksExpected  int   // members requested to ping the target
+	ackDeadline    int64 // ms, when indirect probes are requested unless an ack arrived
+	endsAt         int64 // ms, when the target becomes suspect unless an ack arrived
+	indirect       bool  // whether indirect probes were requested
+	nacksExpected  int   // number of members requested to ping the target
 	nacksCollected int
 }
 
 // probeSchedule is the order in which members are probed, and the probe in
 // flight.
 type probeSchedule struct {
-	order    []string // names, shuffled, and shuffled anew once used up
-	position int      // in order, of the next target
+	order    []string // names in random order, reshuffled after each round
+	position int      // index in order of the next target
 	current  *probe   // nil for none
-	nextAt   int64    // ms, when the next probe starts
+	nextAt   int64    // ms, earliest start of the next probe
 }
 
-// insert gives a new member a random place among those still to be probed, not
-// always the last one.
+// insert adds a new member at a random position among those still to be probed in
+// this round.
 func (s *probeSchedule) insert(name string, rng *rand.Rand) {
 	s.order = append(s.order, name)
 	if last := len(s.order) - 1; last > 0 {
@@ -36,17 +36,18 @@
 	}
 }
 
-// reshuffle starts a new round over the names that keep accepts.
+// reshuffle starts a new round in random order with the names that keep accepts.
 func (s *probeSchedule) reshuffle(keep func(name string) bool, rng *rand.Rand) {
 	s.order = slices.DeleteFunc(s.order, func(name string) bool { return !keep(name) })
 	s.position = 0
 	rng.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
 }
 
-// localHealth is Lifeguard's local health multiplier: a member whose own probes
-// go unanswered, or that others suspect, probes more slowly.
+// localHealth is Lifeguard's local health multiplier. A member that misses nacks
+// for its own probes, or is suspected by others, may be slow itself, so it probes
+// at longer intervals.
 type localHealth struct {
-	score int // 0 is healthy
+	score int // 0 (healthy) to max
 	max   int
 }
 
@@ -54,7 +55,7 @@
 
 func (h *localHealth) worsen() { h.score = min(h.max, h.score+1) }
 
-// scale lengthens a duration by the local health.
+// scale multiplies a duration by the local health multiplier, score + 1.
 func (h *localHealth) scale(ms int64) int64 { return ms * int64(h.score+1) }
 
 // advanceProbe advances the probe in flight and starts the next one when due.
@@ -72,8 +73,8 @@
 	}
 }
 
-// startProbe pings the next member in the probe order. A suspect's ping reports
-// the suspicion to it (Lifeguard's buddy system), so that it refutes at once.
+// startProbe pings the next member in the probe order. A ping to a suspect carries
+// the suspicion (Lifeguard's buddy system), so that the suspect refutes it at once.
 func (n *Node) startProbe(now int64) {
 	n.probes.nextAt = now + n.health.scale(n.cfg.ProbeIntervalMs)
 	n.refutations.dropNotified()
@@ -92,12 +93,12 @@
 	if target.State == Suspect {
 		ping.Updates = append(ping.Updates, target.Update)
 	}
-	n.sendProbe(target.Addr, ping, now)
+	n.sendProbeMessage(target.Addr, ping, now)
 }
 
 // nextProbeTarget returns the next reachable member in the probe order, nil if
-// there is none. The order is shuffled anew once used up, so that each member is
-// probed within 2n periods.
+// there is none. The order is reshuffled after each round, so that each of the n
+// members is probed at least once in 2n probes.
 func (n *Node) nextProbeTarget() *member {
 	for range 2 {
 		for n.probes.position < len(n.probes.order) {
@@ -112,7 +113,8 @@
 	return nil
 }
 
-// requestIndirectProbes requests other members to ping the target of a probe.
+// requestIndirectProbes sends a ping-req for the target of a probe to random
+// members.
 func (n *Node) requestIndirectProbes(current *probe, now int64) {
 	current.indirect = true
 	target := n.members[current.target]
@@ -121,13 +123,14 @@
 	}
 	request := Message{Kind: PingReq, Seq: current.sequence, Target: current.target, TargetAddr: target.Addr}
 	for _, name := range n.randomAlive(n.cfg.IndirectProbes, current.target) {
-		n.sendProbe(n.members[name].Addr, request, now)
+		n.sendProbeMessage(n.members[name].Addr, request, now)
 		current.nacksExpected++
 	}
 }
 
-// failProbe ends a probe without an ack: its target becomes suspect. Missing
-// nacks worsen the local health, as this member's own links may be faulty.
+// failProbe ends a probe that received no ack: its target becomes suspect. Missing
+// nacks worsen the local health, because they suggest that this member itself is
+// slow or its network faulty.
 func (n *Node) failProbe(failed *probe, now int64) {
 	n.probes.current = nil
 	if failed.nacksCollected < failed.nacksExpected {
@@ -144,11 +147,11 @@
 	if n.faults.SkipsSuspicion() {
 		update.State = Dead
 	}
-	n.apply(update, byGossip, now)
+	n.apply(update, fromGossip, now)
 }
 
-// receiveAck takes the ack of this member's probe, or of an indirect probe,
-// whose originator then gets it.
+// receiveAck handles the ack of the probe in flight, or forwards the ack of an
+// indirect probe to its originator.
 func (n *Node) receiveAck(m Message, now int64) {
 	current := n.probes.current
 	if current != nil && current.sequence == m.Seq && current.target == m.Target {
@@ -159,7 +162,7 @@
 	n.finishIndirectProbe(m.Seq, now)
 }
 
-// receiveNack counts a nack of the probe in flight.
+// receiveNack counts a nack for the probe in flight and ignores any other.
 func (n *Node) receiveNack(m Message) {
 	if current := n.probes.current; current != nil && current.sequence == m.Seq {
 		current.nacksCollected++
--- a/internal/membership/pushpull.go
+++ b/internal/membership/pushpull.go
@@ -2,32 +2,34 @@
 
 import "slices"
 
-// The push-pull sends a page of the view, as much as a packet holds, to one
-// member a round, which answers with its own page of the same names. The pages
-// go round the names, so that the views of two members are exchanged whole in
-// about n/page rounds. Every page also has the sender's update of itself and its
-// belief of the receiver: after a partition each side learns at once that the
-// other one took it for dead, and refutes.
+// A push-pull sends one page of the view, as many updates as fit into a packet, to
+// one member, which replies with its own page of the same names. Successive pages
+// cycle through the sorted names, so that after about as many rounds as the view
+// has pages, all of it was sent. Every page also contains the sender's own update
+// and what the sender believes of the receiver: after a partition, each side
+// learns at once that the other declared it dead, and refutes it.
 
 const (
-	// behindIntervals is for how many push-pull intervals a member requests pages
-	// quickly after it met one that knows more members.
+	// behindIntervals is the number of push-pull intervals for which a member
+	// requests pages at the probe interval, after a peer reported a larger view.
 	behindIntervals = 3
-	// minReplyDivisor: a reply has at least this part of the largest packet.
+	// minReplyDivisor limits how far a low byte budget shortens a reply: to a third
+	// of the largest packet.
 	minReplyDivisor = 3
 )
 
-// pushPullCursor is the progress of the push-pull.
+// pushPullCursor is the progress of the push-pull through the names of the view.
 type pushPullCursor struct {
-	nextAt      int64 // ms, when the next push-pull starts
-	rounds      int
-	after       string // the next page sent has the names after this one
-	behindUntil int64  // ms: until then this member knows less than some peer
-	replyAfter  string // while behind, the next page requested has the names after this one
+	nextAt       int64  // ms, when the next push-pull starts
+	rounds       int    // push-pulls started
+	sendAfter    string // the next page sent contains the names after this one
+	behindUntil  int64  // ms, until when a peer is assumed to know more members
+	requestAfter string // the next page requested while behind has the names after this one
 }
 
-// startPushPull sends the next page. A member that is behind has little to
-// report: it requests page after page instead, from where the last reply ended.
+// startPushPull sends the next page to a peer. A member that is behind has little
+// to send: it requests a page at every probe interval instead, each from where the
+// last reply ended.
 func (n *Node) startPushPull(now int64) {
 	behind := now < n.pushPull.behindUntil
 	n.pushPull.nextAt = now + n.cfg.PushPullIntervalMs
@@ -40,21 +42,22 @@
 		return
 	}
 	if !behind {
-		n.pushPull.after = n.sendPage(to, n.pushPull.after, now)
+		n.pushPull.sendAfter = n.sendPage(to, n.pushPull.sendAfter, now)
 		return
 	}
 	request := Message{
 		Kind:    Sync,
-		After:   n.pushPull.replyAfter,
+		After:   n.pushPull.requestAfter,
 		Count:   len(n.members),
 		Updates: []Update{n.self},
 	}
 	n.sendBudgeted(to, request, now)
 }
 
-// pushPullPeer chooses the address for a push-pull: a random alive member, every
-// ReconnectEvery-th time a dead one (so that the sides of a healed partition find
-// each other), and a seed while nobody is known. It is "" if there is none.
+// pushPullPeer returns the address of the peer for the next push-pull, "" if there
+// is none: a random member that is alive, or a seed if no member is alive. Every
+// ReconnectEvery-th round it is a dead member, if there is one, so that the two
+// sides of a healed partition find each other.
 func (n *Node) pushPullPeer() string {
 	if n.pushPull.rounds%n.cfg.ReconnectEvery == 0 {
 		if dead := n.deadAddresses(); len(dead) > 0 {
@@ -72,7 +75,7 @@
 	return ""
 }
 
-// deadAddresses are the addresses of the members declared dead.
+// deadAddresses returns the addresses of the dead members.
 func (n *Node) deadAddresses() []string {
 	var addresses []string
 	for _, name := range n.watched {
@@ -83,28 +86,29 @@
 	return addresses
 }
 
-// mergePage applies a push-pull's page. A death in it becomes a suspicion by the
-// sender, as in memberlist: a page is a whole view, often from the far side of a
-// healed partition, and the member gets the time of a suspicion to refute
-// instead of being declared dead by its own side at once.
+// mergePage applies the updates of a page. As in memberlist, the death of another
+// member is applied as a suspicion by the sender: the page may come from the other
+// side of a healed partition, and the member then has the duration of a suspicion
+// to refute, instead of being declared dead at once on its own side.
 func (n *Node) mergePage(m Message, now int64) {
 	for _, update := range m.Updates {
 		if update.State == Dead && update.Name != n.self.Name {
 			update.State = Suspect
 			update.Suspector = m.From
 		}
-		// Another member's page need not be gossiped: pages disseminate it. The
-		// sender itself may be new.
-		by := byPage
+		// Pages disseminate the joins that they contain, so those are not gossiped.
+		// The sender may be new to the fleet, so its own update is.
+		source := fromPage
 		if update.Name == m.From {
-			by = byGossip
+			source = fromGossip
 		}
-		n.apply(update, by, now)
+		n.apply(update, source, now)
 	}
 }
 
-// compareViewSizes marks this member as behind for a while if the sender of a
-// page knows more members, and notes where the next page requested starts.
+// compareViewSizes marks this member as behind for behindIntervals push-pull
+// intervals if the sender of a page knows more members. After a SyncReply it also
+// stores where the next requested page starts.
 func (n *Node) compareViewSizes(m Message, now int64) {
 	if m.Count > len(n.members) {
 		n.pushPull.behindUntil = now + behindIntervals*n.cfg.PushPullIntervalMs
@@ -112,14 +116,15 @@
 	if m.Kind != SyncReply {
 		return
 	}
-	n.pushPull.replyAfter = ""
+	n.pushPull.requestAfter = ""
 	if count := len(m.Updates); count > 0 && m.Updates[count-1].Name > m.After {
-		n.pushPull.replyAfter = m.Updates[count-1].Name
+		n.pushPull.requestAfter = m.Updates[count-1].Name
 	}
 }
 
-// sendPage sends the page of the names after after; it returns where the next
-// page starts ("" once the names were all sent).
+// sendPage sends the page that starts after the name after. It returns the name
+// after which the next page starts, "" for the first page once all names were
+// sent.
 func (n *Node) sendPage(to, after string, now int64) string {
 	m := Message{Kind: Sync, After: after, Count: len(n.members)}
 	last := n.fillPage(&m, to, n.cfg.MaxPacketBytes)
@@ -127,10 +132,11 @@
 	return last
 }
 
-// replyToPage answers a page with this member's page of the same names. A
-// member that knows nobody gets names from a random place, as all newcomers
-// would otherwise turn to the first few. A low budget makes a shorter page rather
-// than none: of many that join through one seed each learns of a few members.
+// replyToPage replies to a page with this member's page of the same names. A peer
+// that knows no other member receives a page from a random position, because all
+// joining members would otherwise contact the same first few names. A low byte
+// budget shortens the page instead of preventing it, so that each of many members
+// that join through one seed learns of a few others.
 func (n *Node) replyToPage(from string, request Message, now int64) {
 	if n.leaving {
 		return
@@ -145,9 +151,10 @@
 	n.sendBudgeted(from, reply, now)
 }
 
-// fillPage fills a message with this member's own update, its belief of the
-// receiver's address, and the names after m.After, within limit bytes; it returns
-// the last name added, or "" if the page reached the end of the names.
+// fillPage adds to a message this member's own update, the updates of members at
+// the receiver's address, and those of the names after m.After, up to limit bytes
+// in total. It returns the last name added in order, m.After if none fitted, and
+// "" if the page reached the end of the names.
 func (n *Node) fillPage(m *Message, receiver string, limit int) string {
 	m.Updates = append(m.Updates, n.self)
 	free := limit - m.size()
--- a/internal/membership/pushpull_test.go
+++ b/internal/membership/pushpull_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// A member that met a larger view requests a page every period, from where the
-// last reply ended, until nobody knows more.
+// TestMemberBehindRequestsPageAfterPage checks that a member which learned of a
+// larger view requests a page at every probe interval, starting where the last
+// reply ended, until no peer reports a larger view.
 func TestMemberBehindRequestsPageAfterPage(t *testing.T) {
 	cfg := Defaults()
 	cfg.Name = "me"
@@ -30,10 +31,10 @@
 		return count, after
 	}
 	if count, after := requests(20, 1020); count < 4 || after != "m09" {
-		t.Errorf("behind: %d requests in a second, after %q; want one a period, after m09", count, after)
+		t.Errorf("%d requests in 1 s while behind, the last after %q, want at least 4, the last after m09", count, after)
 	}
 	requests(1020, 4*cfg.PushPullIntervalMs)
 	if count, _ := requests(4*cfg.PushPullIntervalMs, 8*cfg.PushPullIntervalMs); count > 5 {
-		t.Errorf("with nobody who knows more: %d requests in 4 s, want one a second", count)
+		t.Errorf("%d requests in 4 s while not behind, want at most 5", count)
 	}
 }
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Receive handles a decoded packet from an address. What is malformed, stale or
-// from an unknown sender is dropped and counted in Stats.
+// Receive handles a message from the address from. Updates and messages that are
+// malformed, stale or from an unknown sender are dropped and counted in Stats.
 func (n *Node) Receive(from string, m Message, now int64) Ready {
 	n.stats.PacketsIn++
 	if !m.isPage() {
@@ -34,35 +34,36 @@
 	return n.takeReady()
 }
 
-// learnSeed adds a sender to the seeds while no member is known: one that knows
-// of this member already is as good a seed as one that may be busy.
+// learnSeed adds the sender of a packet to the seeds while no other member is
+// known. The configured seeds may be too busy to reply, and a sender that already
+// knows this member's address serves as well.
 func (n *Node) learnSeed(from string) {
 	if len(n.members) == 0 && len(n.seeds) < maxLearnedSeeds && !slices.Contains(n.seeds, from) {
 		n.seeds = append(n.seeds, from)
 	}
 }
 
-// receivePing acknowledges a ping. The ack of a ping that reports a suspicion
-// of this member has the refutation with it.
+// receivePing replies to a ping with an ack. If the ping carries a suspicion or
+// death of this member, the ack carries the refutation.
 func (n *Node) receivePing(from string, m Message, now int64) {
 	if m.Target != "" && m.Target != n.self.Name {
-		n.stats.Misdirected++ // meant for an earlier member at this address
+		n.stats.Misdirected++ // sent to an earlier member at this address
 		return
 	}
 	ack := Message{Kind: Ack, Seq: m.Seq, Target: n.self.Name}
 	if slices.ContainsFunc(m.Updates, n.suspectsSelf) && !n.faults.SkipsRefutation() {
 		ack.Updates = append(ack.Updates, n.self)
 	}
-	n.sendProbe(from, ack, now)
+	n.sendProbeMessage(from, ack, now)
 }
 
-// suspectsSelf reports whether an update denies that this member is alive.
+// suspectsSelf reports whether an update states that this member is not alive.
 func (n *Node) suspectsSelf(update Update) bool {
 	return update.Name == n.self.Name && update.State != Alive
 }
 
-// receiveUserData hands a payload to the caller if its sender is a member of
-// the view and sent it from its own address.
+// receiveUserData passes a payload to the caller if its sender is an alive or
+// suspect member of the view and sent it from the address in the view.
 func (n *Node) receiveUserData(from string, m Message) {
 	sender := n.members[m.From]
 	if sender == nil || sender.Addr != from || !sender.reachable() {
@@ -73,9 +74,9 @@
 	n.out.From = m.From
 }
 
-// applyAll applies updates in the order in which they arrived.
+// applyAll applies the gossip of a packet in order.
 func (n *Node) applyAll(updates []Update, now int64) {
 	for _, update := range updates {
-		n.apply(update, byGossip, now)
+		n.apply(update, fromGossip, now)
 	}
 }
--- a/internal/membership/scale_test.go
+++ b/internal/membership/scale_test.go
@@ -16,13 +16,14 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// TestSettleAgainstFleetSize measures, in the in-memory network, the time to
-// settle after all join through one seed and after a tenth is killed, and the
-// bytes a member sends a second, for 3, 30 and 300 members (1,000 as well
-// with LOTUSBEND_LARGE=1: about 5 minutes, most of it the join). Each must settle within bound(p)
-// after the kill and send within its byte budget plus its probes. The table
-// is in docs/membership.md; with LOTUSBEND_FIGURES=DIR the plot is written
-// there as membership-scale.svg and .png.
+// TestSettleAgainstFleetSize checks simulated fleets of 3, 30 and 300 members. After
+// all have joined through one seed, a tenth of them is killed, and the views must
+// settle within settleBound. In between, a member may send no more than its byte
+// budget and its probes per second.
+//
+// With LOTUSBEND_LARGE=1 a fleet of 1,000 is added, which takes about 5 minutes,
+// mostly for the join. The logged table is in docs/membership.md. LOTUSBEND_FIGURES
+// names a directory for its plot, membership-scale.svg and .png.
 func TestSettleAgainstFleetSize(t *testing.T) {
 	var rows []scaleRow
 	defer func() { plotScale(t, rows) }()
@@ -31,45 +32,46 @@
 		sizes = append(sizes, 1000)
 	}
 	for _, p := range sizes {
-		w := newSimulation(t, uint64(p), p, 2)
-		w.step = 20
-		w.start()
-		join := w.settle(20*bound(w.cfg, p), nil)
-		w.bytes = 0
-		from := w.now
-		w.run(5000)
-		calm := float64(w.bytes) / float64(p) / (float64(w.now-from) / 1000)
-		for i := 1; i < len(w.processes); i += 10 {
-			w.kill(w.processes[i])
+		sim := newSimulation(t, uint64(p), p, 2)
+		sim.step = 20
+		sim.start()
+		join := sim.settle(20*settleBound(sim.cfg, p), nil)
+		sim.bytes = 0
+		from := sim.now
+		sim.run(5000)
+		settledRate := float64(sim.bytes) / float64(p) / (float64(sim.now-from) / 1000)
+		for i := 1; i < len(sim.processes); i += 10 {
+			sim.kill(sim.processes[i])
 		}
-		w.bytes = 0
-		from = w.now
-		kill := w.settle(bound(w.cfg, p), nil)
-		busy := float64(w.bytes) / float64(len(w.processes)) / (float64(w.now-from+1) / 1000)
-		t.Logf("| %d | %d | %d | %d | %.0f | %.0f |", p, join, kill, bound(w.cfg, p), calm, busy)
-		rows = append(rows, scaleRow{p, join, kill, bound(w.cfg, p), calm, busy})
-		// probes: a ping and an ack a period, each under 200 bytes, besides
-		// the budget for gossip and pages
-		if most := float64(w.cfg.GossipBytesPerSecond) + 2*200*1000/float64(w.cfg.ProbeIntervalMs)*2; calm > most {
-			t.Errorf("%d members: %.0f bytes a member a second, over %.0f", p, calm, most)
+		sim.bytes = 0
+		from = sim.now
+		kill := sim.settle(settleBound(sim.cfg, p), nil)
+		settlingRate := float64(sim.bytes) / float64(len(sim.processes)) / (float64(sim.now-from+1) / 1000)
+		t.Logf("| %d | %d | %d | %d | %.0f | %.0f |", p, join, kill, settleBound(sim.cfg, p), settledRate, settlingRate)
+		rows = append(rows, scaleRow{p, join, kill, settleBound(sim.cfg, p), settledRate, settlingRate})
+		// A member may send the budget of gossip and pages, and twice a ping and an ack
+		// per probe interval, each under 200 bytes.
+		if limit := float64(sim.cfg.GossipBytesPerSecond) + 2*200*1000/float64(sim.cfg.ProbeIntervalMs)*2; settledRate > limit {
+			t.Errorf("%d members: %.0f bytes per member and second, want at most %.0f", p, settledRate, limit)
 		}
-		if w.falseDead > 0 {
-			t.Errorf("%d members: %d false deaths", p, w.falseDead)
+		if sim.falseDeaths > 0 {
+			t.Errorf("%d members: %d false deaths, want 0", p, sim.falseDeaths)
 		}
 	}
 }
 
+// scaleRow is the result for one fleet size.
 type scaleRow struct {
-	members int
-	join    int64   // ms
-	kill    int64   // ms
-	bound   int64   // ms
-	calm    float64 // bytes a member a second
-	busy    float64 // bytes a member a second
+	members      int
+	join         int64   // ms to settle after the join
+	kill         int64   // ms to settle after a tenth is killed
+	bound        int64   // ms, the bound on kill
+	settledRate  float64 // bytes per member and second while settled
+	settlingRate float64 // bytes per member and second while settling after the kill
 }
 
-// plotScale draws settle time and bytes against fleet size, on a log scale
-// of members, where LOTUSBEND_FIGURES names a directory.
+// plotScale plots the time to settle and the bytes sent against the fleet size, on
+// a logarithmic scale, into the directory LOTUSBEND_FIGURES, if that is set.
 func plotScale(t *testing.T, rows []scaleRow) {
 	dir := os.Getenv("LOTUSBEND_FIGURES")
 	if dir == "" || len(rows) == 0 {
@@ -95,8 +97,8 @@
 		"bound", line(func(r scaleRow) float64 { return float64(r.bound) / 1000 }))
 	if err == nil {
 		err = plotutil.AddLinePoints(bytes,
-			"calm", line(func(r scaleRow) float64 { return r.calm }),
-			"while settling", line(func(r scaleRow) float64 { return r.busy }),
+			"calm", line(func(r scaleRow) float64 { return r.settledRate }),
+			"while settling", line(func(r scaleRow) float64 { return r.settlingRate }),
 			"budget of gossip and pages", line(func(scaleRow) float64 { return float64(Defaults().GossipBytesPerSecond) }))
 	}
 	for _, p := range []*plot.Plot{settle, bytes} {
@@ -108,7 +110,7 @@
 			break
 		}
 		tiles := [][]*plot.Plot{{settle, bytes}}
-		img := vgFor(ext, 10*vg.Inch, 4*vg.Inch)
+		img := newCanvas(ext, 10*vg.Inch, 4*vg.Inch)
 		canvases := plot.Align(tiles, draw.Tiles{Rows: 1, Cols: 2, PadX: vg.Millimeter * 4}, draw.New(img))
 		settle.Draw(canvases[0][0])
 		bytes.Draw(canvases[0][1])
@@ -119,12 +121,14 @@
 	}
 }
 
+// image is a canvas that can be written to a file.
 type image interface {
 	vg.CanvasSizer
 	io.WriterTo
 }
 
-func vgFor(ext string, w, h vg.Length) image {
+// newCanvas returns a canvas for SVG or PNG files, by the file extension.
+func newCanvas(ext string, w, h vg.Length) image {
 	if ext == "svg" {
 		return vgsvg.New(w, h)
 	}
@@ -132,13 +136,13 @@
 }
 
 func writeImage(img io.WriterTo, path string) error {
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	if _, err = img.WriteTo(f); err != nil {
-		f.Close()
+	if _, err = img.WriteTo(file); err != nil {
+		file.Close()
 		return err
 	}
-	return f.Close()
+	return file.Close()
 }
--- a/internal/membership/scenarios_test.go
+++ b/internal/membership/scenarios_test.go
@@ -8,9 +8,9 @@
 	"lotusbend/internal/membership/faultinjection"
 )
 
-// scenario is one seeded run of a network of 12 processes or more.
+// scenario is one run of a network of 12 processes or more.
 type scenario struct {
-	name      string
+	name      string // key in the golden file
 	seed      uint64
 	processes int
 	config    func(*membership.Config)
@@ -18,62 +18,62 @@
 }
 
 var scenarios = []scenario{
-	{name: "calm", seed: 1, script: calm},
-	{name: "calm-large", seed: 2, processes: 66, script: calmLarge},
-	{name: "loss-delay-duplicates", seed: 3, script: badLinks},
-	{name: "kills-and-restarts", seed: 4, config: quickForget, script: killsAndRestarts},
+	{name: "calm", seed: 1, script: faultFree},
+	{name: "calm-large", seed: 2, processes: 66, script: largeFleet},
+	{name: "loss-delay-duplicates", seed: 3, script: unreliableLinks},
+	{name: "kills-and-restarts", seed: 4, config: shortReclaim, script: killsAndRestarts},
 	{name: "split-and-heal", seed: 5, script: splitAndHeal},
-	{name: "split-past-forgetting", seed: 6, config: quickForget, script: splitAndHeal},
+	{name: "split-past-forgetting", seed: 6, config: shortReclaim, script: splitAndHeal},
 	{name: "pauses", seed: 7, script: pauses},
-	{name: "one-way-cuts", seed: 8, script: oneWayCuts},
-	{name: "leaves", seed: 9, config: quickForget, script: leaves},
-	{name: "flood-of-names", seed: 10, config: func(c *membership.Config) { c.MaxMembers = 20 }, script: floodOfNames},
+	{name: "one-way-cuts", seed: 8, script: oneWayLinkFailures},
+	{name: "leaves", seed: 9, config: shortReclaim, script: leaves},
+	{name: "flood-of-names", seed: 10, config: func(c *membership.Config) { c.MaxMembers = 20 }, script: nameFlood},
 	{name: "twin", seed: 11, script: nameConflict},
-	{name: "odd-messages", seed: 12, script: oddMessages},
+	{name: "odd-messages", seed: 12, script: invalidMessages},
 	{name: "accusations", seed: 13, processes: 16, script: suspicions},
-	{name: "small-budget", seed: 14, processes: 16, config: smallBudget, script: badLinks},
-	{name: "fast-periods", seed: 15, config: fastPeriods, script: badLinks},
-	{name: "no-relays", seed: 16, config: func(c *membership.Config) { c.IndirectProbes = 0 }, script: oneWayCuts},
-	{name: "sabotage-1", seed: 17, config: inject(faultinjection.NoRefutation), script: pauses},
-	{name: "sabotage-2", seed: 18, config: inject(faultinjection.NoPushPull), script: splitAndHeal},
-	{name: "sabotage-3", seed: 19, config: inject(faultinjection.NoSuspicion), script: pauses},
-	{name: "churn-1", seed: 20, config: quickForget, script: churn},
+	{name: "small-budget", seed: 14, processes: 16, config: smallBudget, script: unreliableLinks},
+	{name: "fast-periods", seed: 15, config: shortIntervals, script: unreliableLinks},
+	{name: "no-relays", seed: 16, config: func(c *membership.Config) { c.IndirectProbes = 0 }, script: oneWayLinkFailures},
+	{name: "sabotage-1", seed: 17, config: withFault(faultinjection.NoRefutation), script: pauses},
+	{name: "sabotage-2", seed: 18, config: withFault(faultinjection.NoPushPull), script: splitAndHeal},
+	{name: "sabotage-3", seed: 19, config: withFault(faultinjection.NoSuspicion), script: pauses},
+	{name: "churn-1", seed: 20, config: shortReclaim, script: churn},
 	{name: "churn-2", seed: 21, config: smallBudget, script: churn},
-	{name: "churn-3", seed: 22, config: fastPeriods, script: churn},
+	{name: "churn-3", seed: 22, config: shortIntervals, script: churn},
 	{name: "forget-at-once", seed: 25, config: func(c *membership.Config) { c.ReclaimMs = 20 }, script: churn},
 	{name: "settings", seed: 23, script: checkSettings},
 	{name: "state-texts", seed: 24, script: stateTexts},
 }
 
-func quickForget(c *membership.Config) { c.ReclaimMs, c.ReconnectEvery = 4000, 2 }
+func shortReclaim(c *membership.Config) { c.ReclaimMs, c.ReconnectEvery = 4000, 2 }
 
 func smallBudget(c *membership.Config) { c.MaxPacketBytes, c.GossipBytesPerSecond = 512, 700 }
 
-func fastPeriods(c *membership.Config) {
+func shortIntervals(c *membership.Config) {
 	c.ProbeIntervalMs, c.ProbeTimeoutMs, c.PushPullIntervalMs, c.RetransmitMult = 100, 40, 300, 2
 	c.SuspicionMult, c.SuspicionMaxMult, c.MaxAwareness, c.MaxPacketBytes = 5, 2, 3, 900
 }
 
-func inject(fault faultinjection.Fault) func(*membership.Config) {
+func withFault(fault faultinjection.Fault) func(*membership.Config) {
 	return func(c *membership.Config) { c.FaultInjection = fault }
 }
 
-func calm(n *network) {
+func faultFree(n *network) {
 	n.bootAll()
 	for range 20 {
 		n.run(500)
 		from := n.random.IntN(len(n.processes))
-		n.share(from, n.processes[n.random.IntN(len(n.processes))].name, n.random.IntN(600))
+		n.sendUserData(from, n.processes[n.random.IntN(len(n.processes))].name, n.random.IntN(600))
 	}
-	for range 20 { // until half of a second's budget is spent
-		n.share(3, n.processes[4].name, 1000)
+	for range 20 { // more than the budget of user data allows
+		n.sendUserData(3, n.processes[4].name, 1000)
 	}
-	n.share(3, n.processes[4].name, n.config.MaxPacketBytes)
-	n.share(3, "member-unknown", 10)
+	n.sendUserData(3, n.processes[4].name, n.config.MaxPacketBytes)
+	n.sendUserData(3, "member-unknown", 10)
 	n.run(2000)
 }
 
-func calmLarge(n *network) {
+func largeFleet(n *network) {
 	n.bootAll()
 	n.run(3000)
 	n.kill(7)
@@ -81,13 +81,13 @@
 	n.run(4000)
 }
 
-func badLinks(n *network) {
-	n.loss, n.duplication, n.longestDelay = 0.2, 0.1, 90
+func unreliableLinks(n *network) {
+	n.loss, n.duplication, n.maxDelayMs = 0.2, 0.1, 90
 	n.bootAll()
 	n.run(7000)
-	n.loss, n.longestDelay = 0.45, 160
+	n.loss, n.maxDelayMs = 0.45, 160
 	n.run(5000)
-	n.loss, n.longestDelay = 0, 5
+	n.loss, n.maxDelayMs = 0, 5
 	n.run(3000)
 }
 
@@ -113,13 +113,13 @@
 func splitAndHeal(n *network) {
 	n.bootAll()
 	n.run(2000)
-	n.cut = between(5)
+	n.linkDown = splitBefore(5)
 	n.run(7000)
-	n.cut = nil
+	n.linkDown = nil
 	n.run(3000)
-	n.cut = between(1)
+	n.linkDown = splitBefore(1)
 	n.run(11_000)
-	n.cut = nil
+	n.linkDown = nil
 	n.run(4000)
 }
 
@@ -135,18 +135,18 @@
 	n.run(3000)
 }
 
-func oneWayCuts(n *network) {
+func oneWayLinkFailures(n *network) {
 	n.bootAll()
 	n.run(2000)
-	for _, cut := range []func(from, to int) bool{
+	for _, linkDown := range []func(from, to int) bool{
 		func(from, _ int) bool { return from == 4 },
 		func(_, to int) bool { return to == 4 },
 		func(from, to int) bool { return from == 2 && to >= 6 },
 		func(from, to int) bool { return from%2 == 0 && to == 9 },
 	} {
-		n.cut = cut
+		n.linkDown = linkDown
 		n.run(5000)
-		n.cut = nil
+		n.linkDown = nil
 		n.run(2500)
 	}
 }
@@ -156,10 +156,10 @@
 	n.run(3000)
 	for _, i := range []int{3, 7} {
 		n.leave(i)
-		n.leave(i) // a second leave requires nothing
-		n.share(i, n.processes[0].name, 20)
+		n.leave(i) // a second leave has no effect
+		n.sendUserData(i, n.processes[0].name, 20)
 		n.run(1000)
-		n.share(0, n.processes[i].name, 20)
+		n.sendUserData(0, n.processes[i].name, 20)
 		n.kill(i)
 	}
 	n.run(2000)
@@ -171,9 +171,9 @@
 	n.run(3000)
 }
 
-// floodOfNames sends updates of more members than a view may have, in pages and in
-// gossip, most of them at addresses where nobody answers.
-func floodOfNames(n *network) {
+// nameFlood sends updates of more members than a view may contain, in pages and
+// gossip. No process has the address of these members.
+func nameFlood(n *network) {
 	n.bootAll()
 	n.run(3000)
 	for k := range 60 {
@@ -205,7 +205,7 @@
 	n.boot(later, 0)
 	n.run(4000)
 	earlier := n.add(n.processes[6].name, "10.0.0.1:6000", "zone-2")
-	n.now -= 4000 // its clock is behind that of the instance it meets
+	n.now -= 4000 // an earlier Start than that of the running instance
 	n.boot(earlier, 0)
 	n.now += 4000
 	n.run(4000)
@@ -214,13 +214,13 @@
 	n.run(8000)
 }
 
-// oddMessages sends what no member in order sends.
-func oddMessages(n *network) {
+// invalidMessages sends messages that no correct member sends.
+func invalidMessages(n *network) {
 	n.bootAll()
 	n.run(2000)
 	self, peer := n.processes[1], n.processes[2]
 	malformed := []membership.Update{{}, {Name: "x", State: 9}, {Name: "y", State: 2}}
-	beforeAfter := []membership.Update{{Name: "m", Addr: "10.9.9.9:2"}}
+	outOfOrder := []membership.Update{{Name: "m", Addr: "10.9.9.9:2"}}
 	for _, m := range []membership.Message{
 		{Kind: 0},
 		{Kind: 200, From: peer.name},
@@ -230,7 +230,7 @@
 		{Kind: membership.PingReq, Seq: 12, Target: peer.name},
 		{Kind: membership.Ack, Seq: 1 << 60, Target: peer.name},
 		{Kind: membership.Nack, Seq: 1 << 60, Target: peer.name},
-		{Kind: membership.SyncReply, From: peer.name, After: "z", Count: 3, Updates: beforeAfter},
+		{Kind: membership.SyncReply, From: peer.name, After: "z", Count: 3, Updates: outOfOrder},
 		{Kind: membership.Sync, From: "member-other"},
 		{Kind: membership.Sync, From: "member-other", After: peer.name, Count: 1},
 		{Kind: membership.UserData, From: peer.name, Payload: []byte("from the wrong address")},
@@ -239,7 +239,7 @@
 		n.inject("10.9.9.7:1", 1, m)
 	}
 	n.inject(peer.address, 1, membership.Message{Kind: membership.UserData, From: peer.name, Payload: []byte{}})
-	for k := range 40 { // more indirect probes than there are members
+	for k := range 40 { // more indirect probes than members
 		target := n.processes[3+k%3].address
 		request := membership.Message{Kind: membership.PingReq, Seq: uint64(k), Target: "t", TargetAddr: target}
 		n.inject(peer.address, 1, request)
@@ -248,7 +248,7 @@
 	n.learnSeed()
 }
 
-// learnSeed boots a process without seeds; it learns of a seed by a packet.
+// learnSeed boots a process without seeds, which learns a seed from a packet.
 func (n *network) learnSeed() {
 	i := n.add("member-lonely", "10.0.0.150:7000", "zone-0")
 	n.boot(i)
@@ -257,24 +257,24 @@
 	n.run(4000)
 }
 
-// suspicions state to a process, and to others of it, that it is suspect, dead or
-// gone, at its own incarnation and at others.
+// suspicions sends updates of a process as suspect, dead or left, at its own and
+// other incarnations, to that process and to others.
 func suspicions(n *network) {
 	n.bootAll()
 	n.run(3000)
 	suspected := n.processes[2].node.View().Self
 	for k := range 40 {
-		r := suspected
-		r.Incarnation, r.State, r.Suspector = uint64(k/3), membership.State(1+k%3), n.processes[3+k%12].name
+		update := suspected
+		update.Incarnation, update.State, update.Suspector = uint64(k/3), membership.State(1+k%3), n.processes[3+k%12].name
 		switch {
 		case k%11 == 0:
-			r.Start--
+			update.Start--
 		case k%13 == 0:
-			r.Addr = "10.0.0.99:7000"
+			update.Addr = "10.0.0.99:7000"
 		}
 		to := []int{2, 2, 4, 7}[k%4]
 		kind := []membership.Kind{membership.Ping, membership.Ack, membership.SyncReply}[k%3]
-		m := membership.Message{Kind: kind, From: n.processes[5].name, Updates: []membership.Update{r}}
+		m := membership.Message{Kind: kind, From: n.processes[5].name, Updates: []membership.Update{update}}
 		n.inject(n.processes[5].address, to, m)
 		n.run(int64(40 * (k % 5)))
 	}
@@ -282,35 +282,36 @@
 	n.confirmations()
 }
 
-// confirmations suspect a stopped process in the name of several members, one
-// after another, so that its suspicion gets shorter.
+// confirmations sends suspicions of a stopped process by several members, one after
+// another, which shorten its suspicion.
 func (n *network) confirmations() {
 	n.kill(9)
-	r := n.processes[9].node.View().Self
-	r.State = membership.Suspect
+	suspicion := n.processes[9].node.View().Self
+	suspicion.State = membership.Suspect
 	for k := range 6 {
-		r.Suspector = n.processes[10+k].name
-		m := membership.Message{Kind: membership.Ack, Seq: 1 << 50, Updates: []membership.Update{r, r}}
+		suspicion.Suspector = n.processes[10+k].name
+		m := membership.Message{Kind: membership.Ack, Seq: 1 << 50, Updates: []membership.Update{suspicion, suspicion}}
 		n.inject(n.processes[10+k].address, 1, m)
 		n.run(200)
 	}
 	n.run(8000)
 }
 
-// churn lets the seed choose what befalls the processes.
+// churn executes 80 random faults, restarts and leaves.
 func churn(n *network) {
-	n.loss, n.duplication, n.longestDelay = 0.05, 0.02, 30
+	n.loss, n.duplication, n.maxDelayMs = 0.05, 0.02, 30
 	n.bootAll()
 	n.run(2000)
 	for range 80 {
-		n.mishap(n.random.IntN(len(n.processes)))
+		n.randomFault(n.random.IntN(len(n.processes)))
 		n.run(100 + 20*n.random.Int64N(20))
 	}
-	n.cut, n.loss = nil, 0
+	n.linkDown, n.loss = nil, 0
 	n.run(5000)
 }
 
-func (n *network) mishap(i int) {
+// randomFault executes a random event for process i, and sends user data to it.
+func (n *network) randomFault(i int) {
 	other := n.random.IntN(len(n.processes))
 	switch n.random.IntN(10) {
 	case 0:
@@ -324,18 +325,18 @@
 			n.leave(i)
 		}
 	case 5:
-		n.cut = between(1 + i/2)
+		n.linkDown = splitBefore(1 + i/2)
 	case 6, 7:
-		n.cut = nil
+		n.linkDown = nil
 	case 8:
-		n.cut = func(from, to int) bool { return from == i && to != other }
+		n.linkDown = func(from, to int) bool { return from == i && to != other }
 	case 9:
 		n.loss = 0.3 * n.random.Float64()
 	}
-	n.share(other, n.processes[i].name, n.random.IntN(300))
+	n.sendUserData(other, n.processes[i].name, n.random.IntN(300))
 }
 
-// checkSettings hashes which settings are accepted.
+// checkSettings adds to the digest which settings are valid.
 func checkSettings(n *network) {
 	for _, change := range []func(*membership.Config){
 		func(*membership.Config) {},
@@ -366,7 +367,7 @@
 	n.digest.flag(accepted(func(c *membership.Config) { c.Addr = strings.Repeat("a", 262) }))
 }
 
-// accepted reports whether the default settings are accepted after a change.
+// accepted reports whether the default settings with a change are valid.
 func accepted(change func(*membership.Config)) bool {
 	config := membership.Defaults()
 	config.Name = "a"
@@ -374,16 +375,17 @@
 	return config.Check() == nil
 }
 
-// stateTexts reads each state back from its text and hashes the number alone.
+// stateTexts parses the text of each state and adds the number of the result to the
+// digest, so that renaming a state does not change it.
 func stateTexts(n *network) {
 	for s := membership.Alive; s <= membership.Left; s++ {
 		text, err := s.MarshalText()
-		var back membership.State
+		var parsed membership.State
 		if err == nil {
-			err = back.UnmarshalText(text)
+			err = parsed.UnmarshalText(text)
 		}
 		n.digest.flag(err == nil)
-		n.digest.numbers(int64(back))
+		n.digest.numbers(int64(parsed))
 	}
 	unknown := membership.Alive
 	n.digest.flag(unknown.UnmarshalText([]byte("no state has this text")) == nil)
--- a/internal/membership/settle_test.go
+++ b/internal/membership/settle_test.go
@@ -8,216 +8,243 @@
 	"lotusbend/internal/membership/faultinjection"
 )
 
-// bound is the stated bound on settling after one fault among p members:
-// the longest suspicion (SuspicionMaxMult x SuspicionMult x log10 p
-// periods), a probe round to notice (up to 2 periods, doubled at low local
-// health), the last ping to the suspect (two direct probes' waits), and gossip's spread in log2(p)+4
-// periods more.
-func bound(cfg Config, p int) int64 {
-	logs := math.Max(1, math.Log10(float64(p)))
-	susp := cfg.SuspicionMaxMult * cfg.SuspicionMult * logs * float64(cfg.ProbeIntervalMs)
-	spread := (math.Log2(float64(p)) + 4) * float64(cfg.ProbeIntervalMs)
-	return int64(susp+4*float64(cfg.ProbeIntervalMs)+spread) + 2*cfg.ProbeTimeoutMs
+// settleBound returns the time in ms within which the views of the given number of
+// members must settle after one fault. It is the sum of the maximum suspicion
+// (SuspicionMaxMult x SuspicionMult x log10(members) probe intervals), the time
+// until a probe fails (2 intervals, doubled at low local health), the final ping to
+// the suspect (2 probe timeouts), and the dissemination by gossip (log2(members)+4
+// intervals).
+func settleBound(cfg Config, members int) int64 {
+	logarithm := math.Max(1, math.Log10(float64(members)))
+	suspicion := cfg.SuspicionMaxMult * cfg.SuspicionMult * logarithm * float64(cfg.ProbeIntervalMs)
+	dissemination := (math.Log2(float64(members)) + 4) * float64(cfg.ProbeIntervalMs)
+	return int64(suspicion+4*float64(cfg.ProbeIntervalMs)+dissemination) + 2*cfg.ProbeTimeoutMs
 }
 
-// splitBound is the bound after a split: half of all probes go unanswered, and
-// nacks with them, so local health falls and members probe at half the pace or
-// less (8 periods more; over 100 seeds of 12 members splits settled in 7.0 s at
-// the median and 9.0 s at most, against 9.3 s).
-func splitBound(cfg Config, p int) int64 { return bound(cfg, p) + 8*cfg.ProbeIntervalMs }
+// splitSettleBound returns the bound after a split into halves, settleBound and 8
+// more probe intervals. Half of all probes and their nacks go unanswered, so the
+// local health worsens and members probe at half the rate or less. With 12 members,
+// splits over 100 seeds settled in 7.0 s at the median and 9.0 s at most, with a
+// bound of 9.3 s.
+func splitSettleBound(cfg Config, members int) int64 {
+	return settleBound(cfg, members) + 8*cfg.ProbeIntervalMs
+}
 
+// TestJoinThroughOneSeed checks that the views settle after all members joined
+// through the same seed.
 func TestJoinThroughOneSeed(t *testing.T) {
 	for seed := range uint64(5) {
-		w := newSimulation(t, seed, 10, 1)
-		w.start()
-		took := w.settle(bound(w.cfg, 10), nil)
+		sim := newSimulation(t, seed, 10, 1)
+		sim.start()
+		took := sim.settle(settleBound(sim.cfg, 10), nil)
 		t.Logf("seed %d: settled in %d ms", seed, took)
 	}
 }
 
+// TestSimultaneousCrashes checks that the views settle after a third of the members
+// crash at once, without a false death.
 func TestSimultaneousCrashes(t *testing.T) {
 	for seed := range uint64(5) {
-		w := newSimulation(t, seed, 12, 1)
-		w.start()
-		w.settle(bound(w.cfg, 12), nil)
-		for _, p := range w.processes[8:] {
-			w.kill(p)
+		sim := newSimulation(t, seed, 12, 1)
+		sim.start()
+		sim.settle(settleBound(sim.cfg, 12), nil)
+		for _, p := range sim.processes[8:] {
+			sim.kill(p)
 		}
-		took := w.settle(bound(w.cfg, 12), nil)
-		if w.falseDead > 0 {
-			t.Fatalf("seed %d: %d members declared dead while they ran", seed, w.falseDead)
+		took := sim.settle(settleBound(sim.cfg, 12), nil)
+		if sim.falseDeaths > 0 {
+			t.Fatalf("seed %d: %d false deaths, want 0", seed, sim.falseDeaths)
 		}
-		t.Logf("seed %d: settled in %d ms after the kill (bound %d)", seed, took, bound(w.cfg, 12))
+		t.Logf("seed %d: settled in %d ms after the crashes (bound %d ms)", seed, took, settleBound(sim.cfg, 12))
 	}
 }
 
+// TestPacketLossCausesNoFalseDeath checks that no running member is declared dead
+// in two minutes at 20% packet loss.
 func TestPacketLossCausesNoFalseDeath(t *testing.T) {
 	for seed := range uint64(3) {
-		w := newSimulation(t, seed, 12, 1)
-		w.loss = 0.2
-		w.start()
-		w.settle(2*bound(w.cfg, 12), nil)
-		w.run(120_000)
-		if w.falseDead > 0 {
-			t.Fatalf("seed %d: %d members declared dead at 20%% loss", seed, w.falseDead)
+		sim := newSimulation(t, seed, 12, 1)
+		sim.loss = 0.2
+		sim.start()
+		sim.settle(2*settleBound(sim.cfg, 12), nil)
+		sim.run(120_000)
+		if sim.falseDeaths > 0 {
+			t.Fatalf("seed %d: %d false deaths at 20%% packet loss, want 0", seed, sim.falseDeaths)
 		}
-		w.settle(bound(w.cfg, 12), nil)
+		sim.settle(settleBound(sim.cfg, 12), nil)
 	}
 }
 
-func TestPausedPastSuspicionRefutesAndNoGhost(t *testing.T) {
-	w := newSimulation(t, 3, 8, 1)
-	w.start()
-	w.settle(bound(w.cfg, 8), nil)
-	p := w.processes[5]
-	inc := p.node.self.Incarnation
-	p.paused = w.now + 2*bound(w.cfg, 8)
-	w.run(2 * bound(w.cfg, 8))
-	if _, ok := w.deadAt[p.name]; !ok {
-		t.Fatal("a member paused past its suspicion was not declared dead")
+// TestMemberPausedPastSuspicionRefutesItsDeath checks that a member which was declared
+// dead during a long pause refutes its death with a higher incarnation when it
+// resumes, and that no stopped member is believed alive again.
+func TestMemberPausedPastSuspicionRefutesItsDeath(t *testing.T) {
+	sim := newSimulation(t, 3, 8, 1)
+	sim.start()
+	sim.settle(settleBound(sim.cfg, 8), nil)
+	p := sim.processes[5]
+	incarnation := p.node.self.Incarnation
+	p.pausedUntil = sim.now + 2*settleBound(sim.cfg, 8)
+	sim.run(2 * settleBound(sim.cfg, 8))
+	if _, ok := sim.declaredDeadAt[p.name]; !ok {
+		t.Fatal("a member paused for longer than its suspicion was not declared dead")
 	}
-	w.settle(bound(w.cfg, 8), nil)
-	if p.node.self.Incarnation <= inc {
-		t.Fatalf("the paused member came back at incarnation %d, not above %d", p.node.self.Incarnation, inc)
+	sim.settle(settleBound(sim.cfg, 8), nil)
+	if p.node.self.Incarnation <= incarnation {
+		t.Fatalf("incarnation after the pause = %d, want more than %d", p.node.self.Incarnation, incarnation)
 	}
-	if w.ghosts > 0 || w.falseDead > 0 {
-		t.Fatalf("ghosts %d, false dead %d", w.ghosts, w.falseDead)
+	if sim.resurrected > 0 || sim.falseDeaths > 0 {
+		t.Fatalf("%d resurrected, %d false deaths, want none", sim.resurrected, sim.falseDeaths)
 	}
 }
 
+// TestSplitIntoTwoZonesAndHeal checks that during a partition between two zones
+// each side settles on its own members, and that the views of all settle after the
+// partition heals.
 func TestSplitIntoTwoZonesAndHeal(t *testing.T) {
 	for seed := range uint64(12) {
-		w := newSimulation(t, seed, 12, 2)
-		w.start()
-		w.settle(bound(w.cfg, 12), nil)
-		w.cut = func(a, b *process) bool { return a.zone != b.zone }
+		sim := newSimulation(t, seed, 12, 2)
+		sim.start()
+		sim.settle(settleBound(sim.cfg, 12), nil)
+		sim.linkDown = func(a, b *process) bool { return a.zone != b.zone }
 		sameZone := func(v, s *process) bool { return v.zone == s.zone }
-		w.settle(splitBound(w.cfg, 12), sameZone)
-		w.run(30_000)
-		if !w.settled(sameZone) {
-			t.Fatalf("seed %d: a half is wrong about itself during the split", seed)
+		sim.settle(splitSettleBound(sim.cfg, 12), sameZone)
+		sim.run(30_000)
+		if !sim.settled(sameZone) {
+			t.Fatalf("seed %d: a view does not contain exactly the zone's members after 30 s of partition", seed)
 		}
-		w.cut = nil
-		took := w.settle(bound(w.cfg, 12), nil)
+		sim.linkDown = nil
+		took := sim.settle(settleBound(sim.cfg, 12), nil)
 		t.Logf("seed %d: healed in %d ms", seed, took)
-		if w.falseDead > 0 || w.ghosts > 0 {
-			t.Fatalf("seed %d: false dead %d, ghosts %d", seed, w.falseDead, w.ghosts)
+		if sim.falseDeaths > 0 || sim.resurrected > 0 {
+			t.Fatalf("seed %d: %d false deaths, %d resurrected, want none", seed, sim.falseDeaths, sim.resurrected)
 		}
 	}
 }
 
-func TestOneWayCutCausesNoFalseDeath(t *testing.T) {
-	w := newSimulation(t, 4, 8, 1)
-	w.start()
-	w.settle(bound(w.cfg, 8), nil)
-	a, b := w.processes[1], w.processes[2]
-	w.cut = func(x, y *process) bool { return x == a && y == b } // b does not receive from a
-	w.run(60_000)
-	w.cut = nil
-	if w.falseDead > 0 {
-		t.Fatalf("%d declared dead across a one-way cut", w.falseDead)
+// TestOneWayLinkFailureCausesNoFalseDeath checks that no running member is declared dead
+// while packets between two members are lost in one direction.
+func TestOneWayLinkFailureCausesNoFalseDeath(t *testing.T) {
+	sim := newSimulation(t, 4, 8, 1)
+	sim.start()
+	sim.settle(settleBound(sim.cfg, 8), nil)
+	a, b := sim.processes[1], sim.processes[2]
+	sim.linkDown = func(x, y *process) bool { return x == a && y == b } // b receives nothing from a
+	sim.run(60_000)
+	sim.linkDown = nil
+	if sim.falseDeaths > 0 {
+		t.Fatalf("%d false deaths with a link down in one direction, want 0", sim.falseDeaths)
 	}
 }
 
+// TestRestartUnderTheSameName checks that the new instance of a restarted member
+// replaces the old one in all views.
 func TestRestartUnderTheSameName(t *testing.T) {
-	w := newSimulation(t, 5, 8, 1)
-	w.start()
-	w.settle(bound(w.cfg, 8), nil)
-	p := w.processes[3]
-	w.kill(p)
-	w.run(500)
-	w.boot(p, []string{w.processes[0].addr})
-	took := w.settle(bound(w.cfg, 8), nil)
-	t.Logf("the new instance was taken in %d ms", took)
-	if w.ghosts > 0 {
-		t.Fatalf("%d ghosts", w.ghosts)
+	sim := newSimulation(t, 5, 8, 1)
+	sim.start()
+	sim.settle(settleBound(sim.cfg, 8), nil)
+	p := sim.processes[3]
+	sim.kill(p)
+	sim.run(500)
+	sim.boot(p, []string{sim.processes[0].addr})
+	took := sim.settle(settleBound(sim.cfg, 8), nil)
+	t.Logf("settled in %d ms after the restart", took)
+	if sim.resurrected > 0 {
+		t.Fatalf("%d resurrected, want 0", sim.resurrected)
 	}
 }
 
+// TestLateAcksCauseNoFalseDeath checks that a member whose acks arrive after the
+// probe timeout, but within the probe interval, is not declared dead.
 func TestLateAcksCauseNoFalseDeath(t *testing.T) {
-	w := newSimulation(t, 6, 8, 1)
-	w.start()
-	w.settle(bound(w.cfg, 8), nil)
-	w.late[w.processes[4].name] = w.cfg.ProbeTimeoutMs + 20 // past the direct wait, within the period
-	w.run(60_000)
-	if w.falseDead > 0 {
-		t.Fatalf("%d declared dead that only answered late", w.falseDead)
+	sim := newSimulation(t, 6, 8, 1)
+	sim.start()
+	sim.settle(settleBound(sim.cfg, 8), nil)
+	sim.extraDelayMs[sim.processes[4].name] = sim.cfg.ProbeTimeoutMs + 20
+	sim.run(60_000)
+	if sim.falseDeaths > 0 {
+		t.Fatalf("%d false deaths with late acks, want 0", sim.falseDeaths)
 	}
 }
 
+// TestGracefulLeave checks that 500 ms after a member leaves, all others have it in
+// state Left.
 func TestGracefulLeave(t *testing.T) {
-	w := newSimulation(t, 7, 8, 1)
-	w.start()
-	w.settle(bound(w.cfg, 8), nil)
-	p := w.processes[2]
-	w.execute(p, p.node.Leave(w.now))
-	w.run(500)
-	w.kill(p)
-	for _, v := range w.processes {
+	sim := newSimulation(t, 7, 8, 1)
+	sim.start()
+	sim.settle(settleBound(sim.cfg, 8), nil)
+	p := sim.processes[2]
+	sim.execute(p, p.node.Leave(sim.now))
+	sim.run(500)
+	sim.kill(p)
+	for _, v := range sim.processes {
 		if v.running && v.node.members[p.name].State != Left {
-			t.Fatalf("%s believes %s %v, not left", v.name, p.name, v.node.members[p.name].State)
+			t.Fatalf("%s believes %s %v, want left", v.name, p.name, v.node.members[p.name].State)
 		}
 	}
 }
 
+// TestTwoInstancesUnderOneName checks that the older of two running instances under
+// one name reports the conflict.
 func TestTwoInstancesUnderOneName(t *testing.T) {
-	w := newSimulation(t, 8, 6, 1)
-	w.start()
-	w.settle(bound(w.cfg, 6), nil)
-	conflicting := &process{name: w.processes[1].name, addr: "127.0.0.9:9999", zone: "z0"}
-	w.processes = append(w.processes, conflicting)
-	w.byAddress[conflicting.addr] = conflicting
-	w.run(100)
-	w.boot(conflicting, []string{w.processes[0].addr})
-	w.run(5_000)
-	if w.processes[1].node.stats.Conflicts == 0 {
-		t.Fatal("the older instance did not notice the newer one under its name")
+	sim := newSimulation(t, 8, 6, 1)
+	sim.start()
+	sim.settle(settleBound(sim.cfg, 6), nil)
+	conflicting := &process{name: sim.processes[1].name, addr: "127.0.0.9:9999", zone: "z0"}
+	sim.processes = append(sim.processes, conflicting)
+	sim.byAddress[conflicting.addr] = conflicting
+	sim.run(100)
+	sim.boot(conflicting, []string{sim.processes[0].addr})
+	sim.run(5_000)
+	if sim.processes[1].node.stats.Conflicts == 0 {
+		t.Fatal("the older instance counted no conflict with the newer instance under its name")
 	}
 }
 
-// TestEachGuardIsNeeded disables each guard and expects the check that
-// depends on it to fail: refutation (a paused member stays dead), push-pull (a healed
-// split stays apart) and suspicion (loss kills members that run).
+// TestEachGuardIsNeeded runs a check for each guard and expects it to pass, and to
+// fail with the guard disabled. Without refutation a paused member stays dead,
+// without push-pull the sides of a healed partition stay separate, and without
+// suspicion packet loss causes false deaths.
 func TestEachGuardIsNeeded(t *testing.T) {
 	for _, c := range []struct {
 		fault faultinjection.Fault
-		fails func(w *simulation) bool
+		fails func(sim *simulation) bool
 	}{
-		{faultinjection.NoRefutation, func(w *simulation) bool {
-			w.start()
-			w.settle(bound(w.cfg, 8), nil)
-			w.processes[5].paused = w.now + 2*bound(w.cfg, 8)
-			w.run(2 * bound(w.cfg, 8))
-			return !w.settles(2 * bound(w.cfg, 8))
+		{faultinjection.NoRefutation, func(sim *simulation) bool {
+			sim.start()
+			sim.settle(settleBound(sim.cfg, 8), nil)
+			sim.processes[5].pausedUntil = sim.now + 2*settleBound(sim.cfg, 8)
+			sim.run(2 * settleBound(sim.cfg, 8))
+			return !sim.settles(2 * settleBound(sim.cfg, 8))
 		}},
-		{faultinjection.NoPushPull, func(w *simulation) bool {
-			w.start()
-			w.settle(bound(w.cfg, 8), nil)
-			w.cut = func(a, b *process) bool { return a.zone != b.zone }
-			w.run(30_000)
-			w.cut = nil
-			return !w.settles(3 * bound(w.cfg, 8))
+		{faultinjection.NoPushPull, func(sim *simulation) bool {
+			sim.start()
+			sim.settle(settleBound(sim.cfg, 8), nil)
+			sim.linkDown = func(a, b *process) bool { return a.zone != b.zone }
+			sim.run(30_000)
+			sim.linkDown = nil
+			return !sim.settles(3 * settleBound(sim.cfg, 8))
 		}},
-		{faultinjection.NoSuspicion, func(w *simulation) bool {
-			w.loss = 0.2
-			w.start()
-			w.run(60_000)
-			return w.falseDead > 0
+		{faultinjection.NoSuspicion, func(sim *simulation) bool {
+			sim.loss = 0.2
+			sim.start()
+			sim.run(60_000)
+			return sim.falseDeaths > 0
 		}},
 	} {
 		for _, fault := range []faultinjection.Fault{faultinjection.None, c.fault} {
-			w := newSimulation(t, 11, 8, 2)
-			w.quiet = fault != faultinjection.None
-			w.cfg.FaultInjection = fault
-			if failed, want := c.fails(w), fault != faultinjection.None; failed != want {
-				t.Errorf("the check that %s disables: failed %v with fault %q, want %v", c.fault, failed, fault, want)
+			sim := newSimulation(t, 11, 8, 2)
+			sim.quiet = fault != faultinjection.None
+			sim.cfg.FaultInjection = fault
+			if failed, want := c.fails(sim), fault != faultinjection.None; failed != want {
+				t.Errorf("the check for %s: failed = %v with fault %q, want %v", c.fault, failed, fault, want)
 			}
 		}
 	}
 }
 
-// TestViewIsBoundedByMaxMembers floods a member with updates of new names: the
-// view stops at MaxMembers and the rest is counted.
+// TestViewIsBoundedByMaxMembers checks that updates of new names beyond MaxMembers
+// are dropped and counted.
 func TestViewIsBoundedByMaxMembers(t *testing.T) {
 	cfg := Defaults()
 	cfg.Name, cfg.Addr, cfg.MaxMembers = "m0", "127.0.0.1:7000", 50
@@ -227,32 +254,34 @@
 		n.Receive("127.0.0.1:9", Message{Kind: Ack, Updates: []Update{join}}, 0)
 	}
 	if len(n.members) != 50 || n.stats.Dropped != 450 {
-		t.Fatalf("%d members, %d dropped; want 50 and 450", len(n.members), n.stats.Dropped)
+		t.Fatalf("%d members, %d updates dropped, want 50 and 450", len(n.members), n.stats.Dropped)
 	}
 }
 
-// At a short period the probes alone cost about the byte budget; charged to
-// it, they delayed refutations and members were declared dead while
-// they ran (84 over these 20 seeds). Uncharged, 2: the rest is chance at 20%
-// loss (a refutation to a suspector lost until its shrunk suspicion ends).
+// TestRefutationsArriveAtShortPeriodAndLoss guards against false deaths at a short
+// probe interval, where the probes alone cost about the whole byte budget. If they
+// were charged to it, refutations would be delayed: 84 false deaths over these 20
+// seeds. Without the charge there are 2, because at 20% packet loss every
+// refutation to a suspector can be lost until a confirmed suspicion ends.
 func TestRefutationsArriveAtShortPeriodAndLoss(t *testing.T) {
 	total := 0
 	for seed := range uint64(20) {
-		w := newSimulation(t, seed, 12, 2)
-		w.quiet = true
-		w.cfg.ProbeIntervalMs, w.cfg.ProbeTimeoutMs, w.loss = 100, 40, 0.2
-		w.start()
-		w.run(30_000)
-		total += w.falseDead
+		sim := newSimulation(t, seed, 12, 2)
+		sim.quiet = true
+		sim.cfg.ProbeIntervalMs, sim.cfg.ProbeTimeoutMs, sim.loss = 100, 40, 0.2
+		sim.start()
+		sim.run(30_000)
+		total += sim.falseDeaths
 	}
 	if total > 5 {
-		t.Errorf("%d members declared dead over 20 seeds at a 100 ms period", total)
+		t.Errorf("%d false deaths over 20 seeds at a 100 ms probe interval, want at most 5", total)
 	}
 }
 
-// A second suspector, whose suspicion arrives when the first was refuted already,
-// and one whose first refutation was lost, get it again: each suspector in
-// refutationsPerSuspector pings.
+// TestRefutationIsRepeatedToEachSuspector checks that each suspector is sent the
+// refutation in refutationsPerSuspector pings: also a second suspector, whose
+// suspicion arrives after the first one was refuted, and one that repeats its
+// suspicion because the refutation was lost.
 func TestRefutationIsRepeatedToEachSuspector(t *testing.T) {
 	cfg := Defaults()
 	cfg.Name, cfg.Addr, cfg.Start = "me", "127.0.0.1:1", 1
@@ -264,25 +293,25 @@
 	notified := map[string]int{}
 	count := func(r Ready) {
 		for _, p := range r.Packets {
-			for _, x := range p.Message.Updates {
-				if p.Message.Kind == Ping && x.Name == "me" && x.Incarnation == 1 {
+			for _, update := range p.Message.Updates {
+				if p.Message.Kind == Ping && update.Name == "me" && update.Incarnation == 1 {
 					notified[p.To]++
 				}
 			}
 		}
 	}
-	for _, by := range []string{"a", "b", "a"} {
-		suspicion := Update{Name: "me", Addr: cfg.Addr, Start: 1, State: Suspect, Suspector: by}
-		count(n.Receive(by, Message{Kind: Ack, From: by, Updates: []Update{suspicion}}, 0))
+	for _, suspector := range []string{"a", "b", "a"} {
+		suspicion := Update{Name: "me", Addr: cfg.Addr, Start: 1, State: Suspect, Suspector: suspector}
+		count(n.Receive(suspector, Message{Kind: Ack, From: suspector, Updates: []Update{suspicion}}, 0))
 	}
 	for now := int64(0); now < 30*cfg.ProbeIntervalMs; now += 20 {
 		count(n.Tick(now))
 	}
 	if n.self.Incarnation != 1 || notified["at a"] < refutationsPerSuspector || notified["at b"] < refutationsPerSuspector {
-		t.Fatalf("incarnation %d, notified %v; want 1 and at least %d each",
+		t.Fatalf("incarnation %d, pings with the refutation %v, want 1 and at least %d pings each",
 			n.self.Incarnation, notified, refutationsPerSuspector)
 	}
 	if len(n.refutations.suspectors) > 0 {
-		t.Errorf("%d suspectors are still notified", len(n.refutations.suspectors))
+		t.Errorf("%d suspectors are still scheduled, want 0", len(n.refutations.suspectors))
 	}
 }
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -7,58 +7,61 @@
 	"testing"
 )
 
-// simulation is a deterministic network of members in memory: one clock, packets
-// delayed, lost or cut by the seed, processes killed, paused and restarted. It
-// does what the drill does with processes, at any size.
+// simulation is a deterministic network of members in memory with one clock.
+// Packets are delayed and lost at random, links fail, and processes are killed,
+// paused and restarted. The seed determines all random choices.
 type simulation struct {
-	t         testing.TB
-	rng       *rand.Rand
-	now       int64 // ms
-	step      int64 // ms
-	cfg       Config
-	processes []*process
-	byAddress map[string]*process
-	flights   []flight
-	loss      float64
-	delay     [2]int64                     // ms, drawn between
-	cut       func(from, to *process) bool // whether a packet is lost
-	late      map[string]int64             // ms added to what a member sends
-	bytes     uint64                       // sent by all members
-
-	quiet     bool             // no log lines: the tests of disabled guards expect failures
-	falseDead int              // running, reachable members declared dead
-	ghosts    int              // stopped members believed alive again
-	deadAt    map[string]int64 // by name, ms: when a running member first declared it dead
+	t            testing.TB
+	rng          *rand.Rand
+	now          int64 // ms
+	step         int64 // ms
+	cfg          Config
+	processes    []*process
+	byAddress    map[string]*process
+	inFlight     []inFlightPacket
+	loss         float64
+	delay        [2]int64                     // ms, minimum and maximum of the random delay of a packet
+	linkDown     func(from, to *process) bool // whether a link loses all packets, nil for none
+	extraDelayMs map[string]int64             // additional delay of the packets from a member, by name
+	bytes        uint64                       // sent by all members
+
+	quiet          bool             // no log lines, for tests that expect failures
+	falseDeaths    int              // times that a running, reachable member was declared dead
+	resurrected    int              // times that a stopped member was believed alive again
+	declaredDeadAt map[string]int64 // ms, when a member was first declared dead, by name
 }
 
+// process is a member of the simulation. A restarted process has a new node.
 type process struct {
-	node    *Node
-	name    string
-	addr    string
-	zone    string
-	running bool
-	paused  int64 // ms, until then as by SIGSTOP: it neither receives nor ticks
-	killed  int64 // ms
+	node        *Node
+	name        string
+	addr        string
+	zone        string
+	running     bool
+	pausedUntil int64 // ms; a paused process neither receives nor ticks, as after SIGSTOP
+	killedAt    int64 // ms
 }
 
-type flight struct {
-	at      int64  // ms
+// inFlightPacket is a packet that has not arrived yet.
+type inFlightPacket struct {
+	at      int64  // ms, the time of arrival
 	from    string // an address
 	to      string // an address
 	message Message
 }
 
+// newSimulation returns count stopped processes, assigned to the zones in turn.
 func newSimulation(t testing.TB, seed uint64, count int, zones int) *simulation {
 	cfg := Defaults()
-	w := &simulation{
-		t:         t,
-		rng:       rand.New(rand.NewPCG(seed, 7)),
-		step:      10,
-		cfg:       cfg,
-		byAddress: map[string]*process{},
-		delay:     [2]int64{1, 5},
-		late:      map[string]int64{},
-		deadAt:    map[string]int64{},
+	sim := &simulation{
+		t:              t,
+		rng:            rand.New(rand.NewPCG(seed, 7)),
+		step:           10,
+		cfg:            cfg,
+		byAddress:      map[string]*process{},
+		delay:          [2]int64{1, 5},
+		extraDelayMs:   map[string]int64{},
+		declaredDeadAt: map[string]int64{},
 	}
 	for i := range count {
 		p := &process{
@@ -66,78 +69,81 @@
 			addr: fmt.Sprintf("127.0.0.%d:%d", 1+i/250, 7000+i),
 			zone: fmt.Sprintf("z%d", i%max(1, zones)),
 		}
-		w.processes = append(w.processes, p)
-		w.byAddress[p.addr] = p
+		sim.processes = append(sim.processes, p)
+		sim.byAddress[p.addr] = p
 	}
-	return w
+	return sim
 }
 
-// boot starts p as a new process: a new Start and an empty view.
-func (w *simulation) boot(p *process, seeds []string) {
-	c := w.cfg
+// boot starts p as a new instance, which has a new Start and an empty view.
+func (sim *simulation) boot(p *process, seeds []string) {
+	c := sim.cfg
 	c.Name = p.name
 	c.Addr = p.addr
 	c.Zone = p.zone
-	c.Start = w.now
-	c.Seed = w.rng.Uint64()
+	c.Start = sim.now
+	c.Seed = sim.rng.Uint64()
 	if err := c.Check(); err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	p.node = New(c, w.now)
+	p.node = New(c, sim.now)
 	p.running = true
-	p.paused = 0
-	w.execute(p, p.node.Join(seeds, w.now))
+	p.pausedUntil = 0
+	sim.execute(p, p.node.Join(seeds, sim.now))
 }
 
-func (w *simulation) kill(p *process) {
+func (sim *simulation) kill(p *process) {
 	p.running = false
-	p.killed = w.now
+	p.killedAt = sim.now
 }
 
-func (w *simulation) up(p *process) bool { return p.running && w.now >= p.paused }
+// isUp reports whether a process is running and not paused.
+func (sim *simulation) isUp(p *process) bool { return p.running && sim.now >= p.pausedUntil }
 
-// execute sends the packets that an event requires and checks its changes.
-func (w *simulation) execute(p *process, r Ready) {
+// execute sends the packets and checks the changes in the result of an event.
+func (sim *simulation) execute(p *process, r Ready) {
 	for _, c := range r.Changes {
-		w.checkChange(p, c)
+		sim.checkChange(p, c)
 	}
-	for _, pk := range r.Packets {
-		w.bytes += uint64(pk.Message.size())
-		to := w.byAddress[pk.To]
-		if to == nil || w.rng.Float64() < w.loss || w.cut != nil && w.cut(p, to) {
+	for _, packet := range r.Packets {
+		sim.bytes += uint64(packet.Message.size())
+		to := sim.byAddress[packet.To]
+		if to == nil || sim.rng.Float64() < sim.loss || sim.linkDown != nil && sim.linkDown(p, to) {
 			continue
 		}
-		d := w.delay[0] + w.rng.Int64N(w.delay[1]-w.delay[0]+1) + w.late[p.name]
-		w.flights = append(w.flights, flight{at: w.now + d, from: p.addr, to: pk.To, message: pk.Message})
+		delayMs := sim.delay[0] + sim.rng.Int64N(sim.delay[1]-sim.delay[0]+1) + sim.extraDelayMs[p.name]
+		sim.inFlight = append(sim.inFlight,
+			inFlightPacket{at: sim.now + delayMs, from: p.addr, to: packet.To, message: packet.Message})
 	}
 }
 
-// checkChange counts the death of a member that runs, can be reached and is not
-// paused (falseDead), and the return of one that does not run (a ghost).
-func (w *simulation) checkChange(p *process, c Change) {
+// checkChange counts a false death if a process that is up and reachable is
+// declared dead, and a resurrected member if an instance that does not run is
+// believed alive again.
+func (sim *simulation) checkChange(p *process, c Change) {
 	if c.Kind != Changed {
 		return
 	}
-	subject := w.find(c.Member.Name)
-	if c.Member.State == Dead && subject != nil && w.up(subject) && subject.node.self.Start == c.Member.Start &&
-		(w.cut == nil || !w.cut(p, subject) && !w.cut(subject, p)) {
-		w.falseDead++
-		w.logf("%d ms: %s declared %s dead while it ran", w.now, p.name, c.Member.Name)
+	subject := sim.find(c.Member.Name)
+	if c.Member.State == Dead && subject != nil && sim.isUp(subject) && subject.node.self.Start == c.Member.Start &&
+		(sim.linkDown == nil || !sim.linkDown(p, subject) && !sim.linkDown(subject, p)) {
+		sim.falseDeaths++
+		sim.logf("%d ms: %s declared the running member %s dead", sim.now, p.name, c.Member.Name)
 	}
 	if c.Member.State == Alive && c.Previous >= Dead && subject != nil &&
 		(!subject.running || subject.node.self.Start != c.Member.Start) {
-		w.ghosts++
-		w.logf("%d ms: %s believes %s alive again, which does not run", w.now, p.name, c.Member.Name)
+		sim.resurrected++
+		sim.logf("%d ms: %s believes the stopped member %s alive again", sim.now, p.name, c.Member.Name)
 	}
 	if c.Member.State == Dead {
-		if _, ok := w.deadAt[c.Member.Name]; !ok {
-			w.deadAt[c.Member.Name] = w.now
+		if _, ok := sim.declaredDeadAt[c.Member.Name]; !ok {
+			sim.declaredDeadAt[c.Member.Name] = sim.now
 		}
 	}
 }
 
-func (w *simulation) find(name string) *process {
-	for _, p := range w.processes {
+func (sim *simulation) find(name string) *process {
+	for _, p := range sim.processes {
 		if p.name == name {
 			return p
 		}
@@ -145,52 +151,53 @@
 	return nil
 }
 
-// run moves the clock by ms: packets arrive, members tick.
-func (w *simulation) run(ms int64) {
-	for end := w.now + ms; w.now < end; {
-		w.now += w.step
-		due := w.flights[:0:0]
-		keep := w.flights[:0]
-		for _, f := range w.flights {
-			if f.at <= w.now {
+// run advances the clock by ms in steps. In each step the due packets arrive and
+// the members tick.
+func (sim *simulation) run(ms int64) {
+	for end := sim.now + ms; sim.now < end; {
+		sim.now += sim.step
+		due := sim.inFlight[:0:0]
+		keep := sim.inFlight[:0]
+		for _, f := range sim.inFlight {
+			if f.at <= sim.now {
 				due = append(due, f)
 			} else {
 				keep = append(keep, f)
 			}
 		}
-		w.flights = keep
-		slices.SortStableFunc(due, func(a, b flight) int { return int(a.at - b.at) })
+		sim.inFlight = keep
+		slices.SortStableFunc(due, func(a, b inFlightPacket) int { return int(a.at - b.at) })
 		for _, f := range due {
-			if to := w.byAddress[f.to]; to.running && w.up(to) {
-				w.execute(to, to.node.Receive(f.from, f.message, w.now))
+			if to := sim.byAddress[f.to]; to.running && sim.isUp(to) {
+				sim.execute(to, to.node.Receive(f.from, f.message, sim.now))
 			}
 		}
-		for _, p := range w.processes {
-			if w.up(p) {
-				w.execute(p, p.node.Tick(w.now))
+		for _, p := range sim.processes {
+			if sim.isUp(p) {
+				sim.execute(p, p.node.Tick(sim.now))
 			}
 		}
 	}
 }
 
-// settled reports whether every running member believes every running one alive
-// or suspect and no stopped one, or, with expected set, what that returns for the
-// pair.
-func (w *simulation) settled(expected func(viewer, subject *process) bool) bool {
-	for _, v := range w.processes {
-		if !w.up(v) {
+// settled reports whether every running member believes exactly the running
+// members alive or suspect. If expected is not nil, it returns which members a
+// member must believe alive or suspect.
+func (sim *simulation) settled(expected func(viewer, subject *process) bool) bool {
+	for _, v := range sim.processes {
+		if !sim.isUp(v) {
 			continue
 		}
 		view := map[string]Update{}
 		for _, e := range v.node.members {
 			view[e.Name] = e.Update
 		}
-		for _, s := range w.processes {
+		for _, s := range sim.processes {
 			if s == v {
 				continue
 			}
-			r, ok := view[s.name]
-			alive := ok && r.State <= Suspect && r.Start == s.node.self.Start // a suspect is still a member
+			update, ok := view[s.name]
+			alive := ok && update.State <= Suspect && update.Start == s.node.self.Start // a suspect is still a member
 			want := s.running
 			if expected != nil {
 				want = expected(v, s)
@@ -203,39 +210,42 @@
 	return true
 }
 
-func (w *simulation) logf(format string, args ...any) {
-	if !w.quiet {
-		w.t.Logf(format, args...)
+// logf logs a line unless the simulation is quiet.
+func (sim *simulation) logf(format string, args ...any) {
+	if !sim.quiet {
+		sim.t.Logf(format, args...)
 	}
 }
 
-// settles runs until settled, at most limit ms, and reports whether it did.
-func (w *simulation) settles(limit int64) bool {
-	for from := w.now; w.now-from < limit; w.run(50) {
-		if w.settled(nil) {
+// settles runs the simulation until it is settled, for at most limit ms, and
+// reports whether it is.
+func (sim *simulation) settles(limit int64) bool {
+	for from := sim.now; sim.now-from < limit; sim.run(50) {
+		if sim.settled(nil) {
 			return true
 		}
 	}
 	return false
 }
 
-// settle runs until settled, at most limit ms, and returns how long it took.
-func (w *simulation) settle(limit int64, expected func(viewer, subject *process) bool) int64 {
-	from := w.now
-	for w.now-from < limit {
-		if w.settled(expected) {
-			return w.now - from
+// settle runs the simulation until it is settled and returns the time that took in
+// ms. It fails the test after limit ms.
+func (sim *simulation) settle(limit int64, expected func(viewer, subject *process) bool) int64 {
+	from := sim.now
+	for sim.now-from < limit {
+		if sim.settled(expected) {
+			return sim.now - from
 		}
-		w.run(50)
+		sim.run(50)
 	}
-	w.t.Fatalf("no settled view within %d ms", limit)
+	sim.t.Fatalf("the views did not settle within %d ms", limit)
 	return limit
 }
 
-// start boots count members, all joining through the first.
-func (w *simulation) start() {
-	w.boot(w.processes[0], nil)
-	for _, p := range w.processes[1:] {
-		w.boot(p, []string{w.processes[0].addr})
+// start boots all processes, which join through the first.
+func (sim *simulation) start() {
+	sim.boot(sim.processes[0], nil)
+	for _, p := range sim.processes[1:] {
+		sim.boot(p, []string{sim.processes[0].addr})
 	}
 }
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -2,20 +2,19 @@
 
 import "fmt"
 
-// State is what a member is believed to be.
+// State is the state that a member is believed to be in.
 type State uint8
 
-// The states in the order in which one supersedes another at the same
-// incarnation: a suspicion supersedes alive, a death supersedes a suspicion, and
-// a graceful leave supersedes everything of the same instance.
+// The states, in ascending order of precedence: among updates of the same instance
+// and incarnation, a later state supersedes an earlier one.
 const (
-	Alive State = iota
-	Suspect
-	Dead
-	Left
+	Alive   State = iota
+	Suspect       // failed a probe, and has not refuted the suspicion
+	Dead          // did not refute the suspicion in time
+	Left          // left gracefully
 )
 
-// String returns the name of a state, "unknown" for no state.
+// String returns the name of the state, "unknown" for an undefined value.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -30,11 +29,11 @@
 	return "unknown"
 }
 
-// MarshalText implements encoding.TextMarshaler, for the admin page and the log.
+// MarshalText implements encoding.TextMarshaler. It returns the name of the state.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler. Its error is an
-// *UnknownStateError.
+// UnmarshalText implements encoding.TextUnmarshaler. It returns an
+// *UnknownStateError for a text that is not the name of a state.
 func (s *State) UnmarshalText(text []byte) error {
 	for state := Alive; state <= Left; state++ {
 		if state.String() == string(text) {
@@ -45,32 +44,36 @@
 	return &UnknownStateError{Text: string(text)}
 }
 
-// UnknownStateError is returned by State.UnmarshalText for a text that names no
-// state.
+// UnknownStateError is the error of State.UnmarshalText for a text that is not the
+// name of a state.
 type UnknownStateError struct {
 	Text string
 }
 
 // Error implements error.
-func (e *UnknownStateError) Error() string { return fmt.Sprintf("membership: no state %q", e.Text) }
+func (e *UnknownStateError) Error() string {
+	return fmt.Sprintf("unknown member state %q: want alive, suspect, dead or left", e.Text)
+}
 
-// Update is what one member states of another.
+// Update is a statement about the state of a member, as disseminated by gossip and
+// push-pull.
 //
-// Start distinguishes instances under one name: it is the process's start in
-// milliseconds on its own clock, so a restart has a later one and supersedes
-// whatever was stated of the earlier instance at any incarnation. Only the
-// member itself raises Incarnation, to refute a suspicion or a death.
+// Start distinguishes the instances under one name: the updates of a restarted
+// process, which has a later Start, supersede those of an earlier instance at any
+// incarnation. Only the member itself raises Incarnation, to refute a suspicion or
+// death, or to leave.
 type Update struct {
-	Name        string
-	Addr        string // where its packets go, opaque to the protocol
+	Name        string // of the member
+	Addr        string // address for packets to the member, opaque to the protocol
 	Zone        string
-	Start       int64 // ms
+	Start       int64 // start time of the process on its own clock, in milliseconds
 	Incarnation uint64
 	State       State
-	Suspector   string // the member that raised a suspicion: confirmations count by name
+	Suspector   string // name of the member that raised the suspicion, to count confirmations
 }
 
-// supersedes reports whether the update is newer than old, both of one name.
+// supersedes reports whether the update is newer than old, an update of the same
+// name.
 func (u Update) supersedes(old Update) bool {
 	if u.Start != old.Start {
 		return u.Start > old.Start
@@ -81,16 +84,16 @@
 	return u.State > old.State
 }
 
-// isJoin reports whether the update announces a new instance, rather than
-// suspecting or refuting.
+// isJoin reports whether the update announces a new instance, and is neither a
+// suspicion nor a refutation.
 func (u Update) isJoin() bool { return u.State == Alive && u.Incarnation == 0 }
 
-// updateOverhead bounds what the codec adds to an update's strings: field keys,
-// lengths, two integers of up to nine bytes and the state. The tests of package
-// wire check that no encoding exceeds size().
+// updateOverhead is the maximum encoded size, in bytes, of an update without its
+// strings: field keys, lengths, two integers of up to nine bytes, and the state.
+// The tests of package wire check that no encoding exceeds size.
 const updateOverhead = 48
 
-// size is the most bytes that the update takes in a packet.
+// size returns the maximum encoded size of the update in bytes.
 func (u Update) size() int {
 	return updateOverhead + len(u.Name) + len(u.Addr) + len(u.Zone) + len(u.Suspector)
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -5,31 +5,30 @@
 	"slices"
 )
 
-// Stats are counters since the start, for the metrics page.
+// Stats holds counters since the start of the Node, for the metrics page.
 type Stats struct {
 	PacketsIn      uint64
 	PacketsOut     uint64
-	BytesOut       uint64
-	Malformed      uint64 // updates or messages that no member sends
+	BytesOut       uint64 // by the maximum encoded sizes
+	Malformed      uint64 // updates or messages with invalid fields
 	Misdirected    uint64 // pings for another name at this member's address
-	Stale          uint64 // updates older than what is believed
-	Dropped        uint64 // ping-reqs and new names beyond their bounds
-	UnknownSenders uint64 // user data of no member, or from another address
-	Throttled      uint64 // packets that the byte budget did not allow
-	Suspected      uint64 // probes of this member that failed
-	DeclaredDead   uint64 // suspicions that became deaths here
-	Refuted        uint64 // suspicions or deaths of this member, refuted
+	Stale          uint64 // updates that do not supersede the known state
+	Dropped        uint64 // ping-reqs without an address, ping-reqs and new names beyond their bounds
+	UnknownSenders uint64 // user data that is not from the address of an alive or suspect member
+	Throttled      uint64 // packets not sent because of the byte budget or the maximum packet size
+	Suspected      uint64 // members that this member suspected after a failed probe
+	DeclaredDead   uint64 // members that this member declared dead after a suspicion
+	Refuted        uint64 // refuted suspicions or deaths of this member
 	Conflicts      uint64 // updates of another live instance under this member's name
 }
 
-// Size is an estimate of how many members there are, with its bounds: at
-// least those alive, at most those alive or suspect.
+// Size bounds the number of members.
 type Size struct {
-	Low  int
-	High int
+	Low  int // number of members alive
+	High int // number of members alive or suspect
 }
 
-// add counts a member in a state.
+// add counts a member with the given state.
 func (s *Size) add(state State) {
 	switch state {
 	case Alive:
@@ -40,19 +39,19 @@
 	}
 }
 
-// View is what this member believes of the fleet, itself included.
+// View is the state of the fleet as one member believes it to be.
 type View struct {
-	Version   uint64 // increases with every change
-	ChangedAt int64  // ms, the last change
+	Version   uint64 // incremented by every change of another member
+	ChangedAt int64  // time of the last change, in milliseconds
 	Self      Update
-	Members   []Update // by name
+	Members   []Update // all members, this one included, sorted by name
 	Fleet     Size
-	Zones     map[string]Size
-	Awareness int // Lifeguard's local health: 0 is healthy
+	Zones     map[string]Size // by zone
+	Awareness int             // Lifeguard's local health score, 0 is healthy
 	Stats     Stats
 }
 
-// View is a copy of this member's view; it shares nothing with the Node.
+// View returns a copy of this member's view that shares no memory with the Node.
 func (n *Node) View() View {
 	view := View{
 		Version:   n.version,
@@ -70,7 +69,7 @@
 	return view
 }
 
-// add lists and counts a member.
+// add appends a member to the view and counts it.
 func (v *View) add(update Update) {
 	v.Members = append(v.Members, update)
 	v.Fleet.add(update.State)
@@ -79,9 +78,10 @@
 	v.Zones[update.Zone] = zone
 }
 
-// Peers returns the names of the members alive or suspect, without this one,
-// and how many members there may be: this one and all that did not leave. The
-// dead count too, as a partition may separate them.
+// Peers returns the sorted names of the other members that are alive or suspect,
+// and the number of members that may be running: this one and all others that did
+// not leave. Dead members are counted because they may be running on the other
+// side of a partition.
 func (n *Node) Peers() (names []string, size int) {
 	size = 1
 	for _, name := range n.names {
