--- a/cmd/lotusbend/maysend_test.go
+++ b/cmd/lotusbend/maysend_test.go
@@ -31,7 +31,7 @@
 	return p
 }
 
-func (p *peer) comesUp() { p.write(wire.AppendReady(wire.AppendAuthenticationOk(nil))) }
+func (p *peer) comesUp() { p.write(wire.AppendReadyForQuery(wire.AppendAuthenticationOk(nil))) }
 
 // An attempt may wait for its connection while the list tells that its host
 // drains: it must not be written there then.
@@ -80,7 +80,7 @@
 	gone, next := w.client(), w.client()
 	gone.query(write)
 	h := accept(t, l)
-	h.refuse(wire.CodeReadOnly)
+	h.refuse(wire.CodeReadOnlyTransaction)
 	for rests := false; !rests; runtime.Gosched() { // the refusal was taken: the connection rests after it
 		due, _ := w.loop.Next()
 		rests = due <= start+settleDelayMs
--- a/cmd/lotusbend/node.go
+++ b/cmd/lotusbend/node.go
@@ -94,7 +94,7 @@
 		config.Descriptors = fresh.Descriptors
 		config.MemoryMiB = fresh.MemoryMiB
 		n.budget.Resize(descriptorLimit(fresh))
-		n.server.LimitMemory(fresh.MemoryMiB)
+		n.server.SetMemoryLimit(fresh.MemoryMiB)
 		n.log.Info("configuration read anew",
 			"discovery", fresh.Discovery, "moved", moved, "descriptors", fresh.Descriptors)
 		if moved && len(n.watches) > 0 { // before the start there is none to replace
--- a/cmd/lotusbend/shutdown.go
+++ b/cmd/lotusbend/shutdown.go
@@ -46,9 +46,9 @@
 	if now >= s.beganAt+s.longestWaitMs() {
 		s.router.ExpireAll()
 	}
-	clients, leaving := s.server.Open()
+	clients, leaving := s.server.ClientCounts()
 	s.clients = clients + leaving
-	s.unsent = s.server.Unsent()
+	s.unsent = s.server.UnsentClients()
 	pending := s.router.PendingRequests() > 0 || clients > 0 || s.edgePending(now)
 	switch {
 	case pending:
--- a/cmd/lotusbend/shutdown_test.go
+++ b/cmd/lotusbend/shutdown_test.go
@@ -36,7 +36,7 @@
 func (w *testbed) ends() {
 	w.t.Helper()
 	w.until(func() bool {
-		clients, _ := w.node.server.Open()
+		clients, _ := w.node.server.ClientCounts()
 		return clients == 0 && w.node.router.PendingRequests() == 0
 	})
 	w.pass(rejectedClientsMs + shutdownCheckMs)
--- a/cmd/lotusbend/testbed_test.go
+++ b/cmd/lotusbend/testbed_test.go
@@ -149,7 +149,7 @@
 // answer before the router knows that it is with the system: the client's idle
 // time begins then, so that is waited for.
 func (w *testbed) pass(ms float64) {
-	w.until(func() bool { return w.node.server.Unsent() == 0 })
+	w.until(func() bool { return w.node.server.UnsentClients() == 0 })
 	end := w.clock.Now() + ms
 	for {
 		at, ok := w.loop.Next()
@@ -293,17 +293,17 @@
 	if strings.HasPrefix(statement, "INSERT") {
 		tag = "INSERT 0 1"
 	}
-	b = wire.AppendComplete(b, []byte(tag))
-	b = wire.AppendParameter(b, "recovery", role)
-	b = wire.AppendParameter(b, "lsn_ms", fmt.Sprint(start))
-	return wire.AppendReady(b)
+	b = wire.AppendCommandComplete(b, []byte(tag))
+	b = wire.AppendParameterStatus(b, "recovery", role)
+	b = wire.AppendParameterStatus(b, "lsn_ms", fmt.Sprint(start))
+	return wire.AppendReadyForQuery(b)
 }
 
 func (p *peer) refuse(code string) {
 	if kind, _ := p.message(); kind != wire.Query {
 		p.t.Fatalf("a host got %q instead of a statement", kind)
 	}
-	p.write(wire.AppendReady(wire.AppendError(nil, "ERROR", code, "no", "")))
+	p.write(wire.AppendReadyForQuery(wire.AppendErrorResponse(nil, "ERROR", code, "no", "")))
 }
 
 // agent takes the next watch at discovery's address.
--- a/internal/lab/pgclient.go
+++ b/internal/lab/pgclient.go
@@ -73,7 +73,7 @@
 		}
 		switch kind {
 		case wire.ErrorResponse:
-			if answer, err := wire.ParseError(body); err == nil {
+			if answer, err := wire.ParseErrorResponse(body); err == nil {
 				code = string(answer.Code)
 			}
 		case wire.ReadyForQuery:
@@ -87,7 +87,7 @@
 	if _, err := io.ReadFull(c.in, header); err != nil {
 		return 0, nil, err
 	}
-	kind, size, err := wire.Header(header)
+	kind, size, err := wire.ParseHeader(header)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/postgres/back/answer.go
+++ b/internal/postgres/back/answer.go
@@ -16,7 +16,7 @@
 const (
 	// maxAnswer bounds the bytes of one answer, which stay in the read buffer
 	// until it is complete.
-	maxAnswer = 2 * wire.MaxMessage
+	maxAnswer = 2 * wire.MaxBodyLen
 	// maxControl bounds, in bytes, every message of an answer but the row.
 	maxControl = 8 << 10
 )
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	kind, n, err := wire.Header(header)
+	kind, n, err := wire.ParseHeader(header)
 	if err != nil {
 		return err
 	}
@@ -154,12 +154,12 @@
 		a.row.Value, err = wire.ParseDataRow(body)
 		return errors.Join(err, a.advance(described, rowRead))
 	case wire.CommandComplete:
-		a.row.Tag, err = wire.Text(body)
+		a.row.Tag, err = wire.ParseString(body)
 		return errors.Join(err, a.advance(rowRead, completed))
 	case wire.ErrorResponse:
 		return a.takeError(body)
 	case wire.NoticeResponse:
-		_, err = wire.ParseError(body)
+		_, err = wire.ParseErrorResponse(body)
 		return err
 	case wire.ParameterStatus:
 		return a.takeParameter(body)
@@ -186,14 +186,14 @@
 		return errOrder
 	}
 	a.stage = failed
-	fields, err := wire.ParseError(body)
+	fields, err := wire.ParseErrorResponse(body)
 	a.errorCode = fields.Code
 	return err
 }
 
 // takeParameter reads a ParameterStatus.
 func (a *answer) takeParameter(body []byte) error {
-	name, value, err := wire.Parameter(body)
+	name, value, err := wire.ParseParameterStatus(body)
 	switch string(name) {
 	case paramRole:
 		a.role = parseRole(value)
@@ -244,11 +244,11 @@
 // outcomeOf returns the outcome that the code of an endpoint's error stands for.
 func outcomeOf(code string) decide.Outcome {
 	switch code {
-	case wire.CodeReadOnly, wire.CodeTooFarBehind:
+	case wire.CodeReadOnlyTransaction, wire.CodeTooFarBehind:
 		return decide.Ineligible
 	case wire.CodeTooManyConnections:
 		return decide.Overloaded
-	case wire.CodeSyntax, wire.CodeProtocol:
+	case wire.CodeSyntaxError, wire.CodeProtocolViolation:
 		return decide.InvalidRequest
 	}
 	return decide.Error
--- a/internal/postgres/back/answer_test.go
+++ b/internal/postgres/back/answer_test.go
@@ -19,7 +19,7 @@
 		"57014": decide.Error,
 	} {
 		var received answer
-		message := wire.AppendError(nil, "ERROR", code, "", "")
+		message := wire.AppendErrorResponse(nil, "ERROR", code, "", "")
 		if err := received.take(wire.ErrorResponse, message[wire.HeaderLen:]); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/postgres/back/cancel_test.go
+++ b/internal/postgres/back/cancel_test.go
@@ -79,7 +79,7 @@
 		_ = listener.Close()
 	})
 	f.read(len(wire.AppendStartup(nil, user, database)))
-	f.write(wire.AppendReady(wire.AppendAuthenticationOk(nil)))
+	f.write(wire.AppendReadyForQuery(wire.AppendAuthenticationOk(nil)))
 	f.read(len(wire.AppendQuery(nil, []byte(sentStatement))))
 	f.waitUntil(func() bool {
 		j := f.pool.jobs.Get(f.sent)
@@ -130,8 +130,8 @@
 // replicaError is an answer of a replica that is too far behind, up to its
 // ReadyForQuery.
 func replicaError() []byte {
-	return wire.AppendParameter(
-		wire.AppendError(nil, "ERROR", wire.CodeTooFarBehind, "behind", ""), "recovery", "on")
+	return wire.AppendParameterStatus(
+		wire.AppendErrorResponse(nil, "ERROR", wire.CodeTooFarBehind, "behind", ""), "recovery", "on")
 }
 
 // An answer that was on its way when its attempt was cancelled still reports its
@@ -139,7 +139,7 @@
 func TestLateAnswerIsReported(t *testing.T) {
 	f := newInFlight(t, false)
 	f.cancel()
-	f.write(wire.AppendReady(replicaError()))
+	f.write(wire.AppendReadyForQuery(replicaError()))
 	report := <-f.events.late
 	if report.Outcome != decide.Ineligible || report.Status.Role != decide.RoleReplica {
 		t.Errorf("reported %+v", report)
--- a/internal/postgres/back/characterization_exchanges_test.go
+++ b/internal/postgres/back/characterization_exchanges_test.go
@@ -26,8 +26,8 @@
 )
 
 var greeting = inTurn(
-	wire.AppendAuthenticationOk(nil), wire.AppendParameter(nil, "server_version", "15.0"),
-	wire.AppendKeyData(nil, 1, 2), wire.AppendReady(nil),
+	wire.AppendAuthenticationOk(nil), wire.AppendParameterStatus(nil, "server_version", "15.0"),
+	wire.AppendBackendKeyData(nil, 1, 2), wire.AppendReadyForQuery(nil),
 )
 
 func inTurn(parts ...[]byte) []byte { return slices.Concat(parts...) }
@@ -35,19 +35,19 @@
 // answer is a row of one column, with parameters of the endpoint.
 func answer(value, tag string, parameters ...string) []byte {
 	b := wire.AppendRowDescription(nil, wire.Column{Name: []byte("doc"), Type: 25, Size: -1})
-	b = wire.AppendComplete(wire.AppendDataRow(b, []byte(value)), []byte(tag))
+	b = wire.AppendCommandComplete(wire.AppendDataRow(b, []byte(value)), []byte(tag))
 	for i := 0; i < len(parameters); i += 2 {
-		b = wire.AppendParameter(b, parameters[i], parameters[i+1])
+		b = wire.AppendParameterStatus(b, parameters[i], parameters[i+1])
 	}
-	return wire.AppendReady(b)
+	return wire.AppendReadyForQuery(b)
 }
 
 func failure(code string, parameters ...string) []byte {
-	b := wire.AppendError(nil, "ERROR", code, "no", "")
+	b := wire.AppendErrorResponse(nil, "ERROR", code, "no", "")
 	for i := 0; i < len(parameters); i += 2 {
-		b = wire.AppendParameter(b, parameters[i], parameters[i+1])
+		b = wire.AppendParameterStatus(b, parameters[i], parameters[i+1])
 	}
-	return wire.AppendReady(b)
+	return wire.AppendReadyForQuery(b)
 }
 
 var exchanges = map[string]exchange{
@@ -71,25 +71,25 @@
 	"binary-row": {
 		answer: inTurn(
 			wire.AppendRowDescription(nil, wire.Column{Name: []byte("n"), Type: 23, Size: 4, Binary: true}),
-			wire.AppendDataRow(nil, []byte{0, 0, 0, 9}), wire.AppendComplete(nil, []byte("SELECT 1")),
-			wire.AppendReady(nil),
+			wire.AppendDataRow(nil, []byte{0, 0, 0, 9}), wire.AppendCommandComplete(nil, []byte("SELECT 1")),
+			wire.AppendReadyForQuery(nil),
 		),
 	},
 	"notice":           {answer: inTurn(notice(), answer("v", "SELECT 1"))},
 	"wait-partly-over": {timePasses: 100.5, answer: answer("v", "SELECT 1")},
 	"wait-over":        {timePasses: 1000, answer: answer("v", "SELECT 1")},
 	"not-sent":         {forbidden: true},
-	"error-read-only":  {answer: failure(wire.CodeReadOnly, "recovery", "on")},
+	"error-read-only":  {answer: failure(wire.CodeReadOnlyTransaction, "recovery", "on")},
 	"error-behind":     {answer: failure(wire.CodeTooFarBehind)},
 	"error-full":       {answer: failure(wire.CodeTooManyConnections)},
-	"error-syntax":     {answer: failure(wire.CodeSyntax)},
-	"error-protocol":   {answer: failure(wire.CodeProtocol)},
+	"error-syntax":     {answer: failure(wire.CodeSyntaxError)},
+	"error-protocol":   {answer: failure(wire.CodeProtocolViolation)},
 	"error-other":      {answer: failure("XX000")},
 	"startup-full": {
-		startupError: wire.AppendError(nil, "FATAL", wire.CodeTooManyConnections, "no", ""),
+		startupError: wire.AppendErrorResponse(nil, "FATAL", wire.CodeTooManyConnections, "no", ""),
 	},
 	"startup-refused": {
-		startupError: wire.AppendError(nil, "FATAL", wire.CodeCannotConnectNow, "no", ""),
+		startupError: wire.AppendErrorResponse(nil, "FATAL", wire.CodeCannotConnectNow, "no", ""),
 	},
 	"startup-ends":          {startupError: []byte{}},
 	"startup-with-password": {startupError: []byte("R\x00\x00\x00\x08\x00\x00\x00\x03")},
@@ -101,7 +101,7 @@
 	"answer-cut":               {answer: answer("v", "SELECT 1")[:20], ends: true},
 	"tag-of-another-statement": {answer: answer("v", "INSERT 0 1")},
 	"tag-of-two-rows":          {answer: answer("v", "SELECT 2")},
-	"ready-without-answer":     {answer: wire.AppendReady(nil)},
+	"ready-without-answer":     {answer: wire.AppendReadyForQuery(nil)},
 	"row-without-description":  {answer: wire.AppendDataRow(nil, []byte("v"))},
 	"ready-of-no-state":        {answer: []byte("Z\x00\x00\x00\x05X")},
 	"message-of-no-kind":       {answer: []byte("?\x00\x00\x00\x04")},
@@ -119,10 +119,10 @@
 	"probe-error":      {healthCheck: true, answer: failure("XX000")},
 	"probe-unreadable": {healthCheck: true, answer: answer("x0=much", "SHOW")},
 	"probe-empty":      {healthCheck: true, answer: answer("", "SHOW")},
-	"probe-spoilt":     {healthCheck: true, answer: wire.AppendReady(nil)},
+	"probe-spoilt":     {healthCheck: true, answer: wire.AppendReadyForQuery(nil)},
 	"probe-startup-full": {
 		healthCheck:  true,
-		startupError: wire.AppendError(nil, "FATAL", wire.CodeTooManyConnections, "no", ""),
+		startupError: wire.AppendErrorResponse(nil, "FATAL", wire.CodeTooManyConnections, "no", ""),
 	},
 	"probe-that-ends-unheard": {healthCheck: true, ends: true},
 	"probe-of-a-replica":      {healthCheck: true, answer: answer("x0=1767225600.1234567891,x1=0,x7=4", "SHOW")},
@@ -131,7 +131,7 @@
 }
 
 func notice() []byte {
-	b := wire.AppendError(nil, "WARNING", "01000", "careful", "")
+	b := wire.AppendErrorResponse(nil, "WARNING", "01000", "careful", "")
 	b[0] = wire.NoticeResponse
 	return b
 }
--- a/internal/postgres/back/truncated_test.go
+++ b/internal/postgres/back/truncated_test.go
@@ -30,8 +30,8 @@
 func TestTruncatedAnswer(t *testing.T) {
 	served := wire.AppendRowDescription(nil, wire.Column{Name: []byte("doc"), Type: 17, Size: -1, Binary: true})
 	served = wire.AppendDataRow(served, []byte("value"))
-	served = wire.AppendComplete(served, []byte("SELECT 1"))
-	rejected := wire.AppendError(nil, "ERROR", wire.CodeTooManyConnections, "no", "")
+	served = wire.AppendCommandComplete(served, []byte("SELECT 1"))
+	rejected := wire.AppendErrorResponse(nil, "ERROR", wire.CodeTooManyConnections, "no", "")
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 		"served":   {served, decide.OK},
 		"rejected": {rejected, decide.Overloaded},
 	} {
-		whole := wire.AppendReady(wire.AppendParameter(c.answer, "recovery", "off"))
+		whole := wire.AppendReadyForQuery(wire.AppendParameterStatus(c.answer, "recovery", "off"))
 		for _, reset := range []bool{false, true} {
 			for cut := range len(whole) + 1 {
 				got := outcomeOfAnswer(t, listener, whole[:cut], reset)
@@ -84,7 +84,7 @@
 		}
 	}
 	read(len(wire.AppendStartup(nil, user, database)))
-	write(wire.AppendReady(wire.AppendAuthenticationOk(nil)))
+	write(wire.AppendReadyForQuery(wire.AppendAuthenticationOk(nil)))
 	read(len(wire.AppendQuery(nil, []byte(sentStatement))))
 	write(answer)
 	if reset {
--- a/internal/postgres/front/answers.go
+++ b/internal/postgres/front/answers.go
@@ -23,27 +23,27 @@
 
 // Answers that are the same to every client.
 var (
-	readyAnswer    = wire.AppendReady(nil)
-	emptyAnswer    = wire.AppendReady(wire.AppendEmptyQuery(nil))
-	extendedAnswer = wire.AppendError(
-		nil, "ERROR", wire.CodeUnsupported, "only simple queries are served", "")
+	readyAnswer    = wire.AppendReadyForQuery(nil)
+	emptyAnswer    = wire.AppendReadyForQuery(wire.AppendEmptyQueryResponse(nil))
+	extendedAnswer = wire.AppendErrorResponse(
+		nil, "ERROR", wire.CodeFeatureNotSupported, "only simple queries are served", "")
 	drainingAnswer   = errorAnswer(wire.CodeCannotConnectNow, "the router is stopping")
 	overloadedAnswer = errorAnswer(
 		wire.CodeTooManyConnections, "refused: too much was sent ahead of the answers")
-	cancelledAnswer = errorAnswer(wire.CodeCancelled, "canceling statement due to user request")
+	cancelledAnswer = errorAnswer(wire.CodeQueryCanceled, "canceling statement due to user request")
 )
 
 // errorAnswer returns an error as the whole answer to a command.
 func errorAnswer(code, message string) []byte {
 	message = message[:min(len(message), maxErrorText)]
-	return wire.AppendReady(wire.AppendError(nil, "ERROR", code, message, ""))
+	return wire.AppendReadyForQuery(wire.AppendErrorResponse(nil, "ERROR", code, message, ""))
 }
 
 // Answer implements router.Client; running names a running statement.
 func (s *Server) Answer(running slotmap.Handle, answer router.Answer) {
 	if answered := s.running.Get(running); answered != nil {
 		answered.stop()
-		answered.answer(wire.AppendReady(appendAnswer(nil, answer)))
+		answered.answer(wire.AppendReadyForQuery(appendAnswer(nil, answer)))
 		answered.client.advance()
 	}
 }
@@ -60,16 +60,16 @@
 			Binary: row.Binary,
 		})
 		b = wire.AppendDataRow(b, row.Value)
-		return wire.AppendComplete(b, row.Tag)
+		return wire.AppendCommandComplete(b, row.Tag)
 	case router.Rejected:
 		detail := ""
 		if answer.RetryAfter > 0 {
 			detail = strconv.Itoa(int(math.Floor(answer.RetryAfter)))
 		}
-		return wire.AppendError(b, "ERROR", wire.CodeTooManyConnections, "refused: try again later", detail)
+		return wire.AppendErrorResponse(b, "ERROR", wire.CodeTooManyConnections, "refused: try again later", detail)
 	}
-	return wire.AppendError(
-		b, "ERROR", wire.CodeCancelled, "the request failed; it may have had an effect", "")
+	return wire.AppendErrorResponse(
+		b, "ERROR", wire.CodeQueryCanceled, "the request failed; it may have had an effect", "")
 }
 
 // sendAnswers sends the answers whose turn has come. Further ones wait until
--- a/internal/postgres/front/answers_test.go
+++ b/internal/postgres/front/answers_test.go
@@ -41,11 +41,11 @@
 	stub.waitSubmitted(1)
 	stub.loop.Do(func() { // the end of the write is recorded inside the loop, after this
 		stub.submitted[0].from.Answer(stub.submitted[0].client, router.Answer{Verdict: router.Rejected})
-		if n := stub.server.Unsent(); n != 1 {
+		if n := stub.server.UnsentClients(); n != 1 {
 			t.Errorf("%d clients have unsent answers, want 1", n)
 		}
 	})
-	stub.waitUntil(func() bool { return stub.server.Unsent() == 0 })
+	stub.waitUntil(func() bool { return stub.server.UnsentClients() == 0 })
 	peer.expect(peer.readUntil("Z"), "refused")
 }
 
--- a/internal/postgres/front/characterization_dialogues_test.go
+++ b/internal/postgres/front/characterization_dialogues_test.go
@@ -67,10 +67,10 @@
 
 var dialogues = map[string]dialogue{
 	"greeting":                  {first: startup, second: []byte(terminate)},
-	"greeting-without-names":    {first: inTurn(firstMessage(wire.Version3), []byte(terminate))},
-	"greeting-of-minor-version": {first: inTurn(firstMessage(wire.Version3+2), []byte(terminate))},
+	"greeting-without-names":    {first: inTurn(firstMessage(wire.ProtocolVersion3), []byte(terminate))},
+	"greeting-of-minor-version": {first: inTurn(firstMessage(wire.ProtocolVersion3+2), []byte(terminate))},
 	"encryption-refused": {
-		first:  inTurn(firstMessage(wire.SSLRequest), firstMessage(wire.GSSRequest), startup),
+		first:  inTurn(firstMessage(wire.SSLRequest), firstMessage(wire.GSSENCRequest), startup),
 		second: []byte(terminate),
 	},
 	"another-version":        {first: firstMessage(2 << 16)},
--- a/internal/postgres/front/characterization_test.go
+++ b/internal/postgres/front/characterization_test.go
@@ -268,7 +268,7 @@
 // readUntilReady reads up to the first ReadyForQuery.
 func (s *server) readUntilReady(c net.Conn) (heard []byte) {
 	s.t.Helper()
-	ready := wire.AppendReady(nil)
+	ready := wire.AppendReadyForQuery(nil)
 	for one := make([]byte, 1); !bytes.HasSuffix(heard, ready); heard = append(heard, one[0]) {
 		if _, err := io.ReadFull(c, one); err != nil {
 			s.t.Fatal(err)
--- a/internal/postgres/front/client.go
+++ b/internal/postgres/front/client.go
@@ -41,7 +41,7 @@
 	c.released = true
 	c.closing = true
 	c.onReserve = true
-	c.rejection = wire.AppendError(nil, "FATAL", code, message, "")
+	c.rejection = wire.AppendErrorResponse(nil, "FATAL", code, message, "")
 	c.server.reserveClients++
 }
 
--- a/internal/postgres/front/closing.go
+++ b/internal/postgres/front/closing.go
@@ -20,16 +20,16 @@
 
 // finalMessage is the last message to a client whose connection err ends.
 func finalMessage(err error) []byte {
-	code := wire.CodeProtocol
+	code := wire.CodeProtocolViolation
 	switch {
 	case errors.Is(err, errTerminate):
 		return nil
 	case errors.Is(err, errVersion):
-		code = wire.CodeUnsupported
+		code = wire.CodeFeatureNotSupported
 	case errors.Is(err, errMemory):
 		code = wire.CodeOutOfMemory
 	}
-	return wire.AppendError(nil, "FATAL", code, err.Error(), "")
+	return wire.AppendErrorResponse(nil, "FATAL", code, err.Error(), "")
 }
 
 // halfClose ends our side of a connection whose commands are all answered. Its
--- a/internal/postgres/front/commands.go
+++ b/internal/postgres/front/commands.go
@@ -34,11 +34,11 @@
 
 // receiveQuery takes the body of a simple query.
 func (c *client) receiveQuery(body []byte) error {
-	text, err := wire.Text(body)
+	text, err := wire.ParseString(body)
 	now := c.server.loop.Now()
 	switch {
 	case err != nil:
-		return c.reply(errorAnswer(wire.CodeProtocol, err.Error()))
+		return c.reply(errorAnswer(wire.CodeProtocolViolation, err.Error()))
 	case isEmpty(text):
 		return c.reply(emptyAnswer)
 	case c.server.draining && now > c.server.drainBegan+drainGrace:
@@ -72,7 +72,7 @@
 	text = bytes.Clone(text) // it must outlive the read buffer
 	received, access, problem := c.parse(text)
 	if problem != "" {
-		return c.reply(errorAnswer(wire.CodeSyntax, problem))
+		return c.reply(errorAnswer(wire.CodeSyntaxError, problem))
 	}
 	c.server.queuedMemory.Reserve(size)
 	received.bookedBytes = size
@@ -167,7 +167,7 @@
 		c.server.loop.Cancel(abandoned.deadlineTimer)
 		if command.Running() {
 			abandoned.stop()
-			c.server.requests.ClientCancelled(abandoned.submitted)
+			c.server.handler.ClientCancelled(abandoned.submitted)
 		}
 	})
 	c.queue.Clear()
@@ -186,7 +186,7 @@
 	}
 	cancelled := command.Value
 	cancelled.stop()
-	s.requests.ClientCancelled(cancelled.submitted)
+	s.handler.ClientCancelled(cancelled.submitted)
 	cancelled.answer(cancelledAnswer)
 	c.advance()
 }
--- a/internal/postgres/front/disconnect_test.go
+++ b/internal/postgres/front/disconnect_test.go
@@ -51,7 +51,7 @@
 				stub.waitSubmitted(1)
 			} else {
 				stub.waitUntil(func() bool {
-					clients, _ := stub.server.Open()
+					clients, _ := stub.server.ClientCounts()
 					return clients == 1
 				})
 			}
--- a/internal/postgres/front/front.go
+++ b/internal/postgres/front/front.go
@@ -41,9 +41,9 @@
 // that its peer is still there.
 const keepAlive = time.Minute
 
-// Requests executes clients' statements. Its methods are called inside the
+// RequestHandler executes clients' statements. Its methods are called inside the
 // loop's Do. The router implements it.
-type Requests interface {
+type RequestHandler interface {
 	// Class returns a class by its name, and whether there is one.
 	Class(name []byte) (router.Class, bool)
 	// Submit takes a request, whose answer goes to from. It may be given before
@@ -60,7 +60,7 @@
 	budget         *netio.DescriptorBudget
 	queuedMemory   netio.MemoryBudget // queued statements, and answers that wait to be sent
 	unreadMemory   netio.MemoryBudget // bytes that were received and not parsed
-	requests       Requests
+	handler        RequestHandler
 	clients        slotmap.Table[client]
 	running        slotmap.Table[statement] // statements that the router has
 	runningIDs     map[string]struct{}      // their clients' identifiers
@@ -76,7 +76,7 @@
 // the process's memory limit, 0 for the default. Listen may be called outside
 // the loop.
 func Listen(
-	address string, loop *clock.Loop, budget *netio.DescriptorBudget, memoryMB float64, requests Requests,
+	address string, loop *clock.Loop, budget *netio.DescriptorBudget, memoryMB float64, handler RequestHandler,
 ) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -85,11 +85,11 @@
 	s := &Server{
 		loop:       loop,
 		budget:     budget,
-		requests:   requests,
+		handler:    handler,
 		listener:   listener,
 		runningIDs: map[string]struct{}{},
 	}
-	s.LimitMemory(memoryMB)
+	s.SetMemoryLimit(memoryMB)
 	s.events, err = netpoll.NewEventLoop(
 		func(ctx context.Context, nc netpoll.Connection) error { return clientOf(ctx).onData(nc) },
 		netpoll.WithOnPrepare(s.accepted),
@@ -102,9 +102,9 @@
 	return s, nil
 }
 
-// LimitMemory sets the budgets from the process's memory limit in MB, 0 for the
+// SetMemoryLimit sets the budgets from the process's memory limit in MB, 0 for the
 // default.
-func (s *Server) LimitMemory(limitMB float64) {
+func (s *Server) SetMemoryLimit(limitMB float64) {
 	if limitMB <= 0 {
 		limitMB = defaultMemoryMB
 	}
@@ -120,15 +120,15 @@
 // called outside the loop.
 func (s *Server) Serve() error { return s.events.Serve(s.listener) }
 
-// Open returns how many clients have a slot, and how many others are closing.
-func (s *Server) Open() (clients, closing int) {
+// ClientCounts returns how many clients have a slot, and how many others are closing.
+func (s *Server) ClientCounts() (clients, closing int) {
 	s.clients.Each(func(slotmap.Handle, *client) { clients++ })
 	return clients, s.reserveClients
 }
 
-// Unsent returns how many clients have answers that are not all written to the
+// UnsentClients returns how many clients have answers that are not all written to the
 // system.
-func (s *Server) Unsent() (clients int) {
+func (s *Server) UnsentClients() (clients int) {
 	s.clients.Each(func(_ slotmap.Handle, c *client) {
 		if c.sending {
 			clients++
--- a/internal/postgres/front/input.go
+++ b/internal/postgres/front/input.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	n, err := wire.StartupLen(head)
+	n, err := wire.ParseStartupHeader(head)
 	if err != nil {
 		return err
 	}
@@ -122,15 +122,15 @@
 	}
 	body := message[wire.StartupHeaderLen:]
 	switch code := wire.StartupCode(body); {
-	case code == wire.SSLRequest, code == wire.GSSRequest:
+	case code == wire.SSLRequest, code == wire.GSSENCRequest:
 		c.conn.Send([]byte{'N'}, nil)
 		return nil
 	case code == wire.CancelRequest:
-		if process, secret, ok := wire.CancelKey(body); ok {
+		if process, secret, ok := wire.ParseCancelRequest(body); ok {
 			c.server.loop.Do(func() { c.server.cancel(process, secret) })
 		}
 		return errTerminate
-	case code>>16 != wire.Version3>>16:
+	case code>>16 != wire.ProtocolVersion3>>16:
 		return errVersion
 	}
 	c.started = true
@@ -150,9 +150,9 @@
 		{"integer_datetimes", "on"},
 		{"standard_conforming_strings", "on"},
 	} {
-		b = wire.AppendParameter(b, parameter.name, parameter.value)
+		b = wire.AppendParameterStatus(b, parameter.name, parameter.value)
 	}
-	return wire.AppendReady(wire.AppendKeyData(b, c.handle.Slot, c.secret))
+	return wire.AppendReadyForQuery(wire.AppendBackendKeyData(b, c.handle.Slot, c.secret))
 }
 
 // readMessage reads one message after the startup. It is taken off the buffer
@@ -163,7 +163,7 @@
 	if err != nil {
 		return err
 	}
-	kind, n, err := wire.Header(head)
+	kind, n, err := wire.ParseHeader(head)
 	if err != nil {
 		return err
 	}
--- a/internal/postgres/front/memory_test.go
+++ b/internal/postgres/front/memory_test.go
@@ -208,9 +208,9 @@
 func TestPartialMessagesAreBounded(t *testing.T) {
 	stub := newStub(t, 100)
 	limit := testMemoryMB * (1 << 20) / 10
-	part := binary.BigEndian.AppendUint32([]byte("Q"), wire.MaxMessage+4)
+	part := binary.BigEndian.AppendUint32([]byte("Q"), wire.MaxBodyLen+4)
 	var peers []*testClient
-	for range limit/wire.MaxMessage + 1 {
+	for range limit/wire.MaxBodyLen + 1 {
 		peer := stub.connect()
 		peer.write(part)
 		peers = append(peers, peer)
@@ -218,7 +218,7 @@
 			received := 0
 			for i := range peers {
 				c := stub.server.clients.AtSlot(uint32(i))
-				if c != nil && (c.partial && c.unreadBytes >= wire.MaxMessage || c.closing) {
+				if c != nil && (c.partial && c.unreadBytes >= wire.MaxBodyLen || c.closing) {
 					received++
 				}
 			}
--- a/internal/postgres/front/statement.go
+++ b/internal/postgres/front/statement.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, access, err.Error()
 	}
-	class, ok := c.server.requests.Class(fields.Class)
+	class, ok := c.server.handler.Class(fields.Class)
 	if !ok {
 		return nil, access, "unknown class " + strconv.Quote(string(fields.Class))
 	}
@@ -87,7 +87,7 @@
 	// With the identifier of another running statement, neither this router nor
 	// an endpoint could tell their answers apart.
 	if _, taken := server.runningIDs[next.id]; taken {
-		next.answer(errorAnswer(wire.CodeSyntax, "the id of another request that is under way"))
+		next.answer(errorAnswer(wire.CodeSyntaxError, "the id of another request that is under way"))
 		c.advance()
 		return
 	}
@@ -95,7 +95,7 @@
 	next.command.Start()
 	next.running = server.running.Add(next)
 	next.request.TimeLeft = max(timeLeft, 0)
-	submitted := server.requests.Submit(next.request, server, next.running)
+	submitted := server.handler.Submit(next.request, server, next.running)
 	if next.command.Running() { // else it has been answered already
 		next.submitted = submitted
 	}
--- a/internal/postgres/front/stub_test.go
+++ b/internal/postgres/front/stub_test.go
@@ -95,7 +95,7 @@
 // waitClosed waits until every connection has ended.
 func (s *stubRouter) waitClosed() {
 	s.waitUntil(func() bool {
-		clients, closing := s.server.Open()
+		clients, closing := s.server.ClientCounts()
 		return clients+closing == 0
 	})
 }
--- a/internal/postgres/wire/append.go
+++ b/internal/postgres/wire/append.go
@@ -20,7 +20,7 @@
 // AppendStartup appends a startup message.
 func AppendStartup(b []byte, user, database string) []byte {
 	lengthAt := len(b)
-	b = binary.BigEndian.AppendUint32(append(b, 0, 0, 0, 0), Version3)
+	b = binary.BigEndian.AppendUint32(append(b, 0, 0, 0, 0), ProtocolVersion3)
 	for _, text := range []string{"user", user, "database", database} {
 		b = appendText(b, text)
 	}
@@ -42,34 +42,34 @@
 	return end(append(b, 0, 0, 0, 0), lengthAt)
 }
 
-// AppendParameter appends a ParameterStatus.
-func AppendParameter(b []byte, name, value string) []byte {
+// AppendParameterStatus appends a ParameterStatus.
+func AppendParameterStatus(b []byte, name, value string) []byte {
 	b, lengthAt := begin(b, ParameterStatus)
 	return end(appendText(appendText(b, name), value), lengthAt)
 }
 
-// AppendKeyData appends a BackendKeyData.
-func AppendKeyData(b []byte, process, secret uint32) []byte {
+// AppendBackendKeyData appends a BackendKeyData.
+func AppendBackendKeyData(b []byte, process, secret uint32) []byte {
 	b, lengthAt := begin(b, BackendKeyData)
 	b = binary.BigEndian.AppendUint32(b, process)
 	return end(binary.BigEndian.AppendUint32(b, secret), lengthAt)
 }
 
-// AppendReady appends a ReadyForQuery outside a transaction.
-func AppendReady(b []byte) []byte {
+// AppendReadyForQuery appends a ReadyForQuery outside a transaction.
+func AppendReadyForQuery(b []byte) []byte {
 	b, lengthAt := begin(b, ReadyForQuery)
 	return end(append(b, 'I'), lengthAt)
 }
 
-// AppendEmptyQuery appends an EmptyQueryResponse.
-func AppendEmptyQuery(b []byte) []byte {
-	b, lengthAt := begin(b, EmptyQuery)
+// AppendEmptyQueryResponse appends an EmptyQueryResponse.
+func AppendEmptyQueryResponse(b []byte) []byte {
+	b, lengthAt := begin(b, EmptyQueryResponse)
 	return end(b, lengthAt)
 }
 
-// AppendError appends an ErrorResponse. Empty fields, such as the detail, are left
+// AppendErrorResponse appends an ErrorResponse. Empty fields, such as the detail, are left
 // out.
-func AppendError(b []byte, severity, code, message, detail string) []byte {
+func AppendErrorResponse(b []byte, severity, code, message, detail string) []byte {
 	b, lengthAt := begin(b, ErrorResponse)
 	for _, field := range [...]struct {
 		kind  byte
@@ -110,8 +110,8 @@
 	return end(append(b, value...), lengthAt)
 }
 
-// AppendComplete appends a CommandComplete.
-func AppendComplete(b, tag []byte) []byte {
+// AppendCommandComplete appends a CommandComplete.
+func AppendCommandComplete(b, tag []byte) []byte {
 	b, lengthAt := begin(b, CommandComplete)
 	return end(appendText(b, tag), lengthAt)
 }
--- a/internal/postgres/wire/characterization_inputs_test.go
+++ b/internal/postgres/wire/characterization_inputs_test.go
@@ -21,15 +21,15 @@
 		"query-empty":    wire.AppendQuery(nil),
 		// To clients.
 		"authentication-ok": wire.AppendAuthenticationOk(nil),
-		"parameter":         wire.AppendParameter(nil, "server_version", "15.0"),
-		"key-data":          wire.AppendKeyData(nil, 7, 0xdeadbeef),
-		"ready":             wire.AppendReady(nil),
-		"empty-query":       wire.AppendEmptyQuery(nil),
-		"error":             wire.AppendError(nil, "ERROR", wire.CodeSyntax, "no", ""),
-		"error-with-detail": wire.AppendError(
+		"parameter":         wire.AppendParameterStatus(nil, "server_version", "15.0"),
+		"key-data":          wire.AppendBackendKeyData(nil, 7, 0xdeadbeef),
+		"ready":             wire.AppendReadyForQuery(nil),
+		"empty-query":       wire.AppendEmptyQueryResponse(nil),
+		"error":             wire.AppendErrorResponse(nil, "ERROR", wire.CodeSyntaxError, "no", ""),
+		"error-with-detail": wire.AppendErrorResponse(
 			nil, "FATAL", wire.CodeTooManyConnections, "refused: try again later", "250",
 		),
-		"error-empty": wire.AppendError(nil, "", "", "", ""),
+		"error-empty": wire.AppendErrorResponse(nil, "", "", "", ""),
 		"row-description-text": wire.AppendRowDescription(
 			nil, wire.Column{Name: []byte("doc"), Type: 25, Size: -1},
 		),
@@ -39,11 +39,11 @@
 		"row-description-unnamed": wire.AppendRowDescription(nil, wire.Column{}),
 		"data-row":                wire.AppendDataRow(nil, []byte{0, 1, 0xff}),
 		"data-row-empty":          wire.AppendDataRow(nil, nil),
-		"complete":                wire.AppendComplete(nil, []byte("INSERT 0 1")),
-		"behind-another":          wire.AppendReady(wire.AppendComplete([]byte("before"), []byte("SELECT 1"))),
+		"complete":                wire.AppendCommandComplete(nil, []byte("INSERT 0 1")),
+		"behind-another":          wire.AppendReadyForQuery(wire.AppendCommandComplete([]byte("before"), []byte("SELECT 1"))),
 	}
 	for _, code := range sqlStates {
-		messages["error-"+code] = wire.AppendError(nil, "ERROR", code, "text", "")
+		messages["error-"+code] = wire.AppendErrorResponse(nil, "ERROR", code, "text", "")
 	}
 	for name, text := range map[string][]byte{
 		"query-long": wire.AppendQuery(nil, []byte(longest)), "data-row-long": wire.AppendDataRow(nil, []byte(longest)),
@@ -62,8 +62,9 @@
 
 // sqlStates are the codes of errors.
 var sqlStates = []string{
-	wire.CodeTooManyConnections, wire.CodeCannotConnectNow, wire.CodeReadOnly, wire.CodeTooFarBehind, wire.CodeProtocol,
-	wire.CodeSyntax, wire.CodeUnsupported, wire.CodeCancelled, wire.CodeOutOfMemory,
+	wire.CodeTooManyConnections, wire.CodeCannotConnectNow, wire.CodeReadOnlyTransaction, wire.CodeTooFarBehind,
+	wire.CodeProtocolViolation, wire.CodeSyntaxError, wire.CodeFeatureNotSupported, wire.CodeQueryCanceled,
+	wire.CodeOutOfMemory,
 }
 
 // extendedMessages are a client's, which are forwarded with another statement's
--- a/internal/postgres/wire/characterization_test.go
+++ b/internal/postgres/wire/characterization_test.go
@@ -184,22 +184,22 @@
 func readHeaders() string {
 	d := newDigest()
 	lengths := []uint32{
-		0, 3, 4, 5, 7, 8, 9, 1000, wire.MaxStartup, wire.MaxStartup + 1, wire.MaxMessage + 3, wire.MaxMessage + 4,
-		wire.MaxMessage + 5, math.MaxInt32, math.MaxUint32,
+		0, 3, 4, 5, 7, 8, 9, 1000, wire.MaxStartupLen, wire.MaxStartupLen + 1, wire.MaxBodyLen + 3, wire.MaxBodyLen + 4,
+		wire.MaxBodyLen + 5, math.MaxInt32, math.MaxUint32,
 	}
 	for _, n := range lengths {
 		length := binary.BigEndian.AppendUint32(nil, n)
-		kind, body, err := wire.Header(append([]byte("Q"), length...))
+		kind, body, err := wire.ParseHeader(append([]byte("Q"), length...))
 		d.numbers(int(kind), body)
 		d.flags(err != nil)
-		rest, err := wire.StartupLen(length)
+		rest, err := wire.ParseStartupHeader(length)
 		d.numbers(rest)
 		d.flags(err != nil)
 	}
-	for _, code := range []uint32{wire.Version3, wire.CancelRequest, wire.SSLRequest, wire.GSSRequest} {
+	for _, code := range []uint32{wire.ProtocolVersion3, wire.CancelRequest, wire.SSLRequest, wire.GSSENCRequest} {
 		body := binary.BigEndian.AppendUint32(nil, code)
 		for range 4 {
-			process, secret, ok := wire.CancelKey(body)
+			process, secret, ok := wire.ParseCancelRequest(body)
 			d.numbers(int(wire.StartupCode(body)), int(process), int(secret))
 			d.flags(ok)
 			body = binary.BigEndian.AppendUint32(body, 0x01020304*uint32(len(body)))
@@ -234,13 +234,13 @@
 }
 
 func hashBody(d digest, body []byte) {
-	text, err := wire.Text(body)
+	text, err := wire.ParseString(body)
 	d.texts(text)
 	d.flags(err != nil)
-	name, value, err := wire.Parameter(body)
+	name, value, err := wire.ParseParameterStatus(body)
 	d.texts(name, value)
 	d.flags(err != nil)
-	e, err := wire.ParseError(body)
+	e, err := wire.ParseErrorResponse(body)
 	d.texts(e.Severity, e.Code, e.Message)
 	d.flags(err != nil)
 	column, err := wire.ParseRowDescription(body)
@@ -284,10 +284,10 @@
 	if err != nil {
 		return
 	}
-	d.numbers(int(m.Kind), int(m.MaxRows), len(m.Types))
-	for _, oid := range m.Types {
+	d.numbers(int(m.Kind), int(m.MaxRows), len(m.ParameterTypes))
+	for _, oid := range m.ParameterTypes {
 		d.numbers(int(oid))
 	}
-	d.flags(m.OfPortal)
-	d.texts(m.Statement, m.Portal, m.Text, wire.AppendExtended(nil, m, "lb_renamed"))
+	d.flags(m.IsPortal)
+	d.texts(m.Statement, m.Portal, m.Query, wire.AppendExtended(nil, m, "lb_renamed"))
 }
--- a/internal/postgres/wire/extended.go
+++ b/internal/postgres/wire/extended.go
@@ -11,7 +11,7 @@
 	Bind                 = 'B'
 	Describe             = 'D'
 	Execute              = 'E'
-	CloseStatement       = 'C' // or of a portal
+	Close                = 'C' // or of a portal
 	ParseComplete        = '1'
 	BindComplete         = '2'
 	CloseComplete        = '3'
@@ -26,17 +26,17 @@
 	ofPortal    = 'P'
 )
 
-// Extended is a client's message of the extended protocol. Its slices are those
+// ExtendedMessage is a client's message of the extended protocol. Its slices are those
 // of the message's body.
-type Extended struct {
-	Kind      byte
-	Statement []byte   // of Parse, Bind, and of Describe and Close of a statement
-	Portal    []byte   // of Bind, Execute, and of Describe and Close of a portal
-	OfPortal  bool     // Describe and Close
-	Text      []byte   // of Parse
-	Types     []uint32 // of Parse: the parameters' object identifiers
-	MaxRows   uint32   // of Execute, 0 for all
-	rest      []byte   // of Bind: formats and values
+type ExtendedMessage struct {
+	Kind           byte
+	Statement      []byte   // of Parse, Bind, and of Describe and Close of a statement
+	Portal         []byte   // of Bind, Execute, and of Describe and Close of a portal
+	IsPortal       bool     // Describe and Close
+	Query          []byte   // of Parse
+	ParameterTypes []uint32 // of Parse: the parameters' object identifiers
+	MaxRows        uint32   // of Execute, 0 for all
+	rest           []byte   // of Bind: formats and values
 }
 
 // typeLen is the length of a parameter's type, formatLen of a format code.
@@ -47,7 +47,7 @@
 
 // ParseExtended reads the body of a message and checks all of it: a message with
 // a false count or length is forwarded to no endpoint.
-func ParseExtended(kind byte, body []byte) (m Extended, err error) {
+func ParseExtended(kind byte, body []byte) (m ExtendedMessage, err error) {
 	m.Kind = kind
 	in := fields{unread: body}
 	switch kind {
@@ -55,7 +55,7 @@
 		err = m.parseParse(&in)
 	case Bind:
 		m.parseBind(&in)
-	case Describe, CloseStatement:
+	case Describe, Close:
 		err = m.parseObject(&in)
 	case Execute:
 		m.Portal = in.text()
@@ -74,22 +74,22 @@
 }
 
 // parseParse reads the body of a Parse.
-func (m *Extended) parseParse(in *fields) error {
+func (m *ExtendedMessage) parseParse(in *fields) error {
 	m.Statement = in.text()
-	m.Text = in.text()
+	m.Query = in.text()
 	count := in.count()
 	if count > len(in.unread)/typeLen {
 		return malformed("%d parameter types in %d bytes", count, len(in.unread))
 	}
 	for range count {
-		m.Types = append(m.Types, in.uint32())
+		m.ParameterTypes = append(m.ParameterTypes, in.uint32())
 	}
 	return nil
 }
 
 // parseBind reads the body of a Bind: formats and values of the parameters, and
 // formats of the results.
-func (m *Extended) parseBind(in *fields) {
+func (m *ExtendedMessage) parseBind(in *fields) {
 	m.Portal = in.text()
 	m.Statement = in.text()
 	m.rest = in.unread
@@ -106,12 +106,12 @@
 }
 
 // parseObject reads the body of a Describe or a Close.
-func (m *Extended) parseObject(in *fields) error {
+func (m *ExtendedMessage) parseObject(in *fields) error {
 	switch object := in.byte(); object {
 	case ofStatement:
 		m.Statement = in.text()
 	case ofPortal:
-		m.OfPortal = true
+		m.IsPortal = true
 		m.Portal = in.text()
 	default:
 		return malformed("neither a statement nor a portal: %q", object)
@@ -120,19 +120,19 @@
 }
 
 // AppendExtended appends m with another name for its prepared statement.
-func AppendExtended(b []byte, m Extended, statement string) []byte {
+func AppendExtended(b []byte, m ExtendedMessage, statement string) []byte {
 	b, lengthAt := begin(b, m.Kind)
 	switch m.Kind {
 	case Parse:
-		b = appendText(appendText(b, statement), m.Text)
-		b = binary.BigEndian.AppendUint16(b, uint16(len(m.Types)))
-		for _, oid := range m.Types {
+		b = appendText(appendText(b, statement), m.Query)
+		b = binary.BigEndian.AppendUint16(b, uint16(len(m.ParameterTypes)))
+		for _, oid := range m.ParameterTypes {
 			b = binary.BigEndian.AppendUint32(b, oid)
 		}
 	case Bind:
 		b = append(appendText(appendText(b, m.Portal), statement), m.rest...)
-	case Describe, CloseStatement:
-		if m.OfPortal {
+	case Describe, Close:
+		if m.IsPortal {
 			b = appendText(append(b, ofPortal), m.Portal)
 		} else {
 			b = appendText(append(b, ofStatement), statement)
--- a/internal/postgres/wire/extended_test.go
+++ b/internal/postgres/wire/extended_test.go
@@ -50,7 +50,7 @@
 			t.Errorf("%s: %x came back as %x", name, b, got)
 		}
 		other, err := ParseExtended(b[0], AppendExtended(nil, m, "lb_other")[HeaderLen:])
-		notRenamed := !m.OfPortal && len(m.Statement) > 0 && string(other.Statement) != "lb_other"
+		notRenamed := !m.IsPortal && len(m.Statement) > 0 && string(other.Statement) != "lb_other"
 		if err != nil || notRenamed || !bytes.Equal(other.Portal, m.Portal) || !bytes.Equal(other.rest, m.rest) {
 			t.Errorf("%s: %+v, %v", name, other, err)
 		}
--- a/internal/postgres/wire/message_test.go
+++ b/internal/postgres/wire/message_test.go
@@ -16,7 +16,7 @@
 	if err != nil || !bytes.Equal(value, []byte{0, 1}) {
 		t.Errorf("%q, %v", value, err)
 	}
-	e, err := ParseError(AppendError(nil, "ERROR", "53300", "no", "250")[HeaderLen:])
+	e, err := ParseErrorResponse(AppendErrorResponse(nil, "ERROR", "53300", "no", "250")[HeaderLen:])
 	if err != nil || string(e.Code) != "53300" || string(e.Message) != "no" {
 		t.Errorf("%q, %v", e, err)
 	}
@@ -36,10 +36,10 @@
 		if _, err := ParseDataRow(body); err == nil {
 			t.Errorf("data row %q", b)
 		}
-		if _, err := ParseError(body); err == nil && b != "\x00" && b != "\x00\x01" && b[0] != 0 {
+		if _, err := ParseErrorResponse(body); err == nil && b != "\x00" && b != "\x00\x01" && b[0] != 0 {
 			t.Errorf("error %q", b)
 		}
-		if _, _, err := Parameter(body); err == nil {
+		if _, _, err := ParseParameterStatus(body); err == nil {
 			t.Errorf("parameter %q", b)
 		}
 		if CheckReady(body) == nil || CheckAuthentication(body) == nil {
@@ -58,8 +58,8 @@
 		}
 		_, _ = ParseRowDescription(b)
 		_, _ = ParseDataRow(b)
-		_, _ = ParseError(b)
-		_, _, _ = Parameter(b)
-		_, _ = Text(b)
+		_, _ = ParseErrorResponse(b)
+		_, _, _ = ParseParameterStatus(b)
+		_, _ = ParseString(b)
 	})
 }
--- a/internal/postgres/wire/parse.go
+++ b/internal/postgres/wire/parse.go
@@ -5,8 +5,8 @@
 	"encoding/binary"
 )
 
-// Text reads a body that is one string, such as that of a Query.
-func Text(body []byte) ([]byte, error) {
+// ParseString reads a body that is one string, such as that of a Query.
+func ParseString(body []byte) ([]byte, error) {
 	end := bytes.IndexByte(body, 0)
 	if end < 0 || end != len(body)-1 {
 		return nil, malformed("a string that does not end its message")
@@ -14,26 +14,26 @@
 	return body[:end], nil
 }
 
-// Parameter reads the body of a ParameterStatus.
-func Parameter(body []byte) (name, value []byte, err error) {
+// ParseParameterStatus reads the body of a ParameterStatus.
+func ParseParameterStatus(body []byte) (name, value []byte, err error) {
 	name, rest, ok := bytes.Cut(body, []byte{0})
 	if !ok {
 		return nil, nil, malformed("a parameter without a value")
 	}
-	value, err = Text(rest)
+	value, err = ParseString(rest)
 	return name, value, err
 }
 
-// Error holds the fields of an ErrorResponse or a NoticeResponse.
-type Error struct {
+// ErrorFields holds the fields of an ErrorResponse or a NoticeResponse.
+type ErrorFields struct {
 	Severity []byte
 	Code     []byte // the SQLSTATE
 	Message  []byte
 }
 
-// ParseError reads the body of an ErrorResponse or a NoticeResponse.
-func ParseError(body []byte) (Error, error) {
-	var parsed Error
+// ParseErrorResponse reads the body of an ErrorResponse or a NoticeResponse.
+func ParseErrorResponse(body []byte) (ErrorFields, error) {
+	var parsed ErrorFields
 	for range maxFields {
 		if len(body) == 0 {
 			break
--- a/internal/standin/statement.go
+++ b/internal/standin/statement.go
@@ -24,7 +24,7 @@
 	if !h.group.opt.Steady {
 		h.waitWhileHung()
 	}
-	greeting := wire.AppendReady(wire.AppendKeyData(wire.AppendAuthenticationOk(nil), 1, 1))
+	greeting := wire.AppendReadyForQuery(wire.AppendBackendKeyData(wire.AppendAuthenticationOk(nil), 1, 1))
 	if _, err := conn.Write(greeting); err != nil {
 		return
 	}
@@ -36,7 +36,7 @@
 		if kind != wire.Query {
 			continue
 		}
-		text, err := wire.Text(body)
+		text, err := wire.ParseString(body)
 		if err != nil {
 			return
 		}
@@ -57,7 +57,7 @@
 	if _, err := io.ReadFull(in, header); err != nil {
 		return err
 	}
-	size, err := wire.StartupLen(header)
+	size, err := wire.ParseStartupHeader(header)
 	if err != nil {
 		return err
 	}
@@ -71,7 +71,7 @@
 	if _, err := io.ReadFull(in, header); err != nil {
 		return 0, nil, err
 	}
-	kind, size, err := wire.Header(header)
+	kind, size, err := wire.ParseHeader(header)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -136,7 +136,7 @@
 	}
 	s, ok := parseStatement(text)
 	if !ok {
-		return errorAnswer(wire.CodeProtocol, "not a statement of this form"), false
+		return errorAnswer(wire.CodeProtocolViolation, "not a statement of this form"), false
 	}
 	deadline := nowMs() + s.number("d")
 	if !h.enqueue(s.parameters["id"]) {
@@ -160,7 +160,7 @@
 		recovery = "off"
 	}
 	if outcome.code != "" {
-		status := wire.AppendParameter(nil, "recovery", recovery)
+		status := wire.AppendParameterStatus(nil, "recovery", recovery)
 		return append(status, errorAnswer(outcome.code, "not here")...), false
 	}
 	return rowAnswer(&s, outcome, recovery), false
@@ -193,12 +193,12 @@
 	}
 	h.group.mu.Unlock()
 	report := fmt.Appendf(nil, "x0=%.3f,x1=%d", position/1000, primary)
-	return wire.AppendReady(appendRow(nil, report, "SHOW 1"))
+	return wire.AppendReadyForQuery(appendRow(nil, report, "SHOW 1"))
 }
 
 // errorAnswer is the answer of a statement that failed.
 func errorAnswer(code, text string) []byte {
-	return wire.AppendReady(wire.AppendError(nil, "ERROR", code, text, ""))
+	return wire.AppendReadyForQuery(wire.AppendErrorResponse(nil, "ERROR", code, text, ""))
 }
 
 // rowAnswer is the answer of a statement that succeeded, with the host's role
@@ -209,9 +209,9 @@
 		tag = "INSERT 0 1"
 	}
 	answer := appendRow(nil, outcome.doc, tag)
-	answer = wire.AppendParameter(answer, "recovery", recovery)
-	answer = wire.AppendParameter(answer, "lsn_ms", strconv.FormatInt(int64(outcome.position), 10))
-	return wire.AppendReady(answer)
+	answer = wire.AppendParameterStatus(answer, "recovery", recovery)
+	answer = wire.AppendParameterStatus(answer, "lsn_ms", strconv.FormatInt(int64(outcome.position), 10))
+	return wire.AppendReadyForQuery(answer)
 }
 
 // appendRow appends a result of one row.
@@ -219,5 +219,5 @@
 	const typeBytea = 17
 	column := wire.Column{Name: []byte("doc"), Type: typeBytea, Size: -1, Binary: true}
 	to = wire.AppendRowDescription(to, column)
-	return wire.AppendComplete(wire.AppendDataRow(to, doc), []byte(tag))
+	return wire.AppendCommandComplete(wire.AppendDataRow(to, doc), []byte(tag))
 }
