--- a/internal/postgres/front/answers.go
+++ b/internal/postgres/front/answers.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	// writeTimeout ends a connection whose client does not read its answers, in
-	// milliseconds.
-	writeTimeout = 5000
-	// sendSize is about how many bytes of answers are sent at once; further ones
-	// wait until these are written to the system.
-	sendSize = 64 << 10
-	// maxErrorText bounds what an error quotes of a client's statement, in bytes:
-	// the answer may have to wait for its turn.
-	maxErrorText = 200
+	// writeTimeoutMs is how long the kernel may take to accept a batch of answers;
+	// after that the connection is closed, as its client does not read.
+	writeTimeoutMs = 5000
+	// sendBatchBytes limits the answers sent at once; a single answer may be
+	// longer. Further answers wait until the kernel has accepted the batch.
+	sendBatchBytes = 64 << 10
+	// maxErrorTextBytes is where the text of an error is truncated. It may quote a
+	// long statement, and the answer may stay in the queue for long.
+	maxErrorTextBytes = 200
 )
 
-// Answers that are the same to every client.
+// Answers with constant contents. They are shared by all clients, so that the
+// queue can merge consecutive commands with the same answer.
 var (
-	readyAnswer    = wire.AppendReadyForQuery(nil)
-	emptyAnswer    = wire.AppendReadyForQuery(wire.AppendEmptyQueryResponse(nil))
-	extendedAnswer = wire.AppendErrorResponse(
+	readyAnswer            = wire.AppendReadyForQuery(nil)
+	emptyAnswer            = wire.AppendReadyForQuery(wire.AppendEmptyQueryResponse(nil))
+	extendedProtocolAnswer = wire.AppendErrorResponse(
 		nil, "ERROR", wire.CodeFeatureNotSupported, "only simple queries are served", "")
 	drainingAnswer   = errorAnswer(wire.CodeCannotConnectNow, "the router is stopping")
 	overloadedAnswer = errorAnswer(
@@ -33,22 +34,23 @@
 	cancelledAnswer = errorAnswer(wire.CodeQueryCanceled, "canceling statement due to user request")
 )
 
-// errorAnswer returns an error as the whole answer to a command.
+// errorAnswer returns an ErrorResponse followed by a ReadyForQuery.
 func errorAnswer(code, message string) []byte {
-	message = message[:min(len(message), maxErrorText)]
+	message = message[:min(len(message), maxErrorTextBytes)]
 	return wire.AppendReadyForQuery(wire.AppendErrorResponse(nil, "ERROR", code, message, ""))
 }
 
-// Answer implements router.Client; running names a running statement.
+// Answer implements router.Client; running is the handle of a running statement.
 func (s *Server) Answer(running slotmap.Handle, answer router.Answer) {
 	if answered := s.running.Get(running); answered != nil {
-		answered.stop()
+		answered.removeRunning()
 		answered.answer(wire.AppendReadyForQuery(appendAnswer(nil, answer)))
 		answered.client.advance()
 	}
 }
 
-// appendAnswer appends the messages of a router's answer.
+// appendAnswer appends the messages of a router's answer, without the
+// ReadyForQuery.
 func appendAnswer(b []byte, answer router.Answer) []byte {
 	switch answer.Verdict {
 	case router.Served:
@@ -72,32 +74,32 @@
 		b, "ERROR", wire.CodeQueryCanceled, "the request failed; it may have had an effect", "")
 }
 
-// sendAnswers sends the answers whose turn has come. Further ones wait until
-// these are written to the system, so that a client that does not read makes
-// the router hold no more.
+// sendAnswers sends the answers that are next in the order of the commands. It
+// sends no further ones until the kernel has accepted these, so that a client
+// that does not read cannot make the router buffer more.
 func (c *client) sendAnswers() {
 	if c.sending || c.released || c.closing {
 		return
 	}
-	answers, done, last := c.queue.NextAnswers(sendSize)
+	answers, done, last := c.queue.NextAnswers(sendBatchBytes)
 	for _, command := range done {
-		command.Value.rebook(0)
+		command.Value.setReservedBytes(0)
 	}
 	loop := c.server.loop
 	if len(answers) > 0 {
 		c.sending = true
 		c.conn.Send(answers, func(err error) { loop.Do(func() { c.answersSent(err) }) })
 		loop.Cancel(c.closeTimer)
-		c.closeTimer = loop.At(loop.Now()+writeTimeout, c.conn.Close)
+		c.closeTimer = loop.At(loop.Now()+writeTimeoutMs, c.conn.Close)
 	}
 	if last {
 		c.halfClose()
 	}
 }
 
-// answersSent continues once answers were written to the system. If they could
-// not be, the client has gone or is cut off, and nothing more is executed for
-// it.
+// answersSent handles the end of a write of answers. If the write failed, the
+// client has disconnected or was disconnected, and no further statement of it is
+// executed.
 func (c *client) answersSent(err error) {
 	c.sending = false
 	switch {
@@ -106,7 +108,7 @@
 		return
 	case c.released:
 		return
-	case c.closing: // its time to close begins
+	case c.closing: // the timeout for the client's close starts now
 		c.awaitClose()
 		return
 	}
--- a/internal/postgres/front/answers_test.go
+++ b/internal/postgres/front/answers_test.go
@@ -13,62 +13,64 @@
 	"lotusbend/internal/router"
 )
 
-// An answer that could not be written shows that the client has gone or is cut
-// off: what it sent ahead must not be submitted.
-func TestNothingSubmittedAfterUnsentAnswer(t *testing.T) {
+// TestStatementsAfterFailedWriteAreNotSubmitted checks that a failed write of an
+// answer releases the client: its queued statements must not run, as nobody waits
+// for their answers.
+func TestStatementsAfterFailedWriteAreNotSubmitted(t *testing.T) {
 	stub := newStub(t, 100)
-	peer := stub.connect()
-	peer.write(append(writeQuery(1), writeQuery(2)...))
+	remote := stub.connect()
+	remote.write(append(writeQuery(1), writeQuery(2)...))
 	stub.waitQueued(1, 2)
 	stub.loop.Do(func() {
 		c := stub.onlyClient()
-		c.sending = true // so that the answer waits
+		c.sending = true // holds the answer back in the queue
 		c.server.Answer(stub.submitted[0].client, router.Answer{Verdict: router.Failed})
 		stub.submitted = stub.submitted[:1]
-		c.answersSent(errors.New("not written"))
+		c.answersSent(errors.New("write failed"))
 	})
 	stub.waitUntil(func() bool { return stub.onlyClient() == nil })
 	if len(stub.submitted) != 1 {
-		t.Errorf("%d statements were submitted", len(stub.submitted))
+		t.Errorf("submitted %d statements, want 1", len(stub.submitted))
 	}
 }
 
-// A client counts as unsent from its answer until that is written to the system.
-func TestUnsentCountsAnswersInProgress(t *testing.T) {
+// TestUnsentClientsCountsWritesInProgress checks that a client counts from the time
+// of its answer until the kernel has accepted it.
+func TestUnsentClientsCountsWritesInProgress(t *testing.T) {
 	stub := newStub(t, 100)
-	peer := stub.connect()
-	peer.write(readQuery(1))
+	remote := stub.connect()
+	remote.write(readQuery(1))
 	stub.waitSubmitted(1)
-	stub.loop.Do(func() { // the end of the write is recorded inside the loop, after this
+	stub.loop.Do(func() { // the write cannot be reported as complete before this function returns
 		stub.submitted[0].from.Answer(stub.submitted[0].client, router.Answer{Verdict: router.Rejected})
 		if n := stub.server.UnsentClients(); n != 1 {
-			t.Errorf("%d clients have unsent answers, want 1", n)
+			t.Errorf("UnsentClients() = %d, want 1", n)
 		}
 	})
 	stub.waitUntil(func() bool { return stub.server.UnsentClients() == 0 })
-	peer.expect(peer.readUntil("Z"), "refused")
+	remote.expect(remote.readUntil("Z"), "refused")
 }
 
-// stuckConn is the connection of a client that reads nothing: a write waits
-// until the connection is closed.
-type stuckConn struct {
-	readAhead
+// blockedConn is the connection of a client that reads nothing: Write blocks until
+// the connection is closed.
+type blockedConn struct {
+	bufferedConn
 	closed chan struct{}
 	once   sync.Once
 }
 
-func (s *stuckConn) Write([]byte) (int, error) {
+func (s *blockedConn) Write([]byte) (int, error) {
 	<-s.closed
 	return 0, errors.New("closed")
 }
 
-func (s *stuckConn) Close() error {
+func (s *blockedConn) Close() error {
 	s.once.Do(func() { close(s.closed) })
 	return nil
 }
 
 // isClosed reports whether the connection was closed.
-func (s *stuckConn) isClosed() bool {
+func (s *blockedConn) isClosed() bool {
 	select {
 	case <-s.closed:
 		return true
@@ -77,9 +79,10 @@
 	}
 }
 
-// stuckClient adds a client that reads nothing, with that many running statements.
-func (s *stubRouter) stuckClient(statements int) (*client, *stuckConn) {
-	stuck := &stuckConn{readAhead: readAhead{in: netpoll.NewLinkBuffer()}, closed: make(chan struct{})}
+// stuckClient adds a client that reads nothing and has sent the given number of
+// reads.
+func (s *stubRouter) stuckClient(statements int) (*client, *blockedConn) {
+	stuck := &blockedConn{bufferedConn: bufferedConn{in: netpoll.NewLinkBuffer()}, closed: make(chan struct{})}
 	c := &client{server: s.server, conn: netio.NewConn(stuck), started: true}
 	s.loop.Do(func() {
 		s.server.budget.AcquireClient()
@@ -93,13 +96,14 @@
 	return c, stuck
 }
 
-// A client that goes on sending after it broke the protocol is cut off, but not
-// before the answer to what came before is written to the system.
-func TestFloodAfterErrorDoesNotCostTheAnswer(t *testing.T) {
+// TestFloodAfterProtocolErrorKeepsEarlierAnswer checks that a client that keeps
+// sending after a protocol error is disconnected, but only after the kernel has
+// accepted the answer to its earlier statement.
+func TestFloodAfterProtocolErrorKeepsEarlierAnswer(t *testing.T) {
 	stub := newStub(t, 100)
 	c, stuck := stub.stuckClient(1)
 	flood := func() {
-		if _, err := stuck.in.WriteString(strings.Repeat("x", maxDiscarded+1)); err != nil {
+		if _, err := stuck.in.WriteString(strings.Repeat("x", maxDiscardedBytes+1)); err != nil {
 			t.Fatal(err)
 		}
 		if err := errors.Join(stuck.in.Flush(), c.onData(stuck)); err != nil {
@@ -108,71 +112,73 @@
 	}
 	stub.loop.Do(func() {
 		c.discarding = true
-		c.receiveError(errPartial)
+		c.receiveError(errIncompleteMessage)
 	})
 	flood()
-	stub.answer(0) // its write is in progress
+	stub.answer(0) // its write blocks
 	flood()
 	if stuck.isClosed() {
-		t.Error("cut off before its answer was written")
+		t.Error("connection closed before the answer was written")
 	}
 	stub.loop.Do(func() {
 		if !c.closing || !c.sending {
-			t.Errorf("closing %v, sending %v", c.closing, c.sending)
+			t.Errorf("closing = %v, sending = %v, want both true", c.closing, c.sending)
 		}
-		c.sending = false // it was written
+		c.sending = false // as if the answer was written
 	})
 	flood()
 	<-stuck.closed
 }
 
-// A client that does not read is cut off after the timeout: one answer is being
-// written, the next one waits, and its running statement is cancelled.
-func TestClientThatReadsNothingIsCutOff(t *testing.T) {
+// TestClientThatReadsNothingIsDisconnected checks that a client whose answers
+// cannot be written is disconnected after writeTimeoutMs, that its memory is
+// released and that its running statement is cancelled.
+func TestClientThatReadsNothingIsDisconnected(t *testing.T) {
 	stub := newStub(t, 100)
 	c, _ := stub.stuckClient(3)
 	stub.answer(0)
 	stub.answer(1)
 	stub.loop.Do(func() {
 		if !c.sending || c.queue.Len() != 2 {
-			t.Errorf("sending %v, %d commands wait, want 2 behind the answer being sent", c.sending, c.queue.Len())
+			t.Errorf("sending = %v with %d queued commands, want true with 2", c.sending, c.queue.Len())
 		}
 		if len(stub.submitted) != 3 {
-			t.Errorf("%d statements were submitted, want 3", len(stub.submitted))
+			t.Errorf("submitted %d statements, want 3", len(stub.submitted))
 		}
 	})
-	stub.advance(writeTimeout)
+	stub.advance(writeTimeoutMs)
 	stub.waitUntil(func() bool {
-		return stub.onlyClient() == nil && stub.bookedBytes() == 0 && stub.cancelled == 1
+		return stub.onlyClient() == nil && stub.reservedBytes() == 0 && stub.cancelled == 1
 	})
 }
 
-// The last answer of a connection that ends after it has the same timeout as any
-// other, and its client the timeout for closing once it was written. Until then
-// the connection is not evicted.
-func TestLastAnswerHasItsTimeout(t *testing.T) {
+// TestLastAnswerHasWriteTimeoutThenCloseTimeout checks that the last answer of a
+// connection that is being ended has writeTimeoutMs to be written, that the client
+// then has closeTimeoutMs to close, and that the connection is not evicted while
+// the answer is being written.
+func TestLastAnswerHasWriteTimeoutThenCloseTimeout(t *testing.T) {
 	stub := newStub(t, 100)
 	c, stuck := stub.stuckClient(1)
-	stub.loop.Do(func() { c.receiveError(errPartial) })
+	stub.loop.Do(func() { c.receiveError(errIncompleteMessage) })
 	stub.answer(0)
-	expectTimeout := func(want float64) { // of the only deadline
+	expectTimeout := func(want float64) { // checks the only deadline
 		t.Helper()
 		if at, _ := stub.loop.Next(); at != stub.clock.Now()+want {
-			t.Errorf("the connection ends in %v ms, want %v", at-stub.clock.Now(), want)
+			t.Errorf("next deadline in %v ms, want %v ms", at-stub.clock.Now(), want)
 		}
 	}
-	expectTimeout(writeTimeout)
+	expectTimeout(writeTimeoutMs)
 	stub.loop.Do(func() {
 		if !c.closing || !c.sending {
-			t.Fatalf("closing %v, sending %v", c.closing, c.sending)
+			t.Fatalf("closing = %v, sending = %v, want both true", c.closing, c.sending)
 		}
 		if stub.server.evictOne() {
-			t.Error("evicted before its answer was written")
+			t.Error("evictOne() = true while the answer is being written, want false")
 		}
 	})
-	stub.advance(writeTimeout - 1)
+	stub.advance(writeTimeoutMs - 1)
 	stub.loop.Do(func() { c.answersSent(nil) })
-	expectTimeout(closeTimeout)
-	stub.advance(closeTimeout)
+	expectTimeout(closeTimeoutMs)
+	stub.advance(closeTimeoutMs)
 	stub.waitUntil(stuck.isClosed)
 }
--- a/internal/postgres/front/characterization_dialogues_test.go
+++ b/internal/postgres/front/characterization_dialogues_test.go
@@ -9,28 +9,30 @@
 	"lotusbend/internal/postgres/wire"
 )
 
-// dialogue is one connection of a client.
+// dialogue describes one client connection.
 type dialogue struct {
-	first    []byte // sent at once
-	second   []byte // sent after the first ReadyForQuery
-	cancels  bool   // once a statement of the class "marker" came, the running one is cancelled
-	passes   bool   // time passes until the connection ends
-	before   func(*server)
-	between  func(*server) // first and second
-	memoryMB float64       // 0 for the default limit
+	first         []byte        // sent after connecting
+	second        []byte        // sent after the first ReadyForQuery
+	cancelRunning bool          // a CancelRequest follows the first statement of the class "marker"
+	timePasses    bool          // the clock advances until the connection ends
+	before        func(*server) // called before connecting, if not nil
+	between       func(*server) // called between first and second, if not nil
+	memoryMiB     float64       // 0 for the default limit
 }
 
+// terminate is a Terminate message.
 const terminate = "X\x00\x00\x00\x04"
 
+// startup is a StartupMessage.
 var startup = wire.AppendStartup(nil, "app", "shop")
 
-// message returns a message of any kind and body.
+// message returns a message with the given kind and body.
 func message(kind byte, body string) []byte {
 	b := binary.BigEndian.AppendUint32([]byte{kind}, uint32(4+len(body)))
 	return append(b, body...)
 }
 
-// firstMessage returns a message of the startup, which has no kind.
+// firstMessage returns a message of the startup phase, which has no kind byte.
 func firstMessage(values ...uint32) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(4+4*len(values)))
 	for _, v := range values {
@@ -39,7 +41,7 @@
 	return b
 }
 
-// queries returns simple queries and a Terminate.
+// queries returns one Query message for each text, and a Terminate.
 func queries(texts ...string) (b []byte) {
 	for _, text := range texts {
 		b = wire.AppendQuery(b, []byte(text))
@@ -47,9 +49,10 @@
 	return append(b, terminate...)
 }
 
-func inTurn(parts ...[]byte) []byte { return slices.Concat(parts...) }
+// concat returns the concatenation of messages.
+func concat(parts ...[]byte) []byte { return slices.Concat(parts...) }
 
-// The group of a statement decides how the server answers it.
+// Replica groups, which determine how the server answers a statement.
 const (
 	groupText = iota + 1
 	groupBinary
@@ -59,18 +62,19 @@
 	groupSilent
 )
 
-// statement is a read of a group.
+// statement returns the text of a read from a group.
 func statement(id, group int) string {
 	const format = "SELECT doc FROM items WHERE id = 'key%d' /* id=%d,c=read,d=480,cluster=%d,after=1767225600123 */"
 	return fmt.Sprintf(format, id, id, group)
 }
 
+// dialogues are the scenarios by the names under which the golden file has them.
 var dialogues = map[string]dialogue{
 	"greeting":                  {first: startup, second: []byte(terminate)},
-	"greeting-without-names":    {first: inTurn(firstMessage(wire.ProtocolVersion3), []byte(terminate))},
-	"greeting-of-minor-version": {first: inTurn(firstMessage(wire.ProtocolVersion3+2), []byte(terminate))},
+	"greeting-without-names":    {first: concat(firstMessage(wire.ProtocolVersion3), []byte(terminate))},
+	"greeting-of-minor-version": {first: concat(firstMessage(wire.ProtocolVersion3+2), []byte(terminate))},
 	"encryption-refused": {
-		first:  inTurn(firstMessage(wire.SSLRequest), firstMessage(wire.GSSENCRequest), startup),
+		first:  concat(firstMessage(wire.SSLRequest), firstMessage(wire.GSSENCRequest), startup),
 		second: []byte(terminate),
 	},
 	"another-version":        {first: firstMessage(2 << 16)},
@@ -85,16 +89,16 @@
 		second:  queries(statement(1, groupText)),
 		between: (*server).drainForLong,
 	},
-	"idle":                     {first: startup, second: []byte{}, passes: true},
-	"part-of-a-startup":        {first: startup[:9], passes: true},
-	"part-of-a-message":        {first: startup, second: []byte("Q\x00\x00\x00\x40SELECT"), passes: true},
-	"part-too-long-for-memory": {first: startup, second: []byte("Q\x00\x01\x00\x00SELECT"), memoryMB: 0.02},
+	"idle":                     {first: startup, second: []byte{}, timePasses: true},
+	"part-of-a-startup":        {first: startup[:9], timePasses: true},
+	"part-of-a-message":        {first: startup, second: []byte("Q\x00\x00\x00\x40SELECT"), timePasses: true},
+	"part-too-long-for-memory": {first: startup, second: []byte("Q\x00\x01\x00\x00SELECT"), memoryMiB: 0.02},
 	"idle-after-an-answer": {
-		first:  startup,
-		second: wire.AppendQuery(nil, []byte(statement(1, groupText))),
-		passes: true,
+		first:      startup,
+		second:     wire.AppendQuery(nil, []byte(statement(1, groupText))),
+		timePasses: true,
 	},
-	"idle-when-a-drain-begins": {first: startup, second: []byte{}, between: (*server).drain, passes: true},
+	"idle-when-a-drain-begins": {first: startup, second: []byte{}, between: (*server).drain, timePasses: true},
 	"evicted-for-another": {
 		before:  limitDescriptors(26),
 		first:   startup,
@@ -109,11 +113,11 @@
 	"empty-queries": {first: startup, second: queries("", " ;\r\n\t; ")},
 	"sync-and-flush": {
 		first:  startup,
-		second: inTurn(message('S', ""), message('H', ""), message('S', ""), []byte(terminate)),
+		second: concat(message('S', ""), message('H', ""), message('S', ""), []byte(terminate)),
 	},
 	"extended-protocol": {
 		first: startup,
-		second: inTurn(
+		second: concat(
 			message('P', "\x00select 1\x00\x00\x00"), message('B', "\x00\x00\x00\x00\x00\x00\x00\x00"),
 			message('E', "\x00\x00\x00\x00\x00"), message('S', ""), message('F', ""), queries("in vain"),
 		),
@@ -122,11 +126,11 @@
 	"message-too-short": {first: startup, second: []byte("Q\x00\x00\x00\x03")},
 	"query-without-end": {
 		first:  startup,
-		second: inTurn(message('Q', "SELECT 1"), message('Q', ""), []byte(terminate)),
+		second: concat(message('Q', "SELECT 1"), message('Q', ""), []byte(terminate)),
 	},
 	"query-with-a-zero-byte": {
 		first:  startup,
-		second: inTurn(message('Q', "SEL\x00ECT 1\x00"), []byte(terminate)),
+		second: concat(message('Q', "SEL\x00ECT 1\x00"), []byte(terminate)),
 	},
 	"statements-unread": {
 		first: startup,
@@ -163,14 +167,14 @@
 		),
 	},
 	"cancelled": {
-		first:   startup,
-		second:  queries(statement(1, groupSilent), "SELECT 1 /* id=2,c=marker,d=480,cluster=1 */"),
-		cancels: true,
+		first:         startup,
+		second:        queries(statement(1, groupSilent), "SELECT 1 /* id=2,c=marker,d=480,cluster=1 */"),
+		cancelRunning: true,
 	},
 	"the-same-id": {
-		first:   startup,
-		second:  queries(statement(2, groupSilent), "SELECT 1 /* id=2,c=marker,d=480,cluster=1 */"),
-		cancels: true,
+		first:         startup,
+		second:        queries(statement(2, groupSilent), "SELECT 1 /* id=2,c=marker,d=480,cluster=1 */"),
+		cancelRunning: true,
 	},
 	"out-of-memory": {
 		first: startup,
@@ -178,9 +182,9 @@
 			statement(1, groupSilent), statement(2, groupText)+strings.Repeat(" ", 5000),
 			"SELECT 1 /* id=3,c=marker,d=480,cluster=1 */",
 		),
-		cancels:  true,
-		memoryMB: 0.02,
+		cancelRunning: true,
+		memoryMiB:     0.02,
 	},
-	"after-goodbye": {first: startup, second: inTurn([]byte(terminate), queries(statement(1, groupText)))},
-	"all-at-once":   {first: inTurn(startup, queries(statement(1, groupText), ""))},
+	"after-goodbye": {first: startup, second: concat([]byte(terminate), queries(statement(1, groupText)))},
+	"all-at-once":   {first: concat(startup, queries(statement(1, groupText), ""))},
 }
--- a/internal/postgres/front/characterization_test.go
+++ b/internal/postgres/front/characterization_test.go
@@ -26,19 +26,19 @@
 	"lotusbend/internal/slotmap"
 )
 
-// update rewrites the expected values. They may change only with a deliberate
-// change of behaviour, which the commit has to name.
+// update rewrites the golden file. The commit must name the deliberate change of
+// behaviour that requires it.
 var update = flag.Bool("update", false,
 	"rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
 
 const expectedFile = "testdata/characterization.txt"
 
-// TestCharacterization pins every byte that a client receives, for one connection
-// after another, and the requests that the router gets.
+// TestCharacterization compares every byte that a client receives on each
+// connection, and the requests submitted to the router, with the golden file.
 func TestCharacterization(t *testing.T) {
 	got := map[string]string{}
 	for name, dialogue := range dialogues {
-		s := newServer(t, dialogue.memoryMB)
+		s := newServer(t, dialogue.memoryMiB)
 		if dialogue.before != nil {
 			dialogue.before(s)
 		}
@@ -47,12 +47,12 @@
 			got["requests-"+name] = requests
 		}
 	}
-	got["requests-gone"] = newServer(t, 0).clientGone()
+	got["requests-gone"] = newServer(t, 0).disconnectWhileRunning()
 	compareExpected(t, got)
 }
 
-// compareExpected compares the scenarios with the expected values, or rewrites
-// these with -update.
+// compareExpected compares the results, by scenario, with the golden file, or
+// rewrites the file if the update flag is set.
 func compareExpected(t *testing.T, got map[string]string) {
 	t.Helper()
 	if *update {
@@ -88,18 +88,20 @@
 	}
 }
 
-// server is a front whose requests are answered at once, according to their groups.
+// server is a front.Server with a RequestHandler that answers each request at once,
+// according to its group.
 type server struct {
 	t      *testing.T
 	clock  *clock.Clock
 	loop   *clock.Loop
 	budget *netio.DescriptorBudget
 	front  *front.Server
-	marked chan struct{} // a statement of the class "marker" came
-	log    bytes.Buffer  // of requests
+	marked chan struct{} // receives a value for each statement of the class "marker"
+	log    bytes.Buffer  // encoded requests and cancellations
 }
 
-func newServer(t *testing.T, memoryMB float64) *server {
+// newServer starts a server on a loopback address. memoryMiB is 0 for the default.
+func newServer(t *testing.T, memoryMiB float64) *server {
 	t.Helper()
 	s := &server{
 		t:      t,
@@ -109,13 +111,14 @@
 	}
 	s.loop = clock.NewLoop(s.clock)
 	var err error
-	if s.front, err = front.Listen("127.0.0.1:0", s.loop, s.budget, memoryMB, s); err != nil {
+	if s.front, err = front.Listen("127.0.0.1:0", s.loop, s.budget, memoryMiB, s); err != nil {
 		t.Fatal(err)
 	}
 	go func() { _ = s.front.Serve() }()
 	return s
 }
 
+// takeAllClients exhausts the descriptor budget for clients.
 func (s *server) takeAllClients() {
 	s.loop.Do(func() {
 		for s.budget.AcquireClient() {
@@ -123,12 +126,13 @@
 	})
 }
 
-// limitDescriptors returns a function that sets another limit.
+// limitDescriptors returns a function that sets a server's descriptor limit to n.
 func limitDescriptors(n int) func(*server) {
 	return func(s *server) { s.loop.Do(func() { s.budget.Resize(n) }) }
 }
 
-// connectAnother connects one more client, until the test ends.
+// connectAnother connects another client, which stays connected until the test
+// ends.
 func (s *server) connectAnother() {
 	c := s.dial()
 	s.t.Cleanup(func() { _ = c.Close() })
@@ -136,15 +140,16 @@
 	s.readUntilReady(c)
 }
 
+// drain begins a drain.
 func (s *server) drain() { s.loop.Do(s.front.Drain) }
 
-// drainForLong begins a drain long before the next statement.
+// drainForLong begins a drain and lets its grace period pass.
 func (s *server) drainForLong() {
 	s.drain()
 	s.clock.Set(s.clock.Now() + 1000)
 }
 
-// Class is called inside Do.
+// Class implements front.RequestHandler.
 func (s *server) Class(name []byte) (router.Class, bool) {
 	switch string(name) {
 	case "read":
@@ -162,7 +167,8 @@
 	return router.Class{}, false
 }
 
-// Submit logs the request and has it answered after the current event.
+// Submit implements front.RequestHandler. It logs the request and answers it after
+// the current event, unless its group is groupSilent.
 func (s *server) Submit(r router.Request, from router.Client, client slotmap.Handle) slotmap.Handle {
 	s.number(0, uint64(len(r.Statement.Text)))
 	s.log.Write(r.Statement.Text)
@@ -175,21 +181,23 @@
 	return slotmap.Handle{Slot: 7, Gen: 7}
 }
 
-// ClientCancelled logs that a request is cancelled.
+// ClientCancelled implements front.RequestHandler. It logs the cancellation.
 func (s *server) ClientCancelled(request slotmap.Handle) { s.number(1, uint64(request.Slot)) }
 
+// number appends values to the log.
 func (s *server) number(values ...uint64) {
 	for _, v := range values {
-		_ = binary.Write(&s.log, binary.BigEndian, v) // a buffer never fails
+		_ = binary.Write(&s.log, binary.BigEndian, v) // writing to a buffer never fails
 	}
 }
 
-// requests returns what was logged so far.
+// requests returns the log in hexadecimal digits.
 func (s *server) requests() (log string) {
 	s.loop.Do(func() { log = hex.EncodeToString(s.log.Bytes()) })
 	return log
 }
 
+// answerOf returns the answer to requests of a group.
 func answerOf(group int) router.Answer {
 	switch group {
 	case groupText:
@@ -217,35 +225,36 @@
 	return router.Answer{Verdict: router.Failed}
 }
 
-// dialogue runs one connection up to its end and returns all that was received,
-// without the secret, which is random.
+// dialogue runs one connection to its end and returns everything the client
+// received, with the random secret replaced by zeros.
 func (s *server) dialogue(d dialogue) []byte {
 	s.t.Helper()
 	c := s.dial()
 	defer c.Close()
 	s.send(c, d.first)
-	var heard []byte
+	var received []byte
 	if d.second != nil {
-		heard = s.readUntilReady(c)
+		received = s.readUntilReady(c)
 	}
 	if d.between != nil {
 		d.between(s)
 	}
 	s.send(c, d.second)
-	if d.cancels {
+	if d.cancelRunning {
 		<-s.marked
-		s.cancel(heard)
+		s.cancel(received)
 	}
-	if d.passes {
+	if d.timePasses {
 		defer s.passTime()()
 	}
 	rest, err := io.ReadAll(c)
 	if err != nil {
 		s.t.Error(err)
 	}
-	return withoutSecret(append(heard, rest...))
+	return withoutSecret(append(received, rest...))
 }
 
+// dial opens a connection with a deadline of 10 s.
 func (s *server) dial() net.Conn {
 	s.t.Helper()
 	c, err := net.Dial("tcp", s.front.Address())
@@ -258,6 +267,7 @@
 	return c
 }
 
+// send writes b to c.
 func (s *server) send(c net.Conn, b []byte) {
 	s.t.Helper()
 	if _, err := c.Write(b); err != nil {
@@ -265,19 +275,19 @@
 	}
 }
 
-// readUntilReady reads up to the first ReadyForQuery.
-func (s *server) readUntilReady(c net.Conn) (heard []byte) {
+// readUntilReady reads up to the next ReadyForQuery and returns all bytes read.
+func (s *server) readUntilReady(c net.Conn) (received []byte) {
 	s.t.Helper()
 	ready := wire.AppendReadyForQuery(nil)
-	for one := make([]byte, 1); !bytes.HasSuffix(heard, ready); heard = append(heard, one[0]) {
+	for one := make([]byte, 1); !bytes.HasSuffix(received, ready); received = append(received, one[0]) {
 		if _, err := io.ReadFull(c, one); err != nil {
 			s.t.Fatal(err)
 		}
 	}
-	return heard
+	return received
 }
 
-// passTime lets time pass in steps until the returned function is called.
+// passTime advances the clock by 100 ms every millisecond until stop is called.
 func (s *server) passTime() (stop func()) {
 	const step = 100
 	done, stopped := make(chan struct{}), make(chan struct{})
@@ -299,19 +309,20 @@
 	}
 }
 
-// cancel first shows a wrong secret, which must not cancel anything: the log
-// separates what came before the right one.
+// cancel sends a CancelRequest with a wrong secret, which must have no effect, and
+// one with the right secret. A number in the log before each shows which of them
+// cancelled the request.
 func (s *server) cancel(greeting []byte) {
 	s.t.Helper()
 	at := keyDataAt(greeting)
 	process := binary.BigEndian.Uint32(greeting[at:])
 	secret := binary.BigEndian.Uint32(greeting[at+4:])
-	for _, shown := range []uint32{secret + 1, secret} {
+	for _, presented := range []uint32{secret + 1, secret} {
 		c := s.dial()
 		s.loop.Do(func() { s.number(2) })
-		s.send(c, firstMessage(wire.CancelRequest, process, shown))
-		if heard, err := io.ReadAll(c); len(heard) > 0 || err != nil {
-			s.t.Errorf("in answer to a cancellation: %x, %v", heard, err)
+		s.send(c, firstMessage(wire.CancelRequest, process, presented))
+		if received, err := io.ReadAll(c); len(received) > 0 || err != nil {
+			s.t.Errorf("answer to the CancelRequest: got %x, %v, want EOF", received, err)
 		}
 		if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 			s.t.Error(err)
@@ -319,25 +330,26 @@
 	}
 }
 
-// keyDataAt returns where the body of the BackendKeyData stands, 0 if there is
+// keyDataAt returns the offset of the body of the BackendKeyData, 0 if there is
 // none.
-func keyDataAt(heard []byte) int {
-	if at := bytes.Index(heard, []byte("K\x00\x00\x00\x0c")); at >= 0 {
+func keyDataAt(received []byte) int {
+	if at := bytes.Index(received, []byte("K\x00\x00\x00\x0c")); at >= 0 {
 		return at + wire.HeaderLen
 	}
 	return 0
 }
 
-func withoutSecret(heard []byte) []byte {
-	if at := keyDataAt(heard); at > 0 {
-		clear(heard[at+4 : at+8])
+// withoutSecret replaces the secret in the BackendKeyData by zeros.
+func withoutSecret(received []byte) []byte {
+	if at := keyDataAt(received); at > 0 {
+		clear(received[at+4 : at+8])
 	}
-	return heard
+	return received
 }
 
-// clientGone has a client disconnect whose statement is running, and returns what
-// the router got.
-func (s *server) clientGone() string {
+// disconnectWhileRunning disconnects a client whose statement is running, and
+// returns the log of requests.
+func (s *server) disconnectWhileRunning() string {
 	s.t.Helper()
 	c := s.dial()
 	s.send(c, startup)
@@ -350,7 +362,7 @@
 	return s.waitForMore(submitted)
 }
 
-// waitForMore waits until the log of requests has changed.
+// waitForMore blocks until the log of requests differs from before, and returns it.
 func (s *server) waitForMore(before string) (log string) {
 	for log = s.requests(); log == before; log = s.requests() {
 		runtime.Gosched()
--- a/internal/postgres/front/client.go
+++ b/internal/postgres/front/client.go
@@ -8,62 +8,64 @@
 	"lotusbend/internal/slotmap"
 )
 
-// client is one connection. The fields of the first group are accessed inside
-// the loop's Do, the others by the connection's own callbacks, which never run
-// concurrently.
+// client is one client connection. The fields of the first group are accessed
+// inside the loop's Do, the others by the connection's own callbacks, which
+// never run concurrently.
 type client struct {
 	handle      slotmap.Handle
-	secret      uint32 // that a CancelRequest must show
+	secret      uint32 // a CancelRequest for this connection must contain it
 	server      *Server
 	conn        *netio.Conn
-	released    bool            // it has no slot
-	onReserve   bool            // it uses a descriptor kept in reserve
-	closing     bool            // nothing more is accepted from it
-	sending     bool            // answers that are not all written to the system
-	active      bool            // it has sent a whole statement
-	partial     bool            // it has sent a part of a message
-	starting    bool            // startCommands is running
-	skipping    bool            // after an error in the extended protocol, until Sync
-	idleSince   float64         // Unix milliseconds: no command since, or only that part
-	idleTimer   *clock.Deadline // checks how long it has been idle
-	closeTimer  *clock.Deadline // for reading its answers, or for closing
+	released    bool            // it has no slot in server.clients
+	usesReserve bool            // it uses a reserve descriptor
+	closing     bool            // its commands are no longer accepted
+	sending     bool            // the kernel has not accepted all answers passed to conn
+	active      bool            // it has sent a complete statement
+	partial     bool            // the last message received is incomplete
+	starting    bool            // startCommands is on the stack
+	skipping    bool            // after an error in the extended protocol: ignores messages up to Sync
+	idleSince   float64         // Unix milliseconds; no command is pending since then
+	idleTimer   *clock.Deadline // runs checkIdle
+	closeTimer  *clock.Deadline // closes the connection if answers or the close take too long
 	queue       pipeline.Queue[*statement]
-	unreadBytes int // booked for what was received and not parsed
+	unreadBytes int // reserved in server.unreadMemory
 
-	rejection      []byte // the message to a client without a slot
-	discarding     bool   // what it sends is not parsed any more
+	rejection      []byte // ErrorResponse to a rejected client, nil for any other
+	discarding     bool   // further input is dropped without being parsed
 	discardedBytes int
-	started        bool // its startup is complete
+	started        bool // the startup message was processed
 }
 
-// reject marks a connection that gets no slot.
+// reject marks a connection that gets no slot and prepares its error message.
 func (c *client) reject(code, message string) {
 	c.released = true
 	c.closing = true
-	c.onReserve = true
+	c.usesReserve = true
 	c.rejection = wire.AppendErrorResponse(nil, "FATAL", code, message, "")
 	c.server.reserveClients++
 }
 
-// busy reports whether a command is not answered, or an answer not written to
-// the system.
+// busy reports whether a command is unanswered or an answer is not yet accepted
+// by the kernel.
 func (c *client) busy() bool { return c.queue.Len() > 0 || c.sending }
 
-// bookUnread books n bytes for what is in the read buffer, or is missing of a
-// message that has begun. It reports whether there is memory for them: the
-// poller reads on whatever becomes of the bytes, so that a flood must be ended.
-func (c *client) bookUnread(n int) bool {
+// reserveUnread sets the reservation for unparsed input to n bytes: the contents
+// of the read buffer, or the full length of an incomplete message. It reports
+// whether the connection may go on within the memory budget. netpoll keeps
+// reading into the buffer even if nothing is parsed, so a client that exceeds the
+// budget must be disconnected.
+func (c *client) reserveUnread(n int) bool {
 	if c.released {
 		return true
 	}
 	c.server.unreadMemory.Reserve(n - c.unreadBytes)
 	c.unreadBytes = n
-	return n <= smallMessage || !c.server.unreadMemory.Exceeded()
+	return n <= smallMessageBytes || !c.server.unreadMemory.Exceeded()
 }
 
-// bookCommand returns the record of a command that is not executed, with size
-// bytes booked for it.
-func (c *client) bookCommand(size int) *statement {
+// reserveCommand returns the record of a command that is answered without being
+// submitted, and reserves size bytes for it.
+func (c *client) reserveCommand(size int) *statement {
 	c.server.queuedMemory.Reserve(size)
-	return &statement{client: c, bookedBytes: size}
+	return &statement{client: c, reservedBytes: size}
 }
--- a/internal/postgres/front/closing.go
+++ b/internal/postgres/front/closing.go
@@ -6,45 +6,47 @@
 	"lotusbend/internal/postgres/wire"
 )
 
-// closeTimeout is how long, in milliseconds, a client may take to close its
-// connection after our half-close.
-const closeTimeout = 1000
+// closeTimeoutMs is how long a client may take to close its connection after the
+// router's half-close.
+const closeTimeoutMs = 1000
 
-// fail ends an idle connection on which something came that is not a message.
-func (c *client) fail(err error) {
-	if message := finalMessage(err); len(message) > 0 {
+// endWithError sends err to the client and ends the connection, on which no
+// command is pending.
+func (c *client) endWithError(err error) {
+	if message := fatalMessage(err); len(message) > 0 {
 		c.conn.Send(message, nil)
 	}
 	c.halfClose()
 }
 
-// finalMessage is the last message to a client whose connection err ends.
-func finalMessage(err error) []byte {
+// fatalMessage returns the ErrorResponse for an error that ends the connection,
+// nil for errTerminate.
+func fatalMessage(err error) []byte {
 	code := wire.CodeProtocolViolation
 	switch {
 	case errors.Is(err, errTerminate):
 		return nil
-	case errors.Is(err, errVersion):
+	case errors.Is(err, errUnsupportedVersion):
 		code = wire.CodeFeatureNotSupported
-	case errors.Is(err, errMemory):
+	case errors.Is(err, errOutOfMemory):
 		code = wire.CodeOutOfMemory
 	}
 	return wire.AppendErrorResponse(nil, "FATAL", code, err.Error(), "")
 }
 
-// halfClose ends our side of a connection whose commands are all answered. Its
-// client sees the end after what was sent, and closes the connection; if it
-// takes too long, the connection is closed here.
+// halfClose shuts down the sending side of a connection whose commands are all
+// answered. The client receives everything that was sent, then EOF, and is
+// expected to close; after a timeout the router closes the connection.
 func (c *client) halfClose() {
-	if c.closing && !c.onReserve {
+	if c.closing && !c.usesReserve {
 		return
 	}
 	c.conn.Finish()
 	c.awaitClose()
 }
 
-// halfCloseIfQuiet is halfClose if everything that has arrived was read. It
-// reports whether it was.
+// halfCloseIfQuiet half-closes the connection unless received bytes are unread.
+// It reports whether it did.
 func (c *client) halfCloseIfQuiet() bool {
 	if !c.conn.FinishIfQuiet() {
 		return false
@@ -53,25 +55,26 @@
 	return true
 }
 
-// awaitClose closes the connection if its client takes too long: to read its
-// last answers while these are being sent, then to close.
+// awaitClose schedules the close of a half-closed connection: after
+// writeTimeoutMs while answers are being sent, otherwise after closeTimeoutMs.
 func (c *client) awaitClose() {
 	loop := c.server.loop
 	c.closing = true
-	timeout := float64(closeTimeout)
+	timeout := float64(closeTimeoutMs)
 	if c.sending {
-		timeout = writeTimeout
+		timeout = writeTimeoutMs
 	}
 	loop.Cancel(c.closeTimer)
 	c.closeTimer = loop.At(loop.Now()+timeout, c.conn.Close)
 }
 
-// release returns c's slot, socket and memory, and cancels its requests.
+// release frees the slot, descriptor and memory reservations of c, and cancels
+// its requests.
 func (c *client) release() {
 	if c.released {
 		return
 	}
-	c.bookUnread(0)
+	c.reserveUnread(0)
 	c.released = true
 	c.closing = true
 	c.server.loop.Cancel(c.idleTimer)
@@ -84,12 +87,12 @@
 	c.abandonCommands()
 }
 
-// disconnected takes the end of the connection, by either side.
+// disconnected handles the end of the connection, by either side.
 func (c *client) disconnected() {
 	c.conn.Close()
 	c.server.loop.Cancel(c.closeTimer)
-	if c.onReserve {
-		c.onReserve = false
+	if c.usesReserve {
+		c.usesReserve = false
 		c.server.reserveClients--
 		return
 	}
--- a/internal/postgres/front/commands.go
+++ b/internal/postgres/front/commands.go
@@ -7,14 +7,14 @@
 	"lotusbend/internal/postgres/wire"
 )
 
-// commandSize is what a queued command occupies beside its text or answer, in
-// bytes.
-const commandSize = 256
+// commandOverheadBytes is the memory that a queued command occupies in addition to
+// its text or answer.
+const commandOverheadBytes = 256
 
-// receive takes one message. It runs inside Do. An error ends the connection
-// after the answers to what came before.
+// receive processes one message. It must be called inside Do. If it returns an
+// error, the connection must be ended after the answers to earlier commands.
 func (c *client) receive(kind byte, body []byte) error {
-	if c.closing { // the client sends a request that crosses our closing again elsewhere
+	if c.closing { // the client retries a request sent after the half-close on another connection
 		return nil
 	}
 	switch {
@@ -26,13 +26,13 @@
 	case c.skipping, kind == wire.Flush:
 		return nil
 	case kind != wire.Query:
-		c.skipping = true // up to its Sync, as PostgreSQL does
-		return c.reply(extendedAnswer)
+		c.skipping = true // up to the next Sync, like PostgreSQL after an error
+		return c.reply(extendedProtocolAnswer)
 	}
 	return c.receiveQuery(body)
 }
 
-// receiveQuery takes the body of a simple query.
+// receiveQuery processes the body of a Query message.
 func (c *client) receiveQuery(body []byte) error {
 	text, err := wire.ParseString(body)
 	now := c.server.loop.Now()
@@ -41,13 +41,13 @@
 		return c.reply(errorAnswer(wire.CodeProtocolViolation, err.Error()))
 	case isEmpty(text):
 		return c.reply(emptyAnswer)
-	case c.server.draining && now > c.server.drainBegan+drainGrace:
+	case c.server.draining && now > c.server.drainBegan+drainGraceMs:
 		return c.reply(drainingAnswer)
 	}
 	return c.receiveStatement(text)
 }
 
-// isEmpty reports whether a query holds no statement.
+// isEmpty reports whether a query consists of white space and semicolons only.
 func isEmpty(text []byte) bool {
 	for _, b := range text {
 		if b != ' ' && b != '\t' && b != '\r' && b != '\n' && b != ';' {
@@ -57,77 +57,83 @@
 	return true
 }
 
-// receiveStatement queues a statement for the router. One for which no memory
-// is left is rejected in its turn; a connection may always have one statement.
+// receiveStatement parses and queues a statement. If the memory budget is
+// exhausted, it queues an error in its place, except that each connection may
+// always have one statement.
 func (c *client) receiveStatement(text []byte) error {
 	if !c.active {
 		c.active = true
 		c.server.activeClients++
 	}
-	size := commandSize + len(text)
+	size := commandOverheadBytes + len(text)
 	if c.queue.Len() > 0 && !c.server.queuedMemory.Fits(size) {
 		c.rejectStatement()
 		return nil
 	}
-	text = bytes.Clone(text) // it must outlive the read buffer
+	text = bytes.Clone(text) // the read buffer is reused before the request ends
 	received, access, problem := c.parse(text)
 	if problem != "" {
 		return c.reply(errorAnswer(wire.CodeSyntaxError, problem))
 	}
 	c.server.queuedMemory.Reserve(size)
-	received.bookedBytes = size
+	received.reservedBytes = size
 	received.receivedAt = c.server.loop.Now()
 	received.command = c.queue.Add(access, received)
 	c.startCommands()
 	if !received.command.Waiting() {
 		return nil
 	}
-	// After its deadline it needs no text and no attempt, only its answer in turn.
+	// A statement that expires in the queue is submitted with no time left, so that
+	// it is answered without an attempt and its text is released.
 	deadline := received.receivedAt + received.request.TimeLeft
 	received.deadlineTimer = c.server.loop.At(deadline, func() { c.start(received, 0) })
 	return nil
 }
 
-// receiveError takes the reason why nothing more is read. The connection ends
-// after the answers to what came before.
+// receiveError queues the error that ended the reading from the client. The
+// connection ends after the answers to earlier commands.
 func (c *client) receiveError(err error) {
 	if c.closing {
 		return
 	}
-	c.queue.AddAnswered(finalMessage(err), true, c.bookCommand(commandSize))
+	c.queue.AddAnswered(fatalMessage(err), true, c.reserveCommand(commandOverheadBytes))
 	c.sendAnswers()
 }
 
-// reply answers a command that is not executed, in its turn.
+// reply queues the answer to a command that is not submitted to the router. It
+// returns errOutOfMemory if other commands are queued and the memory budget is
+// exhausted.
 func (c *client) reply(answer []byte) error {
 	if c.queue.Merge(answer) {
 		return nil
 	}
-	if c.queue.Len() > 0 && !c.server.queuedMemory.Fits(commandSize+len(answer)) {
-		return errMemory
+	if c.queue.Len() > 0 && !c.server.queuedMemory.Fits(commandOverheadBytes+len(answer)) {
+		return errOutOfMemory
 	}
 	c.addAnswered(answer)
 	return nil
 }
 
-// rejectStatement answers a statement for which no memory is left, in its turn.
-// The answer needs none beyond what the commands before it occupy.
+// rejectStatement queues the error for a statement that exceeds the memory
+// budget. Consecutive errors share one queue entry and its memory.
 func (c *client) rejectStatement() {
 	if !c.queue.Merge(overloadedAnswer) {
 		c.addAnswered(overloadedAnswer)
 	}
 }
 
+// addAnswered queues a command together with its answer.
 func (c *client) addAnswered(answer []byte) {
-	c.queue.AddAnswered(answer, false, c.bookCommand(commandSize+len(answer)))
+	c.queue.AddAnswered(answer, false, c.reserveCommand(commandOverheadBytes+len(answer)))
 	c.sendAnswers()
 	c.drainIfIdle()
 }
 
-// startCommands submits the statements that may run now. The oldest command
-// always runs, others as long as there is memory for their answers.
+// startCommands submits the queued statements that may run now. The oldest
+// command runs at once; one behind it, or behind answers that are being sent,
+// only if memory can be reserved for its answer.
 func (c *client) startCommands() {
-	if c.starting { // the router answered at once, inside the loop below
+	if c.starting { // the router answered inside Submit, called from the loop below
 		return
 	}
 	c.starting = true
@@ -139,17 +145,17 @@
 		}
 		next := command.Value
 		if !oldest || c.sending {
-			if !c.server.queuedMemory.Fits(answerReserve) {
+			if !c.server.queuedMemory.Fits(answerReserveBytes) {
 				return
 			}
-			next.rebook(next.bookedBytes + answerReserve)
+			next.setReservedBytes(next.reservedBytes + answerReserveBytes)
 		}
 		waited := c.server.loop.Now() - next.receivedAt
 		c.start(next, next.request.TimeLeft-waited)
 	}
 }
 
-// advance continues with the queue after one of its commands was answered.
+// advance sends answers and starts statements after a command was answered.
 func (c *client) advance() {
 	c.sendAnswers()
 	c.startCommands()
@@ -159,22 +165,24 @@
 	}
 }
 
-// abandonCommands drops the commands of a client that has gone.
+// abandonCommands cancels and removes all commands of a client that has
+// disconnected.
 func (c *client) abandonCommands() {
 	c.queue.Each(func(command *pipeline.Command[*statement]) {
 		abandoned := command.Value
-		abandoned.rebook(0)
+		abandoned.setReservedBytes(0)
 		c.server.loop.Cancel(abandoned.deadlineTimer)
 		if command.Running() {
-			abandoned.stop()
+			abandoned.removeRunning()
 			c.server.handler.ClientCancelled(abandoned.submitted)
 		}
 	})
 	c.queue.Clear()
 }
 
-// cancel serves a CancelRequest: it ends the oldest running statement of the
-// connection, for which no attempt begins any more.
+// cancel handles a CancelRequest. It ends the oldest running statement of the
+// connection with the given process number, and no further attempt is made for
+// it. It does nothing if the secret does not match.
 func (s *Server) cancel(process, secret uint32) {
 	c := s.clients.AtSlot(process)
 	if c == nil || c.secret != secret {
@@ -185,7 +193,7 @@
 		return
 	}
 	cancelled := command.Value
-	cancelled.stop()
+	cancelled.removeRunning()
 	s.handler.ClientCancelled(cancelled.submitted)
 	cancelled.answer(cancelledAnswer)
 	c.advance()
--- a/internal/postgres/front/drain.go
+++ b/internal/postgres/front/drain.go
@@ -2,41 +2,42 @@
 
 import "lotusbend/internal/slotmap"
 
-// Times are in milliseconds.
+// Phases of a drain, counted from its start.
 const (
-	// drainDelay is how long after a drain began no connection is ended: what had
-	// arrived by then may be on its way from the system to the read buffer, where
-	// Quiet sees it in neither.
-	drainDelay = 10
-	// drainGrace is for how long after a drain began a statement that is read may
-	// have arrived before it.
-	drainGrace = 100
+	// drainDelayMs is the time during which no connection is ended. Bytes received
+	// before the drain may be in transit from the kernel to the read buffer,
+	// where Quiet sees them in neither.
+	drainDelayMs = 10
+	// drainGraceMs is the time during which statements are still accepted, because
+	// they may have been received before the drain.
+	drainGraceMs = 100
 )
 
-// Drain ends connections between their commands, from now on: those that are
-// idle now, and the others after their answers. New connections and later
-// statements are rejected with the advice to retry.
+// Drain starts to end all connections: idle ones now, the others after their
+// pending commands are answered. New connections and later statements are
+// rejected with CodeCannotConnectNow, after which clients retry elsewhere.
 func (s *Server) Drain() {
 	s.draining = true
 	s.drainBegan = s.loop.Now()
 	drainIdle := func() {
 		s.clients.Each(func(_ slotmap.Handle, c *client) { c.drainIfIdle() })
 	}
-	s.loop.At(s.drainBegan+drainDelay, drainIdle)
-	s.loop.At(s.drainBegan+drainGrace, drainIdle)
+	s.loop.At(s.drainBegan+drainDelayMs, drainIdle)
+	s.loop.At(s.drainBegan+drainGraceMs, drainIdle)
 }
 
-// drainIfIdle ends c's connection if the server drains and every command is
-// answered. What may have arrived before the drain is still read, after which c
-// is checked again. What can only have arrived later is not waited for, or a
-// client that goes on sending would delay the drain.
+// drainIfIdle ends the connection of c if the server is draining and every
+// command is answered. Until drainGraceMs, a connection with unread bytes is left
+// open, as they may have been received before the drain; it is checked again once
+// they are read. Later, unread bytes are ignored, so that a client that keeps
+// sending cannot delay the drain.
 func (c *client) drainIfIdle() {
 	s := c.server
 	now := s.loop.Now()
-	if !s.draining || now < s.drainBegan+drainDelay || c.busy() || c.closing {
+	if !s.draining || now < s.drainBegan+drainDelayMs || c.busy() || c.closing {
 		return
 	}
-	if now >= s.drainBegan+drainGrace {
+	if now >= s.drainBegan+drainGraceMs {
 		c.halfClose()
 	} else if !c.partial {
 		c.halfCloseIfQuiet()
--- a/internal/postgres/front/eviction.go
+++ b/internal/postgres/front/eviction.go
@@ -3,38 +3,40 @@
 import "lotusbend/internal/slotmap"
 
 const (
-	// minReserveClients bounds the closing clients, which use the descriptors
-	// kept in reserve. They may also use spareFraction of the descriptors that
-	// nobody has taken: a connection closed without a message looks to its client
-	// like a router that has crashed.
+	// minReserveClients is how many rejected and evicted clients may always be
+	// closed gracefully, on descriptors kept in reserve. They may also use
+	// spareFraction of the unused descriptors of the budget. Beyond that,
+	// connections are closed without a message, which looks to the client like a
+	// crash of the router.
 	minReserveClients = 12
 	spareFraction     = 0.5
-	// activeFraction of what clients may open for requests is where those that
-	// have sent a statement begin to be evicted for each other.
+	// activeFraction is the fraction of the connections available for requests
+	// above which active clients are evicted when they become idle.
 	activeFraction = 0.75
 )
 
-// maxReserveClients is how many clients may use descriptors of the reserve.
+// maxReserveClients returns how many clients may use reserve descriptors.
 func (s *Server) maxReserveClients() int {
 	return minReserveClients + int(spareFraction*float64(s.budget.Available()))
 }
 
-// evictOne ends the connection that has been idle longest, one that never sent
-// a statement before any other. Of those that did, it ends only one that may be
-// closed: its client may be about to send another statement. It reports whether
-// a connection was ended.
+// evictOne frees a client's place in the descriptor budget and reports whether it
+// did. It evicts, in order of preference, the longest idle client that has never
+// sent a statement; the longest idle client that has been idle for at least
+// partialTimeoutMs and has no unread input, as one that was idle for less may be
+// about to send a statement; and the client that has been closing longest.
 func (s *Server) evictOne() bool {
 	evicted := s.longestIdle(func(c *client) bool { return !c.active })
 	if evicted == nil {
 		evicted = s.longestIdle(func(c *client) bool {
-			return s.loop.Now() >= c.idleSince+partialTimeout && c.conn.Quiet()
+			return s.loop.Now() >= c.idleSince+partialTimeoutMs && c.conn.Quiet()
 		})
 	}
 	if evicted != nil {
 		s.evict(evicted)
 		return true
 	}
-	slow := s.slowestToClose()
+	slow := s.longestClosing()
 	if slow == nil {
 		return false
 	}
@@ -43,9 +45,9 @@
 	return true
 }
 
-// slowestToClose returns the client that has been closing longest with all its
-// answers sent, nil if there is none.
-func (s *Server) slowestToClose() (slowest *client) {
+// longestClosing returns the client that is closing, has no unsent answers and
+// has been idle longest, nil if there is none.
+func (s *Server) longestClosing() (slowest *client) {
 	s.clients.Each(func(_ slotmap.Handle, c *client) {
 		if c.closing && !c.sending && (slowest == nil || c.idleSince < slowest.idleSince) {
 			slowest = c
@@ -54,25 +56,25 @@
 	return slowest
 }
 
-// evict ends c and gives its place in the budget to another at once. It uses a
-// descriptor of the reserve until its client closes; if none is left, the
-// connection is closed at once.
+// evict releases the place of c in the descriptor budget at once and half-closes
+// the connection, which uses a reserve descriptor until the client closes it. If
+// no reserve descriptor is left, the connection is closed immediately.
 func (s *Server) evict(c *client) {
 	c.release()
 	if s.reserveClients >= s.maxReserveClients() {
 		c.conn.Close()
 		return
 	}
-	c.onReserve = true
+	c.usesReserve = true
 	s.reserveClients++
 	c.halfClose()
 }
 
-// evictIdle ends the connection that has been idle longest when clients have
-// opened nearly all that they may for requests. Where each sends one and keeps
-// its connection, none is left for the next request, which would be rejected on
-// the client's side, unseen here. The protocol lets a router close between
-// requests.
+// evictIdle evicts the longest idle active client if active clients hold more
+// than activeFraction of the connections available for requests. If each client
+// sent one request and kept its connection, none would be left for the next
+// request, which would then fail on the client's side without this router
+// noticing. The protocol allows closing a connection between requests.
 func (s *Server) evictIdle() {
 	if float64(s.activeClients) <= activeFraction*float64(s.budget.MaxActiveClients) {
 		return
@@ -83,8 +85,8 @@
 	}
 }
 
-// longestIdle returns the client that has been idle longest among those that
-// allowed accepts, nil if there is none.
+// longestIdle returns the longest idle client for which allowed returns true, nil
+// if there is none.
 func (s *Server) longestIdle(allowed func(*client) bool) (found *client) {
 	s.clients.Each(func(_ slotmap.Handle, c *client) {
 		if !c.busy() && !c.closing && (found == nil || c.idleSince < found.idleSince) && allowed(c) {
--- a/internal/postgres/front/eviction_test.go
+++ b/internal/postgres/front/eviction_test.go
@@ -2,41 +2,42 @@
 
 import "testing"
 
-// An evicted client sees our half-close and no reset, though it sends just then:
-// its last answer may still be on its way.
+// TestEvictedClientIsNotReset checks that an evicted client receives EOF and no
+// reset, even if it sends a statement at that moment. A reset could discard its
+// last answer in transit.
 func TestEvictedClientIsNotReset(t *testing.T) {
-	stub := newStub(t, 28) // two clients
-	peer := stub.connect()
-	peer.write(readQuery(1))
+	stub := newStub(t, 28) // enough for two clients
+	remote := stub.connect()
+	remote.write(readQuery(1))
 	stub.waitSubmitted(1)
 	stub.answer(0)
-	peer.expect(peer.readUntil("Z"), "value0")
+	remote.expect(remote.readUntil("Z"), "value0")
 	stub.waitUntil(func() bool { return !stub.onlyClient().sending })
 	stub.connect()
-	stub.advance(partialTimeout - 1)
-	stub.connect() // the silent one is evicted, not the active one
+	stub.advance(partialTimeoutMs - 1)
+	stub.connect() // evicts the client that has sent no statement
 	stub.advance(1)
 	stub.loop.Do(func() {
 		if !stub.server.evictOne() {
-			t.Error("nobody is evicted")
+			t.Error("evictOne() = false, want true")
 		}
 		if stub.server.reserveClients != 2 {
-			t.Errorf("%d clients are closing, want the two evicted", stub.server.reserveClients)
+			t.Errorf("reserveClients = %d, want the 2 evicted clients", stub.server.reserveClients)
 		}
-		peer.write(readQuery(2))
+		remote.write(readQuery(2))
 	})
-	peer.expect(peer.readUntil(noSuchMessage), endOfConnection)
+	remote.expect(remote.readUntil(noSuchMessage), endOfConnection)
 	stub.loop.Do(func() {
 		if clients, _ := stub.server.budget.Open(); clients > 1 {
-			t.Errorf("%d clients are counted", clients)
+			t.Errorf("budget counts %d clients, want at most 1", clients)
 		}
 	})
 }
 
-// Rejected clients get an error, however many connect at once, as long as there
-// are free descriptors.
-func TestManyRejectedAtOnceGetAnError(t *testing.T) {
-	stub := newStub(t, 100) // 50 of 76 are for clients
+// TestManyClientsRejectedAtOnceGetError checks that each of many clients rejected at
+// the same time receives an error while unused descriptors are left.
+func TestManyClientsRejectedAtOnceGetError(t *testing.T) {
+	stub := newStub(t, 100) // clients may use 50 of the budget's 76
 	for n := range 50 {
 		stub.connect().write(readQuery(n))
 		stub.waitSubmitted(n + 1)
@@ -45,7 +46,7 @@
 	for range 20 {
 		rejected = append(rejected, stub.dial())
 	}
-	for _, peer := range rejected {
-		peer.expect(peer.readUntil(noSuchMessage), "53300", endOfConnection)
+	for _, remote := range rejected {
+		remote.expect(remote.readUntil(noSuchMessage), "53300", endOfConnection)
 	}
 }
--- a/internal/postgres/front/front.go
+++ b/internal/postgres/front/front.go
@@ -1,12 +1,12 @@
-// Package front serves clients that speak the PostgreSQL protocol. It turns
+// Package front serves clients over the PostgreSQL wire protocol. It converts
 // their statements into requests to the router, and the router's answers into
-// messages.
+// protocol messages.
 //
-// Each connection is read in its own goroutine (input.go); everything else runs
-// inside the loop's Do. The commands of a connection are queued (commands.go):
-// statements that do not conflict run concurrently, and their answers are sent
-// in the order of the commands (statement.go, answers.go). idle.go, eviction.go,
-// drain.go and closing.go end connections.
+// Each connection is read in its own goroutine (input.go); all other code runs
+// inside the event loop's Do. The commands of a connection are queued
+// (commands.go): statements that do not conflict run concurrently, and their
+// answers are sent in the order of the commands (statement.go, answers.go).
+// idle.go, eviction.go, drain.go and closing.go end connections.
 package front
 
 import (
@@ -26,57 +26,59 @@
 )
 
 const (
-	// queuedMemoryFraction and unreadMemoryFraction of the process's memory limit
-	// are the budgets for what clients may make the router hold, beside the one
-	// request that each may always have in flight. Buffers, the garbage
-	// collector's reserve and the binary take the rest.
+	// queuedMemoryFraction and unreadMemoryFraction are the fractions of the
+	// process's memory limit that clients' data may use, not counting the one
+	// request that each client may always have in flight. The rest is for
+	// buffers, the garbage collector's headroom and the binary.
 	queuedMemoryFraction = 0.2
 	unreadMemoryFraction = 0.1
-	// defaultMemoryMB applies where the configuration sets no limit.
-	defaultMemoryMB = 192
-	bytesPerMB      = 1 << 20
+	// defaultMemoryMiB is the memory limit if the configuration sets none.
+	defaultMemoryMiB = 192
+	bytesPerMiB      = 1 << 20
 )
 
-// keepAlive is how long a connection may be silent before the system checks
-// that its peer is still there.
+// keepAlive is how long a connection may be silent before the kernel sends TCP
+// keepalive probes.
 const keepAlive = time.Minute
 
-// RequestHandler executes clients' statements. Its methods are called inside the
-// loop's Do. The router implements it.
+// RequestHandler executes the statements of clients. Its methods are called
+// inside the loop's Do. router.Router implements it.
 type RequestHandler interface {
-	// Class returns a class by its name, and whether there is one.
+	// Class returns the request class with the given name, and whether it exists.
 	Class(name []byte) (router.Class, bool)
-	// Submit takes a request, whose answer goes to from. It may be given before
-	// Submit returns.
+	// Submit starts a request. The answer is passed to from.Answer together with
+	// client, possibly before Submit returns. The returned handle identifies the
+	// request to ClientCancelled.
 	Submit(request router.Request, from router.Client, client slotmap.Handle) slotmap.Handle
-	// ClientCancelled ends a request whose client does not wait any more.
+	// ClientCancelled ends a request whose client no longer waits for the answer.
 	ClientCancelled(request slotmap.Handle)
 }
 
-// Server serves the clients' connections. Unless a method says otherwise, it
-// must be called inside the loop's Do.
+// Server accepts and serves client connections. Its methods must be called
+// inside the loop's Do unless their documentation says otherwise.
 type Server struct {
 	loop           *clock.Loop
 	budget         *netio.DescriptorBudget
-	queuedMemory   netio.MemoryBudget // queued statements, and answers that wait to be sent
-	unreadMemory   netio.MemoryBudget // bytes that were received and not parsed
+	queuedMemory   netio.MemoryBudget // reserved for queued statements and unsent answers
+	unreadMemory   netio.MemoryBudget // reserved for bytes received but not parsed
 	handler        RequestHandler
 	clients        slotmap.Table[client]
-	running        slotmap.Table[statement] // statements that the router has
-	runningIDs     map[string]struct{}      // their clients' identifiers
+	running        slotmap.Table[statement] // statements submitted and not answered
+	runningIDs     map[string]struct{}      // the client-chosen identifiers of running statements
 	events         netpoll.EventLoop
 	listener       net.Listener
 	draining       bool
 	drainBegan     float64 // Unix milliseconds
-	activeClients  int     // clients that have sent a whole statement
-	reserveClients int     // clients on the descriptors kept in reserve
+	activeClients  int     // clients that have sent a complete statement
+	reserveClients int     // rejected and evicted clients, which use reserve descriptors
 }
 
-// Listen opens the socket for clients; none is served before Serve. memoryMB is
-// the process's memory limit, 0 for the default. Listen may be called outside
-// the loop.
+// Listen opens the listening socket; connections are accepted once Serve is
+// called. memoryMiB is the process's memory limit in MiB; 0 selects the default.
+// Listen returns an error if the address cannot be bound or the event loop
+// cannot be created. It may be called outside the loop.
 func Listen(
-	address string, loop *clock.Loop, budget *netio.DescriptorBudget, memoryMB float64, handler RequestHandler,
+	address string, loop *clock.Loop, budget *netio.DescriptorBudget, memoryMiB float64, handler RequestHandler,
 ) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -89,9 +91,9 @@
 		listener:   listener,
 		runningIDs: map[string]struct{}{},
 	}
-	s.SetMemoryLimit(memoryMB)
+	s.SetMemoryLimit(memoryMiB)
 	s.events, err = netpoll.NewEventLoop(
-		func(ctx context.Context, nc netpoll.Connection) error { return clientOf(ctx).onData(nc) },
+		func(ctx context.Context, nc netpoll.Connection) error { return clientFromContext(ctx).onData(nc) },
 		netpoll.WithOnPrepare(s.accepted),
 		netpoll.WithOnConnect(s.connected),
 		netpoll.WithIdleTimeout(keepAlive),
@@ -102,32 +104,34 @@
 	return s, nil
 }
 
-// SetMemoryLimit sets the budgets from the process's memory limit in MB, 0 for the
-// default.
-func (s *Server) SetMemoryLimit(limitMB float64) {
-	if limitMB <= 0 {
-		limitMB = defaultMemoryMB
+// SetMemoryLimit sizes the memory budgets for a process memory limit in MiB; 0
+// selects the default.
+func (s *Server) SetMemoryLimit(limitMiB float64) {
+	if limitMiB <= 0 {
+		limitMiB = defaultMemoryMiB
 	}
-	limit := limitMB * bytesPerMB
+	limit := limitMiB * bytesPerMiB
 	s.queuedMemory.Resize(int(limit * queuedMemoryFraction))
 	s.unreadMemory.Resize(int(limit * unreadMemoryFraction))
 }
 
-// Address returns where the server listens. It may be called from anywhere.
+// Address returns the host and port on which the server listens. It is safe for
+// concurrent use.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Serve serves clients as long as the process runs. It blocks, and must be
-// called outside the loop.
+// Serve accepts and serves clients until the listener fails. It blocks and must
+// be called outside the loop.
 func (s *Server) Serve() error { return s.events.Serve(s.listener) }
 
-// ClientCounts returns how many clients have a slot, and how many others are closing.
+// ClientCounts returns the number of clients that have a slot, and the number of
+// rejected and evicted clients whose connections are still being closed.
 func (s *Server) ClientCounts() (clients, closing int) {
 	s.clients.Each(func(slotmap.Handle, *client) { clients++ })
 	return clients, s.reserveClients
 }
 
-// UnsentClients returns how many clients have answers that are not all written to the
-// system.
+// UnsentClients returns the number of clients with answers that the kernel has
+// not accepted completely.
 func (s *Server) UnsentClients() (clients int) {
 	s.clients.Each(func(_ slotmap.Handle, c *client) {
 		if c.sending {
@@ -137,12 +141,13 @@
 	return clients
 }
 
-// contextKey is the key of a connection's client in its context.
+// contextKey is the key under which a connection's context holds its client.
 type contextKey struct{}
 
-func clientOf(ctx context.Context) *client { return ctx.Value(contextKey{}).(*client) }
+// clientFromContext returns the client of a connection's context.
+func clientFromContext(ctx context.Context) *client { return ctx.Value(contextKey{}).(*client) }
 
-// accepted gives a new connection its slot, or marks it as rejected.
+// accepted allocates a slot for a new connection, or marks it as rejected.
 func (s *Server) accepted(nc netpoll.Connection) context.Context {
 	c := &client{server: s, conn: netio.NewConn(nc), secret: rand.Uint32()}
 	s.loop.Do(func() {
@@ -164,10 +169,11 @@
 	return context.WithValue(context.Background(), contextKey{}, c)
 }
 
-// connected ends a connection that was rejected. It runs after netpoll has
-// registered the descriptor: one closed before could be another's by then.
+// connected ends a connection that was rejected. netpoll calls it after it has
+// registered the descriptor; a descriptor closed before that could already be
+// reused by another connection when it is registered.
 func (s *Server) connected(ctx context.Context, _ netpoll.Connection) context.Context {
-	c := clientOf(ctx)
+	c := clientFromContext(ctx)
 	if c.rejection == nil {
 		return ctx
 	}
--- a/internal/postgres/front/idle.go
+++ b/internal/postgres/front/idle.go
@@ -1,42 +1,43 @@
 package front
 
-// Times are in milliseconds.
 const (
-	// partialTimeout is how long a connection may go without a running command:
-	// one that has not sent a whole statement by then is ended, and any other may
-	// be, if its socket is needed.
-	partialTimeout = 2000
-	// idleTimeout ends the others: some clients keep their connections for good.
-	idleTimeout = 10000
+	// partialTimeoutMs is how long a connection may be idle before it is ended if
+	// it has not sent a complete statement, or has sent an incomplete message.
+	// Any other connection may be ended after this time if its descriptor is
+	// needed.
+	partialTimeoutMs = 2000
+	// idleTimeoutMs is how long any connection may be idle; some clients never
+	// close their connections.
+	idleTimeoutMs = 10000
 )
 
-// beginIdle begins the time that c may go without a command.
+// beginIdle starts the idle time of c.
 func (c *client) beginIdle() {
 	c.idleSince = c.server.loop.Now()
-	c.checkIdleAt(c.idleSince + partialTimeout)
+	c.checkIdleAt(c.idleSince + partialTimeoutMs)
 }
 
-// checkIdleAt sets when checkIdle runs next.
+// checkIdleAt schedules the next checkIdle, at a time in Unix milliseconds.
 func (c *client) checkIdleAt(at float64) {
 	loop := c.server.loop
 	loop.Cancel(c.idleTimer)
 	c.idleTimer = loop.At(at, c.checkIdle)
 }
 
-// checkIdle ends a connection that has been idle too long. It does so only where
-// nothing is unread: the end must not cross a statement that is being received.
+// checkIdle ends a connection that has been idle for too long. It postpones this
+// while bytes are unread, since they may be a statement that is being received.
 func (c *client) checkIdle() {
 	now := c.server.loop.Now()
-	expired := now >= c.idleSince+idleTimeout || c.server.budget.ClientPressure()
+	expired := now >= c.idleSince+idleTimeoutMs || c.server.budget.ClientPressure()
 	switch {
 	case c.released, c.closing:
-	case c.busy(): // only a part of the next message is there
-		c.checkIdleAt(now + partialTimeout)
+	case c.busy(): // an incomplete message behind pending commands does not end the connection
+		c.checkIdleAt(now + partialTimeoutMs)
 	case c.partial:
-		c.fail(errPartial)
+		c.endWithError(errIncompleteMessage)
 	case c.active && !expired:
-		c.checkIdleAt(min(now+partialTimeout, c.idleSince+idleTimeout))
+		c.checkIdleAt(min(now+partialTimeoutMs, c.idleSince+idleTimeoutMs))
 	case !c.halfCloseIfQuiet():
-		c.checkIdleAt(now + partialTimeout)
+		c.checkIdleAt(now + partialTimeoutMs)
 	}
 }
--- a/internal/postgres/front/input.go
+++ b/internal/postgres/front/input.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// maxDiscarded is how many bytes a client whose connection was ended, or that
-	// broke the protocol, may still send before it is cut off.
-	maxDiscarded = 64 << 10
-	// smallMessage is the size, in bytes, of a message that may be received in
-	// parts even when memory is short.
-	smallMessage = 8 << 10
+	// maxDiscardedBytes is how many bytes a client may send after the half-close
+	// or after a protocol error before its connection is closed.
+	maxDiscardedBytes = 64 << 10
+	// smallMessageBytes is the largest amount of unparsed input that a client may
+	// have even if the memory budget is exceeded.
+	smallMessageBytes = 8 << 10
 )
 
-// Reasons why nothing more is read from a client. Their texts are sent to it.
+// Errors that end the reading from a client. Except for errTerminate, their
+// texts are sent to the client.
 var (
-	errMemory    = errors.New("out of memory for what was sent ahead of the answers")
-	errTerminate = errors.New("the client ends the connection")
-	errPartial   = errors.New("a message without its end")
-	errVersion   = errors.New("unsupported protocol version")
+	errOutOfMemory        = errors.New("out of memory for what was sent ahead of the answers")
+	errTerminate          = errors.New("the client ends the connection")
+	errIncompleteMessage  = errors.New("a message without its end")
+	errUnsupportedVersion = errors.New("unsupported protocol version")
 )
 
-// onData reads messages. It waits for the rest of a partial one, in this
-// connection's own goroutine.
+// onData processes received messages. It runs in the connection's own goroutine
+// and blocks while a message is incomplete.
 func (c *client) onData(nc netpoll.Connection) error {
 	in := nc.Reader()
 	for in.Len() > 0 {
@@ -37,7 +38,7 @@
 		if !c.started {
 			read = c.readStartup
 		}
-		if err := read(in); err != nil { // what came before is still answered, in its turn
+		if err := read(in); err != nil { // earlier commands are still answered first
 			c.server.loop.Do(func() {
 				c.discarding = true
 				c.receiveError(err)
@@ -51,21 +52,21 @@
 	return nil
 }
 
-// discard drops what has arrived: only the client's close still matters. A
-// client that goes on sending is cut off once all its answers are written to
-// the system.
+// discard drops received bytes; only the client's close is still awaited. If the
+// client keeps sending after the kernel has accepted all its answers, the
+// connection is closed.
 func (c *client) discard(nc netpoll.Connection) error {
 	in := nc.Reader()
 	n := in.Len()
 	busy := false
 	c.server.loop.Do(func() {
-		c.bookUnread(0)
+		c.reserveUnread(0)
 		busy = c.busy()
 	})
 	if !busy {
 		c.discardedBytes += n
 	}
-	if c.discardedBytes > maxDiscarded {
+	if c.discardedBytes > maxDiscardedBytes {
 		c.conn.Close()
 		return nc.Close()
 	}
@@ -73,27 +74,27 @@
 	return in.Release()
 }
 
-// await waits until n bytes have arrived and returns them; they stay in the
-// buffer. While some are missing, the client counts as having sent a part of a
-// message.
-func (c *client) await(in netpoll.Reader, n int) ([]byte, error) {
+// awaitBytes blocks until n bytes have arrived and returns them without removing
+// them from the buffer. While it blocks, the client is marked as partial.
+func (c *client) awaitBytes(in netpoll.Reader, n int) ([]byte, error) {
 	if in.Len() >= n {
 		return in.Peek(n)
 	}
 	fits := true
 	c.server.loop.Do(func() {
-		fits = c.bookUnread(n)
+		fits = c.reserveUnread(n)
 		c.setPartial(true)
 	})
 	if !fits {
-		return nil, errMemory
+		return nil, errOutOfMemory
 	}
 	b, err := in.Peek(n)
 	c.server.loop.Do(func() { c.setPartial(false) })
 	return b, err
 }
 
-// setPartial records whether a part of a message has arrived without its rest.
+// setPartial records whether the last message received is incomplete. Either
+// change restarts the idle time of a client without pending commands.
 func (c *client) setPartial(partial bool) {
 	c.partial = partial
 	if !c.busy() && !c.released {
@@ -102,10 +103,10 @@
 	}
 }
 
-// readStartup reads one of the messages that precede all others: a request for
-// encryption, a CancelRequest, or the startup message.
+// readStartup processes one message of the startup phase: an SSLRequest, a
+// GSSENCRequest, a CancelRequest or a StartupMessage.
 func (c *client) readStartup(in netpoll.Reader) error {
-	head, err := c.await(in, wire.StartupHeaderLen)
+	head, err := c.awaitBytes(in, wire.StartupHeaderLen)
 	if err != nil {
 		return err
 	}
@@ -113,7 +114,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err = c.await(in, wire.StartupHeaderLen+n); err != nil {
+	if _, err = c.awaitBytes(in, wire.StartupHeaderLen+n); err != nil {
 		return err
 	}
 	message, err := in.Next(wire.StartupHeaderLen + n)
@@ -131,15 +132,15 @@
 		}
 		return errTerminate
 	case code>>16 != wire.ProtocolVersion3>>16:
-		return errVersion
+		return errUnsupportedVersion
 	}
 	c.started = true
-	c.server.loop.Do(func() { c.bookUnread(in.Len()) })
+	c.server.loop.Do(func() { c.reserveUnread(in.Len()) })
 	c.conn.Send(c.startupAnswer(), nil)
 	return nil
 }
 
-// startupAnswer is the answer to the startup message.
+// startupAnswer returns the messages that answer the StartupMessage.
 func (c *client) startupAnswer() []byte {
 	b := wire.AppendAuthenticationOk(nil)
 	for _, parameter := range [...]struct{ name, value string }{
@@ -155,11 +156,11 @@
 	return wire.AppendReadyForQuery(wire.AppendBackendKeyData(b, c.handle.Slot, c.secret))
 }
 
-// readMessage reads one message after the startup. It is taken off the buffer
-// and received inside one Do: code there that ends the connection must find it
-// in the buffer or in the queue.
+// readMessage processes one message after the startup. It removes the message
+// from the buffer and queues it inside a single Do, so that code that decides
+// whether the connection is idle sees it either in the buffer or in the queue.
 func (c *client) readMessage(in netpoll.Reader) error {
-	head, err := c.await(in, wire.HeaderLen)
+	head, err := c.awaitBytes(in, wire.HeaderLen)
 	if err != nil {
 		return err
 	}
@@ -167,7 +168,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err = c.await(in, wire.HeaderLen+n); err != nil {
+	if _, err = c.awaitBytes(in, wire.HeaderLen+n); err != nil {
 		return err
 	}
 	c.server.loop.Do(func() {
@@ -177,8 +178,8 @@
 			return
 		}
 		err = c.receive(kind, message[wire.HeaderLen:])
-		if err == nil && !c.bookUnread(in.Len()) {
-			err = errMemory
+		if err == nil && !c.reserveUnread(in.Len()) {
+			err = errOutOfMemory
 		}
 	})
 	return err
--- a/internal/postgres/front/memory_test.go
+++ b/internal/postgres/front/memory_test.go
@@ -14,11 +14,12 @@
 	"lotusbend/internal/router"
 )
 
-// The bounds on memory allow what a client may send: values of the greatest length
-// and many statements behind a running one are all answered.
-func TestLongAndManyStatementsBehindRunningOne(t *testing.T) {
+// TestLongAndManyQueuedStatementsAreAnswered checks that the memory limits admit
+// valid load: statements with values of the maximum length and many statements
+// behind a running one are all answered.
+func TestLongAndManyQueuedStatementsAreAnswered(t *testing.T) {
 	stub := newStub(t, 100)
-	peer := stub.connect()
+	remote := stub.connect()
 	b := writeQuery(0)
 	for n := range 3 {
 		b = append(b, largeQuery(1+n, 64<<10)...)
@@ -26,26 +27,27 @@
 	for n := range 600 {
 		b = append(b, writeQuery(4+n)...)
 	}
-	go func() { _, _ = peer.conn.Write(b) }()
+	go func() { _, _ = remote.conn.Write(b) }()
 	for n := range 604 {
 		stub.waitSubmitted(n + 1)
 		stub.answer(n)
-		peer.expect(peer.readUntil("Z"), fmt.Sprint("value", n))
+		remote.expect(remote.readUntil("Z"), fmt.Sprint("value", n))
 	}
 }
 
-// Statements run concurrently only as far as there is memory for their answers;
-// the oldest of each connection always runs.
-func TestMemoryBoundsConcurrentStatements(t *testing.T) {
+// TestMemoryLimitsConcurrentStatements checks that statements run concurrently only
+// while memory can be reserved for their answers, and that the oldest statement of
+// each connection always runs.
+func TestMemoryLimitsConcurrentStatements(t *testing.T) {
 	const clients = 4
 	stub := newStub(t, 100)
 	for n := range clients {
-		peer := stub.connect()
+		remote := stub.connect()
 		var b []byte
 		for i := range pipeline.Window {
 			b = append(b, readQuery(1000*n+i)...)
 		}
-		peer.write(b)
+		remote.write(b)
 	}
 	stub.waitUntil(func() bool {
 		read := 0
@@ -57,39 +59,40 @@
 		return read == clients*pipeline.Window
 	})
 	stub.loop.Do(func() {
-		limit := clients + testMemoryMB*(1<<20)/5/answerReserve
+		limit := clients + testMemoryMiB*(1<<20)/5/answerReserveBytes
 		if n := len(stub.submitted); n < clients || n > limit {
-			t.Errorf("%d statements run, want at least %d and at most %d", n, clients, limit)
+			t.Errorf("%d statements running, want at least %d and at most %d", n, clients, limit)
 		}
 		for n := range clients {
 			if stub.server.clients.AtSlot(uint32(n)).queue.FirstRunning() == nil {
-				t.Errorf("client %d waits", n)
+				t.Errorf("client %d has no running statement", n)
 			}
 		}
 	})
 }
 
-// Of connections that send more than memory holds, each statement is answered in
-// its turn, rejected where memory was short, and memory stays bounded.
-func TestFloodOfStatementsIsRejectedInTurn(t *testing.T) {
+// TestFloodOfStatementsIsRejectedInOrder checks that if clients send more statements
+// than the memory budget holds, each statement is answered in order, some of them
+// with a rejection, and the memory in use stays within the limit.
+func TestFloodOfStatementsIsRejectedInOrder(t *testing.T) {
 	const clients = 4
-	const statements = 2500 // of each client
+	const statements = 2500 // per client
 	stub := newStub(t, 100)
-	var peers []*testClient
+	var remotes []*testClient
 	for n := range clients {
-		peer := stub.connect()
-		peers = append(peers, peer)
+		remote := stub.connect()
+		remotes = append(remotes, remote)
 		var b []byte
 		for range statements {
 			b = append(b, writeQuery(n)...)
 		}
-		go func() { _, _ = peer.conn.Write(b) }()
+		go func() { _, _ = remote.conn.Write(b) }()
 	}
-	limit := testMemoryMB * (1 << 20) / 4
+	limit := testMemoryMiB * (1 << 20) / 4
 	stub.waitSubmitted(clients)
-	stub.waitUntil(func() bool { // all was read, and memory was short for most of it
-		if used := stub.bookedBytes(); used > limit {
-			t.Errorf("%d bytes are booked, want %d at most", used, limit)
+	stub.waitUntil(func() bool { // everything is read, most of it with the budget exhausted
+		if used := stub.reservedBytes(); used > limit {
+			t.Errorf("%d bytes reserved, want at most %d", used, limit)
 		}
 		read := 0
 		for n := range clients {
@@ -100,14 +103,14 @@
 		}
 		return read == clients
 	})
-	go func() { // answers whatever is submitted
+	go func() { // answers every submitted statement
 		for n := 0; ; n++ {
 			done := false
-			stub.loop.Do(func() { done = stub.bookedBytes() == 0 })
+			stub.loop.Do(func() { done = stub.reservedBytes() == 0 })
 			if done {
 				return
 			}
-			stub.waitUntil(func() bool { return len(stub.submitted) > n || stub.bookedBytes() == 0 })
+			stub.waitUntil(func() bool { return len(stub.submitted) > n || stub.reservedBytes() == 0 })
 			stub.loop.Do(func() {
 				if n < len(stub.submitted) {
 					stub.server.Answer(stub.submitted[n].client, router.Answer{Verdict: router.Failed})
@@ -116,79 +119,81 @@
 		}
 	}()
 	rejected := 0
-	for _, peer := range peers {
+	for _, remote := range remotes {
 		for range statements {
-			if strings.Contains(peer.readUntil("Z"), "53300") {
+			if strings.Contains(remote.readUntil("Z"), "53300") {
 				rejected++
 			}
 		}
 	}
 	if rejected == 0 {
-		t.Error("no statement was rejected: memory was not short")
+		t.Error("no statement was rejected, want some: the memory budget was not exhausted")
 	}
 }
 
-// A flood of messages whose answers cannot be merged ends its connection, in its
-// turn, once memory is short.
+// TestFloodOfMessagesEndsConnection checks that a flood of messages whose answers
+// cannot be merged ends the connection once the memory budget is exhausted, after
+// the answers to earlier statements.
 func TestFloodOfMessagesEndsConnection(t *testing.T) {
 	stub := newStub(t, 100)
-	peer := stub.connect()
-	peer.write(readQuery(1))
+	remote := stub.connect()
+	remote.write(readQuery(1))
 	stub.waitSubmitted(1)
-	flood := strings.Repeat("S\x00\x00\x00\x04Q\x00\x00\x00\x05\x00", testMemoryMB*(1<<20)/commandSize)
-	go func() { _, _ = peer.conn.Write([]byte(flood)) }()
+	flood := strings.Repeat("S\x00\x00\x00\x04Q\x00\x00\x00\x05\x00", testMemoryMiB*(1<<20)/commandOverheadBytes)
+	go func() { _, _ = remote.conn.Write([]byte(flood)) }()
 	stub.waitUntil(func() bool { return stub.onlyClient().discarding })
 	stub.loop.Do(func() {
-		if used := stub.bookedBytes(); used > testMemoryMB*(1<<20)/2 {
-			t.Errorf("%d bytes are booked", used)
+		if used := stub.reservedBytes(); used > testMemoryMiB*(1<<20)/2 {
+			t.Errorf("%d bytes reserved, want at most half of the memory limit", used)
 		}
 	})
 	stub.answer(0)
-	peer.expect(peer.readUntil(noSuchMessage), "value0", "53200")
+	remote.expect(remote.readUntil(noSuchMessage), "value0", "53200")
 }
 
-// An error that waits for its turn occupies little memory, however long the
-// statement is that it quotes.
-func TestErrorsQuoteLittleOfStatement(t *testing.T) {
+// TestErrorsOfLongStatementsAreTruncated checks that a queued error reserves little
+// memory even if it quotes a long statement.
+func TestErrorsOfLongStatementsAreTruncated(t *testing.T) {
 	long := strings.Repeat("x", 100<<10)
 	for _, comment := range []string{
 		"id=1,c=x,d=9,cluster=" + long, "id=1,c=x,cluster=1,d=" + long, long,
 	} {
 		stub := newStub(t, 100)
-		peer := stub.connect()
-		peer.write(append(writeQuery(1), wire.AppendQuery(nil, []byte("SELECT 1 /* "+comment+" */"))...))
+		remote := stub.connect()
+		remote.write(append(writeQuery(1), wire.AppendQuery(nil, []byte("SELECT 1 /* "+comment+" */"))...))
 		stub.waitUntil(func() bool { return stub.onlyClient().queue.Len() == 2 })
 		stub.loop.Do(func() {
-			if booked := stub.bookedBytes(); booked > 2<<10 {
-				t.Errorf("%.30q: %d bytes are booked", comment, booked)
+			if reserved := stub.reservedBytes(); reserved > 2<<10 {
+				t.Errorf("%.30q: %d bytes reserved, want at most 2048", comment, reserved)
 			}
 		})
 		stub.answer(0)
-		got := peer.readUntil("Z") + peer.readUntil("Z")
+		got := remote.readUntil("Z") + remote.readUntil("Z")
 		if !strings.Contains(got, "42601") || len(got) > 1<<10 {
-			t.Errorf("%.30q: %d bytes of answers: %.300q", comment, len(got), got)
+			t.Errorf("%.30q: got %d bytes of answers, %.300q, want 42601 in at most 1024 bytes", comment, len(got), got)
 		}
 	}
 }
 
-// readAhead is a connection of which much was received, and that drops writes.
-type readAhead struct {
+// bufferedConn is a connection with its input in memory. It discards writes.
+type bufferedConn struct {
 	netpoll.Connection
 	in *netpoll.LinkBuffer
 }
 
-func (r *readAhead) Reader() netpoll.Reader { return r.in }
+func (r *bufferedConn) Reader() netpoll.Reader { return r.in }
 
-func (r *readAhead) Write(b []byte) (int, error) { return len(b), nil }
+func (r *bufferedConn) Write(b []byte) (int, error) { return len(b), nil }
 
-func (r *readAhead) Close() error { return nil }
+func (r *bufferedConn) Close() error { return nil }
 
-// The poller reads on whatever becomes of the bytes: a client that has sent more
-// than memory holds is not served any more.
+// TestUnreadBytesAreBounded checks that a client whose unread input exceeds the
+// memory budget is no longer served. netpoll keeps reading into the buffer
+// regardless of whether the input is processed.
 func TestUnreadBytesAreBounded(t *testing.T) {
 	stub := newStub(t, 100)
-	conn := &readAhead{in: netpoll.NewLinkBuffer()}
-	if _, err := conn.in.WriteString(strings.Repeat("H\x00\x00\x00\x04", testMemoryMB*(1<<20)/5)); err != nil {
+	conn := &bufferedConn{in: netpoll.NewLinkBuffer()}
+	if _, err := conn.in.WriteString(strings.Repeat("H\x00\x00\x00\x04", testMemoryMiB*(1<<20)/5)); err != nil {
 		t.Fatal(err)
 	}
 	if err := conn.in.Flush(); err != nil {
@@ -200,31 +205,32 @@
 		t.Error(err)
 	}
 	if !c.discarding || !c.conn.Finishing() {
-		t.Errorf("discarding %v, finishing %v, want both", c.discarding, c.conn.Finishing())
+		t.Errorf("discarding = %v, Finishing() = %v, want both true", c.discarding, c.conn.Finishing())
 	}
 }
 
-// Partial messages of many connections are bounded together.
+// TestPartialMessagesAreBounded checks that the memory budget for unread input
+// covers the incomplete messages of all connections together.
 func TestPartialMessagesAreBounded(t *testing.T) {
 	stub := newStub(t, 100)
-	limit := testMemoryMB * (1 << 20) / 10
+	limit := testMemoryMiB * (1 << 20) / 10
 	part := binary.BigEndian.AppendUint32([]byte("Q"), wire.MaxBodyLen+4)
-	var peers []*testClient
+	var remotes []*testClient
 	for range limit/wire.MaxBodyLen + 1 {
-		peer := stub.connect()
-		peer.write(part)
-		peers = append(peers, peer)
-		stub.waitUntil(func() bool { // each after the one before
+		remote := stub.connect()
+		remote.write(part)
+		remotes = append(remotes, remote)
+		stub.waitUntil(func() bool { // the connections send one after another
 			received := 0
-			for i := range peers {
+			for i := range remotes {
 				c := stub.server.clients.AtSlot(uint32(i))
 				if c != nil && (c.partial && c.unreadBytes >= wire.MaxBodyLen || c.closing) {
 					received++
 				}
 			}
-			return received == len(peers)
+			return received == len(remotes)
 		})
 	}
-	last := peers[len(peers)-1]
+	last := remotes[len(remotes)-1]
 	last.expect(last.readUntil(noSuchMessage), "53200", endOfConnection)
 }
--- a/internal/postgres/front/partial_test.go
+++ b/internal/postgres/front/partial_test.go
@@ -14,7 +14,7 @@
 	"lotusbend/internal/slotmap"
 )
 
-// noClasses knows no class.
+// noClasses is a RequestHandler without request classes.
 type noClasses struct{}
 
 func (noClasses) Class([]byte) (router.Class, bool) { return router.Class{}, false }
@@ -23,12 +23,13 @@
 
 func (noClasses) ClientCancelled(slotmap.Handle) {}
 
-// A message whose rest never arrives keeps its connection open no longer than the
-// timeout, at the startup and after it; the timeout counts from its first part.
+// TestPartialMessageTimesOut checks that a connection with an incomplete message is
+// ended partialTimeoutMs after the first part arrived, both during the startup and
+// later.
 func TestPartialMessageTimesOut(t *testing.T) {
 	manual := clock.Manual(1000)
 	loop := clock.NewLoop(manual)
-	server, err := Listen("127.0.0.1:0", loop, netio.NewDescriptorBudget(100), testMemoryMB, noClasses{})
+	server, err := Listen("127.0.0.1:0", loop, netio.NewDescriptorBudget(100), testMemoryMiB, noClasses{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,11 +51,11 @@
 				})
 			})
 		}
-		manual.Set(manual.Now() + partialTimeout)
+		manual.Set(manual.Now() + partialTimeoutMs)
 		loop.Fire()
-		got, _ := io.ReadAll(conn) // up to the EOF or reset
+		got, _ := io.ReadAll(conn) // up to EOF or a reset
 		if !strings.Contains(string(got), "08P01") {
-			t.Errorf("%q: got %q", text, got)
+			t.Errorf("%q: got %q, want 08P01 in it", text, got)
 		}
 		_ = conn.Close()
 		for open := 1; open > 0; runtime.Gosched() {
--- a/internal/postgres/front/statement.go
+++ b/internal/postgres/front/statement.go
@@ -13,28 +13,31 @@
 )
 
 const (
-	// maxWait bounds the wait that a client may state, in milliseconds.
-	maxWait = 60000
-	// answerReserve is booked, in bytes, for the answer to a statement that runs
-	// while an earlier one is not answered yet: a value is 64 KiB at most.
-	answerReserve = 65 << 10
+	// maxWaitMs is the longest timeout of a statement; a longer one that a client
+	// requests is reduced to it.
+	maxWaitMs = 60000
+	// answerReserveBytes is reserved for the answer to a statement that runs while
+	// an earlier one is unanswered. A value has at most 64 KiB.
+	answerReserveBytes = 65 << 10
 )
 
-// statement is a command that may be submitted to the router.
+// statement is a queued command. request is set only for commands that are
+// submitted to the router.
 type statement struct {
 	client        *client
 	command       *pipeline.Command[*statement]
-	id            string // its client's identifier
+	id            string // chosen by the client
 	request       router.Request
 	receivedAt    float64         // Unix milliseconds
-	deadlineTimer *clock.Deadline // its client's deadline, until it is submitted
-	bookedBytes   int             // of memory
-	running       slotmap.Handle  // among the server's running statements
-	submitted     slotmap.Handle  // the router's name for it
+	deadlineTimer *clock.Deadline // expires the statement while it is queued
+	reservedBytes int             // in the server's queuedMemory
+	running       slotmap.Handle  // its entry in the server's table of running statements
+	submitted     slotmap.Handle  // the router's handle for the request
 }
 
-// parse reads a statement and what decides its order among others. A problem,
-// "" if there is none, is the text of an error for the client.
+// parse parses a statement and determines the access that decides its order of
+// execution. problem is the text of the error to send to the client, "" if the
+// statement is valid.
 func (c *client) parse(text []byte) (parsed *statement, access pipeline.Access, problem string) {
 	fields, err := wire.ParseStatement(text)
 	if err != nil {
@@ -60,7 +63,7 @@
 			Group:           fields.Group,
 			Session:         sessionOf(fields.RowKey),
 			SessionCommitAt: fields.SessionCommitAt,
-			TimeLeft:        min(fields.Wait, maxWait),
+			TimeLeft:        min(fields.Wait, maxWaitMs),
 		},
 	}
 	access = pipeline.Access{Group: fields.Group, Write: class.Write, Fresh: class.Fresh}
@@ -70,7 +73,8 @@
 	return parsed, access, ""
 }
 
-// sessionOf returns the session of a row's key, 0 for none.
+// sessionOf returns the session identifier derived from a row's key, 0 if the
+// statement has no row key.
 func sessionOf(rowKey []byte) uint64 {
 	if len(rowKey) == 0 {
 		return 0
@@ -80,12 +84,13 @@
 	return max(hash.Sum64(), 1)
 }
 
-// start submits a statement, with the milliseconds that its client still waits.
+// start submits a statement. timeLeft is the time until the client's deadline,
+// in milliseconds.
 func (c *client) start(next *statement, timeLeft float64) {
 	server := c.server
 	server.loop.Cancel(next.deadlineTimer)
-	// With the identifier of another running statement, neither this router nor
-	// an endpoint could tell their answers apart.
+	// Neither this router nor an endpoint could tell the answers of two running
+	// statements with the same identifier apart.
 	if _, taken := server.runningIDs[next.id]; taken {
 		next.answer(errorAnswer(wire.CodeSyntaxError, "the id of another request that is under way"))
 		c.advance()
@@ -96,28 +101,29 @@
 	next.running = server.running.Add(next)
 	next.request.TimeLeft = max(timeLeft, 0)
 	submitted := server.handler.Submit(next.request, server, next.running)
-	if next.command.Running() { // else it has been answered already
+	if next.command.Running() { // otherwise it was answered inside Submit
 		next.submitted = submitted
 	}
 }
 
-// stop removes s from the running statements.
-func (s *statement) stop() {
+// removeRunning removes s from the server's running statements.
+func (s *statement) removeRunning() {
 	server := s.client.server
 	server.running.Remove(s.running)
 	delete(server.runningIDs, s.id)
 }
 
-// answer keeps the answer to s until its turn, and drops what its client sent.
+// answer sets the answer to s, which is sent once earlier commands are answered,
+// and releases the text of the statement.
 func (s *statement) answer(answer []byte) {
 	s.request.Statement.Text = nil
 	s.id = ""
 	s.command.Answer(answer)
-	s.rebook(commandSize + len(answer))
+	s.setReservedBytes(commandOverheadBytes + len(answer))
 }
 
-// rebook books another number of bytes for s.
-func (s *statement) rebook(size int) {
-	s.client.server.queuedMemory.Reserve(size - s.bookedBytes)
-	s.bookedBytes = size
+// setReservedBytes changes the memory reservation of s to size bytes.
+func (s *statement) setReservedBytes(size int) {
+	s.client.server.queuedMemory.Reserve(size - s.reservedBytes)
+	s.reservedBytes = size
 }
--- a/internal/postgres/front/stub_test.go
+++ b/internal/postgres/front/stub_test.go
@@ -19,20 +19,21 @@
 	"lotusbend/internal/slotmap"
 )
 
-// testMemoryMB is the memory limit of the tests' router.
-const testMemoryMB = 8
+// testMemoryMiB is the memory limit of the servers under test.
+const testMemoryMiB = 8
 
-// stubRouter takes every statement and answers when the test says, on a manual
-// clock.
+// stubRouter is a RequestHandler that records the submitted requests and answers
+// them when the test calls answer. It runs a Server on a manual clock.
 type stubRouter struct {
 	t         *testing.T
 	clock     *clock.Clock
 	loop      *clock.Loop
 	server    *Server
-	submitted []submittedStatement // in the order in which they came
+	submitted []submittedStatement // in order of submission
 	cancelled int
 }
 
+// submittedStatement is the record of one Submit.
 type submittedStatement struct {
 	text     string
 	from     router.Client
@@ -40,8 +41,8 @@
 	timeLeft float64 // milliseconds
 }
 
-// Class knows writes, w, fresh reads, f, reads of a session, s, and reads that
-// any replica may serve, x.
+// Class accepts every name: w is a write, f a fresh read, s a read of a session,
+// and any other a read that every replica may serve.
 func (s *stubRouter) Class(name []byte) (router.Class, bool) {
 	class := string(name)
 	return router.Class{Write: class == "w", Fresh: class == "f", Session: class == "s"}, true
@@ -59,17 +60,18 @@
 
 func (s *stubRouter) ClientCancelled(slotmap.Handle) { s.cancelled++ }
 
+// newStub starts a server on a loopback address with a limit on descriptors.
 func newStub(t *testing.T, descriptors int) *stubRouter {
 	t.Helper()
 	s := &stubRouter{t: t, clock: clock.Manual(1000)}
 	s.loop = clock.NewLoop(s.clock)
 	budget := netio.NewDescriptorBudget(descriptors)
 	var err error
-	if s.server, err = Listen("127.0.0.1:0", s.loop, budget, testMemoryMB, s); err != nil {
+	if s.server, err = Listen("127.0.0.1:0", s.loop, budget, testMemoryMiB, s); err != nil {
 		t.Fatal(err)
 	}
 	go func() { _ = s.server.Serve() }()
-	t.Cleanup(func() { // its sockets and memory are not kept for later tests
+	t.Cleanup(func() { // frees the sockets and memory before later tests
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		_ = s.server.events.Shutdown(ctx)
@@ -77,22 +79,23 @@
 	return s
 }
 
-// bookedBytes returns how many bytes are booked for clients. It runs inside Do.
-func (s *stubRouter) bookedBytes() int {
+// reservedBytes returns how many bytes are reserved for all clients together. It
+// must be called inside Do.
+func (s *stubRouter) reservedBytes() int {
 	return s.server.queuedMemory.Used() + s.server.unreadMemory.Used()
 }
 
-// waitUntil waits until a condition on the server's state holds.
+// waitUntil blocks until holds, called inside Do, returns true.
 func (s *stubRouter) waitUntil(holds func() bool) {
 	for ok := false; !ok; runtime.Gosched() {
 		s.loop.Do(func() { ok = holds() })
 	}
 }
 
-// waitSubmitted waits until n statements were submitted.
+// waitSubmitted blocks until at least n statements were submitted.
 func (s *stubRouter) waitSubmitted(n int) { s.waitUntil(func() bool { return len(s.submitted) >= n }) }
 
-// waitClosed waits until every connection has ended.
+// waitClosed blocks until every connection has ended.
 func (s *stubRouter) waitClosed() {
 	s.waitUntil(func() bool {
 		clients, closing := s.server.ClientCounts()
@@ -100,13 +103,13 @@
 	})
 }
 
-// waitQueued waits until n statements were submitted, and the only client has
-// queued commands that are not answered.
+// waitQueued blocks until the given number of statements were submitted and the
+// only client has the given number of queue entries.
 func (s *stubRouter) waitQueued(submitted, queued int) {
 	s.waitUntil(func() bool { return len(s.submitted) == submitted && s.onlyClient().queue.Len() == queued })
 }
 
-// answer serves the statement submitted n-th.
+// answer answers the submitted statement with index n.
 func (s *stubRouter) answer(n int) {
 	s.loop.Do(func() {
 		row := &router.Row{Column: []byte("doc"), Value: fmt.Append(nil, "value", n), Tag: []byte("SELECT 1")}
@@ -115,26 +118,28 @@
 	})
 }
 
-// advance lets the given milliseconds pass.
+// advance sets the clock forward by the given milliseconds and runs the deadlines
+// that have passed.
 func (s *stubRouter) advance(millis float64) {
 	s.clock.Set(s.clock.Now() + millis)
 	s.loop.Fire()
 }
 
-// onlyClient returns the one client there is, nil if there is none.
+// onlyClient returns the only client with a slot, nil if there is none. It must be
+// called inside Do.
 func (s *stubRouter) onlyClient() (only *client) {
 	s.server.clients.Each(func(_ slotmap.Handle, c *client) { only = c })
 	return only
 }
 
-// testClient is a client's end of a connection.
+// testClient is the client's end of a connection.
 type testClient struct {
 	t    *testing.T
 	conn *net.TCPConn
 	in   *bufio.Reader
 }
 
-// dial opens a connection and sends nothing.
+// dial opens a connection without sending anything.
 func (s *stubRouter) dial() *testClient {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.server.Address())
@@ -145,53 +150,54 @@
 	return &testClient{t: s.t, conn: conn.(*net.TCPConn), in: bufio.NewReader(conn)}
 }
 
-// connect opens a connection, up to its first ReadyForQuery.
+// connect opens a connection and completes its startup.
 func (s *stubRouter) connect() *testClient {
 	s.t.Helper()
-	peer := s.dial()
-	peer.write(wire.AppendStartup(nil, "app", "shop"))
-	peer.readUntil("Z")
-	return peer
+	remote := s.dial()
+	remote.write(wire.AppendStartup(nil, "app", "shop"))
+	remote.readUntil("Z")
+	return remote
 }
 
-func (peer *testClient) write(b []byte) {
-	peer.t.Helper()
-	if _, err := peer.conn.Write(b); err != nil {
-		peer.t.Fatal(err)
+func (remote *testClient) write(b []byte) {
+	remote.t.Helper()
+	if _, err := remote.conn.Write(b); err != nil {
+		remote.t.Fatal(err)
 	}
 }
 
-// readQuery is a query that any replica may serve.
+// readQuery returns a Query message with a read that any replica may serve.
 func readQuery(id int) []byte {
 	return wire.AppendQuery(nil, fmt.Appendf(nil, "SELECT 1 /* id=%d,c=x,d=900,cluster=1 */", id))
 }
 
-// writeQuery is a query that runs after the writes before it.
+// writeQuery returns a Query message with a write.
 func writeQuery(id int) []byte {
 	return wire.AppendQuery(nil, fmt.Appendf(nil, "INSERT INTO items /* id=%d,c=w,d=900,cluster=1 */", id))
 }
 
-// largeQuery is a write of a value of that many bytes.
+// largeQuery returns a Query message with a write of a value of size bytes.
 func largeQuery(id, size int) []byte {
 	value := strings.Repeat("ab", size)
 	return wire.AppendQuery(nil, fmt.Appendf(nil,
 		"INSERT INTO items VALUES ('\\x%s') /* id=%d,c=w,d=900,cluster=1 */", value, id))
 }
 
-// What readMessage returns for the end of a connection.
+// Results of readMessage if the connection has ended.
 const (
 	endOfConnection = "end"
 	resetConnection = "reset"
 )
 
-// noSuchMessage has readUntil read up to the end of the connection.
+// noSuchMessage, passed to readUntil, matches no message, so that it reads up to the
+// end of the connection.
 const noSuchMessage = "no such message"
 
-// readMessage returns the next message, as its kind and body, or how the
-// connection ended.
-func (peer *testClient) readMessage() string {
+// readMessage returns the kind and body of the next message, or endOfConnection or
+// resetConnection.
+func (remote *testClient) readMessage() string {
 	header := make([]byte, wire.HeaderLen)
-	_, err := io.ReadFull(peer.in, header)
+	_, err := io.ReadFull(remote.in, header)
 	switch {
 	case errors.Is(err, io.EOF):
 		return endOfConnection
@@ -199,17 +205,17 @@
 		return resetConnection
 	}
 	body := make([]byte, binary.BigEndian.Uint32(header[1:])-4)
-	if _, err := io.ReadFull(peer.in, body); err != nil {
+	if _, err := io.ReadFull(remote.in, body); err != nil {
 		return resetConnection
 	}
 	return string(header[0]) + string(body)
 }
 
-// readUntil reads up to a message of the given kind, or the connection's end,
-// and returns all messages.
-func (peer *testClient) readUntil(kind string) (all string) {
+// readUntil reads up to a message that begins with kind or the end of the
+// connection, and returns all messages read, each followed by a space.
+func (remote *testClient) readUntil(kind string) (all string) {
 	for {
-		message := peer.readMessage()
+		message := remote.readMessage()
 		all += message + " "
 		if strings.HasPrefix(message, kind) || message == endOfConnection || message == resetConnection {
 			return all
@@ -217,14 +223,14 @@
 	}
 }
 
-// expect fails the test unless got holds all parts in their order.
-func (peer *testClient) expect(got string, parts ...string) {
-	peer.t.Helper()
+// expect fails the test unless got contains all parts in the given order.
+func (remote *testClient) expect(got string, parts ...string) {
+	remote.t.Helper()
 	at := 0
 	for _, part := range parts {
 		i := strings.Index(got[at:], part)
 		if i < 0 {
-			peer.t.Fatalf("got %q, want %q in it", got, parts)
+			remote.t.Fatalf("got %q, want it to contain %q in order", got, parts)
 		}
 		at += i + len(part)
 	}
