--- a/internal/postgres/back/answer.go
+++ b/internal/postgres/back/answer.go
@@ -14,35 +14,36 @@
 )
 
 const (
-	// maxAnswer bounds the bytes of one answer, which stay in the read buffer
-	// until it is complete.
-	maxAnswer = 2 * wire.MaxBodyLen
-	// maxControl bounds, in bytes, every message of an answer but the row.
-	maxControl = 8 << 10
+	// maxAnswerBytes is the maximum length of an answer, which stays in the read
+	// buffer until it is complete.
+	maxAnswerBytes = 2 * wire.MaxBodyLen
+	// maxControlBytes is the maximum body length of every message except a DataRow.
+	maxControlBytes = 8 << 10
 )
 
 var (
-	errTooLong = fmt.Errorf("%w: an answer without end", wire.ErrMalformed)
-	errOrder   = fmt.Errorf("%w: out of order", wire.ErrMalformed)
-	errExcess  = fmt.Errorf("%w: more than the answer", wire.ErrMalformed)
+	errTooLong    = fmt.Errorf("%w: answer exceeds the maximum length", wire.ErrMalformed)
+	errOutOfOrder = fmt.Errorf("%w: message out of order", wire.ErrMalformed)
+	errUnexpected = fmt.Errorf("%w: message outside an answer", wire.ErrMalformed)
 )
 
-// stage is how far an answer has arrived: its messages have one order.
+// stage is the last message of an answer that has arrived. The messages arrive in
+// the order of the constants.
 type stage uint8
 
 const (
-	awaiting  stage = iota // nothing yet, or the messages of a startup
+	awaiting  stage = iota // none, or only messages of the startup
 	described              // RowDescription
 	rowRead                // DataRow
 	completed              // CommandComplete
 	failed                 // ErrorResponse
 )
 
-// answer collects one answer. It is used by the connection's own callbacks,
-// which never run concurrently. Its slices are those of the read buffer, valid
-// until the buffer's Release at the end of the answer.
+// answer collects the messages of one answer. It is used by the connection's own
+// callbacks, which never run concurrently. Its slices refer to the read buffer
+// and are valid until the buffer is released at the end of the answer.
 type answer struct {
-	size      int // bytes so far
+	size      int // bytes received
 	stage     stage
 	column    wire.Column
 	row       router.Row
@@ -51,12 +52,12 @@
 	position  []byte
 }
 
-// onData reads messages. It waits for the rest of a partial one, in this
-// connection's own goroutine.
+// onData processes received messages. It runs in the connection's own goroutine
+// and blocks while a message is incomplete.
 //
-// An endpoint may send a malformed answer, or more than the answer. Whatever
-// cannot be an answer to the statement at hand ends the attempt and the
-// connection: the next request's answer would be read from what is left.
+// Bytes that cannot belong to an answer to the current statement end the attempt
+// and the connection; the remaining bytes would otherwise be taken for the answer
+// to the next statement.
 func (c *conn) onData(_ context.Context, nc netpoll.Connection) error {
 	in := nc.Reader()
 	for in.Len() > 0 {
@@ -65,15 +66,15 @@
 			c.pool.loop.Do(func() { c.pool.malformed(c) })
 		}
 		if err != nil {
-			return nc.Close() // the close callback informs the pool
+			return nc.Close() // the close callback notifies the pool
 		}
 	}
 	return nil
 }
 
-// readMessage reads one message.
+// readMessage processes one message.
 func (c *conn) readMessage(in netpoll.Reader) error {
-	if c.answer.size == 0 { // checked before anything is taken off the buffer, where Quiet sees it
+	if c.answer.size == 0 { // checked while the bytes are in the buffer, where Quiet sees them
 		var err error
 		c.pool.loop.Do(func() { err = c.pool.beginAnswer(c) })
 		if err != nil {
@@ -105,23 +106,24 @@
 	if kind == wire.ReadyForQuery {
 		return c.endAnswer(in, body)
 	}
-	return c.answer.take(kind, body)
+	return c.answer.addMessage(kind, body)
 }
 
-// checkSize bounds the messages of an answer.
+// checkSize adds a message with a body of n bytes to the size of the answer. It
+// returns errTooLong if the message or the answer is too long.
 func (a *answer) checkSize(kind byte, n int) error {
-	if kind != wire.DataRow && n > maxControl {
+	if kind != wire.DataRow && n > maxControlBytes {
 		return errTooLong
 	}
 	a.size += n + wire.HeaderLen
-	if a.size > maxAnswer {
+	if a.size > maxAnswerBytes {
 		return errTooLong
 	}
 	return nil
 }
 
-// checkRow checks a DataRow of n bytes before it has arrived: one with a false
-// length would be waited for in vain.
+// checkRow checks the header of a DataRow with a body of n bytes before the rest
+// has arrived; the wait for a row with a wrong length would never end.
 func checkRow(in netpoll.Reader, n int) error {
 	head, err := in.Peek(min(n, wire.RowHeaderLen))
 	if err != nil {
@@ -130,7 +132,7 @@
 	return wire.CheckDataRow(head, n)
 }
 
-// endAnswer takes a ReadyForQuery.
+// endAnswer handles a ReadyForQuery and releases the read buffer.
 func (c *conn) endAnswer(in netpoll.Reader, body []byte) error {
 	if err := wire.CheckReady(body); err != nil {
 		return err
@@ -144,8 +146,8 @@
 	return in.Release()
 }
 
-// take reads one message of an answer, or of a startup.
-func (a *answer) take(kind byte, body []byte) (err error) {
+// addMessage parses a message of an answer or of the startup.
+func (a *answer) addMessage(kind byte, body []byte) (err error) {
 	switch kind {
 	case wire.RowDescription:
 		a.column, err = wire.ParseRowDescription(body)
@@ -157,33 +159,35 @@
 		a.row.Tag, err = wire.ParseString(body)
 		return errors.Join(err, a.advance(rowRead, completed))
 	case wire.ErrorResponse:
-		return a.takeError(body)
+		return a.addError(body)
 	case wire.NoticeResponse:
 		_, err = wire.ParseErrorResponse(body)
 		return err
 	case wire.ParameterStatus:
-		return a.takeParameter(body)
+		return a.addParameter(body)
 	case wire.Authentication:
 		return errors.Join(wire.CheckAuthentication(body), a.advance(awaiting, awaiting))
 	case wire.BackendKeyData:
 		return a.advance(awaiting, awaiting)
 	}
-	return errOrder
+	return errOutOfOrder
 }
 
-// advance moves from one stage to another.
+// advance changes the stage. It returns errOutOfOrder unless the present stage is
+// from.
 func (a *answer) advance(from, to stage) error {
 	if a.stage != from {
-		return errOrder
+		return errOutOfOrder
 	}
 	a.stage = to
 	return nil
 }
 
-// takeError reads an ErrorResponse.
-func (a *answer) takeError(body []byte) error {
+// addError parses an ErrorResponse, which may end an answer at any stage before
+// its CommandComplete.
+func (a *answer) addError(body []byte) error {
 	if a.stage >= completed {
-		return errOrder
+		return errOutOfOrder
 	}
 	a.stage = failed
 	fields, err := wire.ParseErrorResponse(body)
@@ -191,8 +195,9 @@
 	return err
 }
 
-// takeParameter reads a ParameterStatus.
-func (a *answer) takeParameter(body []byte) error {
+// addParameter parses a ParameterStatus and keeps the parameters that report the
+// replication status.
+func (a *answer) addParameter(body []byte) error {
 	name, value, err := wire.ParseParameterStatus(body)
 	switch string(name) {
 	case paramRole:
@@ -203,7 +208,8 @@
 	return err
 }
 
-// startupOutcome is the outcome of a connection that ended before it was ready.
+// startupOutcome returns the outcome for a connection that ended during the
+// startup.
 func (a *answer) startupOutcome() decide.Outcome {
 	if string(a.errorCode) == wire.CodeTooManyConnections {
 		return decide.Overloaded
@@ -211,17 +217,17 @@
 	return decide.ConnectFailed
 }
 
-// report returns how a job ended, if its answer has arrived. An answer to some
-// other statement is not one to this.
+// report returns the result of j and whether the answer is complete. A complete
+// answer whose tag does not match the statement of j counts as incomplete.
 func (a *answer) report(j *job) (report router.AttemptReport, complete bool) {
 	switch {
 	case a.stage == failed:
-		return router.AttemptReport{Outcome: outcomeOf(string(a.errorCode)), Status: a.status(false)}, true
+		return router.AttemptReport{Outcome: outcomeOfCode(string(a.errorCode)), Status: a.status(false)}, true
 	case a.stage != completed:
 		return router.AttemptReport{}, false
 	case j.healthCheck:
 		return healthReport(a.row.Value), true
-	case !tagFits(a.row.Tag, j.statement.Text):
+	case !tagMatches(a.row.Tag, j.statement.Text):
 		return router.AttemptReport{}, false
 	}
 	a.row.Column = a.column.Name
@@ -231,9 +237,9 @@
 	return router.AttemptReport{Outcome: decide.OK, Status: a.status(j.statement.Write), Row: &a.row}, true
 }
 
-// tagFits reports whether a command's tag, such as INSERT 0 1, may complete the
-// statement with one row.
-func tagFits(tag, statement []byte) bool {
+// tagMatches reports whether a CommandComplete tag, such as INSERT 0 1, is for one
+// row and has the verb of the statement.
+func tagMatches(tag, statement []byte) bool {
 	verb, count, _ := bytes.Cut(tag, []byte{' '})
 	if len(verb) == 0 || !bytes.EqualFold(verb, wire.Verb(statement)) {
 		return false
@@ -241,8 +247,9 @@
 	return string(count) == "1" || string(count) == "0 1"
 }
 
-// outcomeOf returns the outcome that the code of an endpoint's error stands for.
-func outcomeOf(code string) decide.Outcome {
+// outcomeOfCode returns the outcome of an attempt that an endpoint answered with
+// the given SQLSTATE code.
+func outcomeOfCode(code string) decide.Outcome {
 	switch code {
 	case wire.CodeReadOnlyTransaction, wire.CodeTooFarBehind:
 		return decide.Ineligible
--- a/internal/postgres/back/answer_test.go
+++ b/internal/postgres/back/answer_test.go
@@ -7,8 +7,10 @@
 	"lotusbend/internal/postgres/wire"
 )
 
-// The outcome of an error decides whether a retry is safe.
-func TestOutcomesOfErrors(t *testing.T) {
+// TestErrorCodesMapToOutcomes checks the outcome for each SQLSTATE code, which
+// decides whether a retry is safe, and that a row without its CommandComplete is
+// not a complete answer.
+func TestErrorCodesMapToOutcomes(t *testing.T) {
 	for code, want := range map[string]decide.Outcome{
 		"25006": decide.Ineligible,
 		"72000": decide.Ineligible,
@@ -20,24 +22,25 @@
 	} {
 		var received answer
 		message := wire.AppendErrorResponse(nil, "ERROR", code, "", "")
-		if err := received.take(wire.ErrorResponse, message[wire.HeaderLen:]); err != nil {
+		if err := received.addMessage(wire.ErrorResponse, message[wire.HeaderLen:]); err != nil {
 			t.Fatal(err)
 		}
 		if report, complete := received.report(&job{}); !complete || report.Outcome != want {
-			t.Errorf("%s: %v, %v", code, report.Outcome, complete)
+			t.Errorf("%s: got outcome %v, complete = %v", code, report.Outcome, complete)
 		}
 	}
 	if _, complete := (&answer{stage: rowRead}).report(&job{}); complete {
-		t.Error("a row without its CommandComplete is a complete answer")
+		t.Error("report() of a row without CommandComplete: complete = true, want false")
 	}
 }
 
-// The tag must be that of the statement: a leftover answer may be complete.
-func TestTagFitsStatement(t *testing.T) {
+// TestTagMatchesStatement checks that only the tag of the statement itself is
+// accepted, as a leftover answer to another statement may be complete as well.
+func TestTagMatchesStatement(t *testing.T) {
 	for _, c := range []struct {
 		tag       string
 		statement string
-		fits      bool
+		want      bool
 	}{
 		{"SELECT 1", "SELECT doc", true},
 		{"INSERT 0 1", " insert into", true},
@@ -47,8 +50,8 @@
 		{"", "", false},
 		{"SELECT 1x", "SELECT 1", false},
 	} {
-		if got := tagFits([]byte(c.tag), []byte(c.statement)); got != c.fits {
-			t.Errorf("%q for %q: %v", c.tag, c.statement, got)
+		if got := tagMatches([]byte(c.tag), []byte(c.statement)); got != c.want {
+			t.Errorf("tagMatches(%q, %q) = %v, want the opposite", c.tag, c.statement, got)
 		}
 	}
 }
--- a/internal/postgres/back/cancel_test.go
+++ b/internal/postgres/back/cancel_test.go
@@ -14,7 +14,7 @@
 	"lotusbend/internal/slotmap"
 )
 
-// reportChannels passes reports on.
+// reportChannels sends the reports to channels.
 type reportChannels struct {
 	ignoreEvents
 	late  chan router.AttemptReport // of cancelled attempts
@@ -26,13 +26,13 @@
 }
 
 func (r reportChannels) LateAnswer(endpoint uint32, report router.AttemptReport) {
-	report.Row = nil // valid during the call only
+	report.Row = nil // valid only during the call
 	if endpoint == 1 {
 		r.late <- report
 	}
 }
 
-// inFlight is an attempt that its endpoint has read and not answered.
+// inFlight is an attempt that its endpoint has received and not answered.
 type inFlight struct {
 	t        *testing.T
 	clock    *clock.Clock
@@ -42,14 +42,17 @@
 	endpoint *net.TCPConn // the endpoint's end of the connection
 }
 
-// selectStatement is a statement whose wait is its first byte.
+// selectStatement returns a statement in which the client's timeout is the first
+// byte.
 func selectStatement(write bool) router.Statement {
 	return router.Statement{Text: []byte("SELECT 1"), WaitTo: 1, Write: write}
 }
 
-// sentStatement is what an endpoint receives of it, 100 ms before its deadline.
+// sentStatement is the text that an endpoint receives for selectStatement with
+// 100 ms left.
 const sentStatement = "100ELECT 1"
 
+// newInFlight starts an endpoint, and sends it a read or a write with 100 ms left.
 func newInFlight(t *testing.T, write bool) *inFlight {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -88,18 +91,21 @@
 	return f
 }
 
+// waitUntil blocks until holds, called inside Do, returns true.
 func (f *inFlight) waitUntil(holds func() bool) {
 	for ok := false; !ok; runtime.Gosched() {
 		f.pool.loop.Do(func() { ok = holds() })
 	}
 }
 
-// openConns returns how many connections are counted. It runs inside Do.
+// openConns returns how many connections count against the descriptor budget. It
+// must be called inside Do.
 func (f *inFlight) openConns() int {
 	_, conns := f.pool.budget.Open()
 	return conns
 }
 
+// read reads n bytes from the endpoint's end.
 func (f *inFlight) read(n int) {
 	f.t.Helper()
 	if _, err := io.ReadFull(f.endpoint, make([]byte, n)); err != nil {
@@ -107,6 +113,7 @@
 	}
 }
 
+// write writes b at the endpoint's end.
 func (f *inFlight) write(b []byte) {
 	f.t.Helper()
 	if _, err := f.endpoint.Write(b); err != nil {
@@ -114,52 +121,53 @@
 	}
 }
 
-// cancel cancels the attempt; the endpoint sees the end of the connection.
+// cancel cancels the attempt and checks that the endpoint receives EOF.
 func (f *inFlight) cancel() {
 	f.t.Helper()
 	f.pool.loop.Do(func() {
 		if !f.pool.Cancel(f.sent) {
-			f.t.Error("reported not to have begun")
+			f.t.Error("Cancel() = false, want true")
 		}
 	})
 	if n, err := f.endpoint.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		f.t.Fatalf("the endpoint reads %d bytes, %v; want EOF", n, err)
+		f.t.Fatalf("endpoint read %d bytes, %v, want EOF", n, err)
 	}
 }
 
-// replicaError is an answer of a replica that is too far behind, up to its
+// replicaError returns the answer of a replica that is too far behind, without the
 // ReadyForQuery.
 func replicaError() []byte {
 	return wire.AppendParameterStatus(
 		wire.AppendErrorResponse(nil, "ERROR", wire.CodeTooFarBehind, "behind", ""), "recovery", "on")
 }
 
-// An answer that was on its way when its attempt was cancelled still reports its
-// endpoint's role.
+// TestLateAnswerIsReported checks that an answer in transit when its attempt is
+// cancelled still reports the role of its endpoint.
 func TestLateAnswerIsReported(t *testing.T) {
 	f := newInFlight(t, false)
 	f.cancel()
 	f.write(wire.AppendReadyForQuery(replicaError()))
 	report := <-f.events.late
 	if report.Outcome != decide.Ineligible || report.Status.Role != decide.RoleReplica {
-		t.Errorf("reported %+v", report)
+		t.Errorf("late answer: got %+v, want Ineligible from a replica", report)
 	}
 	f.waitUntil(func() bool { return f.openConns() == 0 && f.pool.loop.Pending() == 0 })
 }
 
-// The endpoint may end its connection right behind the answer's last message.
+// TestLateAnswerBeforeEOFIsReported checks that a late answer is reported even if
+// the endpoint closes the connection before its ReadyForQuery.
 func TestLateAnswerBeforeEOFIsReported(t *testing.T) {
 	f := newInFlight(t, false)
 	f.cancel()
 	f.write(replicaError())
 	_ = f.endpoint.Close()
 	if report := <-f.events.late; report.Status.Role != decide.RoleReplica {
-		t.Errorf("reported %+v", report)
+		t.Errorf("late answer: got %+v, want the role of a replica", report)
 	}
 }
 
-// A malformed late answer ends its connection and is not reported: the attempt
-// has ended already.
+// TestMalformedLateAnswerIsNotReported checks that a malformed late answer closes
+// the connection without a report, as the attempt has already ended.
 func TestMalformedLateAnswerIsNotReported(t *testing.T) {
 	f := newInFlight(t, false)
 	f.cancel()
@@ -167,41 +175,42 @@
 	f.waitUntil(func() bool { return f.openConns() == 0 })
 	f.pool.loop.Do(func() {
 		if len(f.events.late)+len(f.events.ended) > 0 {
-			t.Errorf("%d late answers, %d ends", len(f.events.late), len(f.events.ended))
+			t.Errorf("reported %d late answers and %d ended attempts, want none", len(f.events.late), len(f.events.ended))
 		}
 	})
 }
 
-// An attempt that may not be written whole is cancelled by closing its
-// connection: the rest must not be written.
+// TestAttemptBeingWrittenIsCancelledByClose checks that cancelling an attempt that
+// may be written in part closes its connection, so that the rest is not written.
 func TestAttemptBeingWrittenIsCancelledByClose(t *testing.T) {
 	f := newInFlight(t, false)
 	f.pool.loop.Do(func() {
 		f.pool.jobs.Get(f.sent).writing = true
 		f.pool.Cancel(f.sent)
 		if f.openConns() != 0 {
-			t.Error("its connection is still read")
+			t.Error("connection is open after the cancellation")
 		}
 	})
 }
 
-// A late answer is awaited no longer than its window, not at all for a write,
-// and not where the descriptor is needed.
-func TestConnectionOfCancelledAttemptIsClosedSoon(t *testing.T) {
+// TestConnectionOfCancelledAttemptIsClosed checks that the connection of a cancelled
+// read is closed after lateAnswerWindowMs or when its descriptor is needed, and that
+// of a cancelled write immediately.
+func TestConnectionOfCancelledAttemptIsClosed(t *testing.T) {
 	f := newInFlight(t, false)
 	f.cancel()
-	f.clock.Set(f.clock.Now() + lateAnswerWindow)
+	f.clock.Set(f.clock.Now() + lateAnswerWindowMs)
 	f.pool.loop.Fire()
 	f.pool.loop.Do(func() {
 		if f.openConns() != 0 {
-			t.Error("open after the window for its answer")
+			t.Error("read: connection is open after lateAnswerWindowMs")
 		}
 	})
 	f = newInFlight(t, true)
 	f.cancel()
 	f.pool.loop.Do(func() {
 		if f.openConns() != 0 {
-			t.Error("a write's connection is still read")
+			t.Error("write: connection is open after the cancellation")
 		}
 	})
 	f = newInFlight(t, false)
@@ -217,7 +226,7 @@
 			}
 		})
 		if dialling != 1 {
-			t.Error("it occupies a descriptor that is needed")
+			t.Error("read: connection holds a descriptor that another attempt needs")
 		}
 	})
 }
--- a/internal/postgres/back/characterization_exchanges_test.go
+++ b/internal/postgres/back/characterization_exchanges_test.go
@@ -8,16 +8,16 @@
 	"lotusbend/internal/router"
 )
 
-// exchange is one statement or health check, and what its endpoint answers.
+// exchange is a statement or health check and the behaviour of its endpoint.
 type exchange struct {
 	healthCheck  bool
 	write        bool
-	text         string  // of the statement, readStatement if empty
-	timePasses   float64 // milliseconds after the connection was accepted
-	forbidden    bool    // it may not be sent once there is a connection
-	startupError []byte  // ends the connection in answer to the startup; nil for greeting
+	text         string  // of the statement; readStatement if empty
+	timePasses   float64 // milliseconds that pass before the answer to the startup
+	forbidden    bool    // MaySend returns false
+	startupError []byte  // sent before the endpoint closes in the startup; nil for greeting
 	answer       []byte
-	ends         bool // the endpoint ends the connection after its answer
+	ends         bool // the endpoint closes the connection after its answer
 }
 
 const (
@@ -25,14 +25,17 @@
 	writeStatement = "INSERT INTO items VALUES ('a') /* id=1,c=write,k=b,d=480,cluster=2 */"
 )
 
-var greeting = inTurn(
+// greeting is the answer to the startup.
+var greeting = concat(
 	wire.AppendAuthenticationOk(nil), wire.AppendParameterStatus(nil, "server_version", "15.0"),
 	wire.AppendBackendKeyData(nil, 1, 2), wire.AppendReadyForQuery(nil),
 )
 
-func inTurn(parts ...[]byte) []byte { return slices.Concat(parts...) }
+// concat returns the concatenation of messages.
+func concat(parts ...[]byte) []byte { return slices.Concat(parts...) }
 
-// answer is a row of one column, with parameters of the endpoint.
+// answer returns an answer with one row, and with a ParameterStatus for each name and
+// value in parameters.
 func answer(value, tag string, parameters ...string) []byte {
 	b := wire.AppendRowDescription(nil, wire.Column{Name: []byte("doc"), Type: 25, Size: -1})
 	b = wire.AppendCommandComplete(wire.AppendDataRow(b, []byte(value)), []byte(tag))
@@ -42,6 +45,8 @@
 	return wire.AppendReadyForQuery(b)
 }
 
+// failure returns an error as an answer, and a ParameterStatus for each name and
+// value in parameters.
 func failure(code string, parameters ...string) []byte {
 	b := wire.AppendErrorResponse(nil, "ERROR", code, "no", "")
 	for i := 0; i < len(parameters); i += 2 {
@@ -50,6 +55,7 @@
 	return wire.AppendReadyForQuery(b)
 }
 
+// exchanges are the scenarios by the names under which the golden file has them.
 var exchanges = map[string]exchange{
 	"read": {answer: answer("v", "SELECT 1")},
 	"read-from-replica": {
@@ -69,13 +75,13 @@
 	"position-not-a-number": {answer: answer("v", "SELECT 1", "lsn_ms", "7.x")},
 	"position-too-large":    {answer: answer("v", "SELECT 1", "lsn_ms", "4000000000001")},
 	"binary-row": {
-		answer: inTurn(
+		answer: concat(
 			wire.AppendRowDescription(nil, wire.Column{Name: []byte("n"), Type: 23, Size: 4, Binary: true}),
 			wire.AppendDataRow(nil, []byte{0, 0, 0, 9}), wire.AppendCommandComplete(nil, []byte("SELECT 1")),
 			wire.AppendReadyForQuery(nil),
 		),
 	},
-	"notice":           {answer: inTurn(notice(), answer("v", "SELECT 1"))},
+	"notice":           {answer: concat(notice(), answer("v", "SELECT 1"))},
 	"wait-partly-over": {timePasses: 100.5, answer: answer("v", "SELECT 1")},
 	"wait-over":        {timePasses: 1000, answer: answer("v", "SELECT 1")},
 	"not-sent":         {forbidden: true},
@@ -107,13 +113,13 @@
 	"message-of-no-kind":       {answer: []byte("?\x00\x00\x00\x04")},
 	"message-too-long":         {answer: []byte("C\x00\x00\x40\x00")},
 	"row-of-lying-length": {
-		answer: inTurn(
+		answer: concat(
 			wire.AppendRowDescription(nil, wire.Column{Name: []byte("doc")}),
 			[]byte("D\x00\x00\x00\x0b\x00\x01\x00\x00\x00\x09v"),
 		),
 	},
 	"error-behind-the-answer": {
-		answer: inTurn(answer("v", "SELECT 1")[:len(answer("v", "SELECT 1"))-6], failure("XX000")),
+		answer: concat(answer("v", "SELECT 1")[:len(answer("v", "SELECT 1"))-6], failure("XX000")),
 	},
 	"probe":            {healthCheck: true, answer: answer("x0=12.5,x1=1,role=1", "SHOW")},
 	"probe-error":      {healthCheck: true, answer: failure("XX000")},
@@ -130,83 +136,85 @@
 	"probe-of-no-position":    {healthCheck: true, answer: answer("x0=-1", "SHOW")},
 }
 
+// notice returns a NoticeResponse.
 func notice() []byte {
 	b := wire.AppendErrorResponse(nil, "WARNING", "01000", "careful", "")
 	b[0] = wire.NoticeResponse
 	return b
 }
 
-// failures are attempts and health checks that are not ended by an answer.
-var failures = map[string]func(*world) string{
-	"without-host": func(w *world) string {
-		w.loop.Do(func() { w.pool.Send(2, router.AttemptID{Number: 3}, router.Statement{}, 10) })
-		return w.report()
-	},
-	"host-not-there": func(w *world) string {
-		_ = w.listener.Close()
-		w.start(exchange{})
-		return w.report()
-	},
-	"connect-timeout": func(w *world) string {
-		w.start(exchange{})
-		w.readStartup(w.accept())
-		w.passTime(250)
-		return w.report()
-	},
-	"probe-timeout": func(w *world) string {
-		w.start(exchange{healthCheck: true})
-		c := w.accept()
-		w.readStartup(c)
-		w.write(c, greeting)
-		w.readMessage(c)
-		w.passTime(250)
-		return w.report()
-	},
-	"no-socket-left": func(w *world) string {
-		w.takeAllSockets()
-		w.start(exchange{})
-		return w.report()
-	},
-	"socket-of-an-idle-connection": func(w *world) string {
-		c := w.idleConnection()
-		w.takeAllSockets()
+// failures are scenarios without an answer to the attempt or health check, by the
+// names under which the golden file has them.
+var failures = map[string]func(*fixture) string{
+	"without-host": func(f *fixture) string {
+		f.loop.Do(func() { f.pool.Send(2, router.AttemptID{Number: 3}, router.Statement{}, 10) })
+		return f.report()
+	},
+	"host-not-there": func(f *fixture) string {
+		_ = f.listener.Close()
+		f.start(exchange{})
+		return f.report()
+	},
+	"connect-timeout": func(f *fixture) string {
+		f.start(exchange{})
+		f.readStartup(f.accept())
+		f.passTime(250)
+		return f.report()
+	},
+	"probe-timeout": func(f *fixture) string {
+		f.start(exchange{healthCheck: true})
+		c := f.accept()
+		f.readStartup(c)
+		f.write(c, greeting)
+		f.readMessage(c)
+		f.passTime(250)
+		return f.report()
+	},
+	"no-socket-left": func(f *fixture) string {
+		f.takeAllDescriptors()
+		f.start(exchange{})
+		return f.report()
+	},
+	"socket-of-an-idle-connection": func(f *fixture) string {
+		c := f.idleConnection()
+		f.takeAllDescriptors()
 		other, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			w.t.Fatal(err)
+			f.t.Fatal(err)
 		}
 		defer other.Close()
-		w.loop.Do(func() {
-			w.pool.SetEndpoint(2, other.Addr().String(), true)
-			w.pool.CheckHealth(2)
+		f.loop.Do(func() {
+			f.pool.SetEndpoint(2, other.Addr().String(), true)
+			f.pool.CheckHealth(2)
 		})
-		w.expectEOF(c)
-		w.listener = other
-		second := w.accept()
-		w.readStartup(second)
-		w.write(second, greeting)
-		w.readMessage(second)
-		w.write(second, answer("x0=5", "SHOW"))
-		return w.report()
-	},
-	"host-no-longer-usable": func(w *world) string {
-		c := w.idleConnection()
-		w.loop.Do(func() { w.pool.SetEndpoint(1, "", false) })
-		w.expectEOF(c)
-		return w.cancelled(w.start(exchange{}))
-	},
-	"cancelled-before-it-began": func(w *world) string { return w.cancelled(w.start(exchange{})) },
-	"cancelled-write": func(w *world) string {
-		sent := w.start(exchange{write: true, text: writeStatement})
-		c := w.accept()
-		w.readStartup(c)
-		w.write(c, greeting)
-		w.readMessage(c)
-		text := w.cancelled(sent)
-		w.expectEOF(c)
+		f.expectEOF(c)
+		f.listener = other
+		second := f.accept()
+		f.readStartup(second)
+		f.write(second, greeting)
+		f.readMessage(second)
+		f.write(second, answer("x0=5", "SHOW"))
+		return f.report()
+	},
+	"host-no-longer-usable": func(f *fixture) string {
+		c := f.idleConnection()
+		f.loop.Do(func() { f.pool.SetEndpoint(1, "", false) })
+		f.expectEOF(c)
+		return f.cancelled(f.start(exchange{}))
+	},
+	"cancelled-before-it-began": func(f *fixture) string { return f.cancelled(f.start(exchange{})) },
+	"cancelled-write": func(f *fixture) string {
+		sent := f.start(exchange{write: true, text: writeStatement})
+		c := f.accept()
+		f.readStartup(c)
+		f.write(c, greeting)
+		f.readMessage(c)
+		text := f.cancelled(sent)
+		f.expectEOF(c)
 		return text
 	},
-	"cancelled-twice": func(w *world) string {
-		sent := w.start(exchange{})
-		return w.cancelled(sent) + w.cancelled(sent)
+	"cancelled-twice": func(f *fixture) string {
+		sent := f.start(exchange{})
+		return f.cancelled(sent) + f.cancelled(sent)
 	},
 }
--- a/internal/postgres/back/characterization_test.go
+++ b/internal/postgres/back/characterization_test.go
@@ -22,32 +22,32 @@
 	"lotusbend/internal/slotmap"
 )
 
-// update rewrites the expected values. They may change only with a deliberate
-// change of behaviour, which the commit has to name.
+// update rewrites the golden file. The commit must name the deliberate change of
+// behaviour that requires it.
 var update = flag.Bool("update", false,
 	"rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
 
 const expectedFile = "testdata/characterization.txt"
 
-// TestCharacterization pins every byte that an endpoint receives, and what is
-// reported of its answers.
+// TestCharacterization compares every byte that an endpoint receives, and the
+// reports about its answers, with the golden file.
 func TestCharacterization(t *testing.T) {
 	got := map[string]string{}
 	for name, e := range exchanges {
-		w := newWorld(t)
-		w.events.forbidden = e.forbidden
-		heard := w.exchange(e)
-		got["heard-"+name], got["reported-"+name] = hex.EncodeToString(heard), w.report()
+		f := newFixture(t)
+		f.events.forbidden = e.forbidden
+		received := f.exchange(e)
+		got["heard-"+name], got["reported-"+name] = hex.EncodeToString(received), f.report()
 	}
-	got["heard-reused"], got["reported-reused"] = newWorld(t).reuse()
+	got["heard-reused"], got["reported-reused"] = newFixture(t).reuse()
 	for name, run := range failures {
-		got["reported-"+name] = run(newWorld(t))
+		got["reported-"+name] = run(newFixture(t))
 	}
 	compareExpected(t, got)
 }
 
-// compareExpected compares the scenarios with the expected values, or rewrites
-// these with -update.
+// compareExpected compares the results, by scenario, with the golden file, or
+// rewrites the file if the update flag is set.
 func compareExpected(t *testing.T, got map[string]string) {
 	t.Helper()
 	if *update {
@@ -83,11 +83,12 @@
 	}
 }
 
-// settled is longer than the settle delay after an answer, in milliseconds.
-const settled = 5
+// settledMs is longer than the pool's settle delay after an answer.
+const settledMs = 5
 
-// world is a pool with one endpoint, which the test plays.
-type world struct {
+// fixture is a pool with one endpoint, whose end of the connections the test
+// serves.
+type fixture struct {
 	t        *testing.T
 	clock    *clock.Clock
 	loop     *clock.Loop
@@ -97,7 +98,7 @@
 	listener net.Listener
 }
 
-// events records what is reported, as numbers and bytes.
+// events is a back.Events that encodes the reports.
 type events struct {
 	forbidden bool // attempts may not be sent
 	reports   chan string
@@ -109,15 +110,16 @@
 	e.reports <- reportText(1, uint64(a.Number), rep)
 }
 
-func (e *events) LateAnswer(host uint32, rep router.AttemptReport) {
-	e.reports <- reportText(2, uint64(host), rep)
+func (e *events) LateAnswer(endpoint uint32, rep router.AttemptReport) {
+	e.reports <- reportText(2, uint64(endpoint), rep)
 }
 
-func (e *events) HealthChecked(host uint32, rep router.AttemptReport) {
-	e.reports <- reportText(3, uint64(host), rep)
+func (e *events) HealthChecked(endpoint uint32, rep router.AttemptReport) {
+	e.reports <- reportText(3, uint64(endpoint), rep)
 }
 
-// reportText writes a report as hex digits.
+// reportText encodes a report as hexadecimal digits. of is the number of the attempt
+// or the endpoint.
 func reportText(kind byte, of uint64, rep router.AttemptReport) string {
 	b := binary.BigEndian.AppendUint64([]byte{kind}, of)
 	b = append(b, byte(rep.Outcome), byte(rep.Status.Role))
@@ -135,39 +137,41 @@
 	return hex.EncodeToString(b)
 }
 
-func newWorld(t *testing.T) *world {
+// newFixture starts to listen as endpoint 1 of a new pool.
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	w := &world{
+	f := &fixture{
 		t:        t,
 		clock:    clock.Manual(1000),
 		budget:   netio.NewDescriptorBudget(100),
 		events:   &events{reports: make(chan string, 9)},
 		listener: l,
 	}
-	w.loop = clock.NewLoop(w.clock)
-	w.pool = back.New(w.loop, back.Options{}, w.budget, w.events)
-	w.loop.Do(func() { w.pool.SetEndpoint(1, l.Addr().String(), true) })
-	return w
+	f.loop = clock.NewLoop(f.clock)
+	f.pool = back.New(f.loop, back.Options{}, f.budget, f.events)
+	f.loop.Do(func() { f.pool.SetEndpoint(1, l.Addr().String(), true) })
+	return f
 }
 
-// start gives the pool a statement or a health check.
-func (w *world) start(e exchange) (sent slotmap.Handle) {
-	w.t.Helper()
+// start sends a statement or starts a health check. sent is the handle of the
+// attempt.
+func (f *fixture) start(e exchange) (sent slotmap.Handle) {
+	f.t.Helper()
 	if e.text == "" {
 		e.text = readStatement
 	}
 	parsed, err := wire.ParseStatement([]byte(e.text))
 	if err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	w.loop.Do(func() {
+	f.loop.Do(func() {
 		if e.healthCheck {
-			w.pool.CheckHealth(1)
+			f.pool.CheckHealth(1)
 			return
 		}
 		statement := router.Statement{
@@ -176,150 +180,159 @@
 			WaitTo:   parsed.WaitTo,
 			Write:    e.write,
 		}
-		sent = w.pool.Send(1, router.AttemptID{Number: 7}, statement, 480.7)
+		sent = f.pool.Send(1, router.AttemptID{Number: 7}, statement, 480.7)
 	})
 	return sent
 }
 
-// exchange has the endpoint accept a connection and answer on it, and returns
-// what the endpoint received.
-func (w *world) exchange(e exchange) (heard []byte) {
-	w.t.Helper()
-	w.start(e)
-	c := w.accept()
-	heard = w.readStartup(c)
-	w.clock.Set(w.clock.Now() + e.timePasses)
+// exchange starts e, serves it as the endpoint on a new connection and returns all
+// bytes that the endpoint received.
+func (f *fixture) exchange(e exchange) (received []byte) {
+	f.t.Helper()
+	f.start(e)
+	c := f.accept()
+	received = f.readStartup(c)
+	f.clock.Set(f.clock.Now() + e.timePasses)
 	if e.startupError != nil {
-		w.write(c, e.startupError)
+		f.write(c, e.startupError)
 		_ = c.Close()
-		return heard
+		return received
 	}
-	w.write(c, greeting)
+	f.write(c, greeting)
 	if e.forbidden {
-		return heard
+		return received
 	}
-	heard = append(heard, w.readMessage(c)...)
-	w.write(c, e.answer)
+	received = append(received, f.readMessage(c)...)
+	f.write(c, e.answer)
 	if e.ends {
 		_ = c.Close()
 	}
-	return heard
+	return received
 }
 
-// report waits for the next report.
-func (w *world) report() string {
-	w.t.Helper()
+// report returns the next report. It fails the test after 10 s.
+func (f *fixture) report() string {
+	f.t.Helper()
 	select {
-	case text := <-w.events.reports:
+	case text := <-f.events.reports:
 		return text
 	case <-time.After(10 * time.Second):
-		w.t.Error("nothing is reported")
+		f.t.Error("no report within 10 s")
 		return ""
 	}
 }
 
-func (w *world) accept() net.Conn {
-	w.t.Helper()
-	c, err := w.listener.Accept()
+// accept accepts a connection and sets its deadline to 10 s.
+func (f *fixture) accept() net.Conn {
+	f.t.Helper()
+	c, err := f.listener.Accept()
 	if err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { _ = c.Close() })
+	f.t.Cleanup(func() { _ = c.Close() })
 	if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return c
 }
 
-func (w *world) read(c net.Conn, n int) []byte {
-	w.t.Helper()
+// read reads n bytes.
+func (f *fixture) read(c net.Conn, n int) []byte {
+	f.t.Helper()
 	b := make([]byte, n)
 	if _, err := io.ReadFull(c, b); err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return b
 }
 
-func (w *world) readStartup(c net.Conn) []byte {
-	w.t.Helper()
-	head := w.read(c, wire.StartupHeaderLen)
-	return append(head, w.read(c, int(binary.BigEndian.Uint32(head))-len(head))...)
+// readStartup reads a StartupMessage.
+func (f *fixture) readStartup(c net.Conn) []byte {
+	f.t.Helper()
+	head := f.read(c, wire.StartupHeaderLen)
+	return append(head, f.read(c, int(binary.BigEndian.Uint32(head))-len(head))...)
 }
 
-func (w *world) readMessage(c net.Conn) []byte {
-	w.t.Helper()
-	head := w.read(c, wire.HeaderLen)
-	return append(head, w.read(c, int(binary.BigEndian.Uint32(head[1:]))-4)...)
+// readMessage reads a message with its header.
+func (f *fixture) readMessage(c net.Conn) []byte {
+	f.t.Helper()
+	head := f.read(c, wire.HeaderLen)
+	return append(head, f.read(c, int(binary.BigEndian.Uint32(head[1:]))-4)...)
 }
 
-func (w *world) write(c net.Conn, b []byte) {
-	w.t.Helper()
+// write writes b to c.
+func (f *fixture) write(c net.Conn, b []byte) {
+	f.t.Helper()
 	if _, err := c.Write(b); err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 }
 
-// reuse sends two statements and a health check over one connection, and returns
-// all that the endpoint received there.
-func (w *world) reuse() (heard, reported string) {
-	w.t.Helper()
-	w.start(exchange{})
-	c := w.accept()
-	bytes := w.readStartup(c)
-	w.write(c, greeting)
+// reuse sends two statements and a health check on the same connection, and returns
+// all bytes that the endpoint received and the reports.
+func (f *fixture) reuse() (received, reported string) {
+	f.t.Helper()
+	f.start(exchange{})
+	c := f.accept()
+	bytes := f.readStartup(c)
+	f.write(c, greeting)
 	for n := range 3 {
 		if n > 0 {
-			w.passTime(settled)
-			w.start(exchange{healthCheck: n == 2})
+			f.passTime(settledMs)
+			f.start(exchange{healthCheck: n == 2})
 		}
-		bytes = append(bytes, w.readMessage(c)...)
-		w.write(c, answer("x0=1", []string{"SELECT 1", "SELECT 1", "SHOW"}[n]))
-		reported += w.report()
+		bytes = append(bytes, f.readMessage(c)...)
+		f.write(c, answer("x0=1", []string{"SELECT 1", "SELECT 1", "SHOW"}[n]))
+		reported += f.report()
 	}
-	w.loop.Do(func() { w.pool.CloseIdle(1) })
+	f.loop.Do(func() { f.pool.CloseIdle(1) })
 	return hex.EncodeToString(bytes), reported
 }
 
-// cancelled cancels an attempt and returns whether it had begun.
-func (w *world) cancelled(sent slotmap.Handle) (begun string) {
-	w.loop.Do(func() {
+// cancelled cancels an attempt and returns 01 if it had begun, otherwise 00.
+func (f *fixture) cancelled(sent slotmap.Handle) (begun string) {
+	f.loop.Do(func() {
 		begun = "00"
-		if w.pool.Cancel(sent) {
+		if f.pool.Cancel(sent) {
 			begun = "01"
 		}
 	})
 	return begun
 }
 
-func (w *world) passTime(ms float64) {
-	w.clock.Set(w.clock.Now() + ms)
-	w.loop.Fire()
+// passTime advances the clock by ms milliseconds and runs the expired deadlines.
+func (f *fixture) passTime(ms float64) {
+	f.clock.Set(f.clock.Now() + ms)
+	f.loop.Fire()
 }
 
-func (w *world) takeAllSockets() {
-	w.loop.Do(func() {
-		for w.budget.AcquireEndpoint() {
+// takeAllDescriptors exhausts the descriptor budget.
+func (f *fixture) takeAllDescriptors() {
+	f.loop.Do(func() {
+		for f.budget.AcquireEndpoint() {
 		}
 	})
 }
 
-// idleConnection returns the endpoint's end of an idle connection.
-func (w *world) idleConnection() net.Conn {
-	w.t.Helper()
-	w.start(exchange{})
-	c := w.accept()
-	w.readStartup(c)
-	w.write(c, greeting)
-	w.readMessage(c)
-	w.write(c, answer("v", "SELECT 1"))
-	w.report()
-	w.passTime(settled)
+// idleConnection opens a connection, answers a statement on it, and returns the
+// endpoint's end once the connection is idle.
+func (f *fixture) idleConnection() net.Conn {
+	f.t.Helper()
+	f.start(exchange{})
+	c := f.accept()
+	f.readStartup(c)
+	f.write(c, greeting)
+	f.readMessage(c)
+	f.write(c, answer("v", "SELECT 1"))
+	f.report()
+	f.passTime(settledMs)
 	return c
 }
 
-func (w *world) expectEOF(c net.Conn) {
-	w.t.Helper()
+// expectEOF fails the test unless the pool has ended the connection.
+func (f *fixture) expectEOF(c net.Conn) {
+	f.t.Helper()
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err == nil {
-		w.t.Errorf("the endpoint reads %d bytes, %v; want EOF", n, err)
+		f.t.Errorf("endpoint read %d bytes, %v, want EOF", n, err)
 	}
 }
--- a/internal/postgres/back/connection.go
+++ b/internal/postgres/back/connection.go
@@ -11,11 +11,12 @@
 )
 
 const (
-	// settleDelay is how long, in milliseconds, a connection is not used after an
-	// answer: an endpoint that sends more than the answer sends it right behind.
-	settleDelay = 2
-	// idleFraction of the endpoint's idle timeout is when we close: a request that
-	// crosses the endpoint's close is lost to a reset.
+	// settleDelayMs is how long a connection is not reused after an answer. An
+	// endpoint that sends more than the answer sends it immediately afterwards.
+	settleDelayMs = 2
+	// idleFraction is the fraction of the endpoints' idle timeout after which the
+	// pool closes an idle connection. A request sent while the endpoint closes
+	// the connection would be lost to a reset.
 	idleFraction = 0.8
 )
 
@@ -23,16 +24,16 @@
 type phase uint8
 
 const (
-	opening   phase = iota // dialling, or before the first ReadyForQuery
-	settling               // just after an answer
-	idle                   // ready for a job
-	busy                   // a job is sent or awaits its answer
-	abandoned              // its attempt was cancelled; an answer may still come
+	opening   phase = iota // dialling or in the startup
+	settling               // not reused yet, for settleDelayMs after an answer
+	idle                   // available for a job
+	busy                   // a job is being written or awaits its answer
+	abandoned              // the attempt was cancelled; a late answer is still read
 	closed
 )
 
-// conn is one connection to an endpoint. answer belongs to the connection's own
-// callbacks, the rest to the loop.
+// conn is one connection to an endpoint. answer is accessed by the connection's
+// own callbacks, the other fields inside the loop's Do.
 type conn struct {
 	handle     slotmap.Handle
 	pool       *Pool
@@ -40,18 +41,20 @@
 	address    string
 	socket     *netio.Conn // nil while dialling
 	phase      phase
-	job        *job            // in flight, or the one that was cancelled
+	job        *job            // in flight or, in the phase abandoned, cancelled
 	idleSince  float64         // Unix milliseconds
-	timeout    *clock.Deadline // of the present phase
-	idleCloses int             // the endpoint's, when the connection began to settle
+	timeout    *clock.Deadline // ends the present phase
+	idleCloses int             // the endpoint's count when the connection began to open or settle
 	answer     answer
 }
 
-// ready gives a connection its next job or leaves it idle.
+// ready sends the next waiting job on a connection that has finished opening or
+// settling, or makes the connection idle. It closes a connection that cannot be
+// reused.
 func (p *Pool) ready(c *conn) {
 	e := c.endpoint
-	fit := c.address == e.address && c.socket.Quiet()
-	for fit && len(e.waiting) > 0 {
+	reusable := c.address == e.address && c.socket.Quiet()
+	for reusable && len(e.waiting) > 0 {
 		j := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		if j.healthCheck || p.events.MaySend(j.attempt) {
@@ -61,17 +64,17 @@
 		}
 		p.end(j, router.AttemptReport{Outcome: decide.NotSent})
 	}
-	if !fit || !e.usable || c.idleCloses != e.idleCloses {
+	if !reusable || !e.usable || c.idleCloses != e.idleCloses {
 		p.close(c)
-		p.refill(e)
+		p.openIfNeeded(e)
 		return
 	}
 	e.pendingConns--
 	p.becomeIdle(c)
 }
 
-// becomeIdle keeps a connection for the next job, until shortly before the
-// endpoint would close it.
+// becomeIdle keeps a connection for a later job and schedules its close, which is
+// before the endpoint's idle timeout.
 func (p *Pool) becomeIdle(c *conn) {
 	c.phase = idle
 	c.idleSince = p.loop.Now()
@@ -80,16 +83,17 @@
 	c.timeout = p.loop.At(c.idleSince+idleFraction*p.options.IdleTimeout, func() { p.close(c) })
 }
 
-// beginAnswer checks that an answer may begin on c.
+// beginAnswer returns an error unless the first message of an answer or of the
+// startup may arrive on c.
 func (p *Pool) beginAnswer(c *conn) error {
 	if c.phase == opening || c.phase == busy || c.phase == abandoned {
 		return nil
 	}
-	return errExcess
+	return errUnexpected
 }
 
-// readyForQuery takes the ReadyForQuery that ends a startup or an answer. It
-// returns an error if neither can end there.
+// readyForQuery handles a ReadyForQuery, which ends the startup or an answer. It
+// returns an error if neither is complete.
 func (p *Pool) readyForQuery(c *conn) error {
 	switch {
 	case c.phase == opening && c.answer.stage == awaiting:
@@ -99,12 +103,12 @@
 		p.lateAnswer(c)
 		return nil
 	case c.phase != busy || c.job == nil:
-		return errExcess
+		return errUnexpected
 	}
 	j := c.job
 	report, complete := c.answer.report(j)
-	if !complete { // a ReadyForQuery without the answer to this statement
-		return errOrder
+	if !complete { // the messages before it are not a complete answer to this statement
+		return errOutOfOrder
 	}
 	c.job = nil
 	j.conn = nil
@@ -112,12 +116,13 @@
 	c.phase = settling
 	c.idleCloses = c.endpoint.idleCloses
 	c.endpoint.pendingConns++
-	c.timeout = p.loop.At(p.loop.Now()+settleDelay, func() { p.ready(c) })
+	c.timeout = p.loop.At(p.loop.Now()+settleDelayMs, func() { p.ready(c) })
 	p.end(j, report)
 	return nil
 }
 
-// lateAnswer reports what has arrived of the answer to a cancelled attempt.
+// lateAnswer closes the connection of a cancelled attempt, and reports the answer
+// if it has arrived completely.
 func (p *Pool) lateAnswer(c *conn) {
 	report, complete := c.answer.report(c.job)
 	id := c.endpoint.id
@@ -127,8 +132,9 @@
 	}
 }
 
-// malformed ends a connection on which something arrived that is not an answer.
-// The statement that awaits its answer there may have been executed.
+// malformed closes a connection on which something other than an answer arrived.
+// The job in flight ends with decide.Malformed: its statement may have been
+// executed.
 func (p *Pool) malformed(c *conn) {
 	if c.phase == opening {
 		p.openFailed(c, c.answer.startupOutcome())
@@ -142,10 +148,10 @@
 		j.conn = nil
 		p.end(j, router.AttemptReport{Outcome: decide.Malformed})
 	}
-	p.refill(c.endpoint)
+	p.openIfNeeded(c.endpoint)
 }
 
-// disconnected takes the end of the connection, by either side.
+// disconnected handles the end of the connection, by either side.
 func (p *Pool) disconnected(c *conn) {
 	j := c.job
 	switch {
@@ -157,12 +163,13 @@
 		p.disconnectedInFlight(c, j)
 	default:
 		p.close(c)
-		p.refill(c.endpoint)
+		p.openIfNeeded(c.endpoint)
 	}
 }
 
-// disconnectedInFlight ends the job of a connection that has ended. The read
-// buffer is released after this callback, so that an answer in it counts now.
+// disconnectedInFlight ends the job of a connection that has ended. A complete
+// answer in the read buffer is reported now, as the buffer is released after this
+// callback.
 func (p *Pool) disconnectedInFlight(c *conn, j *job) {
 	p.close(c)
 	report, complete := c.answer.report(j)
@@ -172,12 +179,12 @@
 		p.end(j, report)
 		return
 	}
-	if !j.writing { // else written reports it
+	if !j.writing { // otherwise written reports the end
 		p.fail(j, decide.Reset)
 	}
 }
 
-// close ends c; its job, if any, is left to the caller.
+// close closes c. The caller must handle its job, if any.
 func (p *Pool) close(c *conn) {
 	switch c.phase {
 	case closed:
--- a/internal/postgres/back/job.go
+++ b/internal/postgres/back/job.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// lateAnswerWindow is how long, in milliseconds, a connection is read on
-	// which a read was cancelled. What an answer reports of its endpoint's role
-	// counts as known 100 ms after it was written, read or not, and it may have
-	// been on its way at the cancellation.
-	lateAnswerWindow = 100
-	// maxWaitDigits is more than the digits of any wait.
+	// lateAnswerWindowMs is how long a connection is still read after a read on it
+	// was cancelled. The answer may have been in transit at the cancellation, and
+	// the role of the endpoint that it reports counts as known to the router
+	// 100 ms after the endpoint has sent it, whether it was read or not.
+	lateAnswerWindowMs = 100
+	// maxWaitDigits is an upper bound on the digits of the client's timeout.
 	maxWaitDigits = 32
 )
 
-// job is one attempt or health check.
+// job is an attempt or a health check.
 type job struct {
 	handle      slotmap.Handle
-	endpoint    *endpoint // nil if unknown
+	endpoint    *endpoint // nil if the pool does not know it
 	healthCheck bool
 	attempt     router.AttemptID
 	statement   router.Statement
 	deadline    float64         // Unix milliseconds
-	conn        *conn           // nil while it waits for one
-	timeout     *clock.Deadline // of the wait for a connection, or of a health check
-	writing     bool            // it may or may not be written whole to the system
+	conn        *conn           // nil while the job waits for one
+	timeout     *clock.Deadline // of the wait for a connection or of the health check
+	writing     bool            // the kernel may not have accepted the whole message
 }
 
 // Send implements router.Transport.
@@ -49,7 +49,7 @@
 	j.timeout = p.loop.At(j.deadline, func() { p.fail(j, decide.TimedOut) })
 }
 
-// start gives j a connection, now or when one is ready.
+// start sends j on an idle connection, or queues it until a connection is ready.
 func (p *Pool) start(j *job, id uint32) slotmap.Handle {
 	e := p.endpoints[id]
 	j.endpoint = e
@@ -64,7 +64,7 @@
 	}
 	e.waiting = append(e.waiting, j)
 	j.timeout = p.loop.At(p.loop.Now()+p.options.ConnectTimeout, func() { p.fail(j, decide.ConnectFailed) })
-	p.refill(e)
+	p.openIfNeeded(e)
 	return j.handle
 }
 
@@ -75,15 +75,15 @@
 	c.job = j
 	j.conn = c
 	j.writing = true
-	if !j.healthCheck { // its timeout was that of the wait for a connection
+	if !j.healthCheck { // the timeout of an attempt covers only the wait for a connection
 		p.loop.Cancel(j.timeout)
 	}
 	handle := j.handle
 	c.socket.Send(p.query(j), func(err error) { p.loop.Do(func() { p.written(handle, c, err) }) })
 }
 
-// query returns the message that a job sends. In a statement, the client's wait
-// is replaced by what is left of it.
+// query returns the Query message of a job. In a statement, the client's timeout
+// is replaced by the time left, at least 1 ms.
 func (p *Pool) query(j *job) []byte {
 	if j.healthCheck {
 		return wire.AppendQuery(nil, []byte("SHOW health"))
@@ -95,9 +95,9 @@
 	return wire.AppendQuery(b, statement.Text[:statement.WaitFrom], wait, statement.Text[statement.WaitTo:])
 }
 
-// written takes whether a job's last byte was written to the system. A
-// connection that broke meanwhile has waited for this: only a statement that was
-// not written whole was surely not executed.
+// written handles the end of the write of a job's message. If the connection
+// ended during the write, the job ends only here, because the outcome depends on
+// err: only a statement that was not written completely cannot have been executed.
 func (p *Pool) written(handle slotmap.Handle, c *conn, err error) {
 	j := p.jobs.Get(handle)
 	if j == nil || j.conn != c {
@@ -112,7 +112,7 @@
 	}
 }
 
-// Cancel implements router.Transport. An attempt that was sent is cancelled by
+// Cancel implements router.Transport. It cancels an attempt that was sent by
 // ending its connection.
 func (p *Pool) Cancel(sent slotmap.Handle) (begun bool) {
 	j := p.jobs.Get(sent)
@@ -125,10 +125,11 @@
 	return begun
 }
 
-// detach takes j off its connection or its endpoint's queue. The endpoint sees
-// at once that our side of the connection has ended. A late answer to a read is
-// still read. A write's is not: its commit would count as known, and the
-// session's next read may be on its way already.
+// detach removes j from its connection or its endpoint's queue. It ends the
+// pool's side of the connection, which notifies the endpoint at once. A late
+// answer to a read is still read. A late answer to a write is not, because the
+// position of its commit would count as known to the session although the
+// session's next read may have been sent already.
 func (p *Pool) detach(j *job) {
 	c := j.conn
 	if c == nil {
@@ -145,10 +146,10 @@
 	}
 	c.phase = abandoned
 	c.socket.Abandon()
-	c.timeout = p.loop.At(p.loop.Now()+lateAnswerWindow, func() { p.close(c) })
+	c.timeout = p.loop.At(p.loop.Now()+lateAnswerWindowMs, func() { p.close(c) })
 }
 
-// fail ends j with a failure, unless it has ended.
+// fail ends j with the given outcome unless it has already ended.
 func (p *Pool) fail(j *job, outcome decide.Outcome) {
 	if p.jobs.Get(j.handle) == j {
 		p.detach(j)
@@ -156,7 +157,7 @@
 	}
 }
 
-// end reports the end of j.
+// end removes j and reports its result.
 func (p *Pool) end(j *job, report router.AttemptReport) {
 	p.remove(j)
 	if j.healthCheck {
@@ -166,7 +167,7 @@
 	}
 }
 
-// remove forgets j.
+// remove cancels the timeout of j and removes it from the table of jobs.
 func (p *Pool) remove(j *job) {
 	p.loop.Cancel(j.timeout)
 	p.jobs.Remove(j.handle)
--- a/internal/postgres/back/open.go
+++ b/internal/postgres/back/open.go
@@ -12,14 +12,16 @@
 	"lotusbend/internal/slotmap"
 )
 
-// refill opens a connection if jobs wait for which none is pending.
-func (p *Pool) refill(e *endpoint) {
+// openIfNeeded opens a connection if there are more waiting jobs than pending
+// connections.
+func (p *Pool) openIfNeeded(e *endpoint) {
 	if e.pendingConns < len(e.waiting) {
 		p.open(e)
 	}
 }
 
-// open dials one more connection to e, if the process may have one.
+// open starts to open a connection to e. If the descriptor budget is exhausted,
+// the newest waiting job fails instead.
 func (p *Pool) open(e *endpoint) {
 	if !p.takeDescriptor() {
 		j := e.waiting[len(e.waiting)-1]
@@ -34,8 +36,9 @@
 	go c.dial(timeout)
 }
 
-// takeDescriptor books a descriptor. If none is left, it closes a connection
-// that can be spared.
+// takeDescriptor reserves a descriptor and reports whether it did. If the budget is
+// exhausted, it first closes a connection whose attempt was cancelled or, failing
+// that, the longest idle one.
 func (p *Pool) takeDescriptor() bool {
 	if p.budget.AcquireEndpoint() {
 		return true
@@ -43,7 +46,7 @@
 	return (p.closeAbandoned() || p.closeOldestIdle()) && p.budget.AcquireEndpoint()
 }
 
-// closeAbandoned closes a connection whose attempt was cancelled, and reports
+// closeAbandoned closes one connection whose attempt was cancelled, and reports
 // whether there was one.
 func (p *Pool) closeAbandoned() bool {
 	var found *conn
@@ -75,31 +78,32 @@
 	return true
 }
 
-// dial connects within the timeout. It blocks, and runs in a goroutine of its
-// own that ends with it.
+// dial connects to the endpoint. It blocks for at most timeout and runs in a
+// goroutine of its own.
 func (c *conn) dial(timeout time.Duration) {
 	nc, err := netpoll.DialConnection("tcp", c.address, timeout)
 	c.pool.loop.Do(func() { c.pool.dialled(c, nc, err) })
 }
 
-// dialled takes the result of a dial, and begins the startup.
+// dialled handles the result of a dial. If it succeeded, it sends the
+// StartupMessage.
 func (p *Pool) dialled(c *conn, nc netpoll.Connection, err error) {
 	if err != nil {
 		p.openFailed(c, decide.ConnectFailed)
 		return
 	}
 	socket := netio.NewConn(nc)
-	if c.phase == closed { // it timed out meanwhile
+	if c.phase == closed { // the connect timeout expired while dialling
 		socket.Close()
 		return
 	}
 	c.socket = socket
-	_ = nc.AddCloseCallback(func(netpoll.Connection) error { // never fails
+	_ = nc.AddCloseCallback(func(netpoll.Connection) error { // never returns an error
 		p.loop.Do(func() { p.disconnected(c) })
 		return nil
 	})
 	_ = nc.SetOnRequest(c.onData)
-	if !nc.IsActive() { // it ended before the callbacks were set
+	if !nc.IsActive() { // the endpoint ended the connection before the callbacks were set
 		p.loop.Post(func() { p.disconnected(c) })
 		socket.Close()
 		return
@@ -107,8 +111,8 @@
 	socket.Send(wire.AppendStartup(nil, user, database), nil)
 }
 
-// openFailed ends a connection that never became ready, and the job that has
-// waited longest unless another connection is pending for it.
+// openFailed closes a connection that did not become ready. If fewer connections
+// are pending than jobs wait, the oldest waiting job fails with outcome.
 func (p *Pool) openFailed(c *conn, outcome decide.Outcome) {
 	if c.phase != opening {
 		return
--- a/internal/postgres/back/pool.go
+++ b/internal/postgres/back/pool.go
@@ -1,9 +1,11 @@
-// Package back holds the connections to database endpoints. It opens, reuses
-// and closes them, sends attempts and health checks, and reports how each ended.
+// Package back is the connection pool for database endpoints. It opens, reuses
+// and closes connections, sends attempts and health checks, and reports the
+// result of each.
 //
-// pool.go has the pool and its endpoints, job.go the life of an attempt or a
-// health check, open.go how a connection is opened, connection.go its life after
-// that. answer.go reads answers, status.go what they report of their endpoint.
+// pool.go has the pool and its endpoints, job.go the lifecycle of attempts and
+// health checks, open.go the opening of connections and connection.go the rest
+// of their lifecycle. answer.go reads answers, status.go the replication status
+// that they report.
 package back
 
 import (
@@ -13,40 +15,40 @@
 	"lotusbend/internal/slotmap"
 )
 
-// The user and database named at the startup of a connection.
+// User and database in the StartupMessage of every connection.
 const (
 	user     = "app"
 	database = "shop"
 )
 
-// Events receives the results of attempts and health checks, inside the loop's
-// Do. The router implements it.
+// Events receives the results of attempts and health checks. Its methods are
+// called inside the loop's Do. router.Router implements it.
 type Events interface {
-	// MaySend reports whether an attempt that waited for its connection may be
-	// written now. One that may not is reported as NotSent.
+	// MaySend reports whether an attempt that waited for a connection may still be
+	// sent. If not, it ends with decide.NotSent.
 	MaySend(waited router.AttemptID) bool
-	// AttemptEnded reports the end of an attempt that was not cancelled.
+	// AttemptEnded reports the result of an attempt that was not cancelled.
 	AttemptEnded(ended router.AttemptID, report router.AttemptReport)
-	// LateAnswer reports the answer to an attempt that was cancelled.
+	// LateAnswer reports an answer that arrived after its attempt was cancelled.
 	LateAnswer(endpoint uint32, report router.AttemptReport)
-	// HealthChecked reports the end of a health check.
+	// HealthChecked reports the result of a health check.
 	HealthChecked(endpoint uint32, report router.AttemptReport)
 }
 
-// Options are the limits from the settings, in milliseconds; 0 or less stands
-// for the default.
+// Options are the pool's timeouts in milliseconds. A value of 0 or less selects
+// the default.
 type Options struct {
-	ConnectTimeout float64
-	IdleTimeout    float64 // after which an endpoint closes an idle connection
+	ConnectTimeout float64 // for dialling and the startup; 250 by default
+	IdleTimeout    float64 // after which endpoints close idle connections; 30000 by default
 }
 
 const (
-	defaultConnectTimeout = 250   // milliseconds
-	defaultIdleTimeout    = 30000 // milliseconds
+	defaultConnectTimeoutMs = 250
+	defaultIdleTimeoutMs    = 30000
 )
 
-// Pool holds the connections to all endpoints. Its methods are called inside the
-// loop's Do.
+// Pool holds the connections to all endpoints. Its methods must be called inside
+// the loop's Do.
 type Pool struct {
 	loop      *clock.Loop
 	options   Options
@@ -59,24 +61,24 @@
 
 var _ router.Transport = (*Pool)(nil)
 
-// endpoint is a database endpoint with its idle connections.
+// endpoint is a database endpoint with its idle connections and waiting jobs.
 type endpoint struct {
 	id           uint32
 	address      string
-	usable       bool    // new jobs may be sent to it
-	idleCloses   int     // how often CloseIdle was called for it
-	idle         []*conn // the last used one last
-	waiting      []*job  // for a connection
-	pendingConns int     // connections that open or settle: each will take a job
+	usable       bool    // it takes new requests
+	idleCloses   int     // number of calls of CloseIdle
+	idle         []*conn // in order of last use, the most recent one last
+	waiting      []*job  // waiting for a connection, the oldest first
+	pendingConns int     // connections in the phases opening and settling, each of which can take a job
 }
 
-// New returns a pool without endpoints.
+// New returns a pool without endpoints. Connections count against budget.
 func New(loop *clock.Loop, options Options, budget *netio.DescriptorBudget, events Events) *Pool {
 	if options.ConnectTimeout <= 0 {
-		options.ConnectTimeout = defaultConnectTimeout
+		options.ConnectTimeout = defaultConnectTimeoutMs
 	}
 	if options.IdleTimeout <= 0 {
-		options.IdleTimeout = defaultIdleTimeout
+		options.IdleTimeout = defaultIdleTimeoutMs
 	}
 	return &Pool{
 		loop:      loop,
@@ -87,9 +89,9 @@
 	}
 }
 
-// SetEndpoint sets the address of an endpoint; "" keeps the last one. usable is
-// false for an endpoint that takes no new requests: its idle connections are
-// closed.
+// SetEndpoint adds an endpoint or changes its address; "" keeps the present
+// address. usable is false for an endpoint that takes no new requests. Idle
+// connections are closed if the endpoint is not usable or its address changed.
 func (p *Pool) SetEndpoint(id uint32, address string, usable bool) {
 	e := p.endpoints[id]
 	if e == nil {
@@ -111,15 +113,16 @@
 	if e == nil {
 		return
 	}
-	e.idleCloses++ // a connection that settles is closed, too, unless a job waits for it
+	e.idleCloses++ // settling connections compare it when they become ready, and close
 	for len(e.idle) > 0 {
 		p.close(e.idle[0])
 	}
 }
 
-// takeIdle returns the last used idle connection that is fit for use. One on
-// which the endpoint has sent anything, or that it has ended, is not: a
-// statement written there would be lost or get another's answer.
+// takeIdle removes and returns the most recently used idle connection, nil if
+// there is none. It closes connections that the endpoint has ended, on which a
+// statement would be lost, and those with unread bytes, which would be taken for
+// the answer to the next statement.
 func (e *endpoint) takeIdle(p *Pool) *conn {
 	for len(e.idle) > 0 {
 		last := len(e.idle) - 1
--- a/internal/postgres/back/status.go
+++ b/internal/postgres/back/status.go
@@ -10,17 +10,18 @@
 	"lotusbend/internal/routingconfig"
 )
 
-// The parameters that report an endpoint's replication status.
+// Names of the run-time parameters that report an endpoint's replication status.
 const (
 	paramRole     = "recovery" // off on a primary, on on a replica
 	paramPosition = "lsn_ms"   // Unix milliseconds
 )
 
-// maxPosition keeps a position far from overflow.
+// maxPosition is the largest valid position. It leaves ample room below the
+// overflow of a time.Duration.
 const maxPosition = 4e12 * time.Millisecond
 
-// status is the replication status that an answer reports. That of a commit is
-// rounded up.
+// status returns the replication status that an answer reports. The position of a
+// commit is rounded up to a nanosecond, any other down.
 func (a *answer) status(isCommit bool) decide.ReplicationStatus {
 	return decide.ReplicationStatus{
 		Role:     a.role,
@@ -28,7 +29,7 @@
 	}
 }
 
-// parseRole reads the value of paramRole.
+// parseRole parses the value of paramRole.
 func parseRole(recovery []byte) decide.Role {
 	switch string(recovery) {
 	case "off":
@@ -39,7 +40,8 @@
 	return decide.RoleUnknown
 }
 
-// healthReport returns the result of a health check.
+// healthReport returns the result of a health check that was answered with the
+// given load report.
 func healthReport(loadReport []byte) router.AttemptReport {
 	status, ok := parseHealth(loadReport)
 	if !ok {
@@ -48,8 +50,8 @@
 	return router.AttemptReport{Outcome: decide.OK, Status: status}
 }
 
-// parseHealth reads a load report: names and values, such as x0=12.5,x1=1. A
-// report of which any part is malformed is rejected whole.
+// parseHealth parses a load report, which has names and values such as
+// x0=12.5,x1=1. ok is false if any part of it is malformed.
 func parseHealth(loadReport []byte) (status decide.ReplicationStatus, ok bool) {
 	for field := range bytes.SplitSeq(loadReport, []byte{','}) {
 		name, text, _ := bytes.Cut(field, []byte{'='})
@@ -77,10 +79,10 @@
 	return status, true
 }
 
-// parsePosition reads a Unix time in the given unit exactly, digit by digit: a
-// float64 of seconds would be off by parts of a microsecond either way. What is
-// finer than a nanosecond is rounded down, or up if roundUp is set. It returns 0
-// for what is not a time.
+// parsePosition parses a Unix time in the given unit. It converts digit by digit
+// and exactly; a float64 of seconds would have an error of a fraction of a
+// microsecond in either direction. Digits below one nanosecond are rounded down,
+// or up if roundUp is set. It returns 0 if text is not a valid time.
 func parsePosition(text []byte, unit time.Duration, roundUp bool) time.Duration {
 	whole, fraction, _ := bytes.Cut(text, []byte{'.'})
 	n, err := strconv.ParseInt(string(whole), 10, 64)
--- a/internal/postgres/back/stub_test.go
+++ b/internal/postgres/back/stub_test.go
@@ -8,22 +8,22 @@
 	"lotusbend/internal/router"
 )
 
-// unpolled is a connection that no poller reads.
-type unpolled struct {
+// unpolledConn is a connection that no poller reads; its received bytes are in in.
+type unpolledConn struct {
 	netpoll.Connection
 	fd int
 	in *netpoll.LinkBuffer
 }
 
-func (u *unpolled) Fd() int { return u.fd }
+func (u *unpolledConn) Fd() int { return u.fd }
 
-func (u *unpolled) Reader() netpoll.Reader { return u.in }
+func (u *unpolledConn) Reader() netpoll.Reader { return u.in }
 
-func (u *unpolled) Close() error { return nil }
+func (u *unpolledConn) Close() error { return nil }
 
-func (u *unpolled) Write(b []byte) (int, error) { return syscall.Write(u.fd, b) }
+func (u *unpolledConn) Write(b []byte) (int, error) { return syscall.Write(u.fd, b) }
 
-// ignoreEvents ignores all events.
+// ignoreEvents is an Events that ignores all reports and permits every attempt.
 type ignoreEvents struct{}
 
 func (ignoreEvents) MaySend(router.AttemptID) bool { return true }
--- a/internal/postgres/back/truncated_test.go
+++ b/internal/postgres/back/truncated_test.go
@@ -13,7 +13,7 @@
 	"lotusbend/internal/router"
 )
 
-// outcomes receives the outcomes of attempts.
+// outcomes sends the outcomes of attempts to a channel.
 type outcomes struct {
 	ignoreEvents
 	ended chan decide.Outcome
@@ -23,11 +23,11 @@
 	o.ended <- report.Outcome
 }
 
-// An answer may be truncated after any of its bytes, by an EOF or a reset. It
-// counts once its last message before ReadyForQuery is complete; before that the
-// attempt may have been executed, whatever the bytes look like. A reset may also
-// discard what had arrived.
-func TestTruncatedAnswer(t *testing.T) {
+// TestTruncatedAnswerCountsOnlyIfComplete truncates an answer after each of its
+// bytes, by EOF and by reset. The answer must count once all its messages before
+// ReadyForQuery have arrived; before that the outcome must be Reset, as the
+// statement may have been executed. A reset may also discard received bytes.
+func TestTruncatedAnswerCountsOnlyIfComplete(t *testing.T) {
 	served := wire.AppendRowDescription(nil, wire.Column{Name: []byte("doc"), Type: 17, Size: -1, Binary: true})
 	served = wire.AppendDataRow(served, []byte("value"))
 	served = wire.AppendCommandComplete(served, []byte("SELECT 1"))
@@ -51,15 +51,15 @@
 				complete := cut >= len(c.answer)
 				lost := reset && got == decide.Reset
 				if complete && got != c.outcome && !lost || !complete && got != decide.Reset {
-					t.Errorf("%s, truncated after %d of %d bytes, reset %v: %v", name, cut, len(whole), reset, got)
+					t.Errorf("%s truncated after %d of %d bytes, reset = %v: got outcome %v", name, cut, len(whole), reset, got)
 				}
 			}
 		}
 	}
 }
 
-// outcomeOfAnswer returns the outcome of an attempt whose endpoint sends the
-// given bytes and ends the connection, by a reset or an EOF.
+// outcomeOfAnswer returns the outcome of an attempt whose endpoint sends answer and
+// then ends the connection, by a reset or by EOF.
 func outcomeOfAnswer(t *testing.T, listener net.Listener, answer []byte, reset bool) decide.Outcome {
 	t.Helper()
 	events := outcomes{ended: make(chan decide.Outcome, 1)}
