--- a/internal/postgres/wire/characterization_inputs_test.go
+++ b/internal/postgres/wire/characterization_inputs_test.go
@@ -7,8 +7,8 @@
 	"lotusbend/internal/postgres/wire"
 )
 
-// writtenMessages returns one of every message that the router sends, and some
-// at the bounds of what it may hold.
+// writtenMessages returns every kind of message that the router sends, and some with
+// very long or empty contents, by the names under which the golden file has them.
 func writtenMessages(t *testing.T) map[string][]byte {
 	t.Helper()
 	longest := strings.Repeat("x", 70000)
@@ -48,7 +48,7 @@
 	for name, text := range map[string][]byte{
 		"query-long": wire.AppendQuery(nil, []byte(longest)), "data-row-long": wire.AppendDataRow(nil, []byte(longest)),
 	} {
-		messages[name] = text[:wire.HeaderLen+wire.RowHeaderLen] // the rest is what was given
+		messages[name] = text[:wire.HeaderLen+wire.RowHeaderLen] // the rest is a copy of the input
 	}
 	for name, m := range extendedMessages {
 		read, err := wire.ParseExtended(m.kind, []byte(m.body))
@@ -60,15 +60,15 @@
 	return messages
 }
 
-// sqlStates are the codes of errors.
+// sqlStates are all SQLSTATE codes of the package.
 var sqlStates = []string{
 	wire.CodeTooManyConnections, wire.CodeCannotConnectNow, wire.CodeReadOnlyTransaction, wire.CodeTooFarBehind,
 	wire.CodeProtocolViolation, wire.CodeSyntaxError, wire.CodeFeatureNotSupported, wire.CodeQueryCanceled,
 	wire.CodeOutOfMemory,
 }
 
-// extendedMessages are a client's, which are forwarded with another statement's
-// name.
+// extendedMessages are messages of the extended query protocol, which are encoded
+// again with another statement name.
 var extendedMessages = map[string]struct {
 	kind byte
 	body string
@@ -90,7 +90,7 @@
 	"flush":              {'H', ""},
 }
 
-// statements are texts with and without a valid comment.
+// statements are statements with valid and invalid comments.
 var statements = map[string]string{
 	"read":               "SELECT doc FROM items WHERE id = '7f3a' /* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */",
 	"write":              "INSERT INTO items VALUES ('k', 'it''s') /* id=1,c=put,k=key-1,d=900,cluster=0 */",
@@ -135,8 +135,8 @@
 	"verb-alone":         "SELECT",
 }
 
-// brokenBinds are bodies with a false count or length.
-var brokenBinds = []string{
+// malformedBinds are bodies of Bind messages with a wrong count or length.
+var malformedBinds = []string{
 	"\x00\x00\x00\x00\x00\x01\xff\xff\xff\xfe\x00\x00",
 	"\x00\x00\x00\x00\x00\x01\x80\x00\x00\x00\x00\x00",
 	"\x00\x00\x00\x00\x00\x01\x00\x00\x00\x03ab",
--- a/internal/postgres/wire/characterization_test.go
+++ b/internal/postgres/wire/characterization_test.go
@@ -19,17 +19,17 @@
 	"lotusbend/internal/postgres/wire"
 )
 
-// update rewrites the expected values. They may change only with a deliberate
-// change of behaviour, which the commit has to name.
+// update rewrites the golden file. The commit must name the deliberate change of
+// behaviour that requires it.
 var update = flag.Bool(
 	"update", false, "rewrite testdata/characterization.txt; only for a deliberate change of behaviour",
 )
 
 const expectedFile = "testdata/characterization.txt"
 
-// TestCharacterization pins the bytes of every message that is written, and
-// what is read of correct and of broken ones. Messages stand in testdata as
-// they are, in hex digits; what was read, as a digest of numbers and bytes.
+// TestCharacterization compares the bytes of all encoded messages, and the results
+// of decoding valid and malformed ones, with the golden file. The file has messages
+// in hexadecimal digits, and results as digests of their numbers and bytes.
 func TestCharacterization(t *testing.T) {
 	got := map[string]string{}
 	for name, message := range writtenMessages(t) {
@@ -48,8 +48,8 @@
 	compareExpected(t, got)
 }
 
-// compareExpected compares the scenarios with the expected values, or rewrites
-// these with -update.
+// compareExpected compares the results, by scenario, with the golden file, or
+// rewrites the file if the update flag is set.
 func compareExpected(t *testing.T, got map[string]string) {
 	t.Helper()
 	if *update {
@@ -85,17 +85,19 @@
 	}
 }
 
-// digest hashes numbers and bytes.
+// digest is a hash of numbers and byte slices.
 type digest struct{ hash hash.Hash }
 
 func newDigest() digest { return digest{sha256.New()} }
 
+// numbers hashes integers.
 func (d digest) numbers(values ...int) {
 	for _, v := range values {
-		_ = binary.Write(d.hash, binary.BigEndian, int64(v)) // a hash never fails
+		_ = binary.Write(d.hash, binary.BigEndian, int64(v)) // writing to a hash never fails
 	}
 }
 
+// flags hashes booleans as 0 or 1.
 func (d digest) flags(values ...bool) {
 	for _, v := range values {
 		n := 0
@@ -106,6 +108,7 @@
 	}
 }
 
+// texts hashes byte slices and their lengths.
 func (d digest) texts(values ...[]byte) {
 	for _, v := range values {
 		d.numbers(len(v))
@@ -113,14 +116,17 @@
 	}
 }
 
+// sum returns the hash in hexadecimal digits.
 func (d digest) sum() string { return hex.EncodeToString(d.hash.Sum(nil)) }
 
+// readStatement returns the digest of a parsed statement.
 func readStatement(text string) string {
 	d := newDigest()
 	hashStatement(d, text)
 	return d.sum()
 }
 
+// hashStatement parses a statement and hashes the result.
 func hashStatement(d digest, text string) {
 	d.texts(wire.Verb([]byte(text)))
 	s, err := wire.ParseStatement([]byte(text))
@@ -135,8 +141,8 @@
 	)
 }
 
-// rewrittenStatement returns the query with another wait in its comment, nil if
-// the statement cannot be read.
+// rewrittenStatement returns a Query message with the timeout in the comment replaced
+// by 123, nil if the statement is malformed.
 func rewrittenStatement(text string) []byte {
 	s, err := wire.ParseStatement([]byte(text))
 	if err != nil {
@@ -146,7 +152,8 @@
 	return wire.AppendQuery(nil, []byte(text[:s.WaitFrom]), left, []byte(text[s.WaitTo:]))
 }
 
-// mutated returns b with a few bytes changed, added or taken out.
+// mutated returns a copy of b with one or two random changes: a byte inserted,
+// deleted or replaced, or the rest cut off.
 func mutated(random *rand.Rand, b []byte) []byte {
 	out := slices.Clone(b)
 	for range 1 + random.IntN(2) {
@@ -167,6 +174,7 @@
 	return out
 }
 
+// readMutatedStatements returns the digest of parsed mutations of all statements.
 func readMutatedStatements() string {
 	const each = 60
 	d := newDigest()
@@ -179,8 +187,8 @@
 	return d.sum()
 }
 
-// readHeaders reads the beginnings of messages, at and beyond the bounds of
-// their lengths.
+// readHeaders returns the digest of parsed headers with lengths within, at and beyond
+// the limits, and of parsed bodies of startup messages.
 func readHeaders() string {
 	d := newDigest()
 	lengths := []uint32{
@@ -208,8 +216,8 @@
 	return d.sum()
 }
 
-// readMutatedBodies reads bodies of messages, and malformed ones, as every kind
-// of message.
+// readMutatedBodies returns the digest of message bodies and their mutations, each
+// parsed as every kind of message.
 func readMutatedBodies(t *testing.T) string {
 	t.Helper()
 	const each = 80
@@ -233,6 +241,7 @@
 	return d.sum()
 }
 
+// hashBody parses a body as every kind of message and hashes the results.
 func hashBody(d digest, body []byte) {
 	text, err := wire.ParseString(body)
 	d.texts(text)
@@ -252,8 +261,8 @@
 	d.flags(err != nil, wire.CheckReady(body) != nil, wire.CheckAuthentication(body) != nil)
 }
 
-// readMutatedExtended reads messages of the extended protocol, and malformed
-// ones, and writes again what could be read.
+// readMutatedExtended returns the digest of parsed messages of the extended query
+// protocol, with mutated and malformed ones, and of their renewed encoding.
 func readMutatedExtended(t *testing.T) string {
 	t.Helper()
 	const each = 300
@@ -269,7 +278,7 @@
 			hashExtended(d, kind, mutated(random, []byte(m.body)))
 		}
 	}
-	for _, body := range brokenBinds {
+	for _, body := range malformedBinds {
 		hashExtended(d, wire.Bind, []byte(body))
 	}
 	for _, body := range []string{"s\x00t\x00\xff\xff", "s\x00t\x00\x00\x02\x00\x00\x00\x17", "s\x00t\x00", "s"} {
@@ -278,6 +287,7 @@
 	return d.sum()
 }
 
+// hashExtended parses and re-encodes a message, and hashes the results.
 func hashExtended(d digest, kind byte, body []byte) {
 	m, err := wire.ParseExtended(kind, body)
 	d.flags(err != nil)
--- a/internal/postgres/wire/extended.go
+++ b/internal/postgres/wire/extended.go
@@ -5,13 +5,13 @@
 	"encoding/binary"
 )
 
-// Message types of the extended protocol (PostgreSQL 15 documentation, 55.7).
+// Message types of the extended query protocol (PostgreSQL 15 documentation, 55.7).
 const (
 	Parse                = 'P'
 	Bind                 = 'B'
 	Describe             = 'D'
 	Execute              = 'E'
-	Close                = 'C' // or of a portal
+	Close                = 'C' // of a prepared statement or portal
 	ParseComplete        = '1'
 	BindComplete         = '2'
 	CloseComplete        = '3'
@@ -20,36 +20,37 @@
 	PortalSuspended      = 's'
 )
 
-// The objects of Describe and Close.
+// Kinds of objects in Describe and Close.
 const (
-	ofStatement = 'S'
-	ofPortal    = 'P'
+	objectStatement = 'S'
+	objectPortal    = 'P'
 )
 
-// ExtendedMessage is a client's message of the extended protocol. Its slices are those
-// of the message's body.
+// ExtendedMessage is a message that a client sends in the extended query protocol.
+// Its byte slices refer to the message body.
 type ExtendedMessage struct {
 	Kind           byte
-	Statement      []byte   // of Parse, Bind, and of Describe and Close of a statement
-	Portal         []byte   // of Bind, Execute, and of Describe and Close of a portal
-	IsPortal       bool     // Describe and Close
-	Query          []byte   // of Parse
-	ParameterTypes []uint32 // of Parse: the parameters' object identifiers
-	MaxRows        uint32   // of Execute, 0 for all
-	rest           []byte   // of Bind: formats and values
+	Statement      []byte   // name, in Parse, Bind, and Describe and Close of a statement
+	Portal         []byte   // name, in Bind, Execute, and Describe and Close of a portal
+	IsPortal       bool     // Describe or Close of a portal rather than a statement
+	Query          []byte   // in Parse
+	ParameterTypes []uint32 // in Parse: object identifiers
+	MaxRows        uint32   // in Execute; 0 means no limit
+	rest           []byte   // in Bind: encoded formats and values
 }
 
-// typeLen is the length of a parameter's type, formatLen of a format code.
+// Lengths in bytes of an object identifier and of a format code.
 const (
-	typeLen   = 4
+	oidLen    = 4
 	formatLen = 2
 )
 
-// ParseExtended reads the body of a message and checks all of it: a message with
-// a false count or length is forwarded to no endpoint.
+// ParseExtended decodes the body of a message of the given type. It validates the
+// whole body, so that a message with a wrong count or length is not forwarded to an
+// endpoint. Errors wrap ErrMalformed.
 func ParseExtended(kind byte, body []byte) (m ExtendedMessage, err error) {
 	m.Kind = kind
-	in := fields{unread: body}
+	in := fieldReader{unread: body}
 	switch kind {
 	case Parse:
 		err = m.parseParse(&in)
@@ -58,7 +59,7 @@
 	case Describe, Close:
 		err = m.parseObject(&in)
 	case Execute:
-		m.Portal = in.text()
+		m.Portal = in.cString()
 		m.MaxRows = in.uint32()
 	case Sync, Flush:
 	default:
@@ -67,18 +68,18 @@
 	if err != nil {
 		return m, err
 	}
-	if in.missing || len(in.unread) > 0 {
+	if in.invalid || len(in.unread) > 0 {
 		return m, malformed("a message %q of %d bytes", kind, len(body))
 	}
 	return m, nil
 }
 
-// parseParse reads the body of a Parse.
-func (m *ExtendedMessage) parseParse(in *fields) error {
-	m.Statement = in.text()
-	m.Query = in.text()
+// parseParse decodes the body of a Parse.
+func (m *ExtendedMessage) parseParse(in *fieldReader) error {
+	m.Statement = in.cString()
+	m.Query = in.cString()
 	count := in.count()
-	if count > len(in.unread)/typeLen {
+	if count > len(in.unread)/oidLen {
 		return malformed("%d parameter types in %d bytes", count, len(in.unread))
 	}
 	for range count {
@@ -87,70 +88,71 @@
 	return nil
 }
 
-// parseBind reads the body of a Bind: formats and values of the parameters, and
-// formats of the results.
-func (m *ExtendedMessage) parseBind(in *fields) {
-	m.Portal = in.text()
-	m.Statement = in.text()
+// parseBind decodes the body of a Bind: the formats and values of the parameters
+// and the formats of the results.
+func (m *ExtendedMessage) parseBind(in *fieldReader) {
+	m.Portal = in.cString()
+	m.Statement = in.cString()
 	m.rest = in.unread
 	in.next(formatLen * in.count())
 	for range in.count() {
 		length := int32(in.uint32())
 		if length > 0 {
 			in.next(int(length))
-		} else if length < -1 { // -1 stands for NULL
-			in.missing = true
+		} else if length < -1 { // -1 is the length of NULL
+			in.invalid = true
 		}
 	}
 	in.next(formatLen * in.count())
 }
 
-// parseObject reads the body of a Describe or a Close.
-func (m *ExtendedMessage) parseObject(in *fields) error {
+// parseObject decodes the body of a Describe or a Close.
+func (m *ExtendedMessage) parseObject(in *fieldReader) error {
 	switch object := in.byte(); object {
-	case ofStatement:
-		m.Statement = in.text()
-	case ofPortal:
+	case objectStatement:
+		m.Statement = in.cString()
+	case objectPortal:
 		m.IsPortal = true
-		m.Portal = in.text()
+		m.Portal = in.cString()
 	default:
 		return malformed("neither a statement nor a portal: %q", object)
 	}
 	return nil
 }
 
-// AppendExtended appends m with another name for its prepared statement.
+// AppendExtended appends m with its prepared statement renamed to statement.
 func AppendExtended(b []byte, m ExtendedMessage, statement string) []byte {
-	b, lengthAt := begin(b, m.Kind)
+	b, lengthAt := beginMessage(b, m.Kind)
 	switch m.Kind {
 	case Parse:
-		b = appendText(appendText(b, statement), m.Query)
+		b = appendString(appendString(b, statement), m.Query)
 		b = binary.BigEndian.AppendUint16(b, uint16(len(m.ParameterTypes)))
 		for _, oid := range m.ParameterTypes {
 			b = binary.BigEndian.AppendUint32(b, oid)
 		}
 	case Bind:
-		b = append(appendText(appendText(b, m.Portal), statement), m.rest...)
+		b = append(appendString(appendString(b, m.Portal), statement), m.rest...)
 	case Describe, Close:
 		if m.IsPortal {
-			b = appendText(append(b, ofPortal), m.Portal)
+			b = appendString(append(b, objectPortal), m.Portal)
 		} else {
-			b = appendText(append(b, ofStatement), statement)
+			b = appendString(append(b, objectStatement), statement)
 		}
 	case Execute:
-		b = binary.BigEndian.AppendUint32(appendText(b, m.Portal), m.MaxRows)
+		b = binary.BigEndian.AppendUint32(appendString(b, m.Portal), m.MaxRows)
 	}
-	return end(b, lengthAt)
+	return endMessage(b, lengthAt)
 }
 
-// fields reads the fields of a body one after another.
-type fields struct {
+// fieldReader reads the fields of a message body in order. After an error it returns
+// zero values.
+type fieldReader struct {
 	unread  []byte
-	missing bool // a field was malformed or exceeded the body
+	invalid bool // a field was malformed or exceeded the body
 }
 
-// next reads n bytes.
-func (f *fields) next(n int) []byte {
+// next reads n bytes. It returns nil and fails if the body has fewer.
+func (f *fieldReader) next(n int) []byte {
 	if n < 0 || n > len(f.unread) {
 		f.fail()
 		return nil
@@ -160,42 +162,44 @@
 	return field
 }
 
-// fail ends the reading.
-func (f *fields) fail() {
-	f.missing = true
+// fail marks the body as invalid and discards the rest of it.
+func (f *fieldReader) fail() {
+	f.invalid = true
 	f.unread = nil
 }
 
-func (f *fields) byte() byte {
+// byte reads one byte.
+func (f *fieldReader) byte() byte {
 	if b := f.next(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-// count reads the number of the fields that follow, which is never negative.
-func (f *fields) count() int {
+// count reads a 16-bit count of fields. A negative count makes the body invalid.
+func (f *fieldReader) count() int {
 	b := f.next(2)
 	if b == nil {
 		return 0
 	}
 	n := int(int16(binary.BigEndian.Uint16(b)))
 	if n < 0 {
-		f.missing = true
+		f.invalid = true
 		return 0
 	}
 	return n
 }
 
-func (f *fields) uint32() uint32 {
+// uint32 reads a 32-bit integer.
+func (f *fieldReader) uint32() uint32 {
 	if b := f.next(4); b != nil {
 		return binary.BigEndian.Uint32(b)
 	}
 	return 0
 }
 
-// text reads a string up to its end.
-func (f *fields) text() []byte {
+// cString reads a string up to its terminating zero byte.
+func (f *fieldReader) cString() []byte {
 	end := bytes.IndexByte(f.unread, 0)
 	if end < 0 {
 		f.fail()
--- a/internal/postgres/wire/extended_test.go
+++ b/internal/postgres/wire/extended_test.go
@@ -7,7 +7,7 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// pgxMessages are messages written by pgx's own codec.
+// pgxMessages returns messages encoded by pgx, an independent implementation.
 func pgxMessages(t testing.TB) map[string][]byte {
 	t.Helper()
 	out := map[string][]byte{}
@@ -37,8 +37,9 @@
 	return out
 }
 
-// Messages of another codec are read, and written again to the byte; with another
-// name of the statement they differ in that name alone.
+// TestExtendedMessagesRoundTrip checks that messages encoded by pgx are decoded and
+// encoded again without a difference, and that renaming the statement changes only
+// its name.
 func TestExtendedMessagesRoundTrip(t *testing.T) {
 	for name, b := range pgxMessages(t) {
 		m, err := ParseExtended(b[0], b[HeaderLen:])
@@ -47,27 +48,28 @@
 			continue
 		}
 		if got := AppendExtended(nil, m, string(m.Statement)); !bytes.Equal(got, b) {
-			t.Errorf("%s: %x came back as %x", name, b, got)
+			t.Errorf("%s: %x encoded again as %x, want no difference", name, b, got)
 		}
 		other, err := ParseExtended(b[0], AppendExtended(nil, m, "lb_other")[HeaderLen:])
 		notRenamed := !m.IsPortal && len(m.Statement) > 0 && string(other.Statement) != "lb_other"
 		if err != nil || notRenamed || !bytes.Equal(other.Portal, m.Portal) || !bytes.Equal(other.rest, m.rest) {
-			t.Errorf("%s: %+v, %v", name, other, err)
+			t.Errorf("%s with another statement name: got %+v, %v", name, other, err)
 		}
 	}
 }
 
-// Truncated and malformed messages are errors.
-func TestMalformedExtendedMessages(t *testing.T) {
+// TestMalformedExtendedMessagesAreRejected checks that truncated, extended and
+// otherwise malformed messages cause an error.
+func TestMalformedExtendedMessagesAreRejected(t *testing.T) {
 	for name, b := range pgxMessages(t) {
 		body := b[HeaderLen:]
 		for n := range body {
 			if m, err := ParseExtended(b[0], body[:n]); err == nil {
-				t.Errorf("%s truncated after %d bytes: %+v", name, n, m)
+				t.Errorf("%s truncated after %d bytes: got %+v, want an error", name, n, m)
 			}
 		}
 		if m, err := ParseExtended(b[0], append(append([]byte{}, body...), 0)); err == nil {
-			t.Errorf("%s with a byte more: %+v", name, m)
+			t.Errorf("%s with an extra byte: got %+v, want an error", name, m)
 		}
 	}
 	for kind, body := range map[byte]string{
@@ -77,12 +79,12 @@
 		'x': "",
 	} {
 		if m, err := ParseExtended(kind, []byte(body)); err == nil {
-			t.Errorf("%q: %+v", body, m)
+			t.Errorf("body %q: got %+v, want an error", body, m)
 		}
 	}
 }
 
-// What is read is written again to the byte.
+// FuzzExtended checks that every valid body is encoded again without a difference.
 func FuzzExtended(f *testing.F) {
 	for _, b := range pgxMessages(f) {
 		f.Add(b[0], b[HeaderLen:])
@@ -93,7 +95,7 @@
 			return
 		}
 		if got := AppendExtended(nil, m, string(m.Statement)); !bytes.Equal(got[HeaderLen:], body) {
-			t.Errorf("%x came back as %x", body, got[HeaderLen:])
+			t.Errorf("body %x encoded again as %x, want no difference", body, got[HeaderLen:])
 		}
 	})
 }
--- a/internal/postgres/wire/message_test.go
+++ b/internal/postgres/wire/message_test.go
@@ -5,25 +5,26 @@
 	"testing"
 )
 
-// What is written is read again.
+// TestMessagesRoundTrip checks that encoded messages are decoded to the same values.
 func TestMessagesRoundTrip(t *testing.T) {
 	column := Column{Name: []byte("doc"), Type: 17, Size: -1, Binary: true}
 	if got, err := ParseRowDescription(AppendRowDescription(nil, column)[HeaderLen:]); err != nil ||
 		string(got.Name) != "doc" || got.Type != 17 || got.Size != -1 || !got.Binary {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("RowDescription: got %+v, %v", got, err)
 	}
 	value, err := ParseDataRow(AppendDataRow(nil, []byte{0, 1})[HeaderLen:])
 	if err != nil || !bytes.Equal(value, []byte{0, 1}) {
-		t.Errorf("%q, %v", value, err)
+		t.Errorf("DataRow: got %q, %v", value, err)
 	}
 	e, err := ParseErrorResponse(AppendErrorResponse(nil, "ERROR", "53300", "no", "250")[HeaderLen:])
 	if err != nil || string(e.Code) != "53300" || string(e.Message) != "no" {
-		t.Errorf("%q, %v", e, err)
+		t.Errorf("ErrorResponse: got %q, %v", e, err)
 	}
 }
 
-// False lengths, counts or ends are errors and cause no panic.
-func TestMalformedBodies(t *testing.T) {
+// TestMalformedBodiesAreRejected checks that bodies with wrong lengths, counts or
+// terminators cause an error and no panic.
+func TestMalformedBodiesAreRejected(t *testing.T) {
 	for _, b := range []string{
 		"", "\x00", "\x00\x01", "\x00\x02\x00\x00\x00\x00",
 		"\x00\x01\xff\xff\xff\xfe", "\x00\x01\xff\xff\xff\xff", "\x00\x01\x00\x00\x00\x05x",
@@ -31,30 +32,31 @@
 	} {
 		body := []byte(b)
 		if _, err := ParseRowDescription(body); err == nil {
-			t.Errorf("row description %q", b)
+			t.Errorf("ParseRowDescription(%q) succeeded, want an error", b)
 		}
 		if _, err := ParseDataRow(body); err == nil {
-			t.Errorf("data row %q", b)
+			t.Errorf("ParseDataRow(%q) succeeded, want an error", b)
 		}
 		if _, err := ParseErrorResponse(body); err == nil && b != "\x00" && b != "\x00\x01" && b[0] != 0 {
-			t.Errorf("error %q", b)
+			t.Errorf("ParseErrorResponse(%q) succeeded, want an error", b)
 		}
 		if _, _, err := ParseParameterStatus(body); err == nil {
-			t.Errorf("parameter %q", b)
+			t.Errorf("ParseParameterStatus(%q) succeeded, want an error", b)
 		}
 		if CheckReady(body) == nil || CheckAuthentication(body) == nil {
-			t.Errorf("ready or authentication %q", b)
+			t.Errorf("CheckReady or CheckAuthentication of %q succeeded, want errors", b)
 		}
 	}
 }
 
-// No body causes a panic.
+// FuzzBodies checks that no input makes a parser panic, and that a parsed statement
+// has digits of its timeout.
 func FuzzBodies(f *testing.F) {
 	f.Add([]byte(`SELECT '1' /* id=1,c=a,d=5,cluster=1,after=7 */`))
 	f.Add(AppendRowDescription(nil, Column{Name: []byte("doc")})[HeaderLen:])
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, err := ParseStatement(b); err == nil && s.WaitFrom >= s.WaitTo {
-			t.Errorf("%q: no digits", b)
+			t.Errorf("ParseStatement(%q): Wait has no digits", b)
 		}
 		_, _ = ParseRowDescription(b)
 		_, _ = ParseDataRow(b)
--- a/internal/postgres/wire/parse.go
+++ b/internal/postgres/wire/parse.go
@@ -5,7 +5,7 @@
 	"encoding/binary"
 )
 
-// ParseString reads a body that is one string, such as that of a Query.
+// ParseString decodes a body that consists of one string, such as that of a Query.
 func ParseString(body []byte) ([]byte, error) {
 	end := bytes.IndexByte(body, 0)
 	if end < 0 || end != len(body)-1 {
@@ -14,7 +14,7 @@
 	return body[:end], nil
 }
 
-// ParseParameterStatus reads the body of a ParameterStatus.
+// ParseParameterStatus decodes the body of a ParameterStatus.
 func ParseParameterStatus(body []byte) (name, value []byte, err error) {
 	name, rest, ok := bytes.Cut(body, []byte{0})
 	if !ok {
@@ -24,17 +24,19 @@
 	return name, value, err
 }
 
-// ErrorFields holds the fields of an ErrorResponse or a NoticeResponse.
+// ErrorFields holds fields of an ErrorResponse or a NoticeResponse; a missing field
+// is nil.
 type ErrorFields struct {
 	Severity []byte
 	Code     []byte // the SQLSTATE
 	Message  []byte
 }
 
-// ParseErrorResponse reads the body of an ErrorResponse or a NoticeResponse.
+// ParseErrorResponse decodes the body of an ErrorResponse or a NoticeResponse, which
+// may have up to 63 fields. It ignores fields that ErrorFields lacks.
 func ParseErrorResponse(body []byte) (ErrorFields, error) {
 	var parsed ErrorFields
-	for range maxFields {
+	for range maxErrorFields {
 		if len(body) == 0 {
 			break
 		}
@@ -59,24 +61,26 @@
 	return parsed, malformed("an error without an end")
 }
 
-// Column describes the one column of an answer.
+// Column describes the only column of an answer.
 type Column struct {
 	Name   []byte
-	Type   uint32 // object identifier
+	Type   uint32 // object identifier of the data type
 	Size   int16  // of the type, in bytes; negative if it varies
-	Binary bool   // the format of its values
+	Binary bool   // the value has the binary format
 }
 
-// columnLen is the length of a column's description behind its name, in bytes.
-const columnLen = 18
+// columnDescriptionLen is the length in bytes of the fields that follow the name of
+// a column in a RowDescription.
+const columnDescriptionLen = 18
 
-// ParseRowDescription reads the body of a RowDescription of one column.
+// ParseRowDescription decodes the body of a RowDescription, which must have exactly
+// one column.
 func ParseRowDescription(body []byte) (Column, error) {
 	if len(body) < 2 || binary.BigEndian.Uint16(body) != 1 {
 		return Column{}, malformed("a row that has not one column")
 	}
 	name, rest, ok := bytes.Cut(body[2:], []byte{0})
-	if !ok || len(rest) != columnLen {
+	if !ok || len(rest) != columnDescriptionLen {
 		return Column{}, malformed("a column's description")
 	}
 	return Column{
@@ -87,12 +91,13 @@
 	}, nil
 }
 
-// RowHeaderLen is the length of what precedes the value in the body of a DataRow
-// of one column, in bytes.
+// RowHeaderLen is the length in bytes of the column count and the value's length,
+// which precede the value in the body of a DataRow with one column.
 const RowHeaderLen = 6
 
-// CheckDataRow checks the first bytes of the body of a DataRow of n bytes, before
-// the rest has arrived. Its one value must not be NULL and must fill the message.
+// CheckDataRow checks the first RowHeaderLen bytes of the body of a DataRow; n is the
+// length of the body. The row must have one value, which must not be NULL and must
+// fill the message. The rest of the body may be missing.
 func CheckDataRow(head []byte, n int) error {
 	if len(head) < RowHeaderLen || binary.BigEndian.Uint16(head) != 1 {
 		return malformed("a row that has not one column")
@@ -104,7 +109,7 @@
 	return nil
 }
 
-// ParseDataRow reads the body of a DataRow of one column.
+// ParseDataRow decodes the body of a DataRow with one value, which must not be NULL.
 func ParseDataRow(body []byte) (value []byte, err error) {
 	if err := CheckDataRow(body, len(body)); err != nil {
 		return nil, err
@@ -112,7 +117,8 @@
 	return body[RowHeaderLen:], nil
 }
 
-// CheckReady checks the body of a ReadyForQuery: a transaction status.
+// CheckReady returns an error unless body is that of a ReadyForQuery: one of the
+// transaction statuses I, T and E.
 func CheckReady(body []byte) error {
 	if len(body) != 1 || !bytes.Contains([]byte("ITE"), body) {
 		return malformed("ReadyForQuery %q", body)
@@ -120,8 +126,8 @@
 	return nil
 }
 
-// CheckAuthentication checks the body of an Authentication message, which must
-// request nothing.
+// CheckAuthentication returns an error unless body is that of an AuthenticationOk.
+// Requests for a password or another method are not supported.
 func CheckAuthentication(body []byte) error {
 	if !bytes.Equal(body, []byte{0, 0, 0, 0}) {
 		return malformed("authentication %.8q", body)
--- a/internal/postgres/wire/statement.go
+++ b/internal/postgres/wire/statement.go
@@ -6,21 +6,23 @@
 	"strconv"
 )
 
-// Statement is what the router reads of a client's statement: the fields of its
-// comment and its first quoted string. Its slices are those of the text.
+// Statement holds the parts of a client's statement that the router uses: the
+// fields of its comment and its first quoted string. Byte slices refer to the
+// text of the statement.
 type Statement struct {
-	ID                []byte // the client's identifier of the request
-	Class             []byte
-	RowKey            []byte // the first quoted string, nil if there is none
+	ID                []byte // identifier of the request, chosen by the client
+	Class             []byte // name of the request class
+	RowKey            []byte // first quoted string, nil if there is none
 	HasIdempotencyKey bool
-	Group             int     // the replica group
+	Group             int     // replica group
 	SessionCommitAt   float64 // Unix milliseconds of the session's last commit, 0 if none
-	Wait              float64 // milliseconds that the client waits for its answer
-	WaitFrom          int     // Text[WaitFrom:WaitTo] are the wait's digits
+	Wait              float64 // milliseconds that the client waits for the answer
+	WaitFrom          int     // the digits of Wait are text[WaitFrom:WaitTo]
 	WaitTo            int
 }
 
-// ParseStatement reads a statement, which must end with its comment.
+// ParseStatement parses a statement, which must end with a comment that has at least
+// the fields id, c, d and cluster. Errors wrap ErrMalformed.
 func ParseStatement(text []byte) (Statement, error) {
 	s := Statement{Group: -1, Wait: -1}
 	open := bytes.LastIndex(text, []byte("/*"))
@@ -46,8 +48,8 @@
 	return s, nil
 }
 
-// parseField reads one name and value, which begin at offset of the text. It
-// ignores unknown names.
+// parseField parses a field of the comment of the form name=value, which begins at
+// the given offset of the text. It ignores unknown names.
 func (s *Statement) parseField(field []byte, offset int) error {
 	name, value, ok := bytes.Cut(field, []byte{'='})
 	if !ok {
@@ -79,20 +81,20 @@
 	return nil
 }
 
-// maxMillis is beyond every time in milliseconds that a client may state.
-const maxMillis = 4e12
+// maxTimeMs is the largest valid Unix time or duration in a comment.
+const maxTimeMs = 4e12
 
-// parseMillis reads a time or a duration in milliseconds.
+// parseMillis parses a Unix time or a duration in milliseconds into to.
 func parseMillis(text []byte, to *float64) error {
 	value, err := strconv.ParseFloat(string(text), 64)
-	if err != nil || math.IsNaN(value) || value < 0 || value > maxMillis {
+	if err != nil || math.IsNaN(value) || value < 0 || value > maxTimeMs {
 		return malformed("the number %q", text)
 	}
 	*to = value
 	return nil
 }
 
-// Verb returns the first word of a statement.
+// Verb returns the first word of a statement, such as SELECT.
 func Verb(text []byte) []byte {
 	text = bytes.TrimLeft(text, " \t\r\n")
 	end := bytes.IndexFunc(text, func(r rune) bool {
@@ -104,7 +106,8 @@
 	return text[:end]
 }
 
-// firstQuoted returns the first quoted string, nil if there is none.
+// firstQuoted returns the contents of the first string in single quotes, nil if there
+// is none. A doubled quote ends the string.
 func firstQuoted(text []byte) []byte {
 	_, rest, ok := bytes.Cut(text, []byte{'\''})
 	if !ok {
--- a/internal/postgres/wire/wire.go
+++ b/internal/postgres/wire/wire.go
@@ -1,10 +1,10 @@
-// Package wire reads and writes messages of version 3 of the PostgreSQL
-// protocol. It handles bytes only: there is no I/O, and all functions may be
-// called concurrently. The byte slices that it returns are slices of its input.
+// Package wire encodes and decodes messages of version 3 of the PostgreSQL
+// protocol. It performs no I/O, and its functions are safe for concurrent use.
+// Byte slices that it returns refer to the input.
 //
-// wire.go has the messages' kinds and headers, parse.go and append.go read and
-// write their bodies, extended.go those of the extended protocol. statement.go
-// reads the comment of a client's statement.
+// wire.go has the message types and headers, parse.go and append.go decode and
+// encode message bodies, and extended.go handles the messages of the extended
+// query protocol. statement.go parses the comment in a client's statement.
 package wire
 
 import (
@@ -15,19 +15,23 @@
 
 // Lengths and limits in bytes.
 const (
-	HeaderLen        = 5       // of every message but those of the startup
-	StartupHeaderLen = 4       // of these
-	MaxStartupLen    = 10000   // as PostgreSQL's own
-	MaxBodyLen       = 1 << 18 // a value is 64 KiB, in hexadecimal digits twice that
-	lengthLen        = 4       // of a message's length, which counts itself
-	minStartup       = 8       // a length and a code
-	cancelLen        = 12      // of a CancelRequest's body
+	HeaderLen        = 5     // type and length, at the head of every message after the startup phase
+	StartupHeaderLen = 4     // length, at the head of a message of the startup phase
+	MaxStartupLen    = 10000 // of a message of the startup phase; PostgreSQL's own limit
+	// MaxBodyLen is the maximum length of any other message's body. A value of
+	// 64 KiB takes up twice as many bytes in hexadecimal digits.
+	MaxBodyLen    = 1 << 18
+	lengthLen     = 4  // the length field, which counts itself
+	minStartupLen = 8  // length and request code
+	cancelBodyLen = 12 // body of a CancelRequest: request code, process and secret
 )
 
-// maxFields bounds the fields of an ErrorResponse.
-const maxFields = 64
+// maxErrorFields is the maximum number of fields in an ErrorResponse, including the
+// terminator.
+const maxErrorFields = 64
 
-// The version, and the codes that replace it in a message of the startup.
+// Protocol version in a StartupMessage, and the codes that identify other requests
+// of the startup phase in its place.
 const (
 	ProtocolVersion3 = 196608
 	CancelRequest    = 80877102
@@ -35,7 +39,8 @@
 	GSSENCRequest    = 80877104
 )
 
-// Message types that clients and endpoints send.
+// Message types, by their PostgreSQL names, except those in extended.go. The meaning
+// of a byte depends on the direction: S is Sync from a client, ParameterStatus to it.
 const (
 	Query              = 'Q'
 	Terminate          = 'X'
@@ -53,7 +58,8 @@
 	ErrorResponse      = 'E'
 )
 
-// SQLSTATE codes of errors.
+// SQLSTATE codes of errors. CodeTooFarBehind is sent by a replica that has not
+// reached the position that a read needs.
 const (
 	CodeTooManyConnections  = "53300"
 	CodeCannotConnectNow    = "57P03"
@@ -66,15 +72,17 @@
 	CodeOutOfMemory         = "53200"
 )
 
-// ErrMalformed is wrapped by every error about a message's contents.
+// ErrMalformed is wrapped by all errors about the contents of a message.
 var ErrMalformed = errors.New("malformed message")
 
+// malformed returns an error that wraps ErrMalformed.
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
-// ParseHeader reads the header of a message, which must be HeaderLen bytes long, and
-// returns the length of its body.
+// ParseHeader returns the type of a message and the length of its body. header must
+// have HeaderLen bytes. The error wraps ErrMalformed if the length field is invalid
+// or the body longer than MaxBodyLen.
 func ParseHeader(header []byte) (kind byte, body int, err error) {
 	length := binary.BigEndian.Uint32(header[1:HeaderLen])
 	if length < lengthLen || length-lengthLen > MaxBodyLen {
@@ -83,24 +91,26 @@
 	return header[0], int(length - lengthLen), nil
 }
 
-// ParseStartupHeader reads the header of a message of the startup, which must be
-// StartupHeaderLen bytes long, and returns the length of its body.
+// ParseStartupHeader returns the length of the body of a startup message. header
+// must have StartupHeaderLen bytes. The error wraps ErrMalformed if the message is
+// too short for a request code or longer than MaxStartupLen.
 func ParseStartupHeader(header []byte) (body int, err error) {
 	length := binary.BigEndian.Uint32(header[:StartupHeaderLen])
-	if length < minStartup || length > MaxStartupLen {
+	if length < minStartupLen || length > MaxStartupLen {
 		return 0, malformed("length %d of a startup message", length)
 	}
 	return int(length - lengthLen), nil
 }
 
-// StartupCode reads the version or request code from the body of a message of
-// the startup.
+// StartupCode returns the protocol version or request code in the body of a startup
+// message, which must have at least 4 bytes.
 func StartupCode(body []byte) uint32 { return binary.BigEndian.Uint32(body) }
 
-// ParseCancelRequest reads the body of a CancelRequest: the connection that it names and
-// the secret that authorizes it.
+// ParseCancelRequest decodes the body of a CancelRequest: the process number of the
+// connection to cancel, and the secret that authorizes the request. ok is false if
+// the body has the wrong length.
 func ParseCancelRequest(body []byte) (process, secret uint32, ok bool) {
-	if len(body) != cancelLen {
+	if len(body) != cancelBodyLen {
 		return 0, 0, false
 	}
 	return binary.BigEndian.Uint32(body[4:]), binary.BigEndian.Uint32(body[8:]), true
