--- a/internal/postgres/pipeline/characterization_test.go
+++ b/internal/postgres/pipeline/characterization_test.go
@@ -17,15 +17,15 @@
 	"lotusbend/internal/postgres/pipeline"
 )
 
-// update rewrites the golden file. Its values may change only together with a
-// deliberate change of behaviour, never with a renaming or a refactoring.
+// update rewrites the golden file. Its values may change only with a deliberate
+// change of behaviour, never with a renaming or a refactoring.
 var update = flag.Bool("update", false,
 	"rewrite testdata/characterization.txt; its values may change only with a deliberate change of behaviour")
 
 const goldenFile = "testdata/characterization.txt"
 
-// scenario is a mix of events for one connection. An event is drawn with a
-// probability proportional to its weight; fractions are of the commands added.
+// scenario is a random sequence of events on one connection. The probability of an
+// event is proportional to its weight. Fractions refer to the commands added.
 type scenario struct {
 	name   string
 	seed   uint64
@@ -44,7 +44,7 @@
 	sessions int
 	writes   float64 // fraction
 	fresh    float64 // fraction
-	maxSize  int     // bytes that may be sent at once
+	maxSize  int     // upper bound of the size passed to NextAnswers, in bytes
 }
 
 var scenarios = []scenario{
@@ -66,9 +66,9 @@
 		groups: 2, sessions: 2, writes: 0.2, maxSize: 24},
 }
 
-// TestCharacterization replays seeded event streams and compares a digest of
-// everything that was returned. The digest covers numbers, positions and
-// bytes only, so that it survives any renaming.
+// TestCharacterization replays seeded sequences of events and compares a digest of
+// all results with the golden file. The digest covers only numbers and bytes, so that
+// renaming identifiers does not change it.
 func TestCharacterization(t *testing.T) {
 	digests := map[string]string{}
 	for _, s := range scenarios {
@@ -77,10 +77,10 @@
 	compareWithGolden(t, digests)
 }
 
+// command is a command whose value is its number in the order of arrival.
 type command = pipeline.Command[uint64]
 
-// connection is one connection under replay. A command's value is its number
-// in the order of arrival.
+// connection is the state of the replay of a scenario.
 type connection struct {
 	scenario
 	random  *rand.Rand
@@ -90,11 +90,11 @@
 	added   uint64
 }
 
-// fixedAnswers are shared by commands that need no execution: only the very
-// same bytes in memory may be merged. The last one is empty.
+// fixedAnswers are answers shared by commands. Two of them have equal contents in
+// different places in memory, which must not be merged. The last one is empty.
 var fixedAnswers = [][]byte{[]byte("ready"), []byte("error 1"), []byte("ready"), {}}
 
-// replay returns the digest of the scenario's stream.
+// replay runs the scenario and returns its digest.
 func (s scenario) replay() string {
 	c := &connection{scenario: s, random: rand.New(rand.NewPCG(s.seed, 1)), digest: newDigest()}
 	steps := []struct {
@@ -131,6 +131,7 @@
 	return c.digest.sum()
 }
 
+// addCommand adds a command with a random access.
 func (c *connection) addCommand() {
 	access := pipeline.Access{
 		Group:   c.random.IntN(c.groups),
@@ -142,6 +143,7 @@
 	c.added++
 }
 
+// addAnsweredCommand adds a command with a random fixed answer.
 func (c *connection) addAnsweredCommand() {
 	answer := fixedAnswers[c.random.IntN(len(fixedAnswers))]
 	last := c.random.IntN(20) == 0
@@ -149,6 +151,7 @@
 	c.added++
 }
 
+// mergeAnswer merges a random fixed answer, sometimes a copy of it.
 func (c *connection) mergeAnswer() {
 	answer := fixedAnswers[c.random.IntN(len(fixedAnswers))]
 	if c.random.IntN(10) == 0 {
@@ -157,6 +160,7 @@
 	c.digest.bool(c.queue.Merge(answer))
 }
 
+// startNext starts the next command that may run.
 func (c *connection) startNext() {
 	next, oldest := c.queue.NextStart()
 	c.observeCommand(next)
@@ -168,8 +172,7 @@
 	}
 }
 
-// answerAny answers one of the running commands, at times with one of the shared
-// answers.
+// answerAny answers a random running command, sometimes with a fixed answer.
 func (c *connection) answerAny() {
 	if len(c.running) == 0 {
 		return
@@ -185,12 +188,13 @@
 	c.observeCommand(answered)
 }
 
+// sendAnswers removes answers from the queue.
 func (c *connection) sendAnswers() {
 	sent, done, last := c.queue.NextAnswers(c.random.IntN(c.maxSize))
 	c.digest.bytes(sent)
 	c.digest.uint(uint64(len(done)))
-	for _, through := range done {
-		c.observeCommand(through)
+	for _, removed := range done {
+		c.observeCommand(removed)
 	}
 	c.digest.bool(last)
 	if last {
@@ -198,19 +202,23 @@
 	}
 }
 
+// clearAll removes all commands.
 func (c *connection) clearAll() {
 	c.queue.Clear()
 	c.running = nil
 }
 
+// observe adds the state of the queue to the digest.
 func (c *connection) observe() {
 	c.digest.uint(uint64(c.queue.Len()))
 	c.digest.uint(uint64(c.queue.Commands()))
 	c.observeCommand(c.queue.FirstRunning())
 }
 
+// observeEach adds every entry of the queue to the digest.
 func (c *connection) observeEach() { c.queue.Each(c.observeCommand) }
 
+// observeCommand adds a command, which may be nil, to the digest.
 func (c *connection) observeCommand(observed *command) {
 	c.digest.bool(observed != nil)
 	if observed == nil {
@@ -230,10 +238,12 @@
 
 func newDigest() digest { return digest{sha256.New()} }
 
+// uint hashes an integer.
 func (d digest) uint(v uint64) {
 	d.Write(binary.LittleEndian.AppendUint64(nil, v))
 }
 
+// bool hashes a boolean as one byte.
 func (d digest) bool(v bool) {
 	if v {
 		d.Write([]byte{1})
@@ -242,21 +252,23 @@
 	}
 }
 
+// bytes hashes a byte slice and its length.
 func (d digest) bytes(v []byte) {
 	d.uint(uint64(len(v)))
 	d.Write(v)
 }
 
+// sum returns the hash in hexadecimal digits.
 func (d digest) sum() string { return hex.EncodeToString(d.Sum(nil)) }
 
 // compareWithGolden compares digests, by scenario, with the golden file, or
 // rewrites the file if the update flag is set.
 func compareWithGolden(t *testing.T, got map[string]string) {
 	t.Helper()
-	played := slices.Sorted(maps.Keys(got))
+	replayed := slices.Sorted(maps.Keys(got))
 	if *update {
 		var b strings.Builder
-		for _, scenario := range played {
+		for _, scenario := range replayed {
 			fmt.Fprintf(&b, "%s %s\n", scenario, got[scenario])
 		}
 		if err := os.WriteFile(goldenFile, []byte(b.String()), 0o644); err != nil {
@@ -265,7 +277,7 @@
 		return
 	}
 	want := readGolden(t)
-	for _, scenario := range played {
+	for _, scenario := range replayed {
 		expected, ok := want[scenario]
 		switch {
 		case !ok:
@@ -276,11 +288,11 @@
 		delete(want, scenario)
 	}
 	for _, scenario := range slices.Sorted(maps.Keys(want)) {
-		t.Errorf("%s: in %s, but not played", scenario, goldenFile)
+		t.Errorf("%s: in %s, but not replayed", scenario, goldenFile)
 	}
 }
 
-// readGolden returns the digests of the golden file by their scenario.
+// readGolden returns the digests in the golden file by scenario.
 func readGolden(t *testing.T) map[string]string {
 	t.Helper()
 	content, err := os.ReadFile(goldenFile)
--- a/internal/postgres/pipeline/pipeline.go
+++ b/internal/postgres/pipeline/pipeline.go
@@ -1,26 +1,26 @@
-// Package pipeline orders the commands that a client sends without waiting for
-// the answers to earlier ones. It decides which commands may run concurrently,
-// and keeps each answer until those before it were sent. It holds rules only:
-// there is no I/O and no clock.
+// Package pipeline orders pipelined commands, which a client sends without waiting
+// for the answers to earlier ones. It decides which commands may run concurrently,
+// and keeps each answer until all earlier ones were sent. It performs no I/O and
+// reads no clock.
 package pipeline
 
-// Window is how many commands of one connection, counted from the oldest one
-// that is not answered, may be running or waiting with an answer.
+// Window is the number of entries at the head of a queue from which commands may be
+// started. It limits how many commands of a connection run or keep an answer.
 const Window = 64
 
-// Access is what a command reads or writes, as far as it decides the order of
+// Access describes what a command reads or writes, which determines the order of
 // execution.
 type Access struct {
-	Group   int    // the replica group
-	Session uint64 // whose writes a read must see, or that writes; 0 for none
+	Group   int    // replica group
+	Session uint64 // of a write, or whose writes a read must see; 0 for none
 	Write   bool
-	Fresh   bool // a read that must see every write before it
+	Fresh   bool // a read that must see all earlier writes of the group
 }
 
-// conflicts reports whether two commands must run in the order in which they
-// were received: writes to one group, and a write and a read that must see it.
-// Other reads may be served from older data by their class, so that their order
-// cannot be observed.
+// conflicts reports whether two commands must run in the order in which they were
+// received. That holds for two writes to the same group, and for a write and a read
+// that must see it. The class of any other read permits older data, so that its
+// order relative to writes cannot be observed.
 func conflicts(a, b Access) bool {
 	if a.Group != b.Group || !a.Write && !b.Write {
 		return false
@@ -31,7 +31,7 @@
 	return a.Session != 0 && a.Session == b.Session
 }
 
-// state is how far a command is.
+// state is the execution state of a command.
 type state uint8
 
 const (
@@ -40,21 +40,21 @@
 	answered
 )
 
-// Command is one command in a Queue.
+// Command is an entry of a Queue.
 type Command[T any] struct {
 	Access
-	Value T // the owner's data
+	Value T // data of the caller
 
 	state  state
 	answer []byte
-	copies int  // how many commands share the entry and its answer
+	copies int  // number of merged commands, each of which gets the answer
 	last   bool // the connection ends after this answer
 }
 
-// Waiting reports whether c was not started yet.
+// Waiting reports whether c was neither started nor answered.
 func (c *Command[T]) Waiting() bool { return c.state == waiting }
 
-// Running reports whether c was started and is not answered.
+// Running reports whether c was started and not yet answered.
 func (c *Command[T]) Running() bool { return c.state == running }
 
 // Queue holds the commands of one connection in the order in which they were
@@ -64,11 +64,10 @@
 	commands []*Command[T]
 }
 
-// Len returns the number of entries; consecutive commands that were merged share
-// one.
+// Len returns the number of entries. Merged commands share an entry.
 func (q *Queue[T]) Len() int { return len(q.commands) }
 
-// Commands returns the number of commands, merged ones included.
+// Commands returns the number of commands, counting merged ones individually.
 func (q *Queue[T]) Commands() (count int) {
 	for _, c := range q.commands {
 		count += c.copies
@@ -76,15 +75,16 @@
 	return count
 }
 
-// Add appends a command that has to be executed.
+// Add appends a command that waits to be executed.
 func (q *Queue[T]) Add(access Access, value T) *Command[T] {
 	c := &Command[T]{Access: access, Value: value, copies: 1}
 	q.commands = append(q.commands, c)
 	return c
 }
 
-// Merge adds a command to the last entry, if that has the very same answer, so
-// that a flood of such commands takes no memory. It reports whether it did.
+// Merge adds an answered command to the last entry if that entry has the same answer,
+// and reports whether it did. Answers are the same only if they are the same slice in
+// memory. Merging lets a flood of such commands use no additional memory.
 func (q *Queue[T]) Merge(answer []byte) bool {
 	if len(q.commands) == 0 || len(answer) == 0 {
 		return false
@@ -93,15 +93,15 @@
 	if newest.state != answered || newest.last || len(newest.answer) == 0 {
 		return false
 	}
-	if &newest.answer[0] != &answer[0] { // equal bytes elsewhere are not the same answer
+	if &newest.answer[0] != &answer[0] { // an equal slice elsewhere in memory does not count
 		return false
 	}
 	newest.copies++
 	return true
 }
 
-// AddAnswered appends a command that is not executed, with its answer. If last
-// is set, the connection ends after it.
+// AddAnswered appends a command that is not executed, together with its answer. last
+// is true if the connection ends after this answer.
 func (q *Queue[T]) AddAnswered(answer []byte, last bool, value T) *Command[T] {
 	c := q.Add(Access{}, value)
 	c.state = answered
@@ -110,7 +110,7 @@
 	return c
 }
 
-// NextStart returns the first command that may start now, nil if there is none,
+// NextStart returns the first command that may be started now, nil if there is none,
 // and whether it is the oldest in the queue.
 func (q *Queue[T]) NextStart() (c *Command[T], oldest bool) {
 	for i, c := range q.commands[:min(len(q.commands), Window)] {
@@ -121,7 +121,8 @@
 	return nil, false
 }
 
-// blocked reports whether the command at index i must wait for an earlier one.
+// blocked reports whether the command at index i conflicts with an earlier one that
+// is not answered.
 func (q *Queue[T]) blocked(i int) bool {
 	for _, earlier := range q.commands[:i] {
 		if earlier.state != answered && conflicts(earlier.Access, q.commands[i].Access) {
@@ -134,15 +135,16 @@
 // Start marks a command as running.
 func (c *Command[T]) Start() { c.state = running }
 
-// Answer sets the answer to c, which is kept until its turn.
+// Answer sets the answer to c, which is kept until all earlier answers were removed.
 func (c *Command[T]) Answer(answer []byte) {
 	c.state = answered
 	c.answer = answer
 }
 
-// NextAnswers removes the answers whose turn has come, in order: as many as fit
-// into size bytes, but at least one. It returns their bytes, the entries that
-// are done, and whether the connection ends after these bytes.
+// NextAnswers removes the answers at the head of the queue, up to the first command
+// without one: as many as fit into size bytes, but at least one if there is any. It
+// returns their concatenation, the entries that were removed, and whether the
+// connection ends after these bytes.
 func (q *Queue[T]) NextAnswers(size int) (answers []byte, done []*Command[T], last bool) {
 	for len(q.commands) > 0 && !last {
 		oldest := q.commands[0]
@@ -159,13 +161,13 @@
 		}
 		done = append(done, oldest)
 		last = oldest.last
-		q.commands[0] = nil // for the garbage collector
+		q.commands[0] = nil // lets the garbage collector free the command
 		q.commands = q.commands[1:]
 	}
 	return answers, done, last
 }
 
-// Each calls do for every entry of the queue.
+// Each calls do for every entry, the oldest first.
 func (q *Queue[T]) Each(do func(*Command[T])) {
 	for _, c := range q.commands {
 		do(c)
--- a/internal/postgres/pipeline/pipeline_test.go
+++ b/internal/postgres/pipeline/pipeline_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Only writes to one group, and a write and a read that must see it, conflict.
+// TestConflicts checks that two writes to the same group conflict, as do a write and
+// a read that must see it, and that no other commands do.
 func TestConflicts(t *testing.T) {
 	write := func(group int, session uint64) Access {
 		return Access{Group: group, Session: session, Write: true}
@@ -27,14 +28,15 @@
 		"reads":                           {Access{Group: 1, Fresh: true}, Access{Group: 1, Fresh: true}, false},
 	} {
 		if conflicts(c.a, c.b) != c.want || conflicts(c.b, c.a) != c.want {
-			t.Errorf("%s: conflict %v, want %v", name, !c.want, c.want)
+			t.Errorf("%s: conflicts() = %v in one order, want %v", name, !c.want, c.want)
 		}
 	}
 }
 
-// In whatever order commands end, the answers are sent in the order of the
-// commands, and no two that conflict run concurrently or out of order.
-func TestOrderInAnyInterleaving(t *testing.T) {
+// TestAnswersAreInOrderForAnyInterleaving runs random interleavings of arrivals,
+// starts and answers. Answers must be returned in the order of the commands, and
+// conflicting commands must not run concurrently or out of order.
+func TestAnswersAreInOrderForAnyInterleaving(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var queue Queue[int]
@@ -64,7 +66,8 @@
 				if next, _ := queue.NextStart(); next != nil {
 					for _, earlier := range all[:next.Value] {
 						if earlier.state != answered && conflicts(earlier.Access, next.Access) {
-							t.Fatalf("seed %d: %d overtakes %d", seed, next.Value, earlier.Value)
+							t.Fatalf("seed %d: command %d may start before conflicting command %d is answered",
+								seed, next.Value, earlier.Value)
 						}
 					}
 					next.Start()
@@ -85,8 +88,9 @@
 	}
 }
 
-// The oldest command may always start, and no more than Window run.
-func TestWindow(t *testing.T) {
+// TestWindowLimitsRunningCommands checks that the oldest command is reported as such
+// and that no more than Window commands run.
+func TestWindowLimitsRunningCommands(t *testing.T) {
 	var queue Queue[int]
 	for n := range 3 * Window {
 		queue.Add(Access{}, n)
@@ -94,54 +98,56 @@
 	started := 0
 	for next, oldest := queue.NextStart(); next != nil; next, oldest = queue.NextStart() {
 		if oldest != (started == 0) {
-			t.Errorf("command %d is reported as the oldest: %v", next.Value, oldest)
+			t.Errorf("NextStart() of command %d: oldest = %v, want the opposite", next.Value, oldest)
 		}
 		next.Start()
 		started++
 	}
 	if started != Window {
-		t.Errorf("%d commands run, want %d", started, Window)
+		t.Errorf("started %d commands, want %d", started, Window)
 	}
 }
 
-// Consecutive commands with the very same answer share an entry.
-func TestMerge(t *testing.T) {
+// TestMergeSharesEntryForSameAnswer checks that consecutive commands with the same
+// answer in memory share an entry, and that others do not.
+func TestMergeSharesEntryForSameAnswer(t *testing.T) {
 	var queue Queue[int]
 	same := []byte("same")
 	other := []byte("other")
 	queue.AddAnswered(same, false, 0)
 	for range 999 {
 		if !queue.Merge(same) {
-			t.Fatal("not merged")
+			t.Fatal("Merge() with the same answer = false, want true")
 		}
 	}
 	if queue.Merge(other) || queue.Merge([]byte("same")) {
-		t.Error("merged with another answer")
+		t.Error("Merge() with another answer = true, want false")
 	}
 	queue.AddAnswered(other, true, 1)
 	if queue.Merge(other) {
-		t.Error("merged with the last answer of the connection")
+		t.Error("Merge() with the last answer of the connection = true, want false")
 	}
 	sent := ""
 	for last := false; !last; {
 		var answers []byte
 		answers, _, last = queue.NextAnswers(64)
 		if len(answers) > 64 {
-			t.Errorf("%d bytes at once", len(answers))
+			t.Errorf("NextAnswers(64) returned %d bytes", len(answers))
 		}
 		sent += string(answers)
 	}
 	if sent != strings.Repeat("same", 1000)+"other" || queue.Len() != 0 {
-		t.Errorf("%d bytes sent, %d entries left", len(sent), queue.Len())
+		t.Errorf("%d bytes returned and %d entries left, want 4005 and 0", len(sent), queue.Len())
 	}
 }
 
-// An answer longer than the limit is sent, alone.
-func TestLongAnswerIsSentAlone(t *testing.T) {
+// TestLongAnswerIsReturnedAlone checks that NextAnswers returns an answer that exceeds
+// the size limit, without any other.
+func TestLongAnswerIsReturnedAlone(t *testing.T) {
 	var queue Queue[int]
 	queue.AddAnswered([]byte("a long one"), false, 0)
 	queue.AddAnswered([]byte("b"), false, 1)
 	if answers, done, _ := queue.NextAnswers(4); string(answers) != "a long one" || len(done) != 1 {
-		t.Errorf("sent %q", answers)
+		t.Errorf("NextAnswers(4) = %q, want only the first answer", answers)
 	}
 }
