--- a/internal/postgres/back/answer.go
+++ b/internal/postgres/back/answer.go
@@ -222,7 +222,10 @@
 func (a *answer) report(j *job) (report router.AttemptReport, complete bool) {
 	switch {
 	case a.stage == failed:
-		return router.AttemptReport{Outcome: outcomeOfCode(string(a.errorCode)), Status: a.status(false)}, true
+		return router.AttemptReport{
+			Outcome: outcomeOfCode(string(a.errorCode)),
+			Status:  a.status(false),
+		}, true
 	case a.stage != completed:
 		return router.AttemptReport{}, false
 	case j.healthCheck:
--- a/internal/postgres/front/answers.go
+++ b/internal/postgres/front/answers.go
@@ -68,7 +68,8 @@
 		if answer.RetryAfter > 0 {
 			detail = strconv.Itoa(int(math.Floor(answer.RetryAfter)))
 		}
-		return wire.AppendErrorResponse(b, "ERROR", wire.CodeTooManyConnections, "refused: try again later", detail)
+		return wire.AppendErrorResponse(
+			b, "ERROR", wire.CodeTooManyConnections, "refused: try again later", detail)
 	}
 	return wire.AppendErrorResponse(
 		b, "ERROR", wire.CodeQueryCanceled, "the request failed; it may have had an effect", "")
--- a/internal/postgres/front/front.go
+++ b/internal/postgres/front/front.go
@@ -78,7 +78,8 @@
 // Listen returns an error if the address cannot be bound or the event loop
 // cannot be created. It may be called outside the loop.
 func Listen(
-	address string, loop *clock.Loop, budget *netio.DescriptorBudget, memoryMiB float64, handler RequestHandler,
+	address string, loop *clock.Loop, budget *netio.DescriptorBudget, memoryMiB float64,
+	handler RequestHandler,
 ) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/postgres/wire/extended.go
+++ b/internal/postgres/wire/extended.go
@@ -59,7 +59,7 @@
 	case Describe, Close:
 		err = m.parseObject(&in)
 	case Execute:
-		m.Portal = in.cString()
+		m.Portal = in.text()
 		m.MaxRows = in.uint32()
 	case Sync, Flush:
 	default:
@@ -76,8 +76,8 @@
 
 // parseParse decodes the body of a Parse.
 func (m *ExtendedMessage) parseParse(in *fieldReader) error {
-	m.Statement = in.cString()
-	m.Query = in.cString()
+	m.Statement = in.text()
+	m.Query = in.text()
 	count := in.count()
 	if count > len(in.unread)/oidLen {
 		return malformed("%d parameter types in %d bytes", count, len(in.unread))
@@ -91,8 +91,8 @@
 // parseBind decodes the body of a Bind: the formats and values of the parameters
 // and the formats of the results.
 func (m *ExtendedMessage) parseBind(in *fieldReader) {
-	m.Portal = in.cString()
-	m.Statement = in.cString()
+	m.Portal = in.text()
+	m.Statement = in.text()
 	m.rest = in.unread
 	in.next(formatLen * in.count())
 	for range in.count() {
@@ -110,10 +110,10 @@
 func (m *ExtendedMessage) parseObject(in *fieldReader) error {
 	switch object := in.byte(); object {
 	case objectStatement:
-		m.Statement = in.cString()
+		m.Statement = in.text()
 	case objectPortal:
 		m.IsPortal = true
-		m.Portal = in.cString()
+		m.Portal = in.text()
 	default:
 		return malformed("neither a statement nor a portal: %q", object)
 	}
@@ -198,8 +198,8 @@
 	return 0
 }
 
-// cString reads a string up to its terminating zero byte.
-func (f *fieldReader) cString() []byte {
+// text reads a string up to its terminating zero byte.
+func (f *fieldReader) text() []byte {
 	end := bytes.IndexByte(f.unread, 0)
 	if end < 0 {
 		f.fail()
