--- a/internal/postgres/back/answer.go
+++ b/internal/postgres/back/answer.go
@@ -22,7 +22,7 @@
 )
 
 var (
-	errTooLong    = fmt.Errorf("%w: answer exceeds the maximum length", wire.ErrMalformed)
+	errTooLong    = fmt.Errorf("%w: message or answer exceeds its maximum length", wire.ErrMalformed)
 	errOutOfOrder = fmt.Errorf("%w: message out of order", wire.ErrMalformed)
 	errUnexpected = fmt.Errorf("%w: message outside an answer", wire.ErrMalformed)
 )
@@ -47,9 +47,9 @@
 	stage     stage
 	column    wire.Column
 	row       router.Row
-	errorCode []byte // of an ErrorResponse
-	role      decide.Role
-	position  []byte
+	errorCode []byte      // of an ErrorResponse
+	role      decide.Role // reported by the endpoint
+	position  []byte      // reported by the endpoint, in Unix milliseconds
 }
 
 // onData processes received messages. It runs in the connection's own goroutine
--- a/internal/postgres/front/answers_test.go
+++ b/internal/postgres/front/answers_test.go
@@ -79,11 +79,11 @@
 	}
 }
 
-// stuckClient adds a client that reads nothing and has sent the given number of
+// blockedClient adds a client that reads nothing and has sent the given number of
 // reads.
-func (s *stubRouter) stuckClient(statements int) (*client, *blockedConn) {
-	stuck := &blockedConn{bufferedConn: bufferedConn{in: netpoll.NewLinkBuffer()}, closed: make(chan struct{})}
-	c := &client{server: s.server, conn: netio.NewConn(stuck), started: true}
+func (s *stubRouter) blockedClient(statements int) (*client, *blockedConn) {
+	blocked := &blockedConn{bufferedConn: bufferedConn{in: netpoll.NewLinkBuffer()}, closed: make(chan struct{})}
+	c := &client{server: s.server, conn: netio.NewConn(blocked), started: true}
 	s.loop.Do(func() {
 		s.server.budget.AcquireClient()
 		c.handle = s.server.clients.Add(c)
@@ -93,7 +93,7 @@
 			}
 		}
 	})
-	return c, stuck
+	return c, blocked
 }
 
 // TestFloodAfterProtocolErrorKeepsEarlierAnswer checks that a client that keeps
@@ -101,12 +101,12 @@
 // accepted the answer to its earlier statement.
 func TestFloodAfterProtocolErrorKeepsEarlierAnswer(t *testing.T) {
 	stub := newStub(t, 100)
-	c, stuck := stub.stuckClient(1)
+	c, blocked := stub.blockedClient(1)
 	flood := func() {
-		if _, err := stuck.in.WriteString(strings.Repeat("x", maxDiscardedBytes+1)); err != nil {
+		if _, err := blocked.in.WriteString(strings.Repeat("x", maxDiscardedBytes+1)); err != nil {
 			t.Fatal(err)
 		}
-		if err := errors.Join(stuck.in.Flush(), c.onData(stuck)); err != nil {
+		if err := errors.Join(blocked.in.Flush(), c.onData(blocked)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -117,7 +117,7 @@
 	flood()
 	stub.answer(0) // its write blocks
 	flood()
-	if stuck.isClosed() {
+	if blocked.isClosed() {
 		t.Error("connection closed before the answer was written")
 	}
 	stub.loop.Do(func() {
@@ -127,7 +127,7 @@
 		c.sending = false // as if the answer was written
 	})
 	flood()
-	<-stuck.closed
+	<-blocked.closed
 }
 
 // TestClientThatReadsNothingIsDisconnected checks that a client whose answers
@@ -135,7 +135,7 @@
 // released and that its running statement is cancelled.
 func TestClientThatReadsNothingIsDisconnected(t *testing.T) {
 	stub := newStub(t, 100)
-	c, _ := stub.stuckClient(3)
+	c, _ := stub.blockedClient(3)
 	stub.answer(0)
 	stub.answer(1)
 	stub.loop.Do(func() {
@@ -158,7 +158,7 @@
 // the answer is being written.
 func TestLastAnswerHasWriteTimeoutThenCloseTimeout(t *testing.T) {
 	stub := newStub(t, 100)
-	c, stuck := stub.stuckClient(1)
+	c, blocked := stub.blockedClient(1)
 	stub.loop.Do(func() { c.receiveError(errIncompleteMessage) })
 	stub.answer(0)
 	expectTimeout := func(want float64) { // checks the only deadline
@@ -180,5 +180,5 @@
 	stub.loop.Do(func() { c.answersSent(nil) })
 	expectTimeout(closeTimeoutMs)
 	stub.advance(closeTimeoutMs)
-	stub.waitUntil(stuck.isClosed)
+	stub.waitUntil(blocked.isClosed)
 }
--- a/internal/postgres/pipeline/pipeline.go
+++ b/internal/postgres/pipeline/pipeline.go
@@ -35,9 +35,9 @@
 type state uint8
 
 const (
-	waiting state = iota
-	running
-	answered
+	waiting  state = iota // not started
+	running               // started, not answered
+	answered              // kept until its answer is sent
 )
 
 // Command is an entry of a Queue.
