--- a/cmd/lotusbend/fleetadvice.go
+++ b/cmd/lotusbend/fleetadvice.go
@@ -26,7 +26,7 @@
 	n.loop.Do(func() {
 		n.router.StartObserving()
 		n.names = map[uint32]string{}
-		n.setAdvice(adapter, members.link.First(), members)
+		n.setAdvice(adapter, members.link.InitialAdvice(), members)
 	})
 	go n.followAdvice(ctx, members, adapter)
 	go n.offerObservations(ctx, members)
@@ -60,7 +60,7 @@
 
 // setAdvice puts advice in force on the router's clock.
 func (n *node) setAdvice(adapter *fleetstate.FleetAdapter, advice fleetstate.Advice, members *fleet) {
-	adapter.Set(advice.OnClockAhead(-members.clockAheadMs), n.endpointID, int64(n.loop.Now()))
+	adapter.Set(advice.ShiftedBy(-members.clockAheadMs), n.endpointID, int64(n.loop.Now()))
 }
 
 // offerObservations gives what the router observed to the shared state.
@@ -69,7 +69,7 @@
 		<-n.loop.After(observeIntervalMs)
 		n.loop.Do(func() {
 			observation := n.router.Observe(n.endpointName)
-			members.link.Offer(observation.OnClockAhead(members.clockAheadMs))
+			members.link.Offer(observation.ShiftedBy(members.clockAheadMs))
 		})
 	}
 }
--- a/internal/fleetstate/adapter_test.go
+++ b/internal/fleetstate/adapter_test.go
@@ -64,19 +64,19 @@
 }
 
 // Advice and observations cross between two clocks without moving in time.
-func TestOnClockAheadShiftsTimes(t *testing.T) {
+func TestShiftedByMovesTimes(t *testing.T) {
 	a := Advice{
 		SlowStart:  map[string]Quota{"h": {Own: 1, Borrowed: 1, Until: 500}, "i": {Own: 1, Until: math.MaxInt64}},
 		RetryQuota: Quota{Until: 90},
 		Ejections:  []Ejection{{Endpoint: "h", Until: 70}},
 	}
-	b := a.OnClockAhead(2000)
+	b := a.ShiftedBy(2000)
 	quotasShifted := b.SlowStart["h"].Until == 2500 && b.SlowStart["i"].Until == math.MaxInt64 && b.RetryQuota.Until == 2090
 	if !quotasShifted || b.Ejections[0].Until != 2070 || a.Ejections[0].Until != 70 {
 		t.Errorf("shifted %+v from %+v", b, a)
 	}
 	s := Observation{Endpoints: []EndpointHealth{{Name: "h", AnsweredSentAt: 10, FaultAt: 0, LastSentAt: 30}}}
-	got := s.OnClockAhead(5).Endpoints[0]
+	got := s.ShiftedBy(5).Endpoints[0]
 	if got.AnsweredSentAt != 15 || got.FaultAt != 0 || got.LastSentAt != 35 || s.Endpoints[0].AnsweredSentAt != 10 {
 		t.Errorf("shifted %+v", got)
 	}
--- a/internal/fleetstate/advice.go
+++ b/internal/fleetstate/advice.go
@@ -17,9 +17,9 @@
 	SuggestedPrimaries map[int]string // by group, where the router knows no primary
 }
 
-// OnClockAhead is the advice on a clock that is ms ahead of the one that it was
+// ShiftedBy is the advice on a clock that is ms ahead of the one that it was
 // made on. It shares no memory that it changes with a.
-func (a Advice) OnClockAhead(ms int64) Advice {
+func (a Advice) ShiftedBy(ms int64) Advice {
 	slowStart := make(map[string]Quota, len(a.SlowStart))
 	for name, quota := range a.SlowStart {
 		slowStart[name] = quota.onClockAhead(ms)
--- a/internal/fleetstate/event.go
+++ b/internal/fleetstate/event.go
@@ -25,8 +25,8 @@
 // String is the kind's name in the log.
 func (k EventKind) String() string { return eventKindNames[min(k, ReportRefuted)] }
 
-// OfLease reports whether an event's Key is a budget, else it is an endpoint.
-func (k EventKind) OfLease() bool { return k >= LeaseGranted && k <= LeaseExpired }
+// IsLeaseEvent reports whether an event's Key is a budget, else it is an endpoint.
+func (k EventKind) IsLeaseEvent() bool { return k >= LeaseGranted && k <= LeaseExpired }
 
 // Event is something that happened, for the log.
 type Event struct {
--- a/internal/fleetstate/link/link.go
+++ b/internal/fleetstate/link/link.go
@@ -82,9 +82,9 @@
 	return l, nil
 }
 
-// First is the advice that holds before any other: what an earlier incarnation
+// InitialAdvice is the advice that holds before any other: what an earlier incarnation
 // of this router may have lent is not used from the first request on.
-func (l *Link) First() fleetstate.Advice { return l.first }
+func (l *Link) InitialAdvice() fleetstate.Advice { return l.first }
 
 // Offer takes what the router observed. The counters of an earlier observation
 // that the node has not taken yet are added to it.
--- a/internal/fleetstate/link/report.go
+++ b/internal/fleetstate/link/report.go
@@ -15,7 +15,7 @@
 // eventFields are the names and values of an event's fields.
 func eventFields(event fleetstate.Event) []any {
 	subject := "endpoint"
-	if event.Kind.OfLease() {
+	if event.Kind.IsLeaseEvent() {
 		subject = "budget"
 	}
 	key := event.Key
--- a/internal/fleetstate/observation.go
+++ b/internal/fleetstate/observation.go
@@ -18,9 +18,9 @@
 	Depleted        bool
 }
 
-// OnClockAhead is the observation on a clock that is ms ahead of the router's.
+// ShiftedBy is the observation on a clock that is ms ahead of the router's.
 // It shares no endpoints with o.
-func (o Observation) OnClockAhead(ms int64) Observation {
+func (o Observation) ShiftedBy(ms int64) Observation {
 	o.Endpoints = slices.Clone(o.Endpoints)
 	for i := range o.Endpoints {
 		o.Endpoints[i].shiftTimes(ms)
--- a/internal/fleetstate/scenarios_advice_test.go
+++ b/internal/fleetstate/scenarios_advice_test.go
@@ -65,12 +65,12 @@
 	for _, ms := range []int64{0, 1, -500_000, 1 << 40} {
 		for _, r := range c.routers {
 			advice := r.node.Advice(c.now)
-			c.digest.advice(advice.OnClockAhead(ms))
+			c.digest.advice(advice.ShiftedBy(ms))
 			c.digest.advice(advice)
 			seen := fleetstate.Observation{Endpoints: r.endpoints, RetryBudget: r.retryBudget, Counters: r.counted}
-			c.digest.endpoints(seen.OnClockAhead(ms).Endpoints)
+			c.digest.endpoints(seen.ShiftedBy(ms).Endpoints)
 			c.digest.endpoints(seen.Endpoints)
-			c.digest.counters(seen.OnClockAhead(ms).Counters)
+			c.digest.counters(seen.ShiftedBy(ms).Counters)
 		}
 	}
 }
