--- a/internal/fleetstate/adapter.go
+++ b/internal/fleetstate/adapter.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// suggestionMs is for how long primary discovery tries a suggested primary first.
+// suggestionMs is how long primary discovery prefers a suggested primary.
 const suggestionMs = 1000
 
-// FleetAdapter gives the decision module the last Advice: it implements
-// decide.Fleet. Its times are those of the advice, Unix milliseconds on the
-// router's clock, which the module passes as a duration.
+// FleetAdapter implements decide.Fleet from the latest Advice. Times are Unix
+// milliseconds on the router's clock, which the decision module passes as a
+// duration.
 //
-// Whatever it was given ends by itself: a borrowed quota with its lease, an
-// ejection at its end, without another call. The zero value is a router without
-// peers. It is not safe for concurrent use.
+// Every part of the advice expires without another call: a borrowed quota with
+// its lease, an ejection at its end. The zero value represents a router without
+// peers. A FleetAdapter is not safe for concurrent use.
 type FleetAdapter struct {
 	routers            int
-	stake              float64          // in an endpoint's budget, 0 before any advice
-	remainingStake     float64          // of the stake in endpoints without a quota
+	stake              float64          // fraction of an endpoint's budget, 0 before any advice
+	remainingStake     float64          // usable fraction of the stake in endpoints without a quota
 	slowStart          map[uint32]Quota // by endpoint
-	retries            Quota            // retries a second
+	retries            Quota            // retries per second
 	deprioritizedUntil map[uint32]int64 // by endpoint, ms
 	suggestedUntil     map[uint32]int64 // by endpoint, ms
 }
 
-// SetRouters sets the size of the fleet alone, without shared state.
+// SetRouters sets the size of the fleet. It is for routers that know the fleet's
+// size but share no state.
 func (a *FleetAdapter) SetRouters(routers int) { a.routers = routers }
 
-// Set takes advice given at now, in ms. id translates an endpoint's name into
-// the module's number; endpoints for which it has none are left out.
+// Set replaces the advice with one made at now, in ms. id returns the decision
+// module's identifier of an endpoint name; endpoints without one are skipped.
 func (a *FleetAdapter) Set(advice Advice, id func(name string) (uint32, bool), now int64) {
 	*a = FleetAdapter{
 		routers:            advice.Routers,
@@ -54,16 +55,16 @@
 	}
 }
 
-// Routers implements decide.Fleet.
+// Routers implements decide.Fleet. It returns the size of the fleet.
 func (a *FleetAdapter) Routers() int { return a.routers }
 
-// SlowStartRate implements decide.Fleet: what was lent is taken off this
-// router's own rate in proportion, and what was borrowed is added as parts of
-// an endpoint that serves one request at a time. A lender's own rate is at
-// least its stake in such an endpoint, so what it gives up is at least what the
-// borrower gains.
+// SlowStartRate implements decide.Fleet. It reduces the router's own rate in
+// proportion to the quota lent, and adds the borrowed quota as a share of an
+// endpoint that serves one request at a time. A lender's own rate is at least its
+// stake in such an endpoint, so it gives up at least as much as the borrower
+// gains.
 func (a *FleetAdapter) SlowStartRate(endpoint uint32, own, one float64, now time.Duration) float64 {
-	if a.stake <= 0 { // no advice yet, or the size of the fleet alone
+	if a.stake <= 0 { // no advice yet, or only the size of the fleet is known
 		return own
 	}
 	quota, ok := a.slowStart[endpoint]
@@ -77,17 +78,19 @@
 	return rate
 }
 
-// RetryRate implements decide.Fleet.
+// RetryRate implements decide.Fleet. A borrowed quota counts until its lease
+// expires.
 func (a *FleetAdapter) RetryRate(now time.Duration) float64 {
 	return a.retries.At(now.Milliseconds())
 }
 
-// Deprioritized implements decide.Fleet.
+// Deprioritized implements decide.Fleet. It reports whether the endpoint's
+// ejection still holds.
 func (a *FleetAdapter) Deprioritized(endpoint uint32, now time.Duration) bool {
 	return now.Milliseconds() < a.deprioritizedUntil[endpoint]
 }
 
-// SuggestedPrimary implements decide.Fleet.
+// SuggestedPrimary implements decide.Fleet. A suggestion holds for suggestionMs.
 func (a *FleetAdapter) SuggestedPrimary(endpoint uint32, now time.Duration) bool {
 	return now.Milliseconds() < a.suggestedUntil[endpoint]
 }
--- a/internal/fleetstate/advice.go
+++ b/internal/fleetstate/advice.go
@@ -2,30 +2,32 @@
 
 import "slices"
 
-// RetryBudgetKey names the fleet's retry budget among the leases, in retries a
-// second; every other key is the name of a warming endpoint, whose budget is
-// counted in parts of the whole. The text is part of the protocol.
+// RetryBudgetKey is the lease key of the fleet's retry budget, which is measured
+// in retries per second. Every other key is the name of an endpoint in slow
+// start, whose budget is measured as a fraction of the whole. The text is part of
+// the protocol.
 const RetryBudgetKey = "\x00repeats"
 
-// Advice is what the router may act on until the next one.
+// Advice holds the limits and hints that the router applies until the next
+// Advice.
 type Advice struct {
-	Routers            int              // size of the fleet: 1/Routers is a stake
-	SlowStart          map[string]Quota // of warming endpoints' budgets, in parts of the whole, by name
-	RemainingStake     float64          // what is left of the stake in every other endpoint, 1 for all
-	RetryQuota         Quota            // retries a second; Own is negative by what is lent
+	Routers            int              // size of the fleet; a stake is 1/Routers
+	SlowStart          map[string]Quota // fraction of each warming endpoint's budget, by endpoint name
+	RemainingStake     float64          // usable fraction of the stake in every other endpoint, 1 for all of it
+	RetryQuota         Quota            // retries per second; Own is minus the amount lent
 	Ejections          []Ejection
-	SuggestedPrimaries map[int]string // by group, where the router knows no primary
+	SuggestedPrimaries map[int]string // endpoint name by replica group, where the router knows no primary
 }
 
-// ShiftedBy is the advice on a clock that is ms ahead of the one that it was
-// made on. It shares no memory that it changes with a.
+// ShiftedBy returns the advice with its times converted to a clock that is ms
+// ahead. The quotas and ejections of a are not modified.
 func (a Advice) ShiftedBy(ms int64) Advice {
 	slowStart := make(map[string]Quota, len(a.SlowStart))
 	for name, quota := range a.SlowStart {
-		slowStart[name] = quota.onClockAhead(ms)
+		slowStart[name] = quota.shiftedBy(ms)
 	}
 	a.SlowStart = slowStart
-	a.RetryQuota = a.RetryQuota.onClockAhead(ms)
+	a.RetryQuota = a.RetryQuota.shiftedBy(ms)
 	a.Ejections = slices.Clone(a.Ejections)
 	for i := range a.Ejections {
 		a.Ejections[i].Until += ms
@@ -33,10 +35,10 @@
 	return a
 }
 
-// Advice returns what holds at now, in ms. It weighs the reports on every
-// endpoint, so the caller calls it at its own pace, and after each event
-// that changed a lease. An expired lease is not part of it: a router that was
-// paused must call it again before it sends.
+// Advice computes the advice that holds at now, in ms. It evaluates the reports
+// on every endpoint, which is too costly for each request: call it periodically
+// and after each event that changed a lease. Expired leases are left out, so a
+// router that was paused must call it again before it sends.
 func (n *Node) Advice(now int64) Advice {
 	advice := Advice{
 		Routers:            n.routers,
@@ -50,8 +52,8 @@
 	stake := n.endpointStake()
 	for i := range n.outliers.endpoints {
 		endpoint := &n.outliers.endpoints[i]
-		// This router may learn that an endpoint warms up later than the
-		// borrower of its lease.
+		// A peer may learn of the slow start, and borrow, before this router
+		// sees the endpoint warming up.
 		if endpoint.WarmingUp || n.leases.has(endpoint.Name) {
 			advice.SlowStart[endpoint.Name] = n.leases.quota(endpoint.Name, stake, now)
 		}
--- a/internal/fleetstate/cluster_test.go
+++ b/internal/fleetstate/cluster_test.go
@@ -10,8 +10,8 @@
 	"lotusbend/internal/fleetstate"
 )
 
-// shortConfig is short leases, reports and compactions, so that one of half
-// a minute sees all of them end.
+// shortConfig returns a configuration with short durations, so that leases, reports
+// and counter entries expire within a simulation of half a minute.
 func shortConfig(change func(*fleetstate.Config)) fleetstate.Config {
 	config := fleetstate.Defaults()
 	config.LeaseMs, config.SkewMs, config.CounterRetentionMs = 600, 300, 9000
@@ -22,46 +22,48 @@
 	return config
 }
 
-// database is an endpoint as it is in truth.
+// database is the actual state of an endpoint.
 type database struct {
 	name      string
 	group     int
 	primary   bool
 	unlisted  bool
 	warmingUp bool
-	condition fleetstate.HealthStatus // fleetstate.Healthy where nothing is wrong with it
+	condition fleetstate.HealthStatus // fleetstate.Healthy without a fault
 }
 
-// simulatedRouter is one router: its node, restarted at times, and what it observed.
+// simulatedRouter is one router with its node, which may be restarted, and its
+// observations.
 type simulatedRouter struct {
 	name        string
 	node        *fleetstate.Node
 	running     bool
 	pausedUntil int64
-	falseStatus fleetstate.HealthStatus // what it reports of every endpoint, 0 for the truth
+	falseStatus fleetstate.HealthStatus // status that it reports of every endpoint, 0 for the observed one
 	endpoints   []fleetstate.EndpointHealth
 	counted     fleetstate.Counters
 	retryBudget fleetstate.RetryBudget
 	adapter     fleetstate.FleetAdapter
 }
 
-type flight struct {
+// delivery is a message in flight, which arrives at a time in ms.
+type delivery struct {
 	at       int64
 	from, to int
 	message  fleetstate.Message
 }
 
 const (
-	stepMs    = 50 // the simulated clock's step
-	adviseMs  = 250
-	recordMs  = 1000
+	stepMs    = 50   // step of the simulated clock
+	adviseMs  = 250  // interval of computing advice
+	recordMs  = 1000 // interval of hashing every node's state
 	routers   = 7
 	databases = 9 // in three groups
 	classes   = 3
 )
 
-// cluster carries messages between routers on one simulated clock. All of its
-// randomness comes from the scenario's seed.
+// cluster simulates routers and the network between them on one clock. All of its
+// random numbers derive from the scenario's seed.
 type cluster struct {
 	t             *testing.T
 	random        *rand.Rand
@@ -70,14 +72,15 @@
 	now           int64
 	routers       []*simulatedRouter
 	databases     []database
-	inFlight      []flight
+	inFlight      []delivery
 	loss          float64
 	duplication   float64
 	longestDelay  int64                   // ms
-	attemptChance float64                 // chance of an attempt by one router at one endpoint in a step
-	cut           func(from, to int) bool // whether messages between two routers are lost
+	attemptChance float64                 // probability of an attempt by one router at one endpoint in a step
+	cut           func(from, to int) bool // whether messages between two routers are lost, nil for never
 }
 
+// newCluster returns the cluster of a scenario. No router runs yet.
 func newCluster(t *testing.T, s scenario) *cluster {
 	c := &cluster{t: t, random: rand.New(rand.NewPCG(s.seed, 2)), digest: newDigest(), config: shortConfig(s.config),
 		now: 1_000_000, longestDelay: 20, attemptChance: 0.2}
@@ -95,7 +98,7 @@
 	return c
 }
 
-// boot starts router i as a new instance, which knows nothing.
+// boot starts router i as a new incarnation without state.
 func (c *cluster) boot(i int) {
 	c.t.Helper()
 	config, r := c.config, c.routers[i]
@@ -121,14 +124,14 @@
 
 func (c *cluster) pause(i int, ms int64) { c.routers[i].pausedUntil = c.now + ms }
 
-func (c *cluster) up(i int) bool {
+func (c *cluster) isUp(i int) bool {
 	return c.routers[i].running && c.now >= c.routers[i].pausedUntil
 }
 
-// isCut reports whether messages of one router to another are lost.
+// isCut reports whether messages from one router to another are lost.
 func (c *cluster) isCut(from, to int) bool { return c.cut != nil && c.cut(from, to) }
 
-// peers are the running routers that router i can hear.
+// peers returns the names of the running routers whose messages reach router i.
 func (c *cluster) peers(i int) (names []string) {
 	for j, r := range c.routers {
 		if j != i && r.running && !c.isCut(j, i) {
@@ -138,19 +141,20 @@
 	return names
 }
 
-// attempt lets router i send an attempt to each endpoint by chance.
+// attempt updates what router i observes of each endpoint and lets it send an
+// attempt with probability attemptChance.
 func (c *cluster) attempt(i int) {
 	r := c.routers[i]
 	for j, d := range c.databases {
 		h := &r.endpoints[j]
 		h.Ready, h.Primary, h.WarmingUp, h.RequestsQueued = !d.unlisted, d.primary, d.warmingUp, d.warmingUp && (i+j)%2 == 0
 		h.PrimaryUnknown = !c.primaryAnswers(d.group)
-		if h.Overdue && c.now-h.LastSentAt >= 800 { // no answer came to it
+		if h.Overdue && c.now-h.LastSentAt >= 800 { // the attempt was not answered
 			h.Overdue, h.Fault, h.FaultAt = false, fleetstate.Unresponsive, c.now
 		}
 		if !h.Overdue && c.random.Float64() < c.attemptChance {
 			h.LastSentAt = c.now
-			see(h, d, c.now)
+			recordAttempt(h, d, c.now)
 		}
 		if r.falseStatus != 0 {
 			h.Fault, h.FaultAt = r.falseStatus, c.now
@@ -164,8 +168,8 @@
 	})
 }
 
-// see is what an attempt at d shows of it.
-func see(h *fleetstate.EndpointHealth, d database, now int64) {
+// recordAttempt updates the observed health by the result of an attempt at d.
+func recordAttempt(h *fleetstate.EndpointHealth, d database, now int64) {
 	switch d.condition {
 	case fleetstate.Unresponsive:
 		h.Overdue = true
@@ -186,7 +190,7 @@
 	}
 }
 
-// observe gives node i what its router observed.
+// observe passes the observations of router i to its node.
 func (c *cluster) observe(i int) {
 	r := c.routers[i]
 	c.attempt(i)
@@ -200,7 +204,8 @@
 	r.node.Observe(fleetstate.Observation{Counters: observed, Endpoints: r.endpoints, RetryBudget: r.retryBudget})
 }
 
-// record hashes what an event of router i required, and sends its messages.
+// record hashes the messages and events that node i returned and sends the
+// messages, some of which are lost or duplicated.
 func (c *cluster) record(i int, ready fleetstate.Ready) {
 	c.digest.numbers(c.now, int64(i))
 	c.digest.ready(ready)
@@ -217,40 +222,41 @@
 }
 
 func (c *cluster) send(from, to int, m fleetstate.Message) {
-	c.inFlight = append(c.inFlight, flight{c.now + 1 + c.random.Int64N(c.longestDelay), from, to, m})
+	c.inFlight = append(c.inFlight, delivery{c.now + 1 + c.random.Int64N(c.longestDelay), from, to, m})
 }
 
-// deliver hands over the messages that are due. A paused router gets them once
+// deliver delivers the messages that are due. A paused router receives them when
 // it resumes, a stopped one never.
 func (c *cluster) deliver() {
-	var due []flight
-	c.inFlight = slices.DeleteFunc(c.inFlight, func(f flight) bool {
+	var due []delivery
+	c.inFlight = slices.DeleteFunc(c.inFlight, func(f delivery) bool {
 		if f.at > c.now || c.routers[f.to].running && c.now < c.routers[f.to].pausedUntil {
 			return false
 		}
 		due = append(due, f)
 		return true
 	})
-	slices.SortStableFunc(due, func(a, b flight) int { return int(a.at - b.at) })
+	slices.SortStableFunc(due, func(a, b delivery) int { return int(a.at - b.at) })
 	for _, f := range due {
-		if c.up(f.to) {
+		if c.isUp(f.to) {
 			c.inject(c.routers[f.from].name, f.to, f.message)
 		}
 	}
 }
 
-// inject hands router to a message of any peer at once.
+// inject delivers a message of any sender to a router at once.
 func (c *cluster) inject(from string, to int, m fleetstate.Message) {
 	c.record(to, c.routers[to].node.Receive(from, m, c.now))
 }
 
-// run moves the clock by ms: messages arrive, routers observe and tick.
+// run advances the clock by ms, in steps in which messages arrive and running
+// routers observe and tick.
 func (c *cluster) run(ms int64) {
 	for end := c.now + ms; c.now < end; {
 		c.now += stepMs
 		c.deliver()
 		for i, r := range c.routers {
-			if !c.up(i) {
+			if !c.isUp(i) {
 				continue
 			}
 			peers := c.peers(i)
@@ -267,7 +273,7 @@
 	}
 }
 
-// advise hashes the advice of router i and what its adapter makes of it.
+// advise hashes the advice of router i and the results of its adapter.
 func (c *cluster) advise(i int) {
 	r := c.routers[i]
 	advice := r.node.Advice(c.now)
@@ -278,7 +284,7 @@
 	}
 }
 
-// numberOf is the number of an endpoint's name; the last one has none.
+// numberOf returns the identifier of an endpoint name. The last endpoint has none.
 func numberOf(name string) (uint32, bool) {
 	var number uint32
 	if _, err := fmt.Sscanf(name, "db-%d", &number); err != nil {
@@ -287,7 +293,8 @@
 	return number + 1, number+1 < databases
 }
 
-// adapter hashes what an adapter answers at a time, for each endpoint and one unknown.
+// adapter hashes the results of an adapter at a time in ms, for each endpoint and
+// an unknown one.
 func (d *digest) adapter(g *fleetstate.FleetAdapter, at int64) {
 	now := time.Duration(at) * time.Millisecond
 	d.numbers(int64(g.Routers()))
@@ -299,7 +306,7 @@
 	}
 }
 
-// recordNodes hashes the totals and the page of every router.
+// recordNodes hashes the totals and the status page of every router.
 func (c *cluster) recordNodes() {
 	for i, r := range c.routers {
 		if r.node != nil {
--- a/internal/fleetstate/config.go
+++ b/internal/fleetstate/config.go
@@ -2,47 +2,51 @@
 
 import "fmt"
 
-// minMessageBytes is the least that Config.MaxMessageBytes may be: one entry of
-// each kind with the longest name.
+// minMessageBytes is the lower limit of Config.MaxMessageBytes. It has room for
+// an entry of any kind with the longest name.
 const minMessageBytes = 400
 
-// Config is one router's configuration, fixed for its lifetime. Times are in
+// Config configures a Node and is fixed for its lifetime. Times are in
 // milliseconds.
 type Config struct {
-	Name  string // the member's name in the view
-	Start int64  // start of this incarnation: the epoch of its counters
-	Seed  uint64
+	Name  string // member name in the membership view
+	Start int64  // start time of this incarnation, the epoch of its counters
+	Seed  uint64 // of the random number generators
 
 	TickMs            int64 // interval between messages with reports and lease requests
-	CounterIntervalMs int64 // interval between messages with counters, each to one peer
-
-	// LeaseMs is how long a lent quota is the borrower's, from its request on;
-	// SkewMs is how much longer the lender waits. No clock is compared with
-	// another: the borrower counts from its request, the lender from its grant,
-	// which is later. So SkewMs covers clocks that run at unequal speed or step
-	// by up to that much within a lease.
+	CounterIntervalMs int64 // interval between messages with counters, each sent to one peer
+
+	// LeaseMs is the duration of a lease, which the borrower counts from its
+	// request. SkewMs is how much longer the lender waits before it uses the
+	// lent quota again. Clocks of different routers are never compared: the
+	// lender counts from its grant, which is later than the request. SkewMs
+	// therefore covers clocks that run at different speeds or step by up to
+	// SkewMs within a lease.
 	LeaseMs           int64
 	SkewMs            int64
-	MaxLentFraction   float64 // of its own stake that a router lends
-	MaxBorrowedStakes float64 // borrowed at most, in stakes of its own
-	LendersPerTick    int     // peers that a request is sent to in a tick
+	MaxLentFraction   float64 // maximum fraction of its own stake that a router lends
+	MaxBorrowedStakes float64 // maximum total borrowed of a budget, in multiples of the own stake
+	LendersPerTick    int     // number of peers that a lease request is sent to in a tick
 
 	CounterRetentionMs int64 // counters not updated for this long are compacted into one total
-	MaxCounterEntries  int   // counters of routers and incarnations kept apart
+	MaxCounterEntries  int   // maximum number of counter entries, one for each incarnation of a router
 
-	ReportTTLMs        int64   // from its evidence on, a report counts for half of this to all of it, drawn
+	// ReportTTLMs is the maximum age of a report's evidence. The age at which
+	// reports expire is drawn for each suspicion, between half of it and all.
+	ReportTTLMs        int64
 	EjectionMs         int64   // an ejection ends after this unless renewed
-	GossipEjectionMs   int64   // for how long gossip alone ejects, before this router must try the endpoint
-	MaxEjectedFraction float64 // of a group's endpoints that gossip ejects at once
-	RequiredSupport    float64 // sum of the reporters' reputations that gossip alone needs
-	FanOut             int     // peers that reports are sent to in a tick
+	GossipEjectionMs   int64   // how long gossip alone may eject before this router must try the endpoint
+	MaxEjectedFraction float64 // maximum fraction of a group's endpoints that gossip ejects at once
+	RequiredSupport    float64 // sum of the reporters' reputations needed to eject by gossip alone
+	FanOut             int     // number of peers that reports are sent to in a tick
 
-	MaxMessageBytes int // of one encoded message
+	MaxMessageBytes int // maximum size of an encoded message
 
-	FaultInjection FaultInjection // nil in service, else the guards that a drill takes out
+	FaultInjection FaultInjection // guards that a drill or test disables, nil in production
 }
 
-// Defaults is a configuration for routers a few milliseconds apart.
+// Defaults returns a configuration for routers whose network latency is a few
+// milliseconds. Name, Start and Seed are left for the caller to set.
 func Defaults() Config {
 	return Config{
 		TickMs:             200,
@@ -64,11 +68,11 @@
 	}
 }
 
-// ConfigError is returned by Config.Check for a setting that cannot work.
+// ConfigError reports an invalid setting. Config.Check returns it.
 type ConfigError struct {
-	Setting string // its key in the operators' file, where it has one
+	Setting string // key in the settings file, or the Config field where there is no key
 	Value   any
-	Want    string
+	Want    string // the allowed values
 }
 
 // Error implements error.
@@ -76,7 +80,8 @@
 	return fmt.Sprintf("fleetstate: %s is %v, want %s", e.Setting, e.Value, e.Want)
 }
 
-// Check returns a ConfigError for the first setting that cannot work.
+// Check validates the configuration. It returns a *ConfigError for the first
+// invalid setting.
 func (c Config) Check() error {
 	for _, check := range []func() *ConfigError{
 		c.checkName,
@@ -106,9 +111,9 @@
 	case c.TickMs <= 0:
 		return &ConfigError{"tick_ms", c.TickMs, "more than 0"}
 	case c.CounterIntervalMs < c.TickMs:
-		return &ConfigError{"counts_ms", c.CounterIntervalMs, fmt.Sprintf("the tick of %d or more", c.TickMs)}
+		return &ConfigError{"counts_ms", c.CounterIntervalMs, fmt.Sprintf("the tick_ms of %d or more", c.TickMs)}
 	case c.LeaseMs < 2*c.TickMs:
-		return &ConfigError{"lease_ms", c.LeaseMs, fmt.Sprintf("twice the tick of %d or more", c.TickMs)}
+		return &ConfigError{"lease_ms", c.LeaseMs, fmt.Sprintf("twice the tick_ms of %d or more", c.TickMs)}
 	}
 	return nil
 }
@@ -120,21 +125,21 @@
 	case c.MaxLentFraction < 0 || c.MaxLentFraction >= 1:
 		return &ConfigError{"lendable", c.MaxLentFraction, "0 to below 1"}
 	case c.MaxBorrowedStakes < 0:
-		return &ConfigError{"the limit of borrowed stakes", c.MaxBorrowedStakes, "0 or more"}
+		return &ConfigError{"MaxBorrowedStakes", c.MaxBorrowedStakes, "0 or more"}
 	case c.LendersPerTick < 0:
-		return &ConfigError{"the number of lenders", c.LendersPerTick, "0 or more"}
+		return &ConfigError{"LendersPerTick", c.LendersPerTick, "0 or more"}
 	}
 	return nil
 }
 
 func (c Config) checkCounters() *ConfigError {
-	shortest := 10 * (c.LeaseMs + c.SkewMs)
+	minRetentionMs := 10 * (c.LeaseMs + c.SkewMs)
 	switch {
-	case c.CounterRetentionMs < shortest:
-		want := fmt.Sprintf("ten leases with their skew (%d) or more", shortest)
+	case c.CounterRetentionMs < minRetentionMs:
+		want := fmt.Sprintf("ten leases of lease_ms plus skew_ms (%d) or more", minRetentionMs)
 		return &ConfigError{"fold_ms", c.CounterRetentionMs, want}
 	case c.MaxCounterEntries < 1:
-		return &ConfigError{"the limit of counter entries", c.MaxCounterEntries, "1 or more"}
+		return &ConfigError{"MaxCounterEntries", c.MaxCounterEntries, "1 or more"}
 	}
 	return nil
 }
@@ -144,12 +149,12 @@
 	case c.ReportTTLMs <= 0:
 		return &ConfigError{"claim_ms", c.ReportTTLMs, "more than 0"}
 	case c.EjectionMs < c.TickMs:
-		return &ConfigError{"hint_ms", c.EjectionMs, fmt.Sprintf("the tick of %d or more", c.TickMs)}
+		return &ConfigError{"hint_ms", c.EjectionMs, fmt.Sprintf("the tick_ms of %d or more", c.TickMs)}
 	case c.GossipEjectionMs < c.EjectionMs:
-		want := fmt.Sprintf("hint_ms (%d) or more", c.EjectionMs)
+		want := fmt.Sprintf("the hint_ms of %d or more", c.EjectionMs)
 		return &ConfigError{"hearsay_ms", c.GossipEjectionMs, want}
 	case c.FanOut < 1:
-		return &ConfigError{"the fan-out", c.FanOut, "1 or more"}
+		return &ConfigError{"FanOut", c.FanOut, "1 or more"}
 	}
 	return nil
 }
@@ -159,7 +164,7 @@
 	case c.MaxEjectedFraction < 0 || c.MaxEjectedFraction >= 1:
 		return &ConfigError{"share_most", c.MaxEjectedFraction, "0 to below 1"}
 	case c.RequiredSupport <= 0:
-		return &ConfigError{"the required support", c.RequiredSupport, "more than 0"}
+		return &ConfigError{"RequiredSupport", c.RequiredSupport, "more than 0"}
 	}
 	return nil
 }
@@ -167,7 +172,7 @@
 func (c Config) checkMessages() *ConfigError {
 	if c.MaxMessageBytes < minMessageBytes {
 		want := fmt.Sprintf("%d bytes or more", minMessageBytes)
-		return &ConfigError{"the size of a message", c.MaxMessageBytes, want}
+		return &ConfigError{"MaxMessageBytes", c.MaxMessageBytes, want}
 	}
 	return nil
 }
--- a/internal/fleetstate/config_test.go
+++ b/internal/fleetstate/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// An invalid setting is named by the error.
+// Config.Check returns an error that names the invalid setting.
 func TestConfigErrorNamesTheSetting(t *testing.T) {
 	for setting, change := range map[string]func(*Config){
 		"name":       func(c *Config) { c.Name = "" },
@@ -24,7 +24,7 @@
 		change(&cfg)
 		var invalid *ConfigError
 		if err := cfg.Check(); !errors.As(err, &invalid) || invalid.Setting != setting {
-			t.Errorf("%s: %v, want a ConfigError of it", setting, err)
+			t.Errorf("Check() with an invalid %s = %v, want a ConfigError that names it", setting, err)
 		}
 	}
 }
--- a/internal/fleetstate/counters.go
+++ b/internal/fleetstate/counters.go
@@ -1,50 +1,51 @@
 package fleetstate
 
-// CounterKind is what a counter counts, for each class of request.
+// CounterKind identifies one of the counters that each request class has.
 type CounterKind uint8
 
-// The counters of a class.
+// The counters of a request class.
 const (
-	Requests          CounterKind = iota // received from clients
-	Rejections                           // requests answered as rejected
-	Retries                              // attempts after a request's first
-	CrossZoneAttempts                    // attempts that left the router's zone
+	Requests          CounterKind = iota // requests received from clients
+	Rejections                           // requests rejected by this router
+	Retries                              // attempts after the first of a request
+	CrossZoneAttempts                    // attempts sent to another zone
 	Attempts                             // attempts that may have reached an endpoint
-	counterKinds
+	numCounterKinds
 )
 
-// CounterKindNames are the kinds' names in metrics, in their order.
+// CounterKindNames returns the metric name of each kind, indexed by kind.
 func CounterKindNames() []string {
 	return []string{"requests", "rejections", "retries", "cross_zone_attempts", "attempts"}
 }
 
-// maxClasses bounds the classes that the counters of a peer may have.
+// maxClasses is the maximum number of request classes in one router's counters.
 const maxClasses = 64
 
-// Counters are a router's counters: index class*kinds + kind.
+// Counters holds the counters of every request class, at index
+// class*numCounterKinds + kind.
 type Counters []uint64
 
-// Get returns one counter, 0 if it was never raised.
+// Get returns one counter, 0 if it was never incremented.
 func (c Counters) Get(class int, kind CounterKind) uint64 {
-	if i := class*int(counterKinds) + int(kind); i < len(c) {
+	if i := class*int(numCounterKinds) + int(kind); i < len(c) {
 		return c[i]
 	}
 	return 0
 }
 
-// Add raises one counter by n. Classes out of range are ignored.
+// Add increments one counter by n. It ignores classes outside 0 to maxClasses-1.
 func (c *Counters) Add(class int, kind CounterKind, n uint64) {
 	if class < 0 || class >= maxClasses {
 		return
 	}
-	i := class*int(counterKinds) + int(kind)
+	i := class*int(numCounterKinds) + int(kind)
 	for len(*c) <= i {
-		*c = append(*c, make([]uint64, counterKinds)...)
+		*c = append(*c, make([]uint64, numCounterKinds)...)
 	}
 	(*c)[i] += n
 }
 
-// add adds other's counters.
+// add adds each counter of other.
 func (c *Counters) add(other Counters) {
 	c.grow(len(other))
 	for i, value := range other {
@@ -52,7 +53,8 @@
 	}
 }
 
-// mergeMax takes the larger of each counter and reports whether any changed.
+// mergeMax sets each counter to the larger of both values and reports whether any
+// changed.
 func (c *Counters) mergeMax(other Counters) (changed bool) {
 	c.grow(len(other))
 	for i, value := range other {
@@ -64,7 +66,7 @@
 	return changed
 }
 
-// grow appends zeros up to a length.
+// grow appends zeros up to a length. Longer counters are left as they are.
 func (c *Counters) grow(length int) {
 	for len(*c) < length {
 		*c = append(*c, 0)
--- a/internal/fleetstate/counterstore.go
+++ b/internal/fleetstate/counterstore.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// CounterEntry is the counters of one incarnation of a router: a grow-only
-// counter (G-Counter). Only that router raises them; every other takes the
-// maximum of two copies, counter by counter, so reordered, duplicated and lost
-// messages do no harm.
+// CounterEntry holds the counters of one router in one epoch. It is a grow-only
+// counter (G-Counter): only the owner increments it, and other routers merge two
+// copies by taking the maximum of each counter. Reordered, duplicated and lost
+// messages therefore cannot corrupt it.
 type CounterEntry struct {
-	Name     string
-	Epoch    int64 // start of the incarnation, or later where it closed an epoch; ms
-	Stamp    int64 // the owner's time when it last sent them; ms
+	Name     string // of the owner
+	Epoch    int64  // start of the owner's incarnation, or of a later epoch that it began; ms
+	Stamp    int64  // owner's clock when it last updated the entry; ms
 	Counters Counters
-	sends    int // by this router, since they changed
+	sends    int // how often this router sent the entry since it changed
 }
 
 // compareEntries orders entries by name and epoch.
@@ -25,30 +25,30 @@
 	return cmp.Compare(a.Epoch, b.Epoch)
 }
 
-// clone copies an entry with its counters.
+// clone returns a deep copy.
 func (e CounterEntry) clone() CounterEntry {
 	e.Counters = slices.Clone(e.Counters)
 	return e
 }
 
-// counterStore holds every router's counters as far as this router has
+// counterStore holds the counters of every router, as far as this router has
 // received them.
 //
-// Its size is bounded by the routers alive within CounterRetentionMs: an entry
-// not updated for that long is compacted into one total, and copies of it that
-// arrive later are too old to be accepted. A router that received nothing for
-// half of that time closes its epoch, so that what others may have compacted is
-// never sent as if it were new. Totals are therefore exact after every
-// partition shorter than CounterRetentionMs/2; after a longer one they lose
-// what was counted in its first part, and never count anything twice.
+// Its size is bounded by the routers that were alive within CounterRetentionMs:
+// an entry not updated for that long is compacted into one total, and copies of
+// it that arrive later are rejected as too old. A router that received nothing
+// for half of that time begins a new epoch, so that it never sends counters as
+// new that others may have compacted already. Totals are therefore exact after
+// every partition shorter than CounterRetentionMs/2. A longer partition loses the
+// counts of its first part, but counts nothing twice.
 type counterStore struct {
 	cfg            Config
 	faults         FaultInjection
 	own            CounterEntry
-	entries        []CounterEntry // of others and of closed epochs, by name and epoch
-	compacted      Counters       // sum of the entries that were dropped
-	lastReceivedAt int64          // when any peer's message came, ms
-	rejected       uint64         // entries that were too old or too many
+	entries        []CounterEntry // of peers and of this router's closed epochs, sorted by name and epoch
+	compacted      Counters       // sum of the entries removed
+	lastReceivedAt int64          // when the last message of any peer arrived, ms
+	rejected       uint64         // number of received entries that were too old or exceeded MaxCounterEntries
 }
 
 func newCounterStore(cfg Config, now int64) *counterStore {
@@ -60,10 +60,10 @@
 	}
 }
 
-// record adds what this router counted since the last time.
+// record adds the counts of this router since the previous call.
 func (s *counterStore) record(counted Counters) { s.own.Counters.add(counted) }
 
-// total is the sum of all routers' counters.
+// total returns the sum of the counters of all routers and epochs.
 func (s *counterStore) total() Counters {
 	total := slices.Clone(s.compacted)
 	total.add(s.own.Counters)
@@ -73,27 +73,28 @@
 	return total
 }
 
-// find returns the index of an entry, or where it belongs.
+// find returns the index of an entry, or the index to insert it at.
 func (s *counterStore) find(name string, epoch int64) (index int, found bool) {
 	return slices.BinarySearchFunc(s.entries, CounterEntry{Name: name, Epoch: epoch}, compareEntries)
 }
 
-// merge takes an entry that a peer sent.
+// merge merges an entry received from a peer. It ignores entries without a name
+// or with too many counters.
 func (s *counterStore) merge(entry CounterEntry, now int64) {
-	if entry.Name == "" || len(entry.Counters) > maxClasses*int(counterKinds) {
+	if entry.Name == "" || len(entry.Counters) > maxClasses*int(numCounterKinds) {
 		return
 	}
 	if entry.Name == s.own.Name && entry.Epoch == s.own.Epoch {
-		return // nobody knows more of this router's own counters than it does
+		return // a peer's copy of this router's counters is never newer
 	}
-	// A stamp far ahead would never be compacted.
+	// An entry with a stamp far in the future would never be compacted.
 	entry.Stamp = min(entry.Stamp, now+s.cfg.SkewMs)
 	i, found := s.find(entry.Name, entry.Epoch)
 	switch {
 	case found:
 		s.update(&s.entries[i], entry)
 	case now-entry.Stamp >= s.cfg.CounterRetentionMs || len(s.entries) >= s.cfg.MaxCounterEntries:
-		s.rejected++ // compacted here already, or more than can be kept
+		s.rejected++ // already compacted here, or the store is full
 	default:
 		entry = entry.clone()
 		entry.sends = 0
@@ -113,8 +114,9 @@
 	known.Stamp = max(known.Stamp, received.Stamp)
 }
 
-// tick stamps the own entry, closes its epoch after a long silence and compacts
-// entries that were not updated for CounterRetentionMs.
+// tick updates the stamp of the own entry, begins a new epoch if nothing was
+// received for half of CounterRetentionMs, and compacts entries that were not
+// updated for CounterRetentionMs.
 func (s *counterStore) tick(now int64) {
 	s.own.Stamp = now
 	if now-s.lastReceivedAt >= s.cfg.CounterRetentionMs/2 && len(s.own.Counters) > 0 {
@@ -129,7 +131,8 @@
 	})
 }
 
-// closeEpoch keeps the own entry as one of the past and begins another.
+// closeEpoch moves the own entry to the entries that no longer change and begins
+// a new one.
 func (s *counterStore) closeEpoch(now int64) {
 	closed := s.own
 	closed.Stamp = s.lastReceivedAt
@@ -140,7 +143,7 @@
 	}
 }
 
-// snapshot copies every entry, the own one first.
+// snapshot returns deep copies of all entries, the own one first.
 func (s *counterStore) snapshot() []CounterEntry {
 	copied := []CounterEntry{s.own.clone()}
 	for _, entry := range s.entries {
@@ -149,9 +152,9 @@
 	return copied
 }
 
-// page copies the own entry and those of the others that fit into the bytes
-// left, first the ones sent least often since they changed: updates spread
-// epidemically, and old entries go round again.
+// page returns deep copies of the own entry and of those others that fit into
+// bytesLeft. Entries sent least often since they changed come first, so that
+// updates spread epidemically and unchanged entries are repeated in turn.
 func (s *counterStore) page(bytesLeft int) []CounterEntry {
 	page := []CounterEntry{s.own.clone()}
 	bytesLeft -= s.own.size()
--- a/internal/fleetstate/counterstore_test.go
+++ b/internal/fleetstate/counterstore_test.go
@@ -16,8 +16,8 @@
 	return newCounterStore(cfg, epoch)
 }
 
-// exchange sends every store's whole knowledge to every other, twice, in
-// the given order.
+// exchange sends all entries of every store to every other store, twice, in the
+// given order.
 func exchange(stores []*counterStore, now int64, order []int) {
 	for range 2 {
 		for _, i := range order {
@@ -33,34 +33,34 @@
 	}
 }
 
-// TestTotalsAreExactAfterAnyOrder holds for any order of counting, sending in
-// part, duplicates, losses and restarts: nobody ever counts more than there
-// was; after the partitions heal every total is the same, and without
-// restarts exactly what was counted; a restart loses only what it sent nobody.
+// For any order of counting, partial sends, duplicates, losses and restarts, no
+// router's total ever exceeds the true count. Once all messages are exchanged, all
+// totals are equal, and without restarts they equal the true count. A restart
+// loses only counts that no other router received.
 func TestTotalsAreExactAfterAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := rapid.IntRange(2, 5).Draw(t, "routers")
-		search := newCounterSearch(routers)
+		simulation := newCounterSimulation(routers)
 		for step := range rapid.IntRange(1, 100).Draw(t, "steps") {
-			search.now += 100
-			search.step(t, step)
-			search.checkTotals(t)
+			simulation.now += 100
+			simulation.step(t, step)
+			simulation.checkTotals(t)
 		}
 		order := rapid.Permutation([]int{0, 1, 2, 3, 4}[:routers]).Draw(t, "order")
-		exchange(search.stores, search.now, order)
-		search.checkHealed(t)
+		exchange(simulation.stores, simulation.now, order)
+		simulation.checkConverged(t)
 	})
 }
 
-// counterSearch counts at random routers and sends their counters around.
-type counterSearch struct {
+// counterSimulation increments counters of random routers and exchanges them.
+type counterSimulation struct {
 	now       int64
 	stores    []*counterStore
 	inFlight  []counterMessage
-	counted   uint64 // by all routers
-	ended     uint64 // of it, by incarnations that ended
+	counted   uint64 // true count over all routers
+	ended     uint64 // part of counted by incarnations that ended
 	restarts  int
-	known     int             // restarts of routers whose counters another had
+	known     int             // number of restarts at which another router had all counters
 	lastTotal []uint64        // by router
 	lastStore []*counterStore // by router, before its last restart
 }
@@ -70,8 +70,8 @@
 	entry CounterEntry
 }
 
-func newCounterSearch(routers int) *counterSearch {
-	s := &counterSearch{now: 1000, lastTotal: make([]uint64, routers)}
+func newCounterSimulation(routers int) *counterSimulation {
+	s := &counterSimulation{now: 1000, lastTotal: make([]uint64, routers)}
 	for i := range routers {
 		s.stores = append(s.stores, newTestCounterStore(fmt.Sprint("r", i), int64(i)))
 	}
@@ -80,7 +80,7 @@
 }
 
 // step lets one router count, send, receive or restart.
-func (s *counterSearch) step(t *rapid.T, step int) {
+func (s *counterSimulation) step(t *rapid.T, step int) {
 	i := rapid.IntRange(0, len(s.stores)-1).Draw(t, "router")
 	switch event := rapid.IntRange(0, 9).Draw(t, fmt.Sprint("event", step)); {
 	case event < 4:
@@ -103,19 +103,19 @@
 	}
 }
 
-func (s *counterSearch) count(t *rapid.T, i int) {
+func (s *counterSimulation) count(t *rapid.T, i int) {
 	var counters Counters
 	n := uint64(rapid.IntRange(1, 9).Draw(t, "count"))
 	class := rapid.IntRange(0, 2).Draw(t, "class")
-	kind := rapid.IntRange(0, int(counterKinds)-1).Draw(t, "kind")
+	kind := rapid.IntRange(0, int(numCounterKinds)-1).Draw(t, "kind")
 	counters.Add(class, CounterKind(kind), n)
 	s.stores[i].record(counters)
 	s.counted += n
 }
 
-// restart begins another incarnation: what no other router has of the last one
-// is lost.
-func (s *counterSearch) restart(i int) {
+// restart begins a new incarnation of router i. Counts of the previous one that no
+// other router received are lost.
+func (s *counterSimulation) restart(i int) {
 	s.restarts++
 	last := s.stores[i].own
 	for _, value := range last.Counters {
@@ -131,7 +131,7 @@
 	s.stores[i] = newTestCounterStore(last.Name, s.now)
 }
 
-// sumOf is the total over all classes and kinds.
+// sumOf returns the total over all classes and kinds.
 func sumOf(store *counterStore) (sum uint64) {
 	for _, value := range store.total() {
 		sum += value
@@ -139,68 +139,71 @@
 	return sum
 }
 
-// checkTotals holds that no router counts too much, nor less than before.
-func (s *counterSearch) checkTotals(t *rapid.T) {
+// checkTotals checks that no total exceeds the true count or decreases.
+func (s *counterSimulation) checkTotals(t *rapid.T) {
 	for i, store := range s.stores {
 		total := sumOf(store)
 		if total > s.counted {
-			t.Fatalf("%s totals %d of %d counted", store.own.Name, total, s.counted)
+			t.Fatalf("total of %s = %d, want at most the true count %d", store.own.Name, total, s.counted)
 		}
 		if total < s.lastTotal[i] && store == s.lastStore[i] { // an old copy must not undo a newer one
-			t.Fatalf("%s totals %d after %d", store.own.Name, total, s.lastTotal[i])
+			t.Fatalf("total of %s = %d, want at least the previous %d", store.own.Name, total, s.lastTotal[i])
 		}
 		s.lastTotal[i], s.lastStore[i] = total, store
 	}
 }
 
-// checkHealed holds the totals against what was counted, once every router has
-// received everything.
-func (s *counterSearch) checkHealed(t *rapid.T) {
+// checkConverged compares the totals with the true count once every router has
+// received all entries.
+func (s *counterSimulation) checkConverged(t *rapid.T) {
 	first := s.stores[0]
 	for _, store := range s.stores {
 		if !slices.Equal(store.total(), first.total()) {
-			t.Fatalf("after the heal %s totals %v, %s %v", store.own.Name, store.total(), first.own.Name, first.total())
+			t.Fatalf("after the exchange the totals of %s are %v, of %s %v, want them equal",
+				store.own.Name, store.total(), first.own.Name, first.total())
 		}
 	}
 	total := sumOf(first)
 	if s.restarts == 0 && total != s.counted {
-		t.Fatalf("totals are %d, counted %d, and nobody restarted", total, s.counted)
+		t.Fatalf("total = %d, want the true count %d as no router restarted", total, s.counted)
 	}
 	if s.restarts == 1 && s.known == 1 && total != s.counted {
-		t.Fatalf("totals are %d, counted %d; the one that restarted had sent all", total, s.counted)
+		t.Fatalf("total = %d, want the true count %d as the router sent all counters before its restart",
+			total, s.counted)
 	}
 	if total < s.counted-s.ended {
-		t.Fatalf("totals are %d, and %d was counted by incarnations that go on", total, s.counted-s.ended)
+		t.Fatalf("total = %d, want at least the %d counted by running incarnations", total, s.counted-s.ended)
 	}
 }
 
-// A merge by addition counts duplicates twice: the same search would find it.
+// With the injected fault, merging by addition counts a duplicate twice, so that
+// the test of totals detects it.
 func TestMergeBySumCountsDuplicatesTwice(t *testing.T) {
 	cfg := Defaults()
 	cfg.Name = "a"
 	cfg.FaultInjection = faultinjection.CountsBySum
 	a, b := newCounterStore(cfg, 0), newTestCounterStore("b", 0)
-	var cells Counters
-	cells.Add(0, Requests, 5)
-	b.record(cells)
+	var counts Counters
+	counts.Add(0, Requests, 5)
+	b.record(counts)
 	for range 2 {
 		a.merge(b.page(1000)[0], 10)
 	}
 	if a.total().Get(0, Requests) == 5 {
-		t.Error("a duplicate is not counted twice: the injected fault does nothing")
+		t.Error("total after a duplicate = 5, want more: the injected fault has no effect")
 	}
 }
 
-// The counters of stopped routers are compacted into one total, and copies of
-// them that come later change nothing: memory is bounded by the routers alive.
+// Counters of stopped routers are compacted into one total, so that memory is
+// bounded by the live routers. Copies that arrive later are rejected.
 func TestCountersOfStoppedRoutersAreCompactedOnce(t *testing.T) {
 	a := newTestCounterStore("a", 0)
 	var old []CounterEntry
 	for i := range 100 {
 		c := newTestCounterStore(fmt.Sprint("gone", i), int64(i))
-		var cells Counters
-		cells.Add(1, Rejections, 3)
-		c.record(cells)
+		var counts Counters
+		counts.Add(1, Rejections, 3)
+		c.record(counts)
 		c.tick(int64(1000 + i))
 		old = append(old, c.page(1000)...)
 	}
@@ -210,18 +213,18 @@
 	a.lastReceivedAt = 1100 + a.cfg.CounterRetentionMs
 	a.tick(1100 + a.cfg.CounterRetentionMs)
 	if len(a.entries) != 0 || a.total().Get(1, Rejections) != 300 {
-		t.Fatalf("%d entries kept, total %d; want 0 and 300", len(a.entries), a.total().Get(1, Rejections))
+		t.Fatalf("after compaction %d entries, total %d, want 0 and 300", len(a.entries), a.total().Get(1, Rejections))
 	}
 	for _, e := range old {
 		a.merge(e, 1200+a.cfg.CounterRetentionMs)
 	}
 	if got := a.total().Get(1, Rejections); got != 300 || a.rejected != 100 {
-		t.Errorf("after late copies the total is %d, %d rejected; want 300 and 100", got, a.rejected)
+		t.Errorf("after late copies total %d, %d rejected, want 300 and 100", got, a.rejected)
 	}
 }
 
-// A router partitioned for longer than others wait before compacting it comes back
-// in a new epoch: what they compacted is never counted again.
+// A router that was partitioned for longer than CounterRetentionMs begins a new
+// epoch, so that counters that its peers compacted are not counted again.
 func TestLongPartitionNeverCountsTwice(t *testing.T) {
 	a, b := newTestCounterStore("a", 0), newTestCounterStore("b", 0)
 	var one Counters
@@ -239,9 +242,9 @@
 	}
 	got := a.total().Get(0, Requests)
 	if got > counted {
-		t.Fatalf("a totals %d of %d that b counted", got, counted)
+		t.Fatalf("total of a = %d, want at most the %d that b counted", got, counted)
 	}
 	if got < counted/2 {
-		t.Errorf("a totals %d of %d: what was counted after the heal and before the partition must be there", got, counted)
+		t.Errorf("total of a = %d of %d, want at least the counts before the partition and after it", got, counted)
 	}
 }
--- a/internal/fleetstate/digest_test.go
+++ b/internal/fleetstate/digest_test.go
@@ -13,7 +13,7 @@
 	"lotusbend/internal/fleetstate"
 )
 
-// digest is a running SHA-256 of numbers and byte strings.
+// digest is a running SHA-256 hash of numbers and byte strings.
 type digest struct {
 	hash     hash.Hash
 	buffered *bufio.Writer
@@ -30,8 +30,8 @@
 	}
 }
 
-// amounts writes each value in steps of 1e-9: the last bits of a sum may differ
-// between processors, where one fuses multiplication and addition.
+// amounts writes each value rounded to 1e-9, because the last bits of a sum differ
+// between processors with and without fused multiply-add.
 func (d *digest) amounts(values ...float64) {
 	for _, v := range values {
 		d.numbers(int64(math.Round(v * 1e9)))
@@ -46,7 +46,8 @@
 	}
 }
 
-// texts writes each string after its length, so that no two lists collide.
+// texts writes each string preceded by its length, so that different lists have
+// different encodings.
 func (d *digest) texts(values ...string) {
 	for _, v := range values {
 		d.numbers(int64(len(v)))
@@ -59,8 +60,8 @@
 	return hex.EncodeToString(d.hash.Sum(nil))
 }
 
-// The functions from here to page turn the package's types into numbers and
-// bytes; a renamed field or type is adapted here.
+// The functions from here to page write the package's types as numbers and bytes.
+// When a field or type is renamed, only these functions change.
 
 func (d *digest) counters(counters fleetstate.Counters) {
 	d.numbers(int64(len(counters)))
--- a/internal/fleetstate/ejection.go
+++ b/internal/fleetstate/ejection.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// rejectionReason is why an ejection was rejected, as the log shows it.
+// rejectionReason states why an ejection was rejected. It appears in the log.
 type rejectionReason string
 
 const (
@@ -15,37 +15,41 @@
 	tooManyInGroup   rejectionReason = "too many endpoints of the group"
 )
 
-// Ejection deprioritizes an endpoint for a while.
+// Ejection deprioritizes an endpoint until a point in time.
 type Ejection struct {
 	Endpoint     string
-	Status       HealthStatus
-	Until        int64   // ms
-	Support      float64 // sum of the reporters' reputations, less those who report health
-	ObservedHere bool    // the fault was observed here too: only the circuit breaker's next trial is deferred
+	Status       HealthStatus // the reported fault
+	Until        int64        // ms
+	Support      float64      // reputations of the peers that report a fault, minus those that report it healthy
+	ObservedHere bool         // this router observed a fault too: only the circuit breaker's next trial is deferred
 }
 
-// ejectionCandidate is an ejection that has enough support.
+// ejectionCandidate is an ejection with enough support, before the limits of its
+// replica group are applied.
 type ejectionCandidate struct {
 	Ejection
 	suspicion *suspicion
 	endpoint  *EndpointHealth
 }
 
-// gossipOnly reports that nothing observed here speaks for the ejection.
+// gossipOnly reports whether no observation of this router supports the ejection.
 func (c *ejectionCandidate) gossipOnly() bool { return !c.ObservedHere && !c.endpoint.Overdue }
 
-// eject returns the ejections in force: the endpoints that the router should
-// use last. These bounds hold whatever peers send: gossip ejects at most
-// MaxEjectedFraction of a group's ready endpoints and never the last one that
-// is sound by what was observed here; it does so for at most GossipEjectionMs
-// before the router has tried the endpoint itself; an answer ends it; without
-// renewal it ends after EjectionMs. Gossip only ever takes endpoints out:
-// nothing that a peer sends brings one back or adds to what a warming one is
-// sent.
+// eject returns the ejections in force, which are the endpoints that the router
+// should select last. Whatever peers send, these limits hold:
+//
+//   - Gossip ejects at most MaxEjectedFraction of a group's ready endpoints, and
+//     never the last one that is healthy as observed here.
+//   - Gossip alone ejects for at most GossipEjectionMs before this router must
+//     try the endpoint itself.
+//   - An answer of the endpoint ends its ejection. Without renewal the ejection
+//     ends after EjectionMs.
+//   - Gossip only ejects: no message of a peer readmits an endpoint, or raises the
+//     rate of requests to a warming one.
 func (d *outlierDetector) eject(now int64) (ejections []Ejection) {
 	d.expire(now)
 	candidates := map[int][]ejectionCandidate{}
-	var groups []int // in the order of their first candidates
+	var groups []int // ordered by first candidate
 	for i := range d.endpoints {
 		endpoint := &d.endpoints[i]
 		suspicion := d.suspicions[endpoint.Name]
@@ -67,7 +71,8 @@
 	return ejections
 }
 
-// candidate weighs the suspicion of one endpoint.
+// candidate evaluates the reports on one endpoint and returns whether it should
+// be ejected, subject to the limits of its group.
 func (d *outlierDetector) candidate(
 	endpoint *EndpointHealth, suspicion *suspicion, now int64,
 ) (ejectionCandidate, bool) {
@@ -94,35 +99,37 @@
 	}, ok
 }
 
-// requirement is what an ejection needs.
+// requirement is the least support and number of reporters for an ejection.
 type requirement struct {
 	support   float64
 	reporters int
 }
 
+// metBy reports whether an onset satisfies the requirement.
 func (r requirement) metBy(found onset) bool {
 	return found.reporters >= r.reporters && found.support >= r.support
 }
 
-// requirementFor is what the ejection of an endpoint needs: less where
-// something observed here speaks for it, or where it is renewed.
+// requirementFor returns the requirement for ejecting an endpoint. It is lower if
+// an observation of this router supports the ejection or if it renews one.
 func (d *outlierDetector) requirementFor(
 	endpoint *EndpointHealth, suspicion *suspicion, now int64,
 ) requirement {
 	switch {
 	case d.faults.TrustSingleReporter():
 		return requirement{support: 0.01, reporters: 1}
-	case endpoint.faultObserved() || endpoint.Overdue: // one more reporter is enough
+	case endpoint.faultObserved() || endpoint.Overdue:
+		// This router's own observation counts as one of two reporters.
 		return requirement{support: 0.5, reporters: 1}
 	case suspicion.ejected && now < suspicion.ejectedUntil+d.cfg.EjectionMs:
-		// One reporter of good reputation renews it.
+		// One reporter with a reputation of at least 0.75 renews an ejection.
 		return requirement{support: 0.75, reporters: 1}
 	}
 	return requirement{support: d.cfg.RequiredSupport, reporters: 2}
 }
 
-// ejectionEnd is until when an endpoint with enough support is ejected, and
-// whether it is to be ejected at all.
+// ejectionEnd returns the end of the ejection of an endpoint with enough support,
+// in ms, and whether to eject it at all.
 func (d *outlierDetector) ejectionEnd(
 	endpoint *EndpointHealth, suspicion *suspicion, found onset, now int64,
 ) (until int64, ok bool) {
@@ -130,11 +137,11 @@
 	switch {
 	case !endpoint.Ready:
 		return 0, false
-	case endpoint.Primary: // nothing replaces it for writes and fresh reads
+	case endpoint.Primary: // no other endpoint can take its writes and fresh reads
 		return 0, false
 	case endpoint.faultObserved():
-		// Its circuit breaker is open: peers' newer evidence defers the next
-		// trial, for a while.
+		// The circuit breaker is open. Newer evidence of peers defers its next
+		// trial, by a limited time.
 		until = min(until, endpoint.FaultAt+2*suspicion.reportTTLMs)
 		return until, found.newestEvidence > endpoint.FaultAt && until > now
 	case endpoint.Overdue:
@@ -152,7 +159,7 @@
 }
 
 // ejectFromGroup ejects candidates of one group within the group's limits,
-// those first that something observed here speaks for.
+// starting with those that an observation of this router supports.
 func (d *outlierDetector) ejectFromGroup(
 	group int, candidates []ejectionCandidate, now int64,
 ) (ejections []Ejection) {
@@ -165,7 +172,7 @@
 				d.reject(candidate.suspicion, candidate.endpoint, tooManyInGroup)
 				continue
 			}
-			limits.take(candidate)
+			limits.deduct(candidate)
 		}
 		d.recordEjection(candidate, now)
 		ejections = append(ejections, candidate.Ejection)
@@ -173,7 +180,7 @@
 	return ejections
 }
 
-// recordEjection notes an ejection; a new one is an event.
+// recordEjection records an ejection and, unless it renews one, adds an event.
 func (d *outlierDetector) recordEjection(candidate *ejectionCandidate, now int64) {
 	suspicion := candidate.suspicion
 	if !suspicion.ejected || suspicion.ejectedUntil < now {
@@ -189,8 +196,8 @@
 	suspicion.rejectedFor = ""
 }
 
-// reject notes why an endpoint is not ejected; each change of the reason is an
-// event.
+// reject records why an endpoint is not ejected. It adds an event only when the
+// reason changes.
 func (d *outlierDetector) reject(suspicion *suspicion, endpoint *EndpointHealth, reason rejectionReason) {
 	if suspicion.rejectedFor == reason {
 		return
@@ -199,13 +206,14 @@
 	d.events = append(d.events, Event{Kind: EjectionRejected, Key: endpoint.Name, Reason: string(reason)})
 }
 
-// groupLimits bounds what gossip may eject of one group.
+// groupLimits limits which endpoints of one group gossip may eject.
 type groupLimits struct {
-	ejectable  int // endpoints that it may still eject
-	sound      int // endpoints that are sound here and not ejected
-	gossipOnly int // candidates left that nothing observed here speaks for
+	ejectable  int // number of endpoints that gossip may still eject
+	healthy    int // number of endpoints without a fault observed here and not ejected
+	gossipOnly int // number of remaining candidates that rest on gossip alone
 }
 
+// groupLimits returns the limits of a group before any candidate is ejected.
 func (d *outlierDetector) groupLimits(group int, candidates []ejectionCandidate) groupLimits {
 	var limits groupLimits
 	ready := 0
@@ -215,8 +223,8 @@
 			continue
 		}
 		ready++
-		if endpoint.sound() {
-			limits.sound++
+		if endpoint.healthy() {
+			limits.healthy++
 		}
 	}
 	limits.ejectable = int(math.Floor(d.cfg.MaxEjectedFraction * float64(ready)))
@@ -228,40 +236,40 @@
 	return limits
 }
 
-// allow reports whether a candidate may be ejected. Where peers report more of
-// a group than may be ejected they err or are byzantine, and which report is
-// true cannot be known here: then only those count that something observed
-// here speaks for.
+// allow reports whether a candidate may be ejected. If peers report faults of
+// more endpoints than may be ejected, some reports are wrong or byzantine and
+// this router cannot tell which. Then it ejects only endpoints that one of its
+// own observations supports.
 func (l *groupLimits) allow(candidate *ejectionCandidate) bool {
-	if l.ejectable < 1 || l.sound < 2 {
+	if l.ejectable < 1 || l.healthy < 2 {
 		return false
 	}
 	return candidate.endpoint.Overdue || l.gossipOnly <= l.ejectable
 }
 
-// take counts a candidate that is ejected.
-func (l *groupLimits) take(candidate *ejectionCandidate) {
+// deduct subtracts an ejected candidate from the limits.
+func (l *groupLimits) deduct(candidate *ejectionCandidate) {
 	l.ejectable--
-	l.sound--
+	l.healthy--
 	if candidate.gossipOnly() {
 		l.gossipOnly--
 	}
 }
 
-// compareCandidates orders by what speaks for an ejection: a fault observed
-// here, an overdue attempt, the support.
+// compareCandidates orders candidates with a fault observed here first, then
+// those with an overdue attempt, then by descending support.
 func compareCandidates(a, b ejectionCandidate) int {
-	if order := trueFirst(a.ObservedHere, b.ObservedHere); order != 0 {
+	if order := compareTrueFirst(a.ObservedHere, b.ObservedHere); order != 0 {
 		return order
 	}
-	if order := trueFirst(a.endpoint.Overdue, b.endpoint.Overdue); order != 0 {
+	if order := compareTrueFirst(a.endpoint.Overdue, b.endpoint.Overdue); order != 0 {
 		return order
 	}
 	return cmp.Compare(b.Support, a.Support)
 }
 
-// trueFirst compares flags so that true comes before false.
-func trueFirst(a, b bool) int {
+// compareTrueFirst orders true before false.
+func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
--- a/internal/fleetstate/event.go
+++ b/internal/fleetstate/event.go
@@ -1,16 +1,16 @@
 package fleetstate
 
-// EventKind is what happened to a lease, an ejection or a reputation.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // The kinds of event.
 const (
-	LeaseGranted EventKind = iota + 1
-	LeaseBorrowed
-	LeaseExpired
-	EndpointEjected
-	EjectionRejected
-	ReportRefuted
+	LeaseGranted     EventKind = iota + 1 // a lease was granted to a peer
+	LeaseBorrowed                         // a lease granted by a peer was accepted
+	LeaseExpired                          // a borrowed lease expired
+	EndpointEjected                       // an ejection began
+	EjectionRejected                      // reports on an endpoint did not lead to its ejection
+	ReportRefuted                         // a peer's reputation fell below lowReputation
 )
 
 var eventKindNames = [ReportRefuted + 1]string{
@@ -22,18 +22,19 @@
 	ReportRefuted:    "report refuted",
 }
 
-// String is the kind's name in the log.
+// String returns the kind's name in the log.
 func (k EventKind) String() string { return eventKindNames[min(k, ReportRefuted)] }
 
-// IsLeaseEvent reports whether an event's Key is a budget, else it is an endpoint.
+// IsLeaseEvent reports whether an event's Key names a budget rather than an
+// endpoint.
 func (k EventKind) IsLeaseEvent() bool { return k >= LeaseGranted && k <= LeaseExpired }
 
-// Event is something that happened, for the log.
+// Event is a change of a lease, an ejection or a reputation, for the log.
 type Event struct {
 	Kind   EventKind
-	Key    string       // the budget or the endpoint
-	Peer   string       // the other side of a lease, or the reporter; may be empty
-	Status HealthStatus // reported, 0 for none
-	Amount float64      // of the lease, the support of the ejection, or the reputation left
-	Reason string       // why an ejection was rejected
+	Key    string       // budget or endpoint
+	Peer   string       // other party of the lease, or the reporter; may be empty
+	Status HealthStatus // reported status, 0 for none
+	Amount float64      // amount of the lease, support of the ejection, or remaining reputation
+	Reason string       // why an ejection was rejected, else empty
 }
--- a/internal/fleetstate/faultinjection/faultinjection.go
+++ b/internal/fleetstate/faultinjection/faultinjection.go
@@ -1,6 +1,6 @@
-// Package faultinjection names the faults that drills and tests inject into the
-// shared state. Each takes one guard out, so that the check which relies on the
-// guard must fail. Nothing of it runs in service.
+// Package faultinjection defines the faults that drills and tests inject into the
+// shared state. Each fault disables one guard, so that the check that relies on
+// the guard must fail. No fault is injected in production.
 package faultinjection
 
 import (
@@ -9,23 +9,24 @@
 	"strings"
 )
 
-// Fault is one guard taken out. It implements fleetstate.FaultInjection; its
-// text is the value of the key sabotage in the operators' file.
+// Fault names an injected fault and implements fleetstate.FaultInjection. Its text
+// is the value of the key sabotage in the settings file. The empty Fault disables
+// nothing.
 type Fault string
 
-// The faults.
+// The faults, by their effect.
 const (
-	NoLeaseWait     Fault = "no-lease-wait" // a lender goes on using what it lent, and lends it again
-	TrustOne        Fault = "trust-one"     // one report ejects, whatever was observed here
+	NoLeaseWait     Fault = "no-lease-wait" // a lender uses a quota that it lent, and lends it again
+	TrustOne        Fault = "trust-one"     // one report ejects an endpoint, whatever the router observed
 	CountsBySum     Fault = "counts-by-sum" // counters are merged by addition
-	NeverExpire     Fault = "never-expire"  // borrowed leases and reports do not end
-	AllUnresponsive Fault = "liar"          // every endpoint is reported as unresponsive
-	AllHealthy      Fault = "liar-well"     // every endpoint is reported as healthy
+	NeverExpire     Fault = "never-expire"  // borrowed leases and reports do not expire
+	AllUnresponsive Fault = "liar"          // the router reports every endpoint as unresponsive
+	AllHealthy      Fault = "liar-well"     // the router reports every endpoint as healthy
 )
 
 var all = []Fault{NoLeaseWait, TrustOne, CountsBySum, NeverExpire, AllUnresponsive, AllHealthy}
 
-// UnknownFaultError is returned by Parse for a name that no fault has.
+// UnknownFaultError reports a name that no fault has. Parse returns it.
 type UnknownFaultError struct{ Name string }
 
 // Error implements error.
@@ -34,7 +35,7 @@
 	return fmt.Sprintf("faultinjection: unknown fault %q, want one of %s", e.Name, names)
 }
 
-// Names are the faults' names.
+// Names returns the names of all faults.
 func Names() []string {
 	names := make([]string, 0, len(all))
 	for _, fault := range all {
@@ -43,7 +44,7 @@
 	return names
 }
 
-// Parse returns the fault of that name, or an UnknownFaultError.
+// Parse returns the fault with the given name, or an *UnknownFaultError.
 func Parse(name string) (Fault, error) {
 	if !slices.Contains(all, Fault(name)) {
 		return "", &UnknownFaultError{Name: name}
@@ -63,8 +64,8 @@
 // NeverExpire implements fleetstate.FaultInjection.
 func (f Fault) NeverExpire() bool { return f == NeverExpire }
 
-// UnlimitedGossipEjection implements fleetstate.FaultInjection: every fault
-// lifts this bound as well, so that it cannot hide the guard taken out.
+// UnlimitedGossipEjection implements fleetstate.FaultInjection. Every fault removes
+// this limit as well, so that the limit cannot mask the disabled guard.
 func (f Fault) UnlimitedGossipEjection() bool { return f != "" }
 
 // ReportAllUnresponsive implements fleetstate.FaultInjection.
--- a/internal/fleetstate/faults.go
+++ b/internal/fleetstate/faults.go
@@ -1,27 +1,30 @@
 package fleetstate
 
-// FaultInjection switches single guards off, for drills and tests that must
-// see their checks fail. It is nil in service; package faultinjection
-// implements it. Its methods must always return the same.
+// FaultInjection disables individual guards, so that drills and tests can show
+// that their checks detect the resulting failure. It is nil in production;
+// package faultinjection implements it. Each method must always return the same
+// value.
 type FaultInjection interface {
-	// SkipLeaseWait lets a lender go on using what it lent, and lend it again.
+	// SkipLeaseWait lets a lender use a quota that it lent, and lend it again.
 	SkipLeaseWait() bool
-	// TrustSingleReporter lets one report eject an endpoint, whatever was
-	// observed here.
+	// TrustSingleReporter lets one report eject an endpoint, whatever this
+	// router observed.
 	TrustSingleReporter() bool
 	// SumCounters merges counters by addition instead of by maximum.
 	SumCounters() bool
-	// NeverExpire keeps borrowed leases and reports without end.
+	// NeverExpire keeps borrowed leases and reports forever.
 	NeverExpire() bool
-	// UnlimitedGossipEjection lifts the bound on how long gossip alone ejects.
+	// UnlimitedGossipEjection removes the limit on how long gossip alone ejects.
 	UnlimitedGossipEjection() bool
-	// ReportAllUnresponsive makes the router report every endpoint as
-	// unresponsive, ReportAllHealthy as healthy: a byzantine peer.
+	// ReportAllUnresponsive makes this router byzantine: it reports every
+	// endpoint as unresponsive.
 	ReportAllUnresponsive() bool
+	// ReportAllHealthy makes this router byzantine: it reports every endpoint as
+	// healthy.
 	ReportAllHealthy() bool
 }
 
-// noFaults is the FaultInjection in service.
+// noFaults is a FaultInjection that disables nothing.
 type noFaults struct{}
 
 func (noFaults) SkipLeaseWait() bool { return false }
@@ -38,7 +41,7 @@
 
 func (noFaults) ReportAllHealthy() bool { return false }
 
-// faults returns the injected faults, none where nothing is set.
+// faults returns the injected faults, or noFaults if none are configured.
 func (c Config) faults() FaultInjection {
 	if c.FaultInjection == nil {
 		return noFaults{}
--- a/internal/fleetstate/gossip.go
+++ b/internal/fleetstate/gossip.go
@@ -3,23 +3,22 @@
 import "slices"
 
 const (
-	// urgentFanOutFactor is how many times FanOut peers a fault is reported to
-	// when it was just found: the first moments count, and what follows comes at
-	// FanOut's pace.
+	// urgentFanOutFactor multiplies FanOut when reporting a newly found fault,
+	// so that most peers hear of it quickly. Later reports use FanOut.
 	urgentFanOutFactor = 3
-	// drawsPerPeer bounds the draws for each peer wanted, as peers may be drawn
-	// twice.
+	// drawsPerPeer limits the random draws for each peer wanted. More than one
+	// may be needed because a peer can be drawn twice.
 	drawsPerPeer = 4
 )
 
 // outbox collects one message for each peer.
 type outbox struct {
-	messages map[string]*Message
-	order    []string // of the peers
+	messages map[string]*Message // by peer
+	order    []string            // peers in the order in which their messages were created
 }
 
-// to returns the message to a peer.
-func (o *outbox) to(peer string) *Message {
+// messageTo returns the message to a peer. It creates one if there is none yet.
+func (o *outbox) messageTo(peer string) *Message {
 	if o.messages[peer] == nil {
 		o.messages[peer] = &Message{}
 		o.order = append(o.order, peer)
@@ -27,7 +26,7 @@
 	return o.messages[peer]
 }
 
-// envelopes are the messages that are not empty.
+// envelopes returns the messages that are not empty.
 func (o *outbox) envelopes() (envelopes []Envelope) {
 	for _, peer := range o.order {
 		message := o.messages[peer]
@@ -38,8 +37,9 @@
 	return envelopes
 }
 
-// gossip makes this tick's messages: reports to FanOut peers, lease requests to
-// LendersPerTick peers for each budget that is short, counters to one peer.
+// gossip builds this tick's messages: reports to FanOut peers, requests to
+// LendersPerTick peers for each budget of which this router needs more, and
+// counters to one peer. If urgent, reports go to more peers.
 func (n *Node) gossip(now int64, urgent bool) []Envelope {
 	if len(n.peers) == 0 {
 		return nil
@@ -52,7 +52,7 @@
 	return out.envelopes()
 }
 
-// drawPeers draws up to count different peers.
+// drawPeers draws up to count distinct peers at random.
 func (n *Node) drawPeers(count int) (drawn []string) {
 	for range drawsPerPeer * count {
 		peer := n.peers[n.rng.IntN(len(n.peers))]
@@ -63,8 +63,9 @@
 	return drawn
 }
 
-// sendReports sends this router's health reports. Each peer's message begins at
-// another report, so that all of a long list get sent.
+// sendReports adds this router's health reports to the messages of drawn peers.
+// Each tick starts at another report, so that every report of a list too long for
+// one message is sent in turn.
 func (n *Node) sendReports(out *outbox, urgent bool, now int64) {
 	reports := n.outliers.ownReports(now)
 	if len(reports) == 0 {
@@ -75,7 +76,7 @@
 		fanOut *= urgentFanOutFactor
 	}
 	for _, peer := range n.drawPeers(fanOut) {
-		message := out.to(peer)
+		message := out.messageTo(peer)
 		for i := range reports {
 			report := reports[(i+n.rounds)%len(reports)]
 			if message.Size()+report.size() > n.cfg.MaxMessageBytes {
@@ -86,12 +87,13 @@
 	}
 }
 
-// sendLeaseRequests requests parts of the budgets that are short.
+// sendLeaseRequests requests leases on the budgets of which this router needs
+// more.
 func (n *Node) sendLeaseRequests(out *outbox, now int64) {
 	for _, key := range n.shortBudgets() {
 		stake, _ := n.stake(key)
 		for _, peer := range n.drawPeers(n.cfg.LendersPerTick) {
-			message := out.to(peer)
+			message := out.messageTo(peer)
 			if message.Size()+leaseSize(key) > n.cfg.MaxMessageBytes {
 				continue
 			}
@@ -102,7 +104,7 @@
 	}
 }
 
-// shortBudgets are the budgets of which this router would use more.
+// shortBudgets returns the keys of the budgets of which this router needs more.
 func (n *Node) shortBudgets() (keys []string) {
 	for i := range n.outliers.endpoints {
 		endpoint := &n.outliers.endpoints[i]
@@ -116,14 +118,14 @@
 	return keys
 }
 
-// sendCounters sends a page of counters to one peer, where it is due.
+// sendCounters sends a page of counters to one peer every CounterIntervalMs.
 func (n *Node) sendCounters(out *outbox, now int64) {
 	if now < n.nextCounters {
 		return
 	}
 	n.nextCounters = now + n.cfg.CounterIntervalMs
 	for _, peer := range n.drawPeers(1) {
-		message := out.to(peer)
+		message := out.messageTo(peer)
 		message.Counters = n.counters.page(n.cfg.MaxMessageBytes - message.Size())
 	}
 }
--- a/internal/fleetstate/health.go
+++ b/internal/fleetstate/health.go
@@ -2,21 +2,22 @@
 
 import "fmt"
 
-// HealthStatus is what a router reports of an endpoint.
+// HealthStatus is the status that a router reports of an endpoint. Zero means
+// none.
 type HealthStatus uint8
 
 // The statuses. All but Healthy and Primary are faults.
 const (
-	Healthy        HealthStatus = iota + 1 // it answered the reporter; sent where others report a fault
-	Unresponsive                           // it takes attempts and answers none
-	Failing                                // it answers with errors, or cannot be reached
-	Slow                                   // its latency is several times the others'
-	Lagging                                // its position is further behind than any class allows
-	Primary                                // it reported to be its group's primary
-	healthStatuses                         // their number, with 0 for none
+	Healthy           HealthStatus = iota + 1 // it answered the reporter; sent only where peers suspect it
+	Unresponsive                              // it accepts attempts but does not answer them
+	Failing                                   // it answers with errors, or cannot be reached
+	Slow                                      // its latency is several times that of the others
+	Lagging                                   // its position exceeds the staleness bound of every class
+	Primary                                   // it reported that it is its group's primary
+	numHealthStatuses                         // number of statuses, including 0 for none
 )
 
-var healthStatusNames = [healthStatuses]string{
+var healthStatusNames = [numHealthStatuses]string{
 	Healthy:      "healthy",
 	Unresponsive: "unresponsive",
 	Failing:      "failing",
@@ -25,25 +26,27 @@
 	Primary:      "primary",
 }
 
-// String is the status's name, as logs and the admin page show it.
+// String returns the status's name in the log and on the admin page.
 func (s HealthStatus) String() string { return healthStatusNames[min(s, Primary)] }
 
 // isFault reports whether the status counts against the endpoint.
 func (s HealthStatus) isFault() bool { return s != Healthy && s != Primary }
 
-// MarshalText implements encoding.TextMarshaler, for the admin page.
+// MarshalText implements encoding.TextMarshaler, for the admin page. It never
+// fails.
 func (s HealthStatus) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnknownStatusError is returned by UnmarshalText for a text that names no status.
+// UnknownStatusError reports a text that is not the name of a health status.
+// HealthStatus.UnmarshalText returns it.
 type UnknownStatusError struct{ Text string }
 
 // Error implements error.
 func (e *UnknownStatusError) Error() string {
-	return fmt.Sprintf("fleetstate: no health status %q", e.Text)
+	return fmt.Sprintf("fleetstate: unknown health status %q", e.Text)
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler. It returns an
-// UnknownStatusError where no status has that name.
+// *UnknownStatusError if no status has that name.
 func (s *HealthStatus) UnmarshalText(text []byte) error {
 	for status, name := range healthStatusNames {
 		if name == string(text) {
@@ -54,36 +57,36 @@
 	return &UnknownStatusError{Text: string(text)}
 }
 
-// HealthReport is first-hand evidence on one endpoint. A router only reports
-// what it observed itself, so the reports on an endpoint have as many
-// independent reporters.
+// HealthReport is first-hand evidence on one endpoint. A router reports only what
+// it observed itself, so that every report counts as an independent reporter.
 type HealthReport struct {
 	Endpoint string
 	Status   HealthStatus
-	AgeMs    int64 // of the evidence, when sent
+	AgeMs    int64 // age of the evidence when the report was sent
 }
 
-// EndpointHealth is what this router observed of an endpoint. Its times are in
+// EndpointHealth holds this router's observations of an endpoint. Times are in
 // milliseconds, 0 for never.
 type EndpointHealth struct {
 	Name              string
-	Group             int
-	Ready             bool  // listed as ready
-	Primary           bool  // believed here to be its group's primary
-	PrimaryReportedAt int64 // when it last said so
-	Fault             HealthStatus
-	FaultAt           int64 // the newest evidence for Fault
-	AnsweredSentAt    int64 // when the last attempt that it answered was sent
-	FreshAt           int64 // when its position was last fresh enough for some class
-	LastSentAt        int64 // when the last attempt was sent
-	Overdue           bool  // an attempt is in flight for longer than its answers take
-	WarmingUp         bool  // in slow start
-	RequestsQueued    bool  // requests that may be sent to it are queued
-	PrimaryUnknown    bool  // its group has no primary that answers
+	Group             int          // replica group
+	Ready             bool         // listed as ready
+	Primary           bool         // this router believes that it is its group's primary
+	PrimaryReportedAt int64        // when it last reported that it is the primary
+	Fault             HealthStatus // observed fault, 0 for none
+	FaultAt           int64        // time of the newest evidence for Fault
+	AnsweredSentAt    int64        // when the last attempt that it answered was sent
+	FreshAt           int64        // when its position was last fresh enough for some class
+	LastSentAt        int64        // when the last attempt was sent
+	Overdue           bool         // an attempt is in flight for longer than the endpoint's answers take
+	WarmingUp         bool         // in slow start
+	RequestsQueued    bool         // requests that may be sent to it are queued
+	PrimaryUnknown    bool         // no primary of its group answers
 }
 
-// faultObserved reports a fault without a later answer.
+// faultObserved reports whether a fault was observed without a later answer.
 func (h *EndpointHealth) faultObserved() bool { return h.Fault != 0 && h.FaultAt > h.AnsweredSentAt }
 
-// sound reports that no fault stands against the endpoint here.
-func (h *EndpointHealth) sound() bool { return h.Fault == 0 || h.AnsweredSentAt > h.FaultAt }
+// healthy reports whether no fault was observed, or an attempt sent after the
+// fault was answered.
+func (h *EndpointHealth) healthy() bool { return h.Fault == 0 || h.AnsweredSentAt > h.FaultAt }
--- a/internal/fleetstate/lease.go
+++ b/internal/fleetstate/lease.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// maxLeases bounds the leases of one budget on each side, one for each
-	// router of a large fleet: a peer that requests without end gets no more.
+	// maxLeases is the maximum number of leases of one budget that a router lends,
+	// and that it borrows. It allows one for each router of a large fleet and
+	// bounds the memory that a peer's requests can use.
 	maxLeases = 4096
-	// leastLentDivisor: less than this part of a stake is not lent.
-	leastLentDivisor = 100
+	// minLentDivisor sets the smallest amount lent, stake/minLentDivisor.
+	minLentDivisor = 100
 )
 
-// leaseTable is this router's part of the budgets that the fleet splits: for
-// each budget (a key) a stake of its own, leases lent to peers and leases
-// borrowed from peers, each with an expiry.
+// leaseTable holds this router's part of the budgets that the fleet splits. Of
+// each budget, identified by a key, the router has a stake of its own, leases
+// lent to peers and leases borrowed from peers. Every lease has an expiry.
 //
-// A quota is only ever handed over by the router that has it, for a stated
-// time, and that router does without it until that time has passed on the
-// borrower's side, whatever becomes of the borrower or of the messages. So the
-// quotas of all routers never add up to more than their stakes, through
-// partitions, pauses, restarts, lost and duplicated messages. Nothing is taken
-// from a router that went silent: it may be partitioned, not dead, and then
-// still spends its stake.
+// Only the router that has a quota can lend it, for a stated duration, and does
+// not use it until the lease has expired at the borrower, whatever happens to the
+// borrower or to the messages. The quotas of all routers therefore never exceed
+// the sum of their stakes, even with partitions, pauses, restarts, and lost or
+// duplicated messages. The stake of a silent router is never reassigned, because
+// the router may be partitioned and still using it.
 type leaseTable struct {
 	cfg           Config
 	faults        FaultInjection
-	startedAt     int64              // ms
-	lent          map[string][]lease // by budget
-	borrowed      map[string][]lease
-	pending       map[pendingKey]LeaseRequest // the last request, which only its grant may answer
+	startedAt     int64                       // ms
+	lent          map[string][]lease          // by budget
+	borrowed      map[string][]lease          // by budget
+	pending       map[pendingKey]LeaseRequest // latest request, the only one whose grant is accepted
 	lastRequestID uint64
 }
 
@@ -41,36 +41,36 @@
 	budget string
 }
 
-// lease is a part of a budget lent to a peer, or borrowed from one.
+// lease is a quota lent to a peer or borrowed from one.
 type lease struct {
 	peer        string
 	requestID   uint64
-	requestedAt int64 // borrower's clock, ms: with requestID, one request of one incarnation
+	requestedAt int64 // borrower's clock, ms; tells requests of different incarnations apart
 	amount      float64
-	expiresAt   int64 // this router's clock, ms, with the skew where it lent
+	expiresAt   int64 // this router's clock, ms; includes SkewMs if the lease is lent
 }
 
 // LeaseRequest is a borrower's request for a part of a budget.
 type LeaseRequest struct {
-	Key         string  // of the budget: an endpoint's name, or RetryBudgetKey
-	ID          uint64  // chosen by the borrower, new with each request
-	Wanted      float64 // in the budget's unit
-	RequestedAt int64   // borrower's clock, ms; repeated by the grant
+	Key         string  // of the budget: an endpoint's name or RetryBudgetKey
+	ID          uint64  // chosen by the borrower, different for each request of an incarnation
+	Wanted      float64 // in the unit of the budget
+	RequestedAt int64   // borrower's clock, ms; the grant repeats it
 }
 
-// LeaseGrant lends a part of a budget: the borrower may use it until
+// LeaseGrant lends a part of a budget. The borrower may use it until
 // RequestedAt + DurationMs on its own clock.
 type LeaseGrant struct {
-	Key         string
-	ID          uint64
-	Amount      float64
-	RequestedAt int64 // ms
+	Key         string  // of the budget
+	ID          uint64  // of the request
+	Amount      float64 // in the unit of the budget
+	RequestedAt int64   // of the request, ms
 	DurationMs  int64
 }
 
-// newLeases begins at now. Until a lease and its skew have passed, an earlier
-// incarnation may have lent the lendable part of the stake, so that part is
-// not used.
+// newLeases returns a table that starts at now, in ms. Until LeaseMs and SkewMs
+// have passed since then, leases granted by an earlier incarnation of this router
+// may be in use, so the fraction of the stake that it could have lent is not used.
 func newLeases(cfg Config, now int64) *leaseTable {
 	return &leaseTable{
 		cfg:       cfg,
@@ -82,14 +82,14 @@
 	}
 }
 
-// mayHaveLentBefore reports that leases of an earlier incarnation may not have
-// expired.
+// mayHaveLentBefore reports whether leases granted by an earlier incarnation of
+// this router may still be in use.
 func (t *leaseTable) mayHaveLentBefore(now int64) bool {
 	return now < t.startedAt+t.cfg.LeaseMs+t.cfg.SkewMs
 }
 
-// quota is this router's part of a budget, given its own stake: the stake less
-// what it lent, and what it borrowed.
+// quota returns this router's part of a budget in which it has the given stake:
+// the stake minus the leases lent, and the leases borrowed.
 func (t *leaseTable) quota(key string, stake float64, now int64) Quota {
 	quota := Quota{Own: stake, Until: math.MaxInt64}
 	if t.mayHaveLentBefore(now) {
@@ -110,12 +110,12 @@
 	return quota
 }
 
-// has reports whether anything of a budget is lent or borrowed.
+// has reports whether any part of a budget is lent or borrowed.
 func (t *leaseTable) has(key string) bool {
 	return len(t.lent[key])+len(t.borrowed[key]) > 0
 }
 
-// activeAmount is the sum of the leases that have not expired.
+// activeAmount returns the sum of the leases that have not expired.
 func activeAmount(leases []lease, now int64) (total float64) {
 	for _, lease := range leases {
 		if now < lease.expiresAt {
@@ -125,7 +125,8 @@
 	return total
 }
 
-// request returns a request to a peer, if more of the budget may be borrowed.
+// request returns a new request to a peer. It returns false if no more of the
+// budget may be borrowed.
 func (t *leaseTable) request(key, peer string, stake float64, now int64) (LeaseRequest, bool) {
 	available := t.cfg.MaxBorrowedStakes*stake - activeAmount(t.borrowed[key], now)
 	if available <= 0 || len(t.borrowed[key]) >= maxLeases {
@@ -142,15 +143,16 @@
 	return request, true
 }
 
-// grant answers a peer's request: with at most the lendable part of the stake
-// less what is lent, with nothing where this router needs its stake itself. A
-// duplicate of a request gets the same grant, and no second lease.
+// grant answers a peer's request with a lease of at most the lendable part of the
+// stake minus the leases lent. It returns false if it grants nothing, as it does
+// when needed, that is when this router needs its stake itself. A duplicate of a
+// request gets the same grant and no second lease.
 func (t *leaseTable) grant(
 	peer string, request LeaseRequest, stake float64, needed bool, now int64,
 ) (LeaseGrant, bool) {
 	for _, lent := range t.lent[request.Key] {
 		if lent.answers(peer, request) && now < lent.expiresAt {
-			return t.grantOf(request, lent.amount), true
+			return t.grantFor(request, lent.amount), true
 		}
 	}
 	wantsSome := request.Wanted > 0 // false for NaN
@@ -162,7 +164,7 @@
 		lendable -= activeAmount(t.lent[request.Key], now)
 	}
 	amount := min(request.Wanted, lendable)
-	if amount < stake/leastLentDivisor {
+	if amount < stake/minLentDivisor {
 		return LeaseGrant{}, false
 	}
 	t.lent[request.Key] = append(t.lent[request.Key], lease{
@@ -172,16 +174,16 @@
 		amount:      amount,
 		expiresAt:   now + t.cfg.LeaseMs + t.cfg.SkewMs,
 	})
-	return t.grantOf(request, amount), true
+	return t.grantFor(request, amount), true
 }
 
-// answers reports whether the lease was granted for this very request.
+// answers reports whether the lease was granted for the request.
 func (l *lease) answers(peer string, request LeaseRequest) bool {
 	return l.peer == peer && l.requestID == request.ID && l.requestedAt == request.RequestedAt
 }
 
-// grantOf is the grant that answers a request.
-func (t *leaseTable) grantOf(request LeaseRequest, amount float64) LeaseGrant {
+// grantFor returns the grant of an amount that answers a request.
+func (t *leaseTable) grantFor(request LeaseRequest, amount float64) LeaseGrant {
 	return LeaseGrant{
 		Key:         request.Key,
 		ID:          request.ID,
@@ -191,8 +193,9 @@
 	}
 }
 
-// accept takes a granted lease. Only the grant for the last request to that
-// peer counts, once: a duplicated, late or unrequested one changes nothing.
+// accept adds a granted lease to the borrowed ones. It accepts only one grant, for
+// the latest request to that peer, and returns false for duplicated, late and
+// unrequested grants.
 func (t *leaseTable) accept(peer string, grant LeaseGrant, stake float64, now int64) (lease, bool) {
 	key := pendingKey{peer: peer, budget: grant.Key}
 	request, ok := t.pending[key]
@@ -216,8 +219,8 @@
 	return borrowed, true
 }
 
-// expire drops leases and requests that have expired and returns the borrowed
-// leases among them, in order.
+// expire removes expired leases and requests. It returns an event for each
+// borrowed lease removed, ordered by budget.
 func (t *leaseTable) expire(now int64) (expired []Event) {
 	for _, key := range slices.Sorted(maps.Keys(t.borrowed)) {
 		expired = append(expired, t.expireBorrowed(key, now)...)
@@ -236,7 +239,8 @@
 	return expired
 }
 
-// expireBorrowed drops the expired leases borrowed of one budget.
+// expireBorrowed removes the expired borrowed leases of one budget and returns an
+// event for each.
 func (t *leaseTable) expireBorrowed(key string, now int64) (expired []Event) {
 	leases := slices.DeleteFunc(t.borrowed[key], func(borrowed lease) bool {
 		if now < borrowed.expiresAt || t.faults.NeverExpire() {
--- a/internal/fleetstate/lease_test.go
+++ b/internal/fleetstate/lease_test.go
@@ -10,20 +10,21 @@
 	"lotusbend/internal/fleetstate/faultinjection"
 )
 
-// fleet plays leases of one budget among routers: messages in flight that are
-// delivered in any order, twice or never, clocks far apart that also step by
-// up to a quarter of the skew either way, routers that pause, restart without
-// their state, and quotas that are acted on as last advised.
-type fleet struct {
+// leaseFleet simulates the leases of one budget among routers. Messages are
+// delivered in any order, twice or never. Clocks are far apart and step by up to a
+// quarter of SkewMs in either direction. Routers pause, and restart without their
+// state. Each router uses the quota that it was last advised.
+type leaseFleet struct {
 	cfg      Config
 	now      int64
-	offset   []int64 // of each clock
-	step     []int64 // within a quarter of the skew either way
+	offset   []int64 // of each router's clock
+	step     []int64 // of each router's clock, within a quarter of SkewMs in either direction
 	leases   []*leaseTable
-	advised  []Quota // what each router acts on, taken when it last ran
+	advised  []Quota // quota that each router uses, computed when it last ran
 	inFlight []envelope
 }
 
+// envelope is a request or a grant in flight between two routers.
 type envelope struct {
 	from, to int
 	request  *LeaseRequest
@@ -32,8 +33,8 @@
 
 const endpoint = "h"
 
-func newFleet(cfg Config, n int) *fleet {
-	f := &fleet{
+func newLeaseFleet(cfg Config, n int) *leaseFleet {
+	f := &leaseFleet{
 		cfg:     cfg,
 		offset:  make([]int64, n),
 		step:    make([]int64, n),
@@ -47,35 +48,38 @@
 	return f
 }
 
-func (f *fleet) clock(i int) int64 { return f.now + f.offset[i] + f.step[i] }
+func (f *leaseFleet) clock(i int) int64 { return f.now + f.offset[i] + f.step[i] }
 
-func (f *fleet) stake() float64 { return 1 / float64(len(f.leases)) }
+func (f *leaseFleet) stake() float64 { return 1 / float64(len(f.leases)) }
 
-// restart starts router i without state: nothing of an earlier incarnation is known.
-func (f *fleet) restart(i int) {
+// restart starts router i without the state of its earlier incarnation.
+func (f *leaseFleet) restart(i int) {
 	f.leases[i] = newLeases(f.cfg, f.clock(i))
 	f.advise(i)
 }
 
-func (f *fleet) advise(i int) {
+// advise computes the quota that router i uses until it is advised again.
+func (f *leaseFleet) advise(i int) {
 	f.leases[i].expire(f.clock(i))
 	f.advised[i] = f.leases[i].quota(endpoint, f.stake(), f.clock(i))
 }
 
-func (f *fleet) request(from, to int) {
+func (f *leaseFleet) request(from, to int) {
 	if a, ok := f.leases[from].request(endpoint, fmt.Sprint(to), f.stake(), f.clock(from)); ok {
 		f.inFlight = append(f.inFlight, envelope{from: from, to: to, request: &a})
 	}
 }
 
-func (f *fleet) deliver(k int, twice bool) {
+// deliver delivers message k and, unless twice is set, removes it from those in
+// flight.
+func (f *leaseFleet) deliver(k int, twice bool) {
 	l := f.inFlight[k]
 	if !twice {
 		f.inFlight = slices.Delete(f.inFlight, k, k+1)
 	}
 	if l.request != nil {
 		if g, ok := f.leases[l.to].grant(fmt.Sprint(l.from), *l.request, f.stake(), false, f.clock(l.to)); ok {
-			f.advise(l.to) // the grant is sent once the router acts on what it has left
+			f.advise(l.to) // the grant is sent only after the lender applies its reduced quota
 			f.inFlight = append(f.inFlight, envelope{from: l.to, to: l.from, grant: &g})
 		}
 		return
@@ -84,26 +88,25 @@
 	f.advise(l.to)
 }
 
-// sum is what all routers would send now, each on what it was last advised.
-func (f *fleet) sum() (total float64) {
+// totalQuota returns the sum of the quotas that all routers use now.
+func (f *leaseFleet) totalQuota() (total float64) {
 	for i := range f.leases {
 		total += f.advised[i].At(f.clock(i))
 	}
 	return total
 }
 
-// TestQuotasNeverExceedTheBudget holds the invariant of the leases for any
-// order of events: at every moment the quotas add up to the budget at most.
+// In any order of events, the sum of the quotas never exceeds the budget.
 func TestQuotasNeverExceedTheBudget(t *testing.T) {
-	for range 10 { // ten times the usual number of cases: some guards show in one of a thousand
+	for range 10 { // ten times the usual number of cases: some faults show in one of a thousand
 		rapid.Check(t, func(t *rapid.T) { checkQuotasInAnyOrder(t) })
 	}
 }
 
-// A borrower that restarted numbers its requests anew: its request must not be
-// taken for one of its earlier incarnation, whose lease expires sooner.
+// A restarted borrower reuses request IDs. The lender must not take its request
+// for a duplicate from the earlier incarnation, whose lease expires sooner.
 func TestRequestOfAnotherIncarnationIsAnother(t *testing.T) {
-	f := newFleet(Defaults(), 3)
+	f := newLeaseFleet(Defaults(), 3)
 	f.now += f.cfg.LeaseMs + f.cfg.SkewMs
 	for i := range 3 {
 		f.advise(i)
@@ -112,7 +115,7 @@
 	f.request(0, 2)
 	f.deliver(0, false)
 	f.deliver(0, false)
-	f.inFlight = nil // the grants are lost, and the borrower's state with it
+	f.inFlight = nil // the grants are lost, and the restart loses the borrower's state
 	f.now += f.cfg.LeaseMs - 1
 	f.restart(0)
 	f.request(0, 1)
@@ -125,18 +128,19 @@
 		for i := range 3 {
 			f.advise(i)
 		}
-		if s := f.sum(); s > 1+1e-9 {
-			t.Fatalf("the quotas add up to %.3f", s)
+		if s := f.totalQuota(); s > 1+1e-9 {
+			t.Fatalf("sum of the quotas = %.3f, want at most 1", s)
 		}
 	}
 }
 
-// The same search finds a lender that does not wait, and leases without end.
+// With the injected faults, a lender that does not wait and leases that never
+// expire exceed the budget, so that the test of the budget detects them.
 func TestInjectedLeaseFaultsExceedTheBudget(t *testing.T) {
 	for _, s := range []faultinjection.Fault{faultinjection.NoLeaseWait, faultinjection.NeverExpire} {
 		cfg := Defaults()
 		cfg.FaultInjection = s
-		f := newFleet(cfg, 2)
+		f := newLeaseFleet(cfg, 2)
 		f.now += cfg.LeaseMs + cfg.SkewMs
 		worst := 0.0
 		for range 50 {
@@ -147,17 +151,17 @@
 			f.now += 500
 			f.advise(0)
 			f.advise(1)
-			worst = max(worst, f.sum())
+			worst = max(worst, f.totalQuota())
 		}
 		if worst <= 1 {
-			t.Errorf("%s: the quotas add up to %.2f at most", s, worst)
+			t.Errorf("%s: largest sum of the quotas = %.2f, want more than 1", s, worst)
 		}
 	}
 }
 
 func checkQuotasInAnyOrder(t *rapid.T) {
 	cfg := Defaults()
-	f := newFleet(cfg, rapid.IntRange(2, 5).Draw(t, "routers"))
+	f := newLeaseFleet(cfg, rapid.IntRange(2, 5).Draw(t, "routers"))
 	n := len(f.leases)
 	one := func(what string) int { return rapid.IntRange(0, n-1).Draw(t, what) }
 	f.now += rapid.SampledFrom([]int64{0, cfg.LeaseMs + cfg.SkewMs}).Draw(t, "warm")
@@ -176,11 +180,11 @@
 			i := one("steps")
 			f.step[i] = rapid.Int64Range(-cfg.SkewMs/4, cfg.SkewMs/4).Draw(t, "by")
 		case ev < 9:
-			f.restart(one("restarts")) // what it lent is forgotten; its messages may still be under way
+			f.restart(one("restarts")) // it forgets what it lent; its messages may still be in flight
 		default:
 			f.now += rapid.Int64Range(1, 2*cfg.LeaseMs).Draw(t, "ms")
 			for i := range n {
-				if !rapid.Bool().Draw(t, "paused") { // who is paused acts on what it was last advised
+				if !rapid.Bool().Draw(t, "paused") { // a paused router keeps its last advised quota
 					f.advise(i)
 				}
 			}
@@ -188,36 +192,35 @@
 		if len(f.inFlight) > 200 {
 			f.inFlight = f.inFlight[100:]
 		}
-		if s := f.sum(); s > 1+1e-9 {
-			t.Fatalf("after %d steps the quotas add up to %.4f: %+v", step, s, f.advised)
+		if s := f.totalQuota(); s > 1+1e-9 {
+			t.Fatalf("after %d steps the sum of the quotas = %.4f, want at most 1: %+v", step, s, f.advised)
 		}
 	}
 }
 
-// TestExhaustiveTwoRoutersOneEndpoint plays two routers over every sequence of
-// choices to a stated depth: either requests, a message in flight (the two oldest)
-// arrives or is lost or arrives and stays, the clock moves half a lease (both
-// advised, or either paused), either restarts, a partition that loses all, with
-// leases granted before the sequence begins. The quotas must never exceed the
-// budget, and after a lease and its skew in silence each must be back at its
-// own stake.
+// TestExhaustiveTwoRoutersOneEndpoint simulates two routers over every sequence of
+// depth actions: either router requests a lease or restarts, one of the two oldest
+// messages in flight arrives or is duplicated, all messages are lost, or the clock
+// advances by half a lease with both routers running or one paused. A lease is
+// granted before the sequence begins. The quotas must never exceed the budget, and
+// once all leases have expired each router must have exactly its stake.
 func TestExhaustiveTwoRoutersOneEndpoint(t *testing.T) {
 	const depth = 6
 	count, played := 0, 0
 	worst := 0.0
 	path := make([]int, depth)
 	for more := true; more; {
-		f := fleetWithALease()
+		f := fleetWithLease()
 		ended := depth
-		for step, choice := range path {
-			if !fleetChoices[choice](f) { // it does nothing here: so would all that begin like it
+		for step, action := range path {
+			if !fleetActions[action](f) { // no effect, so that every sequence with this prefix is redundant
 				ended = step
 				break
 			}
 			played++
-			s := f.sum()
+			s := f.totalQuota()
 			if worst = max(worst, s); s > 1+1e-9 {
-				t.Fatalf("choices %v: after %d the quotas add up to %.4f", path, step+1, s)
+				t.Fatalf("actions %v: after %d the sum of the quotas = %.4f, want at most 1", path, step+1, s)
 			}
 		}
 		if ended == depth {
@@ -227,60 +230,64 @@
 		}
 		more = nextPath(path, ended)
 	}
-	t.Logf("%d sequences of %d choices, %d played; the quotas reach %.3f of the budget at most",
+	t.Logf("%d sequences of %d actions, %d actions run; largest sum of the quotas %.3f of the budget",
 		count, depth, played, worst)
 	if count == 0 || worst < 0.99 {
-		t.Errorf("%d sequences, at most %.3f of the budget: little was explored", count, worst)
+		t.Errorf("%d sequences, largest sum of the quotas %.3f, want some sequences and at least 0.99", count, worst)
 	}
 }
 
-// fleetChoices are what can happen in a step; false where it changes nothing.
-var fleetChoices = []func(f *fleet) bool{
-	func(f *fleet) bool { f.request(0, 1); return true },
-	func(f *fleet) bool { f.request(1, 0); return true },
-	func(f *fleet) bool { return f.oldest(0, false) },
-	func(f *fleet) bool { return f.oldest(0, true) },
-	func(f *fleet) bool { return f.oldest(1, false) },
-	func(f *fleet) bool { return f.lose() },
-	func(f *fleet) bool { return f.pass(true, true) },
-	func(f *fleet) bool { return f.pass(true, false) },
-	func(f *fleet) bool { return f.pass(false, true) },
-	func(f *fleet) bool { f.restart(0); return true },
-	func(f *fleet) bool { f.restart(1); return true },
+// fleetActions are the possible actions of a step. They return false if they have
+// no effect.
+var fleetActions = []func(f *leaseFleet) bool{
+	func(f *leaseFleet) bool { f.request(0, 1); return true },
+	func(f *leaseFleet) bool { f.request(1, 0); return true },
+	func(f *leaseFleet) bool { return f.deliverInFlight(0, false) },
+	func(f *leaseFleet) bool { return f.deliverInFlight(0, true) },
+	func(f *leaseFleet) bool { return f.deliverInFlight(1, false) },
+	func(f *leaseFleet) bool { return f.loseAll() },
+	func(f *leaseFleet) bool { return f.advance(true, true) },
+	func(f *leaseFleet) bool { return f.advance(true, false) },
+	func(f *leaseFleet) bool { return f.advance(false, true) },
+	func(f *leaseFleet) bool { f.restart(0); return true },
+	func(f *leaseFleet) bool { f.restart(1); return true },
 }
 
-// fleetWithALease is two routers, the first of which has borrowed.
-func fleetWithALease() *fleet {
-	f := newFleet(Defaults(), 2)
-	f.pass(true, true)
+// fleetWithLease returns two routers, the first of which has borrowed from the
+// second.
+func fleetWithLease() *leaseFleet {
+	f := newLeaseFleet(Defaults(), 2)
+	f.advance(true, true)
 	f.now += f.cfg.SkewMs + f.cfg.LeaseMs
-	f.pass(true, true)
+	f.advance(true, true)
 	f.request(0, 1)
 	f.deliver(0, false)
 	f.deliver(0, false)
 	return f
 }
 
-// checkSilence lets every lease expire without another message.
-func (f *fleet) checkSilence(t *testing.T, path []int) {
+// checkSilence lets every lease expire without another message and checks that
+// each router has exactly its stake.
+func (f *leaseFleet) checkSilence(t *testing.T, path []int) {
 	t.Helper()
 	f.inFlight = nil
 	f.now += 2 * (f.cfg.LeaseMs + f.cfg.SkewMs)
 	for i := range 2 {
 		f.advise(i)
 		if s := f.advised[i].At(f.clock(i)); s != f.stake() {
-			t.Fatalf("choices %v: router %d has %.4f after silence, want its stake %.4f", path, i, s, f.stake())
+			t.Fatalf("actions %v: quota of router %d after all leases expired = %.4f, want its stake %.4f",
+				path, i, s, f.stake())
 		}
 	}
 }
 
-// nextPath counts up the choice at a step and returns false after the last
-// path. Later choices begin anew.
+// nextPath advances to the next path that differs at step or before, and returns
+// false after the last path. The actions of later steps start again at the first.
 func nextPath(path []int, step int) bool {
 	clear(path[step+1:])
 	for ; step >= 0; step-- {
 		path[step]++
-		if path[step] < len(fleetChoices) {
+		if path[step] < len(fleetActions) {
 			return true
 		}
 		path[step] = 0
@@ -288,7 +295,8 @@
 	return false
 }
 
-func (f *fleet) oldest(k int, twice bool) bool {
+// deliverInFlight delivers the k-th oldest message in flight, if there is one.
+func (f *leaseFleet) deliverInFlight(k int, twice bool) bool {
 	if len(f.inFlight) <= k {
 		return false
 	}
@@ -296,13 +304,16 @@
 	return true
 }
 
-func (f *fleet) lose() bool {
+// loseAll loses all messages in flight, as a partition does.
+func (f *leaseFleet) loseAll() bool {
 	lost := len(f.inFlight) > 0
 	f.inFlight = nil
 	return lost
 }
 
-func (f *fleet) pass(first, second bool) bool {
+// advance advances the clock by half a lease and advises the selected routers;
+// the others are paused.
+func (f *leaseFleet) advance(first, second bool) bool {
 	f.now += f.cfg.LeaseMs / 2
 	if first {
 		f.advise(0)
@@ -313,23 +324,24 @@
 	return true
 }
 
-// A router paused past its lease must not act on it when it resumes, before
-// anything new was advised; nor one that is partitioned.
+// A router that was paused past the end of a lease must not use the borrowed quota
+// when it resumes, before it gets new advice. The lender must not use the lent
+// quota until SkewMs later.
 func TestPausedRouterLosesItsBorrowedQuota(t *testing.T) {
-	f := newFleet(Defaults(), 2)
+	f := newLeaseFleet(Defaults(), 2)
 	f.now += f.cfg.LeaseMs + f.cfg.SkewMs
 	f.advise(0)
 	f.request(0, 1)
 	f.deliver(0, false)
 	f.deliver(0, false)
 	if s := f.advised[0].At(f.clock(0)); s != 0.75 {
-		t.Fatalf("the borrower has %.2f, want its half and half of the other's", s)
+		t.Fatalf("quota of the borrower = %.2f, want 0.75 (its stake and half of the lender's)", s)
 	}
 	f.now += f.cfg.LeaseMs
 	if s := f.advised[0].At(f.clock(0)); s != 0.5 {
-		t.Errorf("after the lease it acts on %.2f, want its own half", s)
+		t.Errorf("quota of the borrower after the lease = %.2f, want its stake 0.5", s)
 	}
 	if s := f.advised[1].At(f.clock(1)); s != 0.25 {
-		t.Errorf("the lender is back at %.2f within the skew, want a quarter until then", s)
+		t.Errorf("quota of the lender within the skew = %.2f, want 0.25", s)
 	}
 }
--- a/internal/fleetstate/link/link.go
+++ b/internal/fleetstate/link/link.go
@@ -1,8 +1,7 @@
-// Package link carries the shared state between its rules and the two loops
-// that it stands between: membership's, whose packets bring the peers'
-// messages, and the router's, which observes endpoints and acts on advice. The
-// rules' Node is owned by membership's loop; what crosses to the router's loop
-// is copied, and neither waits for the other.
+// Package link connects a fleetstate.Node to two event loops: the membership loop,
+// whose packets carry the peers' messages, and the router's loop, which observes
+// endpoints and applies advice. The membership loop owns the Node. Data passed to
+// the router's loop is copied, and neither loop waits for the other.
 package link
 
 import (
@@ -17,59 +16,61 @@
 )
 
 const (
-	// adviceIntervalMs is how often advice is renewed where nothing happened.
+	// adviceIntervalMs is the interval at which advice is renewed without an
+	// event.
 	adviceIntervalMs = 50
-	// maxDelayedGrants bounds the grants that wait for the router; past it they
-	// are dropped, as any datagram may be.
+	// maxDelayedGrants is the maximum number of grants that wait for the router.
+	// Further grants are dropped, like any lost datagram.
 	maxDelayedGrants = 256
 )
 
-// Advice is the rules' advice with its number, to be returned by Applied.
+// Advice is a fleetstate.Advice with its sequence number, which the router passes
+// to Link.Applied.
 type Advice struct {
 	fleetstate.Advice
 	Seq uint64
 }
 
-// delayedGrant waits until the router acts on what the lender has left. Sent
-// sooner, both could spend the quota for as long as this process is paused
-// between.
+// delayedGrant is a grant that waits until the router applies its reduced quota.
+// If it were sent sooner and this process were paused before applying the advice,
+// lender and borrower could both use the quota.
 type delayedGrant struct {
-	seq uint64 // of the advice
+	seq uint64 // of the advice with the reduced quota
 	udp.Payload
 }
 
-// Link implements udp.SharedState. Membership's loop calls UpdatePeers, Tick and
-// Receive; the other methods and the counters are safe for concurrent use.
+// Link implements udp.SharedState. Only the membership loop may call UpdatePeers, Tick
+// and Receive; the other methods and the counters are safe for concurrent use.
 type Link struct {
 	node      *fleetstate.Node
 	codec     *wire.Codec
 	log       *slog.Logger
-	advice    chan Advice // the latest, not yet taken
-	advisedAt int64       // ms
-	first     fleetstate.Advice
-	seq       uint64        // of the last advice
-	applied   atomic.Uint64 // number of the advice that the router acts on
+	advice    chan Advice // holds the latest advice until the router receives it
+	advisedAt int64       // when the advice was last renewed, ms
+	initial   fleetstate.Advice
+	seq       uint64        // of the latest advice
+	applied   atomic.Uint64 // sequence number of the advice that the router applies
 	grants    []delayedGrant
 
 	mu       sync.Mutex
-	observed *fleetstate.Observation // not yet taken by the node, nil for none
+	observed *fleetstate.Observation // not yet passed to the node, nil for none
 	page     fleetstate.StatusPage
 
-	Malformed atomic.Uint64 // messages that were dropped
-	Sent      atomic.Uint64 // messages
-	Received  atomic.Uint64 // messages
-	Bytes     atomic.Uint64 // sent
+	Malformed atomic.Uint64 // received messages that were dropped
+	Sent      atomic.Uint64 // messages passed to the transport
+	Received  atomic.Uint64 // messages decoded
+	Bytes     atomic.Uint64 // total length of the messages counted by Sent
 }
 
-// New makes a link. routers is the configured size of the fleet, now the time in
-// ms. It returns the ConfigError of a configuration that cannot work.
+// New returns a link. routers is the configured size of the fleet, now the time in
+// ms. It returns a *fleetstate.ConfigError for an invalid configuration.
 func New(cfg fleetstate.Config, routers int, now int64, log *slog.Logger) (*Link, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
 	codec, err := wire.New()
 	if err != nil {
-		return nil, fmt.Errorf("link: %w", err)
+		return nil, fmt.Errorf("link: creating codec: %w", err)
 	}
 	l := &Link{
 		node:   fleetstate.New(cfg, routers, now),
@@ -77,17 +78,18 @@
 		log:    log.With("component", "fleetstate"),
 		advice: make(chan Advice, 1),
 	}
-	l.first = l.node.Advice(now)
+	l.initial = l.node.Advice(now)
 	l.page = l.node.StatusPage(now)
 	return l, nil
 }
 
-// InitialAdvice is the advice that holds before any other: what an earlier incarnation
-// of this router may have lent is not used from the first request on.
-func (l *Link) InitialAdvice() fleetstate.Advice { return l.first }
+// InitialAdvice returns the advice to apply before the first request. It excludes
+// the quotas that an earlier incarnation of this router may have lent.
+func (l *Link) InitialAdvice() fleetstate.Advice { return l.initial }
 
-// Offer takes what the router observed. The counters of an earlier observation
-// that the node has not taken yet are added to it.
+// Offer passes the router's observation to the node at the next tick. It replaces
+// an earlier observation that was not passed on yet, except that its counters are
+// added.
 func (l *Link) Offer(observed fleetstate.Observation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,7 +99,7 @@
 	l.observed = &observed
 }
 
-// sum adds earlier counters to counters.
+// sum returns counters plus earlier. It may modify counters.
 func sum(counters, earlier fleetstate.Counters) fleetstate.Counters {
 	if missing := len(earlier) - len(counters); missing > 0 {
 		counters = append(counters, make(fleetstate.Counters, missing)...)
@@ -108,38 +110,41 @@
 	return counters
 }
 
-// Advice delivers what the router may act on; only the latest waits.
+// Advice returns the channel that delivers advice to the router. Advice that was
+// not received in time is replaced by newer advice.
 func (l *Link) Advice() <-chan Advice { return l.advice }
 
-// Applied reports that the router acts on the advice of this number. Grants of
-// quotas that it gave up by it may be sent now.
+// Applied tells the link that the router applies the advice with this sequence
+// number, so that the grants that waited for it may be sent.
 func (l *Link) Applied(seq uint64) { l.applied.Store(seq) }
 
-// StatusPage is a copy of the state for the admin page.
+// StatusPage returns a copy of the state for the admin page.
 func (l *Link) StatusPage() fleetstate.StatusPage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.page
 }
 
-// UpdatePeers implements udp.SharedState.
+// UpdatePeers implements udp.SharedState. It sets the node's membership view.
 func (l *Link) UpdatePeers(peers []string, size int, now int64) { l.node.SetView(peers, size, now) }
 
-// Tick implements udp.SharedState.
+// Tick implements udp.SharedState. It passes a new observation to the node and
+// returns the packets that are due, including grants that the router applied.
 func (l *Link) Tick(now int64) []udp.Payload {
-	if observed := l.takeObserved(); observed != nil {
+	if observed := l.takeObservation(); observed != nil {
 		l.node.Observe(*observed)
 	}
 	ready := l.node.Tick(now)
 	if len(ready.Events) > 0 || now-l.advisedAt >= adviceIntervalMs {
-		l.advise(now)
+		l.renewAdvice(now)
 	}
 	l.logEvents(ready.Events)
 	return append(l.encode(ready.Messages), l.dueGrants()...)
 }
 
-// takeObserved returns the observation not yet taken, nil if there is none.
-func (l *Link) takeObserved() *fleetstate.Observation {
+// takeObservation returns the observation not yet passed to the node and clears
+// it. It returns nil if there is none.
+func (l *Link) takeObservation() *fleetstate.Observation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	observed := l.observed
@@ -147,7 +152,8 @@
 	return observed
 }
 
-// dueGrants are the delayed grants whose advice the router acts on.
+// dueGrants removes and returns the delayed grants whose advice the router
+// applies.
 func (l *Link) dueGrants() (due []udp.Payload) {
 	for len(l.grants) > 0 && l.grants[0].seq <= l.applied.Load() {
 		due = append(due, l.grants[0].Payload)
@@ -156,9 +162,9 @@
 	return due
 }
 
-// Receive implements udp.SharedState. Malformed messages are counted and
-// dropped. It returns nothing: what answers a message is a grant, which waits
-// for the router.
+// Receive implements udp.SharedState. It counts and drops malformed messages. It
+// always returns nil: the only answers to a message are grants, which Tick sends
+// once the router has applied its reduced quota.
 func (l *Link) Receive(from string, payload []byte, now int64) []udp.Payload {
 	message, err := l.codec.Decode(payload)
 	if err != nil {
@@ -168,7 +174,7 @@
 	l.Received.Add(1)
 	ready := l.node.Receive(from, message, now)
 	if len(ready.Events) > 0 {
-		l.advise(now)
+		l.renewAdvice(now)
 	}
 	l.logEvents(ready.Events)
 	for _, grant := range l.encode(ready.Messages) {
@@ -179,29 +185,29 @@
 	return nil
 }
 
-// advise renews the advice and the status page.
-func (l *Link) advise(now int64) {
+// renewAdvice computes new advice and a new status page.
+func (l *Link) renewAdvice(now int64) {
 	l.advisedAt = now
 	advice := l.node.Advice(now)
 	page := l.node.StatusPage(now)
 	l.mu.Lock()
 	l.page = page
 	l.mu.Unlock()
-	select { // advice not yet taken is stale
+	select { // discard advice that the router has not received
 	case <-l.advice:
 	default:
 	}
 	l.seq++
-	l.advice <- Advice{Advice: advice, Seq: l.seq} // cannot block: this loop is the only sender
+	l.advice <- Advice{Advice: advice, Seq: l.seq} // cannot block: the membership loop is the only sender
 }
 
-// encode returns the packets of messages. One that cannot be encoded is logged
-// and dropped.
+// encode returns the packets of messages. A message that cannot be encoded is
+// logged and dropped.
 func (l *Link) encode(messages []fleetstate.Envelope) (payloads []udp.Payload) {
 	for _, envelope := range messages {
 		encoded, err := l.codec.Encode(envelope.Message)
 		if err != nil {
-			l.log.Error("message not encoded", "error", err)
+			l.log.Error("message encoding failed", "error", err)
 			continue
 		}
 		l.Sent.Add(1)
--- a/internal/fleetstate/link/report.go
+++ b/internal/fleetstate/link/report.go
@@ -2,17 +2,18 @@
 
 import "lotusbend/internal/fleetstate"
 
-// retryBudgetName is the retry budget's name in the log.
+// retryBudgetName is the name of the retry budget in the log.
 const retryBudgetName = "retries"
 
-// logEvents writes a line for each event, with the fields that it has.
+// logEvents logs each event.
 func (l *Link) logEvents(events []fleetstate.Event) {
 	for _, event := range events {
 		l.log.Info(event.Kind.String(), eventFields(event)...)
 	}
 }
 
-// eventFields are the names and values of an event's fields.
+// eventFields returns the log fields of an event as alternating names and values.
+// Empty fields are left out.
 func eventFields(event fleetstate.Event) []any {
 	subject := "endpoint"
 	if event.Kind.IsLeaseEvent() {
@@ -35,8 +36,9 @@
 	return fields
 }
 
-// Metrics are the link's counters and gauges and the fleet's totals, by name;
-// classes are the names of the request classes, in their order.
+// Metrics returns the link's counters and gauges and the fleet's totals by metric
+// name. classes holds the names of the request classes in the order of their
+// numbers.
 func (l *Link) Metrics(classes []string) map[string]uint64 {
 	page := l.StatusPage()
 	metrics := map[string]uint64{
--- a/internal/fleetstate/message.go
+++ b/internal/fleetstate/message.go
@@ -1,9 +1,9 @@
 package fleetstate
 
-// maxNameBytes bounds names of members, endpoints and budgets in a message.
+// maxNameBytes is the maximum length of the name of a member, endpoint or budget.
 const maxNameBytes = 128
 
-// Message is what one router sends another.
+// Message is a message from one router to another. Any part may be empty.
 type Message struct {
 	Counters      []CounterEntry
 	HealthReports []HealthReport
@@ -11,14 +11,14 @@
 	LeaseGrants   []LeaseGrant
 }
 
-// Envelope is a message to a member.
+// Envelope is a message with its receiver.
 type Envelope struct {
-	To      string
+	To      string // member name
 	Message Message
 }
 
-// Upper bounds, in bytes, of the encoded parts of a message besides their
-// names; the tests of package wire hold every encoding under them.
+// Upper bounds, in bytes, of the encoded parts of a message without their names.
+// The tests of package wire check that no encoding exceeds them.
 const (
 	messageOverhead = 24
 	entryOverhead   = 40
@@ -26,7 +26,7 @@
 	leaseOverhead   = 60
 )
 
-// Size is an upper bound of the encoded message in bytes.
+// Size returns an upper bound of the length of the encoded message, in bytes.
 func (m Message) Size() int {
 	size := messageOverhead
 	for _, entry := range m.Counters {
@@ -54,10 +54,12 @@
 
 func (r HealthReport) size() int { return reportOverhead + len(r.Endpoint) }
 
-// leaseSize is that of a request or a grant for a budget.
+// leaseSize returns an upper bound of the length of an encoded lease request or
+// grant, in bytes.
 func leaseSize(key string) int { return leaseOverhead + len(key) }
 
-// integerSize is the length of an integer in CBOR (RFC 8949, section 3.1).
+// integerSize returns the length of an unsigned integer in CBOR, in bytes
+// (RFC 8949, section 3.1).
 func integerSize(value uint64) int {
 	switch {
 	case value < 24:
--- a/internal/fleetstate/node.go
+++ b/internal/fleetstate/node.go
@@ -15,25 +15,26 @@
 	outliers *outlierDetector
 
 	configuredRouters int
-	routers           int   // size of the fleet: the larger of the configured and the largest view lately
-	routersAt         int64 // when the view was last that large, ms
+	routers           int   // size of the fleet: the configured one, or the largest recent view if that is larger
+	routersAt         int64 // when a view last confirmed or set routers, ms
 	peers             []string
 	retryBudget       RetryBudget
 	nextTick          int64  // when reports and lease requests are due, ms
 	nextCounters      int64  // when counters are due, ms
-	rounds            int    // of gossip so far
-	advice            Advice // the last
-	unknownSenders    uint64 // messages of routers outside the view
+	rounds            int    // number of gossip rounds so far
+	advice            Advice // latest
+	unknownSenders    uint64 // number of messages from routers outside the view
 }
 
-// Ready is what the caller is to do: messages to send and events to log.
+// Ready holds the messages that the caller must send and the events that it
+// should log.
 type Ready struct {
 	Messages []Envelope
 	Events   []Event
 }
 
-// New makes a node from a checked configuration. routers is the configured size
-// of the fleet, now the time in ms.
+// New returns a node for a configuration that Config.Check accepts. routers is the
+// configured size of the fleet, now the time in ms.
 func New(cfg Config, routers int, now int64) *Node {
 	n := &Node{
 		cfg:               cfg,
@@ -50,11 +51,11 @@
 	return n
 }
 
-// SetView takes the view: the names of the live peers, and how many routers
-// there may be, this one included (alive, suspect or dead, but not left). The
-// fleet's size, which stakes are computed from, grows at once and shrinks only
-// after CounterRetentionMs without the larger number: who cannot be heard may
-// be partitioned and sending.
+// SetView sets the membership view: the names of the live peers, and the number
+// of routers that may exist, including this one (alive, suspect or dead, but not
+// left). The fleet's size, from which stakes are computed, grows at once but
+// shrinks only after no view had the larger size for CounterRetentionMs, because
+// a router that cannot be reached may be partitioned and still sending requests.
 func (n *Node) SetView(peers []string, size int, now int64) {
 	n.peers = peers
 	size = max(size, n.configuredRouters)
@@ -64,17 +65,19 @@
 	}
 }
 
-// Observe takes what the router observed.
+// Observe adds the router's observations since the previous call.
 func (n *Node) Observe(observed Observation) {
 	n.counters.record(observed.Counters)
 	n.outliers.observe(observed.Endpoints)
 	n.retryBudget = observed.RetryBudget
 }
 
-// endpointStake is this router's own part of a warming endpoint's budget.
+// endpointStake returns this router's stake in a warming endpoint's budget, as a
+// fraction.
 func (n *Node) endpointStake() float64 { return 1 / float64(n.routers) }
 
-// stake is this router's own part of a budget, and whether it needs it itself.
+// stake returns this router's stake in a budget, and whether the router needs it
+// itself and so lends nothing.
 func (n *Node) stake(key string) (stake float64, needed bool) {
 	if key == RetryBudgetKey {
 		return n.retryBudget.EarnedPerSecond, !n.retryBudget.Surplus
@@ -83,11 +86,11 @@
 	return n.endpointStake(), endpoint != nil && endpoint.RequestsQueued
 }
 
-// Tick moves the time to now, in ms. Call it at least every TickMs.
+// Tick advances the time to now, in ms. Call it at least every TickMs.
 func (n *Node) Tick(now int64) Ready {
 	var ready Ready
 	ready.Events = n.leases.expire(now)
-	urgent := n.outliers.hasUnreportedFault(now) // is sent at once
+	urgent := n.outliers.hasUnreportedFault(now) // a new fault is not delayed until the next tick
 	if now >= n.nextTick || urgent {
 		n.nextTick = now + n.cfg.TickMs
 		n.counters.tick(now)
@@ -98,9 +101,9 @@
 	return ready
 }
 
-// Receive takes a message of a peer at now, in ms; the caller has checked that
-// it came from that member's address. Messages of peers outside the view are
-// counted and dropped.
+// Receive handles a message of a peer at now, in ms. The caller must have checked
+// that it came from that member's address. Messages of routers outside the view
+// are counted and dropped.
 func (n *Node) Receive(peer string, message Message, now int64) Ready {
 	if !slices.Contains(n.peers, peer) {
 		n.unknownSenders++
@@ -118,8 +121,8 @@
 	return ready
 }
 
-// answerRequests grants a peer's lease requests, as many as one message holds.
-// For an endpoint that this router does not know it grants nothing.
+// answerRequests grants a peer's lease requests, as many as fit into one message.
+// It ignores requests for endpoints that this router does not know.
 func (n *Node) answerRequests(peer string, requests []LeaseRequest, now int64) (ready Ready) {
 	var answer Message
 	for _, request := range requests {
@@ -145,7 +148,7 @@
 	return ready
 }
 
-// acceptGrants takes the leases that a peer granted.
+// acceptGrants accepts the leases that a peer granted.
 func (n *Node) acceptGrants(peer string, grants []LeaseGrant, now int64) (events []Event) {
 	for _, grant := range grants {
 		stake, _ := n.stake(grant.Key)
@@ -163,6 +166,6 @@
 	return events
 }
 
-// Totals is the sum of all routers' counters, as far as this router has
+// Totals returns the sum of all routers' counters, as far as this router has
 // received them.
 func (n *Node) Totals() Counters { return n.counters.total() }
--- a/internal/fleetstate/node_test.go
+++ b/internal/fleetstate/node_test.go
@@ -11,8 +11,9 @@
 	return New(cfg, fleet, now)
 }
 
-// The size of the fleet that stakes are computed from grows at once with the view
-// and shrinks long after: who cannot be heard may be partitioned, and sending.
+// The size of the fleet grows at once with the view but shrinks only after
+// CounterRetentionMs, because a router that cannot be reached may be partitioned
+// and still sending requests.
 func TestFleetSizeShrinksLate(t *testing.T) {
 	n := newTestNode("a", 4, 0)
 	for _, step := range []struct {
@@ -28,13 +29,13 @@
 	} {
 		n.SetView([]string{"b"}, step.size, step.at)
 		if got := n.Advice(step.at).Routers; got != step.want {
-			t.Errorf("at %d, with %d seen, the fleet has %d, want %d", step.at, step.size, got, step.want)
+			t.Errorf("Routers at %d ms with a view of %d = %d, want %d", step.at, step.size, got, step.want)
 		}
 	}
 }
 
-// A router that receives nothing has only its own stake once its leases expired,
-// and no ejection.
+// Once its leases and the peers' reports have expired, a partitioned router has
+// exactly its own stake and ejects no endpoint.
 func TestPartitionedRouterKeepsOnlyItsStake(t *testing.T) {
 	n := newTestNode("a", 4, 0)
 	now := n.cfg.LeaseMs + n.cfg.SkewMs
@@ -53,7 +54,7 @@
 		}
 	}
 	if requested == nil {
-		t.Fatal("nothing is requested for a warming endpoint that is needed")
+		t.Fatal("no lease requested for a warming endpoint with queued requests, want a request to b")
 	}
 	n.Receive("b", Message{
 		LeaseGrants: []LeaseGrant{
@@ -61,24 +62,24 @@
 		},
 	}, now+1)
 	if early := newTestNode("a", 4, 0).Advice(1); early.RemainingStake != 0.5 {
-		t.Errorf("right after a start %g of each stake is used, want half", early.RemainingStake)
+		t.Errorf("RemainingStake right after the start = %g, want 0.5", early.RemainingStake)
 	}
 	for _, p := range []string{"b", "c"} {
 		n.Receive(p, Message{HealthReports: []HealthReport{{"i", Unresponsive, 0}}}, now+1)
 	}
 	if a := n.Advice(now + 1); a.SlowStart["h"].At(now+1) != 0.375 || len(a.Ejections) != 1 {
-		t.Fatalf("advice %+v, want a quota of 0.375 and one ejection", a)
+		t.Fatalf("Advice() = %+v, want a quota of 0.375 and one ejection", a)
 	}
-	n.SetView(nil, 4, now+2) // it is partitioned
+	n.SetView(nil, 4, now+2) // the router is partitioned
 	later := now + n.cfg.ReportTTLMs + n.cfg.LeaseMs
 	n.Tick(later)
 	if a := n.Advice(later); a.SlowStart["h"].At(later) != 0.25 || len(a.Ejections) > 0 {
-		t.Errorf("after silence advice %+v, want its stake and no ejection", a)
+		t.Errorf("Advice() after the leases expired = %+v, want the stake 0.25 and no ejection", a)
 	}
 }
 
-// Messages of unknown senders are dropped, and peers cannot make a node keep more than its
-// bounds, whatever they send.
+// Messages of unknown senders are dropped, and a peer that floods a node with
+// entries and requests cannot make it exceed its limits.
 func TestMemoryIsBoundedUnderAFloodOfMessages(t *testing.T) {
 	n := newTestNode("a", 4, 0)
 	n.SetView([]string{"b"}, 2, 0)
@@ -87,7 +88,7 @@
 	if n.Receive("x", Message{
 		HealthReports: []HealthReport{{"h", Unresponsive, 0}},
 	}, now); n.unknownSenders != 1 || len(n.outliers.suspicions) > 0 {
-		t.Error("the report of an unknown sender was taken")
+		t.Error("the report of an unknown sender was kept, want it counted and dropped")
 	}
 	for i := range 3 * n.cfg.MaxCounterEntries {
 		n.Receive("b", Message{Counters: []CounterEntry{{Name: fmt.Sprint("x", i), Epoch: 1, Stamp: now, Counters: Counters{1}}},
@@ -98,11 +99,12 @@
 	}
 	entries, leases := len(n.counters.entries), len(n.leases.lent["h"])
 	if entries > n.cfg.MaxCounterEntries || leases > maxLeases || len(n.leases.lent) > 1 {
-		t.Errorf("%d entries, %d leases of h, %d budgets kept", entries, leases, len(n.leases.lent))
+		t.Errorf("%d entries, %d leases of h and %d budgets kept, want at most the limits and one budget",
+			entries, leases, len(n.leases.lent))
 	}
 }
 
-// No message is over its size, however much there is to send.
+// No message exceeds MaxMessageBytes, however much there is to send.
 func TestMessagesStayWithinTheirSize(t *testing.T) {
 	n := newTestNode("a", 300, 0)
 	var peers []string
@@ -129,17 +131,17 @@
 		for _, m := range n.Tick(now).Messages {
 			count++
 			if s := m.Message.Size(); s > n.cfg.MaxMessageBytes {
-				t.Fatalf("a message of %d bytes", s)
+				t.Fatalf("Size() of a message = %d bytes, want at most MaxMessageBytes", s)
 			}
 		}
 	}
 	if count == 0 {
-		t.Fatal("nothing was sent")
+		t.Fatal("no message was sent")
 	}
 }
 
-// Retries that one router has saved and does not use are lent to one that has
-// none left; what is borrowed and what was lent add up.
+// A router with surplus retries lends them to one with a depleted retry budget,
+// and the borrowed amount equals the lent amount.
 func TestSurplusRetriesAreLent(t *testing.T) {
 	rich, poor := newTestNode("rich", 2, 0), newTestNode("poor", 2, 0)
 	now := rich.cfg.LeaseMs + rich.cfg.SkewMs
@@ -155,9 +157,9 @@
 	}
 	a, b := rich.Advice(now).RetryQuota.At(now), poor.Advice(now).RetryQuota.At(now)
 	if a != -1 || b != 1 {
-		t.Errorf("retries a second besides their own: %g and %g, want -1 lent and 1 borrowed", a, b)
+		t.Errorf("RetryQuota of lender and borrower = %g and %g, want -1 and 1", a, b)
 	}
 	if got := poor.Advice(now + rich.cfg.LeaseMs).RetryQuota.At(now + rich.cfg.LeaseMs); got != 0 {
-		t.Errorf("after the lease %g is left", got)
+		t.Errorf("RetryQuota of the borrower after the lease = %g, want 0", got)
 	}
 }
--- a/internal/fleetstate/observation.go
+++ b/internal/fleetstate/observation.go
@@ -2,24 +2,23 @@
 
 import "slices"
 
-// Observation is what the router observed since the last one: what it counted,
-// and every endpoint as it knows it now.
+// Observation holds what the router counted since the previous observation, and
+// the current state of every endpoint.
 type Observation struct {
-	Counters    Counters // raised since the last observation
+	Counters    Counters // counts since the previous observation
 	Endpoints   []EndpointHealth
 	RetryBudget RetryBudget
 }
 
-// RetryBudget is the state of the router's retry budget: what it earns, and
-// whether it has more than it uses or less.
+// RetryBudget is the state of the router's own retry budget.
 type RetryBudget struct {
-	EarnedPerSecond float64 // retries a second
-	Surplus         bool
-	Depleted        bool
+	EarnedPerSecond float64 // retries per second
+	Surplus         bool    // the router can lend retries
+	Depleted        bool    // the router needs more retries
 }
 
-// ShiftedBy is the observation on a clock that is ms ahead of the router's.
-// It shares no endpoints with o.
+// ShiftedBy returns the observation with its times converted to a clock that is
+// ms ahead. The endpoints of o are not modified.
 func (o Observation) ShiftedBy(ms int64) Observation {
 	o.Endpoints = slices.Clone(o.Endpoints)
 	for i := range o.Endpoints {
@@ -28,7 +27,7 @@
 	return o
 }
 
-// shiftTimes adds ms to every time that is not 0 (never).
+// shiftTimes adds ms to every time except 0, which means never.
 func (h *EndpointHealth) shiftTimes(ms int64) {
 	times := []*int64{&h.PrimaryReportedAt, &h.FaultAt, &h.AnsweredSentAt, &h.FreshAt, &h.LastSentAt}
 	for _, time := range times {
--- a/internal/fleetstate/onset_test.go
+++ b/internal/fleetstate/onset_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// onsetsByPairs is onsets, by its definition: each moment against each report.
+// onsetsByPairs computes what onsets does from the definition, by comparing every
+// first evidence of a fault with every report.
 func (d *outlierDetector) onsetsByPairs(valid []*peerReport) (out []onset) {
 	for _, began := range valid {
 		if began.status == Healthy {
@@ -17,9 +18,9 @@
 		for _, w := range valid {
 			switch {
 			case w.status == Healthy && w.evidenceAt > began.firstEvidenceAt:
-				b.support -= d.reputation.of(w.peer)
+				b.support -= d.reputation.score(w.peer)
 			case w.status != Healthy && w.firstEvidenceAt >= began.firstEvidenceAt:
-				b.support += d.reputation.of(w.peer)
+				b.support += d.reputation.score(w.peer)
 				b.reporters++
 				if w.evidenceAt > b.newestEvidence {
 					b.status, b.newestEvidence = w.status, w.evidenceAt
@@ -31,6 +32,7 @@
 	return out
 }
 
+// The results of onsets and onsetsByPairs are equal for random reports.
 func TestOnsetsFollowTheirDefinition(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -48,19 +50,19 @@
 		}
 		got, want := detector.onsets(valid), detector.onsetsByPairs(valid)
 		if len(got) != len(want) {
-			t.Fatalf("seed %d: %d moments, want %d", seed, len(got), len(want))
+			t.Fatalf("seed %d: onsets returned %d onsets, want %d", seed, len(got), len(want))
 		}
 		for i := range want {
 			g, w := got[i], want[i]
 			sameReports := g.reporters == w.reporters && g.status == w.status && g.newestEvidence == w.newestEvidence
 			if math.Abs(g.support-w.support) > 1e-9 || !sameReports {
-				t.Fatalf("seed %d: moment %d is %+v, want %+v", seed, i, g, w)
+				t.Fatalf("seed %d: onset %d = %+v, want %+v", seed, i, g, w)
 			}
 		}
 	}
 }
 
-// Each router of a large fleet may report on one endpoint.
+// The reports of all routers of a large fleet on one endpoint count.
 func TestThousandsOfReportersCount(t *testing.T) {
 	const routers = 3000
 	cfg := Defaults()
@@ -71,7 +73,7 @@
 		detector.receive(fmt.Sprint("router-", n), HealthReport{"h", Unresponsive, 0}, now)
 	}
 	if count := detector.support(detector.suspicions["h"], detector.endpoint("h")).reporters; count != routers {
-		t.Errorf("%d of %d reporters count", count, routers)
+		t.Errorf("support counts %d reporters, want %d", count, routers)
 	}
 }
 
--- a/internal/fleetstate/outlier.go
+++ b/internal/fleetstate/outlier.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// outlierDetector weighs what peers report of endpoints and ejects outliers.
+// outlierDetector evaluates peers' reports on endpoints and ejects outliers.
 type outlierDetector struct {
 	cfg        Config
 	faults     FaultInjection
 	rng        *rand.Rand
-	endpoints  []EndpointHealth // as last observed, by name
-	suspicions map[string]*suspicion
-	reported   map[string]bool // endpoints of which this router reported a fault
+	endpoints  []EndpointHealth      // latest observation, sorted by name
+	suspicions map[string]*suspicion // by endpoint name
+	reported   map[string]bool       // names of endpoints whose fault this router reported
 	reputation reputations
 	events     []Event // since the last tick
 }
@@ -29,7 +29,8 @@
 	}
 }
 
-// endpoint returns what was observed of an endpoint, nil if it is not listed.
+// endpoint returns the observed health of an endpoint, or nil if the endpoint is
+// not listed.
 func (d *outlierDetector) endpoint(name string) *EndpointHealth {
 	i, found := slices.BinarySearchFunc(d.endpoints, name, func(endpoint EndpointHealth, name string) int {
 		return cmp.Compare(endpoint.Name, name)
@@ -40,8 +41,8 @@
 	return &d.endpoints[i]
 }
 
-// observe takes what this router observed. Endpoints no longer named are
-// forgotten, with all that was reported of them.
+// observe replaces the observed health of the endpoints. The reports on endpoints
+// no longer listed are deleted.
 func (d *outlierDetector) observe(endpoints []EndpointHealth) {
 	d.endpoints = slices.Clone(endpoints)
 	slices.SortFunc(d.endpoints, func(a, b EndpointHealth) int { return cmp.Compare(a.Name, b.Name) })
@@ -52,21 +53,22 @@
 	}
 }
 
-// recent reports evidence that may still be reported.
+// recent reports whether evidence is young enough to be reported.
 func (d *outlierDetector) recent(evidenceAt, now int64) bool {
 	return now-evidenceAt < d.cfg.ReportTTLMs
 }
 
-// hasUnreportedFault reports that a fault was observed here and not sent yet.
+// hasUnreportedFault reports whether this router observed a fault that it has not
+// reported yet.
 func (d *outlierDetector) hasUnreportedFault(now int64) bool {
 	return slices.ContainsFunc(d.endpoints, func(endpoint EndpointHealth) bool {
 		return endpoint.Fault != 0 && d.recent(endpoint.FaultAt, now) && !d.reported[endpoint.Name]
 	})
 }
 
-// ownReports are this router's reports: each fault observed here while its
-// evidence is recent, that an endpoint is healthy where peers suspect it, and
-// which endpoints are primaries.
+// ownReports returns this router's reports: faults with recent evidence, healthy
+// endpoints that peers suspect, and endpoints that are primaries. It updates
+// reported.
 func (d *outlierDetector) ownReports(now int64) (reports []HealthReport) {
 	clear(d.reported)
 	for i := range d.endpoints {
@@ -107,17 +109,17 @@
 	return reports
 }
 
-// suspected reports that peers reported something of the endpoint.
+// suspected reports whether any report on the endpoint is kept.
 func (d *outlierDetector) suspected(endpoint *EndpointHealth) bool {
 	suspicion := d.suspicions[endpoint.Name]
 	return suspicion != nil && len(suspicion.reports) > 0
 }
 
-// receive takes a peer's report. On an unknown endpoint nothing is kept: a peer
-// that invents endpoints takes no memory.
+// receive handles a peer's report. Reports on unknown endpoints are dropped, so
+// that a peer cannot exhaust memory by inventing endpoints.
 func (d *outlierDetector) receive(peer string, report HealthReport, now int64) {
 	endpoint := d.endpoint(report.Endpoint)
-	if endpoint == nil || report.Status == 0 || report.Status >= healthStatuses {
+	if endpoint == nil || report.Status == 0 || report.Status >= numHealthStatuses {
 		return
 	}
 	if report.AgeMs < 0 || report.AgeMs >= d.cfg.ReportTTLMs {
@@ -137,7 +139,7 @@
 	})
 }
 
-// expire drops reports whose evidence is too old and restores reputations.
+// expire removes reports whose evidence is too old and lets reputations recover.
 func (d *outlierDetector) expire(now int64) {
 	d.reputation.restore(now)
 	if d.faults.NeverExpire() {
@@ -145,16 +147,17 @@
 	}
 	for name, suspicion := range d.suspicions {
 		suspicion.expire(now)
-		if suspicion.over(now, d.cfg.GossipEjectionMs) {
+		if suspicion.finished(now, d.cfg.GossipEjectionMs) {
 			delete(d.suspicions, name)
 		}
 	}
 }
 
-// suggestedPrimaries returns by group which endpoint peers report as primary,
-// where this router has none that answers: the newest report, if it is newer
-// than the last attempt here. A wrong one costs one rejected attempt. It is nil
-// if there is none.
+// suggestedPrimaries returns the endpoint that peers report as primary, by group,
+// for the groups of which this router knows no primary that answers. It selects
+// the newest report that is newer than this router's last attempt at the
+// endpoint. A wrong suggestion costs one rejected attempt. The result is nil if
+// there is no suggestion.
 func (d *outlierDetector) suggestedPrimaries() (suggested map[int]string) {
 	newest := map[int]int64{}
 	for i := range d.endpoints {
--- a/internal/fleetstate/outlier_test.go
+++ b/internal/fleetstate/outlier_test.go
@@ -23,6 +23,7 @@
 	}
 }
 
+// ejected returns the names of the ejected endpoints, concatenated.
 func ejected(detector *outlierDetector, now int64) (names string) {
 	for _, x := range detector.eject(now) {
 		names += x.Endpoint
@@ -34,26 +35,27 @@
 	detector := detectorOf(groupOfThree()...)
 	detector.receive("p", HealthReport{"b", Unresponsive, 0}, 1000)
 	if got := ejected(detector, 1000); got != "" {
-		t.Fatalf("one reporter is enough for %q", got)
+		t.Fatalf("ejected %q after one report, want none", got)
 	}
-	detector.receive("p", HealthReport{"b", Unresponsive, 0}, 1100) // the same one again is no second
+	detector.receive("p", HealthReport{"b", Unresponsive, 0}, 1100) // from the same reporter
 	if got := ejected(detector, 1100); got != "" {
-		t.Fatalf("one reporter sent it twice, enough for %q", got)
+		t.Fatalf("ejected %q after two reports of one peer, want none", got)
 	}
 	detector.receive("q", HealthReport{"b", Unresponsive, 100}, 1100)
 	if got := ejected(detector, 1100); got != "b" {
-		t.Fatalf("two reporters eject %q, want b", got)
+		t.Fatalf("ejected %q after reports of two peers, want b", got)
 	}
 	endpoints := groupOfThree()
 	endpoints[1].AnsweredSentAt, endpoints[1].LastSentAt = 1150, 1150
 	detector.observe(endpoints)
 	if got := ejected(detector, 1200); got != "" {
-		t.Fatalf("b answered here after the evidence, and %q is ejected", got)
+		t.Fatalf("ejected %q after b answered an attempt sent after the evidence, want none", got)
 	}
 }
 
-// A report with answers here shortly before and after its evidence was refuted:
-// its reporter loses reputation, and a third such report in a row counts little.
+// A report is refuted if the endpoint answered this router shortly before and
+// shortly after the evidence. Its reporter loses reputation, so that two such
+// reporters can no longer eject an endpoint. Reputation recovers with time.
 func TestRefutedReportsLowerReputation(t *testing.T) {
 	endpoints := groupOfThree()
 	endpoints[1].AnsweredSentAt = 900
@@ -62,25 +64,28 @@
 		detector.receive(p, HealthReport{"b", Unresponsive, 0}, 1000)
 	}
 	if got := ejected(detector, 1000); got != "b" {
-		t.Fatalf("ejected %q, want b", got)
+		t.Fatalf("ejected %q before the refutation, want b", got)
 	}
 	endpoints[1].AnsweredSentAt = 1100
 	detector.observe(endpoints)
 	ejected(detector, 1200)
-	if detector.reputation.of("p") >= 0.6 || detector.reputation.of("q") >= 0.6 {
-		t.Fatalf("reputation %.2f and %.2f after a refuted report", detector.reputation.of("p"), detector.reputation.of("q"))
+	if detector.reputation.score("p") >= 0.6 || detector.reputation.score("q") >= 0.6 {
+		t.Fatalf("reputations after a refuted report = %.2f and %.2f, want below 0.6",
+			detector.reputation.score("p"), detector.reputation.score("q"))
 	}
 	for _, p := range []string{"p", "q"} {
 		detector.receive(p, HealthReport{"c", Unresponsive, 0}, 1300)
 	}
 	if got := ejected(detector, 1300); got != "" {
-		t.Errorf("two whose reports were refuted eject %q", got)
+		t.Errorf("ejected %q after reports of two peers with refuted reports, want none", got)
 	}
-	if ejected(detector, 100_000); detector.reputation.of("p") < 1 {
-		t.Errorf("reputation is %.2f after long, want full", detector.reputation.of("p"))
+	if ejected(detector, 100_000); detector.reputation.score("p") < 1 {
+		t.Errorf("reputation after recovery = %.2f, want 1", detector.reputation.score("p"))
 	}
 }
 
+// An ejection by gossip ends with the reports' lifetime, and with constant renewal
+// after GossipEjectionMs.
 func TestGossipEjectionExpires(t *testing.T) {
 	detector := detectorOf(groupOfThree()...)
 	report := func(now int64) {
@@ -92,7 +97,7 @@
 		t.Fatalf("ejected %+v, want b until %d", got, 1000+detector.cfg.EjectionMs)
 	}
 	if got := ejected(detector, 1000+detector.cfg.ReportTTLMs); got != "" {
-		t.Errorf("reports without renewal still eject %q", got)
+		t.Errorf("ejected %q by expired reports, want none", got)
 	}
 	detector = detectorOf(groupOfThree()...)
 	last := int64(0)
@@ -104,36 +109,36 @@
 	}
 	if last > 1000+detector.cfg.GossipEjectionMs {
 		most := 1000 + detector.cfg.GossipEjectionMs
-		t.Errorf("gossip alone ejected b until %d, without an attempt here, want %d at most", last, most)
+		t.Errorf("gossip alone ejected b until %d ms without an attempt here, want until %d at most", last, most)
 	}
 }
 
-// Newer evidence of a peer defers the next trial of an endpoint with a fault
-// here, for a stated time.
+// Newer evidence of a peer defers the next trial of an endpoint whose fault this
+// router observed, by at most twice ReportTTLMs.
 func TestPeersEvidenceDefersTheTrialForAWhile(t *testing.T) {
 	endpoints := groupOfThree()
 	endpoints[1].Fault, endpoints[1].FaultAt, endpoints[1].LastSentAt = Unresponsive, 1000, 1000
 	detector := detectorOf(endpoints...)
 	if got := ejected(detector, 1100); got != "" {
-		t.Fatalf("no report came, and %q is ejected", got)
+		t.Fatalf("ejected %q without a report, want none", got)
 	}
 	last := int64(0)
 	for now := int64(1200); now < 20_000; now += 100 {
 		detector.receive("p", HealthReport{"b", Unresponsive, 0}, now)
 		for _, x := range detector.eject(now) {
 			if !x.ObservedHere {
-				t.Fatalf("ejected %+v, which was observed here", x)
+				t.Fatalf("ejected %+v, want ObservedHere", x)
 			}
 			last = x.Until
 		}
 	}
 	if most := 1000 + 2*detector.cfg.ReportTTLMs; last == 0 || last > most {
-		t.Errorf("trials were deferred until %d, want some time up to %d", last, most)
+		t.Errorf("trials were deferred until %d ms, want a time after 0 and up to %d", last, most)
 	}
 }
 
-// A primary's trials are never deferred, and it is never ejected: nothing
-// takes its place.
+// A primary is never ejected and its trials are never deferred, because no other
+// endpoint can take its place.
 func TestPrimaryIsNeverEjected(t *testing.T) {
 	for _, bad := range []HealthStatus{0, Unresponsive} {
 		endpoints := groupOfThree()
@@ -143,7 +148,7 @@
 			detector.receive(p, HealthReport{"b", Unresponsive, 0}, 1200)
 		}
 		if got := ejected(detector, 1200); got != "" {
-			t.Errorf("ejected %q, the group's primary", got)
+			t.Errorf("ejected %q with fault %v of the primary, want none", got, bad)
 		}
 	}
 }
@@ -153,19 +158,19 @@
 	detector := detectorOf(endpoints...)
 	detector.receive("p", HealthReport{"c", Primary, 10}, 1000)
 	if got := detector.suggestedPrimaries(); len(got) > 0 {
-		t.Fatalf("suggested %v though the primary is known here", got)
+		t.Fatalf("suggestedPrimaries() with a known primary = %v, want none", got)
 	}
 	for i := range endpoints {
 		endpoints[i].PrimaryUnknown = true
 	}
 	detector.observe(endpoints)
 	if got := detector.suggestedPrimaries(); got[1] != "c" {
-		t.Fatalf("suggested %v, want c", got)
+		t.Fatalf("suggestedPrimaries() without a known primary = %v, want c", got)
 	}
 	endpoints[2].LastSentAt = 1100
 	detector.observe(endpoints)
 	if got := detector.suggestedPrimaries(); len(got) > 0 {
-		t.Errorf("suggested %v though it had an attempt since", got)
+		t.Errorf("suggestedPrimaries() after an attempt at c = %v, want none", got)
 	}
 }
 
@@ -176,20 +181,21 @@
 		detector.receive(fmt.Sprint("p", i), HealthReport{"a", Unresponsive, 0}, 1000)
 	}
 	if len(detector.suspicions) != 1 || len(detector.suspicions["a"].reports) > maxReporters {
-		t.Errorf("%d endpoints and %d reports kept", len(detector.suspicions), len(detector.suspicions["a"].reports))
+		t.Errorf("%d endpoints and %d reports kept, want 1 endpoint and at most maxReporters reports",
+			len(detector.suspicions), len(detector.suspicions["a"].reports))
 	}
 }
 
-// TestNoReportsExceedTheEjectionLimits holds for any reports of any number of peers, and
-// any state of the endpoints as observed here: of a group's ready endpoints gossip
-// ejects at most the stated fraction and never the last sound one; every
-// ejection ends within the stated time and rests on evidence newer than the
-// last answer here, not older than stated.
+// For any reports of any number of peers and any observations of this router,
+// gossip ejects at most MaxEjectedFraction of a group's ready endpoints and never
+// the last healthy one. Every ejection ends within EjectionMs and rests on evidence
+// that is newer than the last answer here and younger than ReportTTLMs.
 func TestNoReportsExceedTheEjectionLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { checkEjectionLimits(t) })
 }
 
-// The same search finds a detector that trusts one report, whatever was observed.
+// With the injected fault, a detector that trusts a single report ejects more than
+// the limits allow, so that the test of the limits detects it.
 func TestTrustInOneReporterExceedsTheLimits(t *testing.T) {
 	cfg := Defaults()
 	cfg.FaultInjection = faultinjection.TrustOne
@@ -199,49 +205,51 @@
 		detector.receive("p", HealthReport{h, Unresponsive, 0}, 1000)
 	}
 	if got := ejected(detector, 1000); len(got) < 3 {
-		t.Errorf("ejected %q: the injected fault takes no guard out", got)
+		t.Errorf("ejected %q, want all three endpoints: the injected fault has no effect", got)
 	}
 }
 
-// ejectionSearch feeds a detector with random reports and observations.
-type ejectionSearch struct {
+// ejectionSimulation passes random reports and observations to a detector.
+type ejectionSimulation struct {
 	detector  *outlierDetector
 	endpoints []EndpointHealth
 	now       int64
 }
 
+// checkEjectionLimits runs one random sequence of events and checks the ejections
+// after each.
 func checkEjectionLimits(t *rapid.T) {
-	search := &ejectionSearch{detector: newOutlierDetector(Defaults(), 0), now: 10_000}
+	simulation := &ejectionSimulation{detector: newOutlierDetector(Defaults(), 0), now: 10_000}
 	for group := range rapid.IntRange(1, 3).Draw(t, "groups") {
 		for i := range rapid.IntRange(1, 6).Draw(t, "members") {
-			search.endpoints = append(search.endpoints, EndpointHealth{
+			simulation.endpoints = append(simulation.endpoints, EndpointHealth{
 				Name:  fmt.Sprintf("g%d-%d", group, i),
 				Group: group,
 				Ready: rapid.IntRange(0, 4).Draw(t, "ready") > 0,
 			})
 		}
 	}
-	search.detector.observe(search.endpoints)
+	simulation.detector.observe(simulation.endpoints)
 	for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 		switch rapid.IntRange(0, 3).Draw(t, fmt.Sprint("event", step)) {
 		case 0:
-			search.now += rapid.Int64Range(1, 3000).Draw(t, "ms")
+			simulation.now += rapid.Int64Range(1, 3000).Draw(t, "ms")
 		case 1:
-			search.observe(t)
+			simulation.observe(t)
 		default:
-			search.report(t)
+			simulation.report(t)
 		}
 		ejections := map[string]Ejection{}
-		for _, ejection := range search.detector.eject(search.now) {
+		for _, ejection := range simulation.detector.eject(simulation.now) {
 			ejections[ejection.Endpoint] = ejection
-			search.checkEjection(t, ejection)
+			simulation.checkEjection(t, ejection)
 		}
-		search.checkGroups(t, ejections)
+		simulation.checkGroups(t, ejections)
 	}
 }
 
-// observe changes what was observed of one endpoint.
-func (s *ejectionSearch) observe(t *rapid.T) {
+// observe changes the observed health of one endpoint.
+func (s *ejectionSimulation) observe(t *rapid.T) {
 	endpoint := &s.endpoints[rapid.IntRange(0, len(s.endpoints)-1).Draw(t, "endpoint")]
 	switch rapid.IntRange(0, 3).Draw(t, "observed") {
 	case 0:
@@ -256,8 +264,8 @@
 	s.detector.observe(s.endpoints)
 }
 
-// report delivers some reports of peers, valid or not.
-func (s *ejectionSearch) report(t *rapid.T) {
+// report delivers some valid and invalid reports of peers.
+func (s *ejectionSimulation) report(t *rapid.T) {
 	for range rapid.IntRange(1, 12).Draw(t, "reports") {
 		peer := fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "peer"))
 		s.detector.receive(peer, HealthReport{
@@ -268,14 +276,14 @@
 	}
 }
 
-// checkEjection holds one ejection against its limits.
-func (s *ejectionSearch) checkEjection(t *rapid.T, ejection Ejection) {
+// checkEjection checks one ejection against the limits of its time and evidence.
+func (s *ejectionSimulation) checkEjection(t *rapid.T, ejection Ejection) {
 	endpoint := s.detector.endpoint(ejection.Endpoint)
 	if ejection.Until > s.now+s.detector.cfg.EjectionMs {
-		t.Fatalf("%+v lasts longer than stated at %d", ejection, s.now)
+		t.Fatalf("ejection %+v at %d ms lasts longer than EjectionMs", ejection, s.now)
 	}
 	if ejection.ObservedHere != (endpoint.Fault != 0 && endpoint.FaultAt > endpoint.AnsweredSentAt) {
-		t.Fatalf("%+v is given as observed here, which is %+v", ejection, endpoint)
+		t.Fatalf("ObservedHere of ejection %+v does not match the observed health %+v", ejection, endpoint)
 	}
 	fresh := false
 	for _, report := range s.detector.suspicions[ejection.Endpoint].reports {
@@ -288,14 +296,14 @@
 		fresh = fresh || ofFault && recent && report.evidenceAt > since
 	}
 	if !fresh {
-		t.Fatalf("%+v rests on no evidence newer than the last answer here", ejection)
+		t.Fatalf("ejection %+v has no recent evidence newer than the last answer here", ejection)
 	}
 }
 
-// checkGroups holds the ejections of each group against the group's limits.
-func (s *ejectionSearch) checkGroups(t *rapid.T, ejections map[string]Ejection) {
+// checkGroups checks the ejections of each group against the group's limits.
+func (s *ejectionSimulation) checkGroups(t *rapid.T, ejections map[string]Ejection) {
 	byGossip, ready := map[int]int{}, map[int]int{}
-	sound, soundLeft := map[int]int{}, map[int]int{}
+	healthy, healthyLeft := map[int]int{}, map[int]int{}
 	for _, endpoint := range s.endpoints {
 		if !endpoint.Ready {
 			continue
@@ -306,18 +314,18 @@
 			byGossip[endpoint.Group]++
 		}
 		if endpoint.Fault == 0 || endpoint.AnsweredSentAt > endpoint.FaultAt {
-			sound[endpoint.Group]++
+			healthy[endpoint.Group]++
 			if !isEjected {
-				soundLeft[endpoint.Group]++
+				healthyLeft[endpoint.Group]++
 			}
 		}
 	}
 	for group, count := range byGossip {
 		if float64(count) > s.detector.cfg.MaxEjectedFraction*float64(ready[group]) {
-			t.Fatalf("gossip ejects %d of %d ready endpoints", count, ready[group])
+			t.Fatalf("gossip ejects %d of %d ready endpoints, want at most MaxEjectedFraction", count, ready[group])
 		}
-		if sound[group] > 0 && soundLeft[group] == 0 {
-			t.Fatalf("gossip ejects the last of %d sound endpoints", sound[group])
+		if healthy[group] > 0 && healthyLeft[group] == 0 {
+			t.Fatalf("gossip ejects all %d healthy endpoints of a group, want at least one left", healthy[group])
 		}
 	}
 }
--- a/internal/fleetstate/scenarios_advice_test.go
+++ b/internal/fleetstate/scenarios_advice_test.go
@@ -80,14 +80,14 @@
 	c.bootAll()
 	c.run(2000)
 	for range 50 {
-		c.mishap(c.random.IntN(len(c.routers)), &c.databases[c.random.IntN(len(c.databases))])
+		c.injectRandomFault(c.random.IntN(len(c.routers)), &c.databases[c.random.IntN(len(c.databases))])
 		c.run(100 + 50*c.random.Int64N(15))
 	}
 	c.cut = nil
 	c.run(3000)
 }
 
-func (c *cluster) mishap(i int, d *database) {
+func (c *cluster) injectRandomFault(i int, d *database) {
 	r := c.routers[i]
 	switch c.random.IntN(10) {
 	case 0:
--- a/internal/fleetstate/scenarios_messages_test.go
+++ b/internal/fleetstate/scenarios_messages_test.go
@@ -8,16 +8,16 @@
 	"lotusbend/internal/fleetstate"
 )
 
-// oddMessages sends what no router in order sends.
-func oddMessages(c *cluster) {
+// invalidMessages sends what no router in order sends.
+func invalidMessages(c *cluster) {
 	c.databases[1].warmingUp = true
 	c.bootAll()
 	c.run(2500)
 	peer, endpoint := c.routers[1].name, c.databases[1].name
 	messages := slices.Concat(
-		oddCounters(c.routers[0].name, c.now),
-		oddReports(endpoint),
-		oddLeases(endpoint, c.now),
+		invalidCounters(c.routers[0].name, c.now),
+		invalidReports(endpoint),
+		invalidLeases(endpoint, c.now),
 	)
 	for _, m := range messages {
 		c.inject(peer, 0, m)
@@ -28,9 +28,9 @@
 	c.run(5000)
 }
 
-// oddCounters are entries without a name, too large, too old, of the future, and of
+// invalidCounters are entries without a name, too large, too old, of the future, and of
 // the receiver itself.
-func oddCounters(receiver string, now int64) []fleetstate.Message {
+func invalidCounters(receiver string, now int64) []fleetstate.Message {
 	return []fleetstate.Message{
 		{
 			Counters: []fleetstate.CounterEntry{
@@ -57,8 +57,8 @@
 	}
 }
 
-// oddReports are on an unknown endpoint, of unknown statuses and ages, and reordered.
-func oddReports(endpoint string) []fleetstate.Message {
+// invalidReports are on an unknown endpoint, of unknown statuses and ages, and reordered.
+func invalidReports(endpoint string) []fleetstate.Message {
 	return []fleetstate.Message{
 		{
 			HealthReports: []fleetstate.HealthReport{
@@ -80,9 +80,9 @@
 	}
 }
 
-// oddLeases are requests and grants of no amount, for an unknown endpoint,
+// invalidLeases are requests and grants of no amount, for an unknown endpoint,
 // duplicated, and not requested.
-func oddLeases(endpoint string, now int64) []fleetstate.Message {
+func invalidLeases(endpoint string, now int64) []fleetstate.Message {
 	return []fleetstate.Message{
 		{
 			LeaseRequests: []fleetstate.LeaseRequest{
--- a/internal/fleetstate/scenarios_test.go
+++ b/internal/fleetstate/scenarios_test.go
@@ -16,7 +16,7 @@
 }
 
 var scenarios = []scenario{
-	{name: "calm", seed: 1, script: calm},
+	{name: "calm", seed: 1, script: healthyFleet},
 	{name: "every-condition", seed: 2, script: everyCondition},
 	{name: "every-condition-bad-links", seed: 3, script: onBadLinks(everyCondition)},
 	{name: "every-condition-few-tries", seed: 4, script: withFewAttempts(everyCondition)},
@@ -44,9 +44,9 @@
 		config: func(c *fleetstate.Config) { c.MaxCounterEntries, c.MaxMessageBytes = 5, 400 },
 		script: onBadLinks(restartsAndCompaction),
 	},
-	{name: "splits", seed: 13, script: splits},
+	{name: "splits", seed: 13, script: partitions},
 	{name: "retry-budget", seed: 14, script: retryBudget},
-	{name: "odd-messages", seed: 15, script: oddMessages},
+	{name: "odd-messages", seed: 15, script: invalidMessages},
 	{name: "forged-grants", seed: 30, script: forgedGrants},
 	{name: "many-witnesses", seed: 31, script: manyReporters},
 	{name: "many-loans", seed: 32, config: inject(faultinjection.NoLeaseWait), script: manyLeases},
@@ -62,7 +62,7 @@
 	{name: "sabotage-2", seed: 19, config: inject(faultinjection.TrustOne), script: everyCondition},
 	{name: "sabotage-3", seed: 20, config: inject(faultinjection.CountsBySum), script: restartsAndCompaction},
 	{name: "sabotage-4", seed: 21, config: inject(faultinjection.NeverExpire), script: warmingEndpoints},
-	{name: "sabotage-5", seed: 22, config: inject(faultinjection.AllUnresponsive), script: calm},
+	{name: "sabotage-5", seed: 22, config: inject(faultinjection.AllUnresponsive), script: healthyFleet},
 	{name: "sabotage-6", seed: 23, config: inject(faultinjection.AllHealthy), script: everyCondition},
 	{name: "churn-1", seed: 24, script: churn},
 	{name: "churn-2", seed: 25, config: longSkew, script: onBadLinks(churn)},
@@ -109,7 +109,7 @@
 	}
 }
 
-func calm(c *cluster) {
+func healthyFleet(c *cluster) {
 	c.bootAll()
 	c.run(8000)
 }
@@ -134,11 +134,11 @@
 		}
 		c.run(1000)
 	}
-	c.wholeGroup()
+	c.failWholeGroup()
 }
 
-// wholeGroup fails over in one group and loses all of another.
-func (c *cluster) wholeGroup() {
+// failWholeGroup fails over in one group and loses all of another.
+func (c *cluster) failWholeGroup() {
 	c.databases[0].condition = fleetstate.Failing
 	for i := 3; i < 6; i++ {
 		c.databases[i].condition = fleetstate.Unresponsive
@@ -148,12 +148,12 @@
 	c.databases[8].unlisted = true
 	c.databases[8].condition = fleetstate.Unresponsive
 	c.run(3000)
-	c.forgetLastDatabase()
+	c.removeLastDatabase()
 	c.run(1500)
 }
 
-// forgetLastDatabase takes it off every router's list, with what was reported of it.
-func (c *cluster) forgetLastDatabase() {
+// removeLastDatabase takes it off every router's list, with what was reported of it.
+func (c *cluster) removeLastDatabase() {
 	c.databases = c.databases[:databases-1]
 	for _, r := range c.routers {
 		r.endpoints = r.endpoints[:databases-1]
@@ -224,8 +224,8 @@
 	c.run(c.config.CounterRetentionMs + 4000)
 }
 
-// splits cut the fleet in two, whose sizes fall late, and heal it.
-func splits(c *cluster) {
+// partitions cut the fleet in two, whose sizes fall late, and heal it.
+func partitions(c *cluster) {
 	c.databases[4].warmingUp = true
 	c.bootAll()
 	c.run(3000)
--- a/internal/fleetstate/status.go
+++ b/internal/fleetstate/status.go
@@ -4,21 +4,21 @@
 
 // StatusPage is a node's state for the admin page.
 type StatusPage struct {
-	Routers          int                // size of the fleet that stakes are computed from
-	SlowStart        map[string]Quota   // of warming endpoints' budgets, in parts of the whole
-	Stake            float64            // in an endpoint's budget
-	Lent             map[string]float64 // by budget
-	Borrowed         map[string]float64 // by budget
-	RetryQuota       Quota              // retries a second
+	Routers          int                // size of the fleet, from which stakes are computed
+	SlowStart        map[string]Quota   // fraction of each warming endpoint's budget, by endpoint name
+	Stake            float64            // fraction of an endpoint's budget
+	Lent             map[string]float64 // amount by budget
+	Borrowed         map[string]float64 // amount by budget
+	RetryQuota       Quota              // retries per second
 	Totals           Counters
-	Counters         []CounterEntry // of each router and incarnation kept apart, this one first
+	Counters         []CounterEntry // entries that are not compacted, this router's own first
 	Ejections        []Ejection
-	Reputation       map[string]float64 // of peers whose reports were refuted
-	RejectedCounters uint64             // entries that were too old or too many
-	UnknownSenders   uint64             // messages of routers outside the view
+	Reputation       map[string]float64 // of peers below full reputation, by name
+	RejectedCounters uint64             // number of received entries that were too old or too many
+	UnknownSenders   uint64             // number of messages from routers outside the view
 }
 
-// StatusPage copies the node's state at now, in ms, with the last advice.
+// StatusPage returns the node's state at now, in ms, with the latest advice.
 func (n *Node) StatusPage(now int64) StatusPage {
 	return StatusPage{
 		Routers:          n.routers,
@@ -36,11 +36,12 @@
 	}
 }
 
-// activeAmounts is the active amount of each budget.
+// activeAmounts returns the sum of the leases of each budget that have not
+// expired.
 func activeAmounts(leases map[string][]lease, now int64) map[string]float64 {
 	amounts := make(map[string]float64, len(leases))
-	for key, ofBudget := range leases {
-		amounts[key] = activeAmount(ofBudget, now)
+	for key, budgetLeases := range leases {
+		amounts[key] = activeAmount(budgetLeases, now)
 	}
 	return amounts
 }
--- a/internal/fleetstate/support.go
+++ b/internal/fleetstate/support.go
@@ -5,21 +5,22 @@
 	"slices"
 )
 
-// onset weighs the reports on an endpoint for one moment at which a fault may
-// have begun.
+// onset sums up the reports on an endpoint under the hypothesis that a fault began
+// at one time.
 type onset struct {
-	support        float64 // reputations of those who report a fault since then, less the others'
-	reporters      int     // who report a fault since then
-	status         HealthStatus
-	newestEvidence int64 // of theirs, ms
+	support        float64      // reputations of peers that report a fault since then, minus peers answered since
+	reporters      int          // number of peers that report a fault since then
+	status         HealthStatus // of the report with the newest evidence
+	newestEvidence int64        // of the reporters, ms
 }
 
-// support is the reputation of those who report a fault of the endpoint, less
-// that of those whom it answered after the fault began, for the onset that has
-// most. An endpoint that just hung has reports since then and nobody whom it
-// answered later; one that byzantine peers report has answered others ever
-// since. Without any valid report the onset has no reporters.
-func (d *outlierDetector) support(suspicion *suspicion, endpoint *EndpointHealth) (most onset) {
+// support returns the onset with the most support. Support is the sum of the
+// reputations of the peers that report a fault of the endpoint, minus those of the
+// peers that the endpoint answered after the fault began. If an endpoint really
+// stopped answering, no peer got an answer since. If byzantine peers report a
+// healthy endpoint, it has answered other peers since. Without any valid report of
+// a fault the returned onset has no reporters.
+func (d *outlierDetector) support(suspicion *suspicion, endpoint *EndpointHealth) (strongest onset) {
 	var valid []*peerReport
 	for i := range suspicion.reports {
 		report := &suspicion.reports[i]
@@ -28,16 +29,16 @@
 		}
 	}
 	for _, candidate := range d.onsets(valid) {
-		if most.reporters == 0 || candidate.support > most.support {
-			most = candidate
+		if strongest.reporters == 0 || candidate.support > strongest.support {
+			strongest = candidate
 		}
 	}
-	return most
+	return strongest
 }
 
-// verify compares a report with what was observed here and says whether that
-// makes it void. An answer to an attempt sent after the evidence voids a
-// reported fault. A fault confirmed here restores some of the reporter's
+// verify compares a report with this router's observations and returns whether
+// they make it void. An answer to an attempt sent after the evidence voids a
+// reported fault. A fault that this router observed too raises the reporter's
 // reputation.
 func (d *outlierDetector) verify(report *peerReport, endpoint *EndpointHealth) (void bool) {
 	if !report.status.isFault() {
@@ -55,15 +56,15 @@
 		return true
 	}
 	if !report.verified && endpoint.Fault != 0 && endpoint.FaultAt >= report.evidenceAt {
-		d.reputation.confirmed(report.peer)
+		d.reputation.reward(report.peer)
 		report.verified = true
 	}
 	return false
 }
 
-// refutes reports that the endpoint answered attempts sent shortly before and
-// shortly after the evidence: then it was healthy around it, and the report
-// was wrong.
+// refutes reports whether the endpoint answered attempts sent shortly before and
+// shortly after the evidence. Then it was healthy at the time, and the report was
+// wrong.
 func (d *outlierDetector) refutes(endpoint *EndpointHealth, report *peerReport) bool {
 	if report.status != Unresponsive && report.status != Failing {
 		return false // it may have been slow or lagging in between
@@ -76,10 +77,11 @@
 	return before < d.cfg.ReportTTLMs && after < d.cfg.ReportTTLMs
 }
 
-// recordRefuted lowers the reporter's reputation. Only its fall is an event: a
-// byzantine peer's every report would be one.
+// recordRefuted lowers the reporter's reputation. It adds an event only when the
+// reputation falls below lowReputation, because a byzantine peer's every report
+// would add one otherwise.
 func (d *outlierDetector) recordRefuted(report *peerReport, endpoint *EndpointHealth) {
-	left, fellLow := d.reputation.refuted(report.peer)
+	left, fellLow := d.reputation.penalize(report.peer)
 	if !fellLow {
 		return
 	}
@@ -92,13 +94,13 @@
 	})
 }
 
-// onsets weighs each moment at which a valid report of a fault began, in the
-// order of the reports. It goes through the moments from the latest to the
-// earliest, as each has the reporters of every later one: a fleet of thousands
-// sends as many reports.
+// onsets returns an onset for each valid report of a fault, at the report's first
+// evidence, in the order of the reports. It proceeds from the latest to the
+// earliest time, as an onset includes the reporters of every later one. Comparing
+// all pairs would be too slow with thousands of reports.
 func (d *outlierDetector) onsets(valid []*peerReport) []onset {
-	faults, healthy := latestFirst(valid)
-	byReport := make([]onset, len(valid)) // without reporters where the report is of no fault
+	faults, healthy := splitLatestFirst(valid)
+	byReport := make([]onset, len(valid)) // no reporters if the report is not of a fault
 	var current onset
 	newest := -1 // index of the report with the newest evidence so far
 	for next := 0; next < len(faults); {
@@ -107,9 +109,9 @@
 		for ; next < len(faults) && valid[faults[next]].firstEvidenceAt == began; next++ {
 			i := faults[next]
 			report := valid[i]
-			current.support += d.reputation.of(report.peer)
+			current.support += d.reputation.score(report.peer)
 			current.reporters++
-			// Of equally new evidence the first report's counts.
+			// Of equally new evidence, the first report sets the status.
 			tie := report.evidenceAt == current.newestEvidence && i < newest
 			if report.evidenceAt > current.newestEvidence || tie {
 				current.status = report.status
@@ -118,7 +120,7 @@
 			}
 		}
 		for len(healthy) > 0 && valid[healthy[0]].evidenceAt > began {
-			current.support -= d.reputation.of(valid[healthy[0]].peer)
+			current.support -= d.reputation.score(valid[healthy[0]].peer)
 			healthy = healthy[1:]
 		}
 		for _, i := range faults[first:next] {
@@ -128,9 +130,9 @@
 	return slices.DeleteFunc(byReport, func(o onset) bool { return o.reporters == 0 })
 }
 
-// latestFirst splits reports into those of faults, by the beginning of their
-// evidence, and those of health, by its end. It returns their indexes.
-func latestFirst(reports []*peerReport) (faults, healthy []int) {
+// splitLatestFirst returns the indexes of the reports of faults, by descending
+// first evidence, and of the healthy reports, by descending newest evidence.
+func splitLatestFirst(reports []*peerReport) (faults, healthy []int) {
 	for i, report := range reports {
 		if report.status == Healthy {
 			healthy = append(healthy, i)
--- a/internal/fleetstate/suspicion.go
+++ b/internal/fleetstate/suspicion.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// maxReporters bounds the reports kept on one endpoint: one of each router of a
-// large fleet.
+// maxReporters is the maximum number of reports kept on one endpoint. It allows
+// one from each router of a large fleet.
 const maxReporters = 4096
 
 // peerReport is one peer's latest report on an endpoint. Times are on this
@@ -14,15 +14,16 @@
 type peerReport struct {
 	peer            string
 	status          HealthStatus
-	evidenceAt      int64 // the newest evidence
-	firstEvidenceAt int64 // the oldest, where the report was renewed ever since
-	answeredBefore  int64 // EndpointHealth.AnsweredSentAt when the report came
-	verified        bool  // it was compared with what was observed here
+	evidenceAt      int64 // time of the newest evidence
+	firstEvidenceAt int64 // time of the first evidence in an uninterrupted series of reports
+	answeredBefore  int64 // EndpointHealth.AnsweredSentAt when the report arrived
+	verified        bool  // this router's observations already confirmed or voided it
 }
 
-// renewing continues an earlier report of the same peer: what was observed here
-// before its first evidence still counts.
-func (p peerReport) renewing(earlier peerReport) peerReport {
+// asRenewalOf returns the report as a continuation of the same peer's earlier
+// report, if both have the same status. It keeps the time of the first evidence
+// and the answer that this router observed before it.
+func (p peerReport) asRenewalOf(earlier peerReport) peerReport {
 	if earlier.status != p.status {
 		return p
 	}
@@ -33,50 +34,50 @@
 	return p
 }
 
-// suspicion is what is kept of one endpoint beside what was observed here: the
-// peers' reports, and the ejection that follows from them. Times are in ms.
+// suspicion holds the peers' reports on one endpoint and the ejection that results
+// from them. Times are in ms.
 type suspicion struct {
 	reports         []peerReport
-	reportTTLMs     int64 // how long a report on it counts here: drawn
+	reportTTLMs     int64 // age at which reports expire, drawn at random
 	ejected         bool
 	ejectedUntil    int64
-	gossipOnlySince int64           // since when gossip alone ejects it, 0 for not
-	rejectedFor     rejectionReason // why the last ejection was rejected
+	gossipOnlySince int64           // when ejection by gossip alone began, 0 for never
+	rejectedFor     rejectionReason // why the last ejection was rejected, empty if it was not
 }
 
-// newSuspicion draws its reports' lifetime, so that not all routers try an
-// endpoint again at one moment once nobody has new evidence: the first to try
-// reports to the others.
+// newSuspicion returns a suspicion with a random lifetime of reports, between half
+// of ttlMs and all of it. Once no router has new evidence, the routers then try
+// the endpoint at different times, and the first to try it reports to the others.
 func newSuspicion(ttlMs int64, rng *rand.Rand) *suspicion {
 	return &suspicion{reportTTLMs: ttlMs/2 + rng.Int64N(ttlMs/2+1)}
 }
 
-// add keeps a report instead of the same peer's earlier one. A report that the
-// endpoint is primary stands beside one on its health.
+// add adds a report, which replaces the same peer's earlier one. A peer's report
+// that the endpoint is primary is kept separately from its report of health.
 func (s *suspicion) add(report peerReport) {
 	i := slices.IndexFunc(s.reports, func(other peerReport) bool {
 		return other.peer == report.peer && (other.status == Primary) == (report.status == Primary)
 	})
 	switch {
-	case i >= 0 && report.evidenceAt <= s.reports[i].evidenceAt: // duplicated or reordered
+	case i >= 0 && report.evidenceAt <= s.reports[i].evidenceAt: // duplicate or reordered
 	case i >= 0:
-		s.reports[i] = report.renewing(s.reports[i])
+		s.reports[i] = report.asRenewalOf(s.reports[i])
 	case len(s.reports) < maxReporters:
 		s.reports = append(s.reports, report)
 	}
 }
 
-// expire drops reports with too old evidence.
+// expire removes the reports whose newest evidence is at least reportTTLMs old.
 func (s *suspicion) expire(now int64) {
 	s.reports = slices.DeleteFunc(s.reports, func(report peerReport) bool {
 		return now-report.evidenceAt >= s.reportTTLMs
 	})
 }
 
-// over reports that nothing is left of the suspicion. How long gossip alone has
-// ejected the endpoint is remembered for some times that limit, so that the
-// limit cannot begin anew at once.
-func (s *suspicion) over(now, gossipEjectionMs int64) bool {
+// finished reports whether the suspicion can be deleted. gossipOnlySince is kept
+// for four times gossipEjectionMs, so that the limit on ejection by gossip alone
+// cannot restart at once.
+func (s *suspicion) finished(now, gossipEjectionMs int64) bool {
 	if len(s.reports) > 0 || now < s.ejectedUntil {
 		return false
 	}
--- a/internal/fleetstate/unresponsive_plot_test.go
+++ b/internal/fleetstate/unresponsive_plot_test.go
@@ -17,10 +17,10 @@
 	"lotusbend/internal/fleetstate/faultinjection"
 )
 
-// plotHang draws requests lost with shared state as a fraction of those lost standalone,
+// plotResults draws requests lost with shared state as a fraction of those lost standalone,
 // against the fraction of byzantine routers, where LOTUSBEND_FIGURES names a
 // directory.
-func plotHang(t *testing.T, rows []hangResult) {
+func plotResults(t *testing.T, rows []caseResult) {
 	dir := os.Getenv("LOTUSBEND_FIGURES")
 	if dir == "" {
 		return
--- a/internal/fleetstate/unresponsive_test.go
+++ b/internal/fleetstate/unresponsive_test.go
@@ -16,70 +16,70 @@
 	"lotusbend/internal/slotmap"
 )
 
-// hangFleet plays real routers (module and embedding) on one manual clock
+// testFleet plays real routers (module and embedding) on one manual clock
 // before groups of endpoints, one replica of which takes requests and answers
 // none for a while, with the shared state sent by a network in memory.
-type hangFleet struct {
-	loop         *clock.Loop
-	clk          *clock.Clock
-	rng          *rand.Rand // of the network: arrivals and answers have their own, the same standalone and shared
-	routers      []*hangRouter
-	unresponsive uint32  // the endpoint that is unresponsive
-	from         float64 // ms, the beginning and end of that
-	to           float64
-	work         [2]float64 // ms, an answer's time
-	wrong        float64    // most of a group's ready endpoints wrongly ejected by one router, beside the unresponsive one
-	byName       map[string]*hangRouter
+type testFleet struct {
+	loop           *clock.Loop
+	clk            *clock.Clock
+	rng            *rand.Rand // of the network: arrivalRNG and answers have their own, the same standalone and shared
+	routers        []*testRouter
+	unresponsive   uint32  // the endpoint that is unresponsive
+	from           float64 // ms, the beginning and end of that
+	to             float64
+	answerTimeMs   [2]float64 // ms, an answer's time
+	wronglyEjected float64    // most of a group's ready endpoints wrongly ejected by one router, beside the unresponsive one
+	byName         map[string]*testRouter
 }
 
-type hangRouter struct {
-	f         *hangFleet
-	name      string
-	r         *router.Router
-	node      *fleetstate.Node
-	adapter   fleetstate.FleetAdapter
-	sent      map[slotmap.Handle]*sentTo
-	next      uint32
-	byzantine bool
-	come      *rand.Rand // arrivals
-	take      *rand.Rand // how long answers take
+type testRouter struct {
+	f             *testFleet
+	name          string
+	r             *router.Router
+	node          *fleetstate.Node
+	adapter       fleetstate.FleetAdapter
+	sent          map[slotmap.Handle]*pendingAttempt
+	next          uint32
+	byzantine     bool
+	arrivalRNG    *rand.Rand // arrivalRNG
+	answerTimeRNG *rand.Rand // how long answers answerTimeRNG
 
-	swallowed int // attempts, by the hang
+	unanswered int // attempts, by the hang
 }
 
-type sentTo struct{ end *clock.Deadline }
+type pendingAttempt struct{ end *clock.Deadline }
 
 const (
-	hangStart          = 4000.0
-	hangFor            = 12_000.0
-	hangGroup          = 10 // groups of a primary and three replicas
-	latencyObjectiveMs = 500
+	unresponsiveAfterMs = 4000.0
+	unresponsiveForMs   = 12_000.0
+	groupCount          = 10 // groups of a primary and three replicas
+	latencyObjectiveMs  = 500
 )
 
 func endpointName(id uint32) string { return fmt.Sprint("h", id) }
 
-func simulateHang(seed uint64, routers, byzantine int, fault faultinjection.Fault, shared bool) *hangFleet {
-	f := &hangFleet{
-		byName: map[string]*hangRouter{},
-		clk:    clock.Manual(1e6),
-		rng:    rand.New(rand.NewPCG(seed, 99)),
-		work:   [2]float64{15, 35},
-		from:   1e6 + hangStart,
-		to:     1e6 + hangStart + hangFor,
+func simulate(seed uint64, routers, byzantine int, fault faultinjection.Fault, shared bool) *testFleet {
+	f := &testFleet{
+		byName:       map[string]*testRouter{},
+		clk:          clock.Manual(1e6),
+		rng:          rand.New(rand.NewPCG(seed, 99)),
+		answerTimeMs: [2]float64{15, 35},
+		from:         1e6 + unresponsiveAfterMs,
+		to:           1e6 + unresponsiveAfterMs + unresponsiveForMs,
 	}
 	f.loop = clock.NewLoop(f.clk)
 	f.unresponsive = 2 + uint32(f.rng.IntN(3)) // a replica of the first group
 	f.loop.Do(func() {
 		for i := range routers {
-			h := &hangRouter{
-				f:         f,
-				name:      routerName(i),
-				byzantine: i < byzantine,
-				sent:      map[slotmap.Handle]*sentTo{},
-				come:      rand.New(rand.NewPCG(seed, uint64(2*i+1))),
-				take:      rand.New(rand.NewPCG(seed, uint64(2*i+2))),
+			h := &testRouter{
+				f:             f,
+				name:          routerName(i),
+				byzantine:     i < byzantine,
+				sent:          map[slotmap.Handle]*pendingAttempt{},
+				arrivalRNG:    rand.New(rand.NewPCG(seed, uint64(2*i+1))),
+				answerTimeRNG: rand.New(rand.NewPCG(seed, uint64(2*i+2))),
 			}
-			r, err := router.New(f.loop, hangConfig(routers), seed*1000+uint64(i))
+			r, err := router.New(f.loop, testConfig(routers), seed*1000+uint64(i))
 			if err != nil {
 				panic(err)
 			}
@@ -87,14 +87,14 @@
 			if shared {
 				h.share(seed+uint64(i), routers, fault)
 			}
-			r.Start(h, hangEndpoints())
+			r.Start(h, testEndpoints())
 			f.routers = append(f.routers, h)
 			f.byName[h.name] = h
 		}
 	})
 	f.loop.Do(func() {
 		for _, h := range f.routers {
-			f.loop.At(f.loop.Now()+h.come.Float64()*50, h.arrive)
+			f.loop.At(f.loop.Now()+h.arrivalRNG.Float64()*50, h.submitNext)
 			if shared {
 				f.loop.At(f.loop.Now()+f.rng.Float64()*100, h.observe)
 			}
@@ -105,7 +105,7 @@
 }
 
 // run fires the loop's events up to a time in ms.
-func (f *hangFleet) run(end float64) {
+func (f *testFleet) run(end float64) {
 	for {
 		at, ok := f.loop.Next()
 		if !ok || at > end {
@@ -117,7 +117,7 @@
 }
 
 // share starts the shared state of a router.
-func (h *hangRouter) share(seed uint64, routers int, fault faultinjection.Fault) {
+func (h *testRouter) share(seed uint64, routers int, fault faultinjection.Fault) {
 	now := int64(h.f.loop.Now())
 	cfg := fleetstate.Defaults()
 	cfg.Name = h.name
@@ -140,9 +140,9 @@
 
 func routerName(i int) string { return fmt.Sprint("r", i) }
 
-// hangEndpoints are groups of a primary and three replicas.
-func hangEndpoints() (endpoints []decide.Endpoint) {
-	for group := range hangGroup {
+// testEndpoints are groups of a primary and three replicas.
+func testEndpoints() (endpoints []decide.Endpoint) {
+	for group := range groupCount {
 		for i := range 4 {
 			endpoints = append(endpoints, decide.Endpoint{
 				ID:      uint32(4*group + i + 1),
@@ -155,7 +155,7 @@
 	return endpoints
 }
 
-func hangConfig(routers int) decide.Config {
+func testConfig(routers int) decide.Config {
 	return decide.Config{
 		Routers:                routers,
 		Zone:                   0,
@@ -185,33 +185,33 @@
 	}
 }
 
-// arrive brings a request, 20 a second at each router, and the next one.
-func (h *hangRouter) arrive() {
+// submitNext brings a request, 20 a second at each router, and the next one.
+func (h *testRouter) submitNext() {
 	f := h.f
-	h.r.Submit(router.Request{Class: 0, Group: h.come.IntN(hangGroup), TimeLeft: 1200}, h, slotmap.Handle{})
-	f.loop.At(f.loop.Now()+h.come.ExpFloat64()*50, h.arrive)
+	h.r.Submit(router.Request{Class: 0, Group: h.arrivalRNG.IntN(groupCount), TimeLeft: 1200}, h, slotmap.Handle{})
+	f.loop.At(f.loop.Now()+h.arrivalRNG.ExpFloat64()*50, h.submitNext)
 }
 
 // observe gives the shared state an observation, and takes its advice.
-func (h *hangRouter) observe() {
+func (h *testRouter) observe() {
 	f, now := h.f, int64(h.f.loop.Now())
 	h.node.Observe(h.r.Observe(endpointName))
-	h.post(h.node.Tick(now))
+	h.deliver(h.node.Tick(now))
 	h.advise()
 	f.loop.At(f.loop.Now()+50, h.observe)
 }
 
-func (h *hangRouter) advise() {
+func (h *testRouter) advise() {
 	now := int64(h.f.loop.Now())
 	a := h.node.Advice(now)
 	if !h.byzantine {
-		wrong := map[string]int{}
+		wronglyEjected := map[string]int{}
 		for _, x := range a.Ejections {
 			var id uint32
 			if _, err := fmt.Sscanf(x.Endpoint, "h%d", &id); err == nil && id != h.f.unresponsive && !x.ObservedHere {
 				k := fmt.Sprint((id - 1) / 4)
-				wrong[k]++
-				h.f.wrong = max(h.f.wrong, float64(wrong[k])/4)
+				wronglyEjected[k]++
+				h.f.wronglyEjected = max(h.f.wronglyEjected, float64(wronglyEjected[k])/4)
 			}
 		}
 	}
@@ -221,29 +221,29 @@
 	}, now)
 }
 
-func (h *hangRouter) post(r fleetstate.Ready) {
+func (h *testRouter) deliver(r fleetstate.Ready) {
 	for _, m := range r.Messages {
 		if to := h.f.byName[m.To]; to != nil {
 			h.f.loop.At(h.f.loop.Now()+1+2*h.f.rng.Float64(), func() {
-				to.post(to.node.Receive(h.name, m.Message, int64(h.f.loop.Now())))
+				to.deliver(to.node.Receive(h.name, m.Message, int64(h.f.loop.Now())))
 			})
 		}
 	}
 }
 
 // Send implements router.Transport.
-func (h *hangRouter) Send(endpoint uint32, a router.AttemptID, _ router.Statement, _ float64) slotmap.Handle {
+func (h *testRouter) Send(endpoint uint32, a router.AttemptID, _ router.Statement, _ float64) slotmap.Handle {
 	f := h.f
 	h.next++
 	ref := slotmap.FromID(uint64(h.next))
-	s := &sentTo{}
+	s := &pendingAttempt{}
 	h.sent[ref] = s
 	now := f.loop.Now()
 	if endpoint == f.unresponsive && now >= f.from && now < f.to {
-		h.swallowed++
+		h.unanswered++
 		return ref
 	}
-	s.end = f.loop.At(now+f.work[0]+h.take.Float64()*(f.work[1]-f.work[0]), func() {
+	s.end = f.loop.At(now+f.answerTimeMs[0]+h.answerTimeRNG.Float64()*(f.answerTimeMs[1]-f.answerTimeMs[0]), func() {
 		if h.sent[ref] == nil || endpoint == f.unresponsive && f.loop.Now() >= f.from && f.loop.Now() < f.to {
 			return
 		}
@@ -262,7 +262,7 @@
 }
 
 // Cancel implements router.Transport.
-func (h *hangRouter) Cancel(ref slotmap.Handle) bool {
+func (h *testRouter) Cancel(ref slotmap.Handle) bool {
 	if s := h.sent[ref]; s != nil {
 		h.f.loop.Cancel(s.end)
 		delete(h.sent, ref)
@@ -271,7 +271,7 @@
 }
 
 // CheckHealth implements router.Transport: an unresponsive endpoint answers health checks, as real ones may.
-func (h *hangRouter) CheckHealth(endpoint uint32) {
+func (h *testRouter) CheckHealth(endpoint uint32) {
 	h.f.loop.At(h.f.loop.Now()+1, func() {
 		role := decide.RoleReplica
 		if (endpoint-1)%4 == 0 {
@@ -285,37 +285,37 @@
 }
 
 // CloseIdle implements router.Transport.
-func (h *hangRouter) CloseIdle(uint32) {}
+func (h *testRouter) CloseIdle(uint32) {}
 
 // Answer implements router.Client.
-func (h *hangRouter) Answer(slotmap.Handle, router.Answer) {}
+func (h *testRouter) Answer(slotmap.Handle, router.Answer) {}
 
-// swallowed adds up what the unresponsive endpoint swallowed, without byzantine routers' requests.
-func (f *hangFleet) swallowed() (n int) {
+// unanswered adds up what the unresponsive endpoint unanswered, without byzantine routers' requests.
+func (f *testFleet) unanswered() (n int) {
 	for _, h := range f.routers {
 		if !h.byzantine {
-			n += h.swallowed
+			n += h.unanswered
 		}
 	}
 	return n
 }
 
-// hangResult is one case: attempts that the unresponsive endpoint swallowed, over all seeds,
+// caseResult is one case: attempts that the unresponsive endpoint unanswered, over all seeds,
 // and the most of a group's endpoints that gossip wrongly ejected.
-type hangResult struct {
+type caseResult struct {
 	routers, byzantine int
 	fault              faultinjection.Fault
 	standalone, shared int
-	wrong              float64
+	wronglyEjected     float64
 }
 
-func runHangCase(routers, byzantine int, fault faultinjection.Fault, seeds uint64) hangResult {
-	row := hangResult{routers: routers, byzantine: byzantine, fault: fault}
+func runCase(routers, byzantine int, fault faultinjection.Fault, seeds uint64) caseResult {
+	row := caseResult{routers: routers, byzantine: byzantine, fault: fault}
 	for seed := range seeds {
-		row.standalone += simulateHang(seed, routers, byzantine, fault, false).swallowed()
-		f := simulateHang(seed, routers, byzantine, fault, true)
-		row.shared += f.swallowed()
-		row.wrong = max(row.wrong, f.wrong)
+		row.standalone += simulate(seed, routers, byzantine, fault, false).unanswered()
+		f := simulate(seed, routers, byzantine, fault, true)
+		row.shared += f.unanswered()
+		row.wronglyEjected = max(row.wronglyEjected, f.wronglyEjected)
 	}
 	return row
 }
@@ -328,7 +328,7 @@
 // table of docs/shared-state.md (some minutes), with LOTUSBEND_FIGURES=DIR its
 // plot as well.
 func TestUnresponsiveEndpointStandaloneAndShared(t *testing.T) {
-	seeds, cases := uint64(4), []hangResult{
+	seeds, cases := uint64(4), []caseResult{
 		{routers: 20},
 		{routers: 20, byzantine: 6, fault: faultinjection.AllUnresponsive},
 		{routers: 20, byzantine: 6, fault: faultinjection.AllHealthy},
@@ -337,33 +337,33 @@
 	if large {
 		seeds, cases = 10, nil
 		for _, n := range []int{2, 20, 300} {
-			cases = append(cases, hangResult{routers: n})
+			cases = append(cases, caseResult{routers: n})
 			for _, fault := range []faultinjection.Fault{faultinjection.AllUnresponsive, faultinjection.AllHealthy} {
-				cases = append(cases, hangResult{routers: n, byzantine: 1, fault: fault})
+				cases = append(cases, caseResult{routers: n, byzantine: 1, fault: fault})
 				if n > 2 {
-					cases = append(cases, hangResult{routers: n, byzantine: n / 3, fault: fault})
+					cases = append(cases, caseResult{routers: n, byzantine: n / 3, fault: fault})
 				}
 				if n == 20 {
-					cases = append(cases, hangResult{
+					cases = append(cases, caseResult{
 						routers:   n,
 						byzantine: n / 2,
 						fault:     fault,
-					}, hangResult{routers: n, byzantine: n * 9 / 10, fault: fault})
+					}, caseResult{routers: n, byzantine: n * 9 / 10, fault: fault})
 				}
 			}
 		}
 	}
-	var rows []hangResult
+	var rows []caseResult
 	for _, c := range cases {
 		k := seeds
 		if c.routers > 100 {
 			k = 1
 		}
-		row := runHangCase(c.routers, c.byzantine, c.fault, k)
+		row := runCase(c.routers, c.byzantine, c.fault, k)
 		rows = append(rows, row)
 		ratio := float64(row.shared) / float64(row.standalone)
 		t.Logf("| %d | %d | %s | %d | %d | %.2f | %.2f |",
-			row.routers, row.byzantine, row.fault, row.standalone, row.shared, ratio, row.wrong)
+			row.routers, row.byzantine, row.fault, row.standalone, row.shared, ratio, row.wronglyEjected)
 		if row.standalone == 0 {
 			t.Fatal("the unresponsive endpoint swallowed nothing: nothing is measured")
 		}
@@ -376,10 +376,10 @@
 			t.Errorf("%d routers, %d byzantine (%s): %d lost with shared state, %d standalone",
 				row.routers, row.byzantine, row.fault, row.shared, row.standalone)
 		}
-		if row.wrong > fleetstate.Defaults().MaxEjectedFraction {
+		if row.wronglyEjected > fleetstate.Defaults().MaxEjectedFraction {
 			t.Errorf("%d routers, %d byzantine (%s): %.2f of a group wrongly ejected",
-				row.routers, row.byzantine, row.fault, row.wrong)
+				row.routers, row.byzantine, row.fault, row.wronglyEjected)
 		}
 	}
-	plotHang(t, rows)
+	plotResults(t, rows)
 }
--- a/internal/fleetstate/wire/decode.go
+++ b/internal/fleetstate/wire/decode.go
@@ -6,9 +6,9 @@
 	"lotusbend/internal/fleetstate"
 )
 
-// Decode returns the message of the bytes. Its errors are ErrTooLong, an error
-// that wraps ErrMalformed and the CBOR decoder's, a VersionError, and a
-// PartError for a name, status or amount that no router sends.
+// Decode decodes and validates a message. It returns an error that wraps
+// ErrTooLong, one that wraps ErrMalformed and the CBOR decoder's error, a
+// *VersionError, or a *PartError for an invalid name, status or amount.
 func (c *Codec) Decode(encoded []byte) (fleetstate.Message, error) {
 	if len(encoded) > maxMessageBytes {
 		return fleetstate.Message{}, fmt.Errorf("%w: %d bytes, want at most %d",
@@ -27,7 +27,7 @@
 	return decoded.message(), nil
 }
 
-// check returns a PartError for the first part that no router sends.
+// check returns a *PartError for the first invalid part.
 func (m *message) check() error {
 	for i, entry := range m.Counters {
 		if problem := nameProblem(entry.Name); problem != "" {
@@ -52,14 +52,16 @@
 	return nil
 }
 
-// nameProblem is what is wrong with a name, empty for nothing.
+// nameProblem describes what is invalid about a name, empty if it is valid.
 func nameProblem(name string) string {
 	if name == "" || len(name) > maxNameBytes {
-		return fmt.Sprintf("a name of %d bytes, want 1 to %d", len(name), maxNameBytes)
+		return fmt.Sprintf("name of %d bytes, want 1 to %d", len(name), maxNameBytes)
 	}
 	return ""
 }
 
+// reportProblem describes what is invalid about a health report, empty if it is
+// valid.
 func reportProblem(report healthReport) string {
 	if problem := nameProblem(report.Endpoint); problem != "" {
 		return problem
@@ -70,17 +72,19 @@
 	return ""
 }
 
+// leaseProblem describes what is invalid about the key or amount of a lease
+// request or grant, empty if both are valid.
 func leaseProblem(key string, amount float64) string {
 	if problem := nameProblem(key); problem != "" {
 		return problem
 	}
-	if valid := amount > 0 && amount <= maxAmount; !valid { // also for NaN
-		return fmt.Sprintf("amount %g, want above 0 to %g", amount, maxAmount)
+	if valid := amount > 0 && amount <= maxAmount; !valid { // NaN is invalid too
+		return fmt.Sprintf("amount %g, want more than 0 and at most %g", amount, maxAmount)
 	}
 	return ""
 }
 
-// message converts a checked message.
+// message converts a message that check accepted.
 func (m *message) message() (converted fleetstate.Message) {
 	for _, entry := range m.Counters {
 		converted.Counters = append(converted.Counters, fleetstate.CounterEntry{
--- a/internal/fleetstate/wire/errors.go
+++ b/internal/fleetstate/wire/errors.go
@@ -5,26 +5,28 @@
 	"fmt"
 )
 
-// ErrTooLong is returned by Decode for more bytes than a message may have.
+// ErrTooLong is returned by Codec.Decode for an input longer than maxMessageBytes.
 var ErrTooLong = errors.New("wire: message too long")
 
-// ErrMalformed wraps the CBOR decoder's error, which names the field.
+// ErrMalformed is returned by Codec.Decode together with the CBOR decoder's error,
+// which names the field.
 var ErrMalformed = errors.New("wire: malformed message")
 
-// VersionError is returned by Decode for a message of another version of the
-// protocol.
+// VersionError reports a message of an unsupported protocol version. Codec.Decode
+// returns it.
 type VersionError struct{ Version uint8 }
 
 // Error implements error.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("wire: version %d, want %d", e.Version, protocolVersion)
+	return fmt.Sprintf("wire: unsupported protocol version %d, want %d", e.Version, protocolVersion)
 }
 
-// PartError is returned by Decode for a part of a message that no router sends.
+// PartError reports a part of a message with an invalid name, status or amount.
+// Codec.Decode returns it.
 type PartError struct {
 	Part    string // "counters", "health report", "lease request" or "lease grant"
-	Index   int    // among the parts of its kind
-	Problem string
+	Index   int    // of the part among those of its kind, from 0
+	Problem string // the invalid value and what is allowed
 }
 
 // Error implements error.
--- a/internal/fleetstate/wire/wire.go
+++ b/internal/fleetstate/wire/wire.go
@@ -1,7 +1,7 @@
-// Package wire encodes the shared state's messages in CBOR (RFC 8949), with
-// integer keys and arrays to keep them small, and decodes them. Decoding is
-// bounded by the size of the packet: no input makes it panic or take more than
-// a few times its own size.
+// Package wire encodes and decodes the messages of package fleetstate in CBOR
+// (RFC 8949). Integer keys and arrays keep the encoding small. Decoding any input
+// is safe: it does not panic, and it allocates at most a few times the input's
+// size.
 package wire
 
 import (
@@ -15,14 +15,15 @@
 
 const (
 	protocolVersion = 1
-	maxMessageBytes = 1400
+	maxMessageBytes = 1400 // of an encoded message
 	maxNameBytes    = 128
-	maxAmount       = 1e9
+	maxAmount       = 1e9 // of a lease, in the unit of its budget
 )
 
-// The encoded parts of a message. The order of their fields, and the keys of
-// message, are the protocol.
+// The encoded parts of a message. The order of their fields and the keys of
+// message are part of the protocol.
 
+// counterEntry is the encoding of a fleetstate.CounterEntry.
 type counterEntry struct {
 	_        struct{} `cbor:",toarray"`
 	Name     string
@@ -31,6 +32,7 @@
 	Counters []uint64
 }
 
+// healthReport is the encoding of a fleetstate.HealthReport.
 type healthReport struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint string
@@ -38,6 +40,7 @@
 	AgeMs    uint32
 }
 
+// leaseRequest is the encoding of a fleetstate.LeaseRequest.
 type leaseRequest struct {
 	_           struct{} `cbor:",toarray"`
 	Key         string
@@ -46,6 +49,7 @@
 	RequestedAt int64
 }
 
+// leaseGrant is the encoding of a fleetstate.LeaseGrant.
 type leaseGrant struct {
 	_           struct{} `cbor:",toarray"`
 	Key         string
@@ -55,6 +59,7 @@
 	DurationMs  uint32
 }
 
+// message is the encoding of a fleetstate.Message.
 type message struct {
 	Version  uint8          `cbor:"0,keyasint"`
 	Counters []counterEntry `cbor:"1,keyasint,omitempty"`
@@ -69,11 +74,11 @@
 	decoder cbor.DecMode
 }
 
-// New makes a codec. It fails only if its own options are invalid.
+// New returns a codec. It fails only if the codec's own CBOR options are invalid.
 func New() (*Codec, error) {
 	encoder, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		return nil, fmt.Errorf("wire: encoder: %w", err)
+		return nil, fmt.Errorf("wire: creating CBOR encoder: %w", err)
 	}
 	decoder, err := cbor.DecOptions{
 		MaxNestedLevels:   5,
@@ -83,13 +88,13 @@
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 	}.DecMode()
 	if err != nil {
-		return nil, fmt.Errorf("wire: decoder: %w", err)
+		return nil, fmt.Errorf("wire: creating CBOR decoder: %w", err)
 	}
 	return &Codec{encoder: encoder, decoder: decoder}, nil
 }
 
-// Encode returns the bytes of a message. Durations beyond the protocol's range
-// are sent as its least or largest.
+// Encode returns the encoded message. Durations outside the protocol's range, 0 to
+// math.MaxUint32 ms, are encoded as its nearest limit.
 func (c *Codec) Encode(m fleetstate.Message) ([]byte, error) {
 	encoded := message{Version: protocolVersion}
 	for _, entry := range m.Counters {
@@ -127,7 +132,7 @@
 	return c.encoder.Marshal(encoded)
 }
 
-// milliseconds is a duration in the protocol's range.
+// milliseconds returns a duration in ms, limited to the protocol's range.
 func milliseconds(duration int64) uint32 {
 	return uint32(min(max(duration, 0), math.MaxUint32))
 }
