--- a/internal/fleetstate/characterization_test.go
+++ b/internal/fleetstate/characterization_test.go
@@ -12,17 +12,17 @@
 	"testing"
 )
 
-// update rewrites the expected digests. They pin what the package does, so
-// they may change only with a deliberate change of behaviour, never to make a
+// update rewrites the expected digests. They fix the behaviour of the package and
+// may change only with a deliberate change of behaviour, never to make a
 // refactoring pass.
 var update = flag.Bool("update", false, "rewrite testdata/characterization.txt, only with a deliberate change of behaviour")
 
 var goldenFile = filepath.Join("testdata", "characterization.txt")
 
-// TestCharacterization replays seeded scenarios of routers that share state
-// over bad links and compares a digest of everything the nodes emitted with
-// the recorded one. The digests cover numbers, positions and bytes alone:
-// renaming a type, a field or a kind does not move them.
+// TestCharacterization runs seeded scenarios of routers that share state over
+// unreliable links and compares a digest of all outputs of the nodes with the
+// recorded one. The digests cover only numbers, positions and bytes, so that
+// renaming a type, a field or a kind does not change them.
 func TestCharacterization(t *testing.T) {
 	golden, got := readGolden(t), map[string]string{}
 	for _, s := range scenarios {
@@ -32,7 +32,7 @@
 			c.recordNodes()
 			got[s.name] = c.digest.sum()
 			if !*update && got[s.name] != golden[s.name] {
-				t.Errorf("digest %s, want %q", got[s.name], golden[s.name])
+				t.Errorf("digest = %q, want %q", got[s.name], golden[s.name])
 			}
 		})
 	}
@@ -42,12 +42,13 @@
 	}
 	for name := range golden {
 		if !slices.ContainsFunc(scenarios, func(s scenario) bool { return s.name == name }) {
-			t.Errorf("%s has a digest for %q, which is no scenario", goldenFile, name)
+			t.Errorf("%s has a digest for %q, which is not a scenario", goldenFile, name)
 		}
 	}
 }
 
-// readGolden reads lines of a scenario's name and its digest.
+// readGolden returns the recorded digests by scenario name. It returns nil if the
+// file does not exist and is about to be written.
 func readGolden(t *testing.T) map[string]string {
 	t.Helper()
 	file, err := os.Open(goldenFile)
@@ -69,10 +70,11 @@
 	return golden
 }
 
+// writeGolden writes the digests of all scenarios to the golden file.
 func writeGolden(t *testing.T, got map[string]string) {
 	t.Helper()
 	if len(got) != len(scenarios) {
-		t.Fatalf("only %d of %d scenarios ran: update with all of them", len(got), len(scenarios))
+		t.Fatalf("%d of %d scenarios ran, want all of them for -update", len(got), len(scenarios))
 	}
 	var content strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(got)) {
--- a/internal/fleetstate/faultinjection/faultinjection_test.go
+++ b/internal/fleetstate/faultinjection/faultinjection_test.go
@@ -7,8 +7,9 @@
 	"lotusbend/internal/fleetstate"
 )
 
-// Each fault is found by its name and takes out its own guard, besides the
-// bound that every fault lifts; an unknown name is an error.
+// Parse finds each fault by its name. Each fault disables its own guard and the
+// limit on ejection by gossip alone, and no other guard. Parse of an unknown name
+// returns an error.
 func TestEachFaultTakesOutItsOwnGuard(t *testing.T) {
 	guards := map[Fault]func(fleetstate.FaultInjection) bool{
 		NoLeaseWait:     fleetstate.FaultInjection.SkipLeaseWait,
@@ -19,24 +20,24 @@
 		AllHealthy:      fleetstate.FaultInjection.ReportAllHealthy,
 	}
 	if len(Names()) != len(guards) {
-		t.Errorf("%d names, want %d", len(Names()), len(guards))
+		t.Errorf("Names() has %d names, want %d", len(Names()), len(guards))
 	}
 	for _, name := range Names() {
 		fault, err := Parse(name)
 		if err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("Parse(%q): %v", name, err)
 		}
-		for other, takenOut := range guards {
-			if got, want := takenOut(fault), other == fault; got != want {
-				t.Errorf("%s takes out the guard of %s: %v, want %v", fault, other, got, want)
+		for other, disables := range guards {
+			if got, want := disables(fault), other == fault; got != want {
+				t.Errorf("%s disables the guard of %s: %v, want %v", fault, other, got, want)
 			}
 		}
 		if !fault.UnlimitedGossipEjection() {
-			t.Errorf("%s keeps the bound on ejections by gossip", fault)
+			t.Errorf("UnlimitedGossipEjection() of %s = false, want true", fault)
 		}
 	}
 	var unknown *UnknownFaultError
 	if _, err := Parse("unknown"); !errors.As(err, &unknown) || unknown.Name != "unknown" {
-		t.Errorf("an unknown fault: %v", err)
+		t.Errorf("Parse(unknown name) = %v, want an UnknownFaultError with that name", err)
 	}
 }
--- a/internal/fleetstate/link/link_test.go
+++ b/internal/fleetstate/link/link_test.go
@@ -9,8 +9,9 @@
 	"lotusbend/internal/fleetstate/wire"
 )
 
-// A grant is sent only once the router acts on what the lender has left, and
-// bytes that no router sends are counted and change nothing.
+// A grant is sent only after the lender's router applies its reduced quota, so that
+// lender and borrower never use the same quota. Malformed messages are counted and
+// dropped.
 func TestGrantWaitsForTheRouter(t *testing.T) {
 	cfg := fleetstate.Defaults()
 	cfg.Name = "lender"
@@ -34,7 +35,7 @@
 		t.Fatal(err)
 	}
 	if out := l.Receive("peer", request, now); len(out) > 0 {
-		t.Fatal("the grant left before the router could know")
+		t.Fatal("Receive returned the grant before the router could apply its reduced quota")
 	}
 	grants := func() (n int) {
 		for _, p := range l.Tick(now) {
@@ -45,26 +46,26 @@
 		return n
 	}
 	if n := grants(); n > 0 {
-		t.Fatal("the grant left before the router acted on the advice")
+		t.Fatal("Tick returned the grant before Applied was called")
 	}
 	a := <-l.Advice()
 	if got := a.SlowStart["h"].At(now); got >= before {
-		t.Fatalf("the lender is advised %.2f after lending, %.2f before", got, before)
+		t.Fatalf("advised quota of the lender after lending = %.2f, want less than the previous %.2f", got, before)
 	}
 	l.Applied(a.Seq)
 	if n := grants(); n != 1 {
-		t.Fatalf("%d grants left once the router acts on its smaller quota, want 1", n)
+		t.Fatalf("Tick returned %d grants after Applied, want 1", n)
 	}
 	for _, b := range [][]byte{nil, {0xff}, make([]byte, 2000)} {
 		l.Receive("peer", b, now)
 	}
 	if l.Malformed.Load() != 3 {
-		t.Errorf("%d malformed messages counted, want 3", l.Malformed.Load())
+		t.Errorf("Malformed = %d, want 3", l.Malformed.Load())
 	}
 }
 
-// What the router counted is taken once, though it is offered more often than
-// it is taken.
+// Counters of several observations offered between two ticks are all added to the
+// totals, each once.
 func TestObservedCountersAreTakenOnce(t *testing.T) {
 	cfg := fleetstate.Defaults()
 	cfg.Name = "me"
@@ -80,6 +81,6 @@
 	l.Tick(1000)
 	l.Tick(2000)
 	if got := l.StatusPage().Totals.Get(1, fleetstate.Requests); got != 6 {
-		t.Errorf("the total is %d, want 6", got)
+		t.Errorf("total of requests = %d, want 6", got)
 	}
 }
--- a/internal/fleetstate/outlier_test.go
+++ b/internal/fleetstate/outlier_test.go
@@ -148,7 +148,7 @@
 			detector.receive(p, HealthReport{"b", Unresponsive, 0}, 1200)
 		}
 		if got := ejected(detector, 1200); got != "" {
-			t.Errorf("ejected %q with fault %v of the primary, want none", got, bad)
+			t.Errorf("ejected %q, the group's primary, want none", got)
 		}
 	}
 }
--- a/internal/fleetstate/scenarios_advice_test.go
+++ b/internal/fleetstate/scenarios_advice_test.go
@@ -8,8 +8,8 @@
 	"lotusbend/internal/fleetstate/faultinjection"
 )
 
-// adapterOverTime calls adapters at many moments before and after their
-// advice ends.
+// adapterOverTime calls an adapter at many times before and after its advice
+// expires.
 func adapterOverTime(c *cluster) {
 	adapter := &fleetstate.FleetAdapter{}
 	c.digest.adapter(adapter, c.now)
@@ -28,7 +28,7 @@
 	c.digest.adapter(adapter, c.now)
 }
 
-// randomAdvice ends within three seconds of now, or not at all.
+// randomAdvice returns advice whose parts expire within three seconds, or never.
 func (c *cluster) randomAdvice() fleetstate.Advice {
 	quota := func() fleetstate.Quota {
 		s := fleetstate.Quota{Own: c.random.Float64(), Borrowed: c.random.Float64(), Until: c.now + c.random.Int64N(3000)}
@@ -56,7 +56,7 @@
 	return a
 }
 
-// shiftedClocks moves observations and advice to other clocks.
+// shiftedClocks converts observations and advice to other clocks.
 func shiftedClocks(c *cluster) {
 	c.databases[1].warmingUp = true
 	c.databases[2].condition = fleetstate.Unresponsive
@@ -75,7 +75,7 @@
 	}
 }
 
-// churn lets the seed choose what befalls routers and endpoints.
+// churn injects random faults into routers, links and endpoints.
 func churn(c *cluster) {
 	c.bootAll()
 	c.run(2000)
@@ -87,6 +87,7 @@
 	c.run(3000)
 }
 
+// injectRandomFault starts or ends a random fault of router i, the network or d.
 func (c *cluster) injectRandomFault(i int, d *database) {
 	r := c.routers[i]
 	switch c.random.IntN(10) {
@@ -117,7 +118,7 @@
 	}
 }
 
-// checkConfigs hashes which configurations are accepted.
+// checkConfigs hashes which configurations Config.Check accepts.
 func checkConfigs(c *cluster) {
 	for _, change := range []func(*fleetstate.Config){
 		func(*fleetstate.Config) {},
@@ -152,8 +153,8 @@
 	c.digest.flag(err == nil)
 }
 
-// countersAndTexts reads and counts at the bounds of the counters, and reads each
-// health status back from its text; the number alone is hashed.
+// countersAndTexts adds and reads counters at the limits of their classes, and
+// parses the text of each health status. Only numbers are hashed.
 func countersAndTexts(c *cluster) {
 	var counters fleetstate.Counters
 	for _, class := range []int{-1, 0, 2, 63, 64} {
--- a/internal/fleetstate/scenarios_messages_test.go
+++ b/internal/fleetstate/scenarios_messages_test.go
@@ -8,7 +8,7 @@
 	"lotusbend/internal/fleetstate"
 )
 
-// invalidMessages sends what no router in order sends.
+// invalidMessages sends messages that no correct router sends.
 func invalidMessages(c *cluster) {
 	c.databases[1].warmingUp = true
 	c.bootAll()
@@ -28,8 +28,8 @@
 	c.run(5000)
 }
 
-// invalidCounters are entries without a name, too large, too old, of the future, and of
-// the receiver itself.
+// invalidCounters returns entries without a name, too large, too old, with a stamp
+// in the future, and of the receiver itself.
 func invalidCounters(receiver string, now int64) []fleetstate.Message {
 	return []fleetstate.Message{
 		{
@@ -57,7 +57,8 @@
 	}
 }
 
-// invalidReports are on an unknown endpoint, of unknown statuses and ages, and reordered.
+// invalidReports returns reports on an unknown endpoint, with invalid statuses and
+// ages, and reordered.
 func invalidReports(endpoint string) []fleetstate.Message {
 	return []fleetstate.Message{
 		{
@@ -80,8 +81,8 @@
 	}
 }
 
-// invalidLeases are requests and grants of no amount, for an unknown endpoint,
-// duplicated, and not requested.
+// invalidLeases returns requests and grants of invalid amounts, for an unknown
+// endpoint, duplicated, and unrequested.
 func invalidLeases(endpoint string, now int64) []fleetstate.Message {
 	return []fleetstate.Message{
 		{
@@ -109,7 +110,7 @@
 	}
 }
 
-// flood sends counters of many routers and requests quotas without end.
+// flood sends counters of many invented routers and many lease requests.
 func (c *cluster) flood(peer string) {
 	for i := range 300 {
 		m := fleetstate.Message{
@@ -122,7 +123,7 @@
 				},
 			},
 		}
-		for k := range 20 { // more answers than one message holds
+		for k := range 20 { // more grants than fit into one message
 			m.LeaseRequests = append(m.LeaseRequests, fleetstate.LeaseRequest{
 				Key:         c.databases[k%databases].name,
 				ID:          uint64(1000*i + k),
@@ -134,10 +135,10 @@
 	}
 }
 
-// forgedGrants answers requests with grants that do not match: of another
-// number, another time, another peer, and twice.
+// forgedGrants answers requests with grants that do not match them: with another
+// request ID, time or peer, and duplicated.
 func forgedGrants(c *cluster) {
-	c.databases[2].warmingUp = true // router 0 needs it
+	c.databases[2].warmingUp = true // router 0 has requests queued for it
 	c.bootAll()
 	for range 60 {
 		c.run(stepMs)
@@ -149,7 +150,8 @@
 	}
 }
 
-// forge sends router 0 grants for a request to lender, the true one last.
+// forge sends router 0 forged grants for a request to lender, then the valid one
+// twice.
 func (c *cluster) forge(request fleetstate.LeaseRequest, lender int) {
 	for k := range 7 {
 		g := fleetstate.LeaseGrant{
@@ -177,7 +179,7 @@
 	}
 }
 
-// manyPeers gives router 0 more peers than it keeps reports or leases of.
+// manyPeers gives router 0 more peers than maxReporters and maxLeases.
 func (c *cluster) manyPeers() (names []string) {
 	c.boot(0)
 	c.run(2000)
@@ -188,7 +190,7 @@
 	return names
 }
 
-// manyReporters lets more peers report a fault of an endpoint than are kept.
+// manyReporters lets more than maxReporters peers report a fault of an endpoint.
 func manyReporters(c *cluster) {
 	for i, peer := range c.manyPeers() {
 		c.inject(peer, 0, fleetstate.Message{
@@ -201,7 +203,7 @@
 	c.run(1000)
 }
 
-// manyLeases requests more leases of one budget than are kept.
+// manyLeases requests more than maxLeases leases of one budget.
 func manyLeases(c *cluster) {
 	peer := c.manyPeers()[0]
 	for i := range 4200 {
@@ -213,10 +215,10 @@
 	c.run(1500)
 }
 
-// manyLenders grants more leases of one budget than are kept, each of next to
-// nothing.
+// manyLenders grants more than maxLeases leases of one budget, each of a tiny
+// amount.
 func manyLenders(c *cluster) {
-	c.databases[2].warmingUp = true // router 0 needs it
+	c.databases[2].warmingUp = true // router 0 has requests queued for it
 	c.manyPeers()
 	node := c.routers[0].node
 	for range 11 {
--- a/internal/fleetstate/scenarios_test.go
+++ b/internal/fleetstate/scenarios_test.go
@@ -7,7 +7,8 @@
 	"lotusbend/internal/fleetstate/faultinjection"
 )
 
-// scenario is one seeded run of a cluster.
+// scenario is one seeded run of a cluster. Its name labels the digest in the golden
+// file.
 type scenario struct {
 	name   string
 	seed   uint64
@@ -71,6 +72,8 @@
 	{name: "cells-and-texts", seed: 28, script: countersAndTexts},
 }
 
+// longSkew configures a SkewMs longer than a lease, and that routers lend most of
+// their stakes.
 func longSkew(c *fleetstate.Config) {
 	c.LeaseMs = 600
 	c.SkewMs = 1200
@@ -81,10 +84,12 @@
 	c.FanOut = 2
 }
 
+// inject configures an injected fault.
 func inject(fault faultinjection.Fault) func(*fleetstate.Config) {
 	return func(c *fleetstate.Config) { c.FaultInjection = fault }
 }
 
+// onBadLinks runs a script on a network that loses, duplicates and delays messages.
 func onBadLinks(script func(*cluster)) func(*cluster) {
 	return func(c *cluster) {
 		c.loss, c.duplication, c.longestDelay = 0.2, 0.1, 600
@@ -92,6 +97,8 @@
 	}
 }
 
+// withFewAttempts runs a script in which routers rarely send attempts, so that most
+// of what they know of an endpoint is reported by peers.
 func withFewAttempts(script func(*cluster)) func(*cluster) {
 	return func(c *cluster) {
 		c.attemptChance = 0.01
@@ -99,7 +106,8 @@
 	}
 }
 
-// withLongNames makes reports too long for one message to hold all of them.
+// withLongNames runs a script with endpoint names so long that a message cannot
+// hold all reports.
 func withLongNames(script func(*cluster)) func(*cluster) {
 	return func(c *cluster) {
 		for i := range c.databases {
@@ -109,13 +117,14 @@
 	}
 }
 
+// healthyFleet runs routers and endpoints without any fault.
 func healthyFleet(c *cluster) {
 	c.bootAll()
 	c.run(8000)
 }
 
-// everyCondition puts endpoints into each condition, one after another, primaries
-// among them, and for a while all of a group.
+// everyCondition puts endpoints, including primaries, into each faulty condition in
+// turn, then all endpoints of a group at once.
 func everyCondition(c *cluster) {
 	c.bootAll()
 	c.run(3000)
@@ -137,7 +146,8 @@
 	c.failWholeGroup()
 }
 
-// failWholeGroup fails over in one group and loses all of another.
+// failWholeGroup fails over the primary of one group, makes all of another
+// unresponsive, and removes an endpoint from the list.
 func (c *cluster) failWholeGroup() {
 	c.databases[0].condition = fleetstate.Failing
 	for i := 3; i < 6; i++ {
@@ -152,7 +162,8 @@
 	c.run(1500)
 }
 
-// removeLastDatabase takes it off every router's list, with what was reported of it.
+// removeLastDatabase removes the last database from every router's list, whereupon
+// the reports on it are deleted.
 func (c *cluster) removeLastDatabase() {
 	c.databases = c.databases[:databases-1]
 	for _, r := range c.routers {
@@ -160,7 +171,8 @@
 	}
 }
 
-// byzantine report healthy endpoints as faulty, one and then several in concert, and stop.
+// byzantine lets one router, then three, report every endpoint as faulty, and then
+// lets the reputations recover.
 func byzantine(c *cluster) {
 	c.bootAll()
 	c.run(2500)
@@ -184,8 +196,8 @@
 	c.run(6000)
 }
 
-// warmingEndpoints lends and borrows quotas of warming endpoints, through pauses longer than
-// a lease and restarts.
+// warmingEndpoints lends and borrows quotas of endpoints in slow start, with
+// routers that restart and that pause for longer than a lease.
 func warmingEndpoints(c *cluster) {
 	c.bootAll()
 	c.databases[1].warmingUp = true
@@ -204,8 +216,9 @@
 	c.run(3000)
 }
 
-// restartsAndCompaction lets counters of stopped routers and of earlier instances
-// get old, and silences one router for longer than half of the retention.
+// restartsAndCompaction compacts counters of stopped routers and of earlier
+// incarnations, and partitions one router for longer than half of
+// CounterRetentionMs.
 func restartsAndCompaction(c *cluster) {
 	c.bootAll()
 	c.run(2000)
@@ -224,7 +237,8 @@
 	c.run(c.config.CounterRetentionMs + 4000)
 }
 
-// partitions cut the fleet in two, whose sizes fall late, and heal it.
+// partitions splits the fleet in two until the size of the fleet has shrunk on both
+// sides, and heals it.
 func partitions(c *cluster) {
 	c.databases[4].warmingUp = true
 	c.bootAll()
@@ -238,7 +252,8 @@
 	c.run(3000)
 }
 
-// retryBudget gives some routers retries to spare and lets others need them.
+// retryBudget gives some routers surplus retries and depletes the budgets of
+// others.
 func retryBudget(c *cluster) {
 	c.bootAll()
 	for round := range 8 {
--- a/internal/fleetstate/unresponsive_plot_test.go
+++ b/internal/fleetstate/unresponsive_plot_test.go
@@ -17,9 +17,9 @@
 	"lotusbend/internal/fleetstate/faultinjection"
 )
 
-// plotResults draws requests lost with shared state as a fraction of those lost standalone,
-// against the fraction of byzantine routers, where LOTUSBEND_FIGURES names a
-// directory.
+// plotResults plots the requests lost with shared state as a fraction of those lost
+// standalone, against the fraction of byzantine routers. It writes the figure to
+// the directory named by LOTUSBEND_FIGURES, if that is set.
 func plotResults(t *testing.T, rows []caseResult) {
 	dir := os.Getenv("LOTUSBEND_FIGURES")
 	if dir == "" {
@@ -29,12 +29,12 @@
 	for _, r := range rows {
 		y := float64(r.shared) / float64(r.standalone)
 		x := float64(r.byzantine) / float64(r.routers)
-		for fault, says := range map[faultinjection.Fault]string{
+		for fault, claim := range map[faultinjection.Fault]string{
 			faultinjection.AllUnresponsive: "every endpoint is unresponsive",
 			faultinjection.AllHealthy:      "every endpoint is healthy",
 		} {
 			if r.fault == fault || r.byzantine == 0 {
-				k := fmt.Sprintf("%d routers, reports that %s", r.routers, says)
+				k := fmt.Sprintf("%d routers, reports that %s", r.routers, claim)
 				lines[k] = append(lines[k], plotter.XY{X: x, Y: y})
 			}
 		}
--- a/internal/fleetstate/unresponsive_test.go
+++ b/internal/fleetstate/unresponsive_test.go
@@ -16,22 +16,26 @@
 	"lotusbend/internal/slotmap"
 )
 
-// testFleet plays real routers (module and embedding) on one manual clock
-// before groups of endpoints, one replica of which takes requests and answers
-// none for a while, with the shared state sent by a network in memory.
+// testFleet simulates real routers, including the decision module, on one manual
+// clock. They send requests to groups of endpoints, of which one replica accepts
+// requests but does not answer them for a time. A network in memory carries the
+// shared state.
 type testFleet struct {
-	loop           *clock.Loop
-	clk            *clock.Clock
-	rng            *rand.Rand // of the network: arrivalRNG and answers have their own, the same standalone and shared
-	routers        []*testRouter
-	unresponsive   uint32  // the endpoint that is unresponsive
-	from           float64 // ms, the beginning and end of that
-	to             float64
-	answerTimeMs   [2]float64 // ms, an answer's time
-	wronglyEjected float64    // most of a group's ready endpoints wrongly ejected by one router, beside the unresponsive one
+	loop         *clock.Loop
+	clk          *clock.Clock
+	rng          *rand.Rand // of the network; arrivals and answer times have their own, equal with and without sharing
+	routers      []*testRouter
+	unresponsive uint32     // ID of the endpoint that becomes unresponsive
+	from         float64    // when it becomes unresponsive, ms
+	to           float64    // when it answers again, ms
+	answerTimeMs [2]float64 // shortest and longest time to answer
+	// wronglyEjected is the largest fraction of a group's endpoints that one
+	// router ejected at a time, without the unresponsive one.
+	wronglyEjected float64
 	byName         map[string]*testRouter
 }
 
+// testRouter is one router with its transport and, if it shares state, its node.
 type testRouter struct {
 	f             *testFleet
 	name          string
@@ -41,12 +45,13 @@
 	sent          map[slotmap.Handle]*pendingAttempt
 	next          uint32
 	byzantine     bool
-	arrivalRNG    *rand.Rand // arrivalRNG
-	answerTimeRNG *rand.Rand // how long answers answerTimeRNG
+	arrivalRNG    *rand.Rand // of the times and groups of requests
+	answerTimeRNG *rand.Rand // of the endpoints' answer times
 
-	unanswered int // attempts, by the hang
+	unanswered int // attempts at the endpoint while it was unresponsive
 }
 
+// pendingAttempt is an attempt in flight. Its end is nil if it is never answered.
 type pendingAttempt struct{ end *clock.Deadline }
 
 const (
@@ -58,6 +63,8 @@
 
 func endpointName(id uint32) string { return fmt.Sprint("h", id) }
 
+// simulate runs a fleet in which the first byzantine routers inject a fault, with
+// or without shared state, until 2 s after the endpoint answers again.
 func simulate(seed uint64, routers, byzantine int, fault faultinjection.Fault, shared bool) *testFleet {
 	f := &testFleet{
 		byName:       map[string]*testRouter{},
@@ -104,7 +111,7 @@
 	return f
 }
 
-// run fires the loop's events up to a time in ms.
+// run processes the loop's events up to a time in ms.
 func (f *testFleet) run(end float64) {
 	for {
 		at, ok := f.loop.Next()
@@ -116,7 +123,7 @@
 	}
 }
 
-// share starts the shared state of a router.
+// share creates the node of a router and connects both.
 func (h *testRouter) share(seed uint64, routers int, fault faultinjection.Fault) {
 	now := int64(h.f.loop.Now())
 	cfg := fleetstate.Defaults()
@@ -140,7 +147,7 @@
 
 func routerName(i int) string { return fmt.Sprint("r", i) }
 
-// testEndpoints are groups of a primary and three replicas.
+// testEndpoints returns groups of a primary and three replicas.
 func testEndpoints() (endpoints []decide.Endpoint) {
 	for group := range groupCount {
 		for i := range 4 {
@@ -185,14 +192,16 @@
 	}
 }
 
-// submitNext brings a request, 20 a second at each router, and the next one.
+// submitNext submits a request and schedules the next one. Requests arrive at each
+// router in a Poisson process of 20 per second.
 func (h *testRouter) submitNext() {
 	f := h.f
 	h.r.Submit(router.Request{Class: 0, Group: h.arrivalRNG.IntN(groupCount), TimeLeft: 1200}, h, slotmap.Handle{})
 	f.loop.At(f.loop.Now()+h.arrivalRNG.ExpFloat64()*50, h.submitNext)
 }
 
-// observe gives the shared state an observation, and takes its advice.
+// observe passes an observation to the node, sends the node's messages and applies
+// its advice, every 50 ms.
 func (h *testRouter) observe() {
 	f, now := h.f, int64(h.f.loop.Now())
 	h.node.Observe(h.r.Observe(endpointName))
@@ -201,6 +210,7 @@
 	f.loop.At(f.loop.Now()+50, h.observe)
 }
 
+// advise applies the node's advice and records which healthy endpoints it ejects.
 func (h *testRouter) advise() {
 	now := int64(h.f.loop.Now())
 	a := h.node.Advice(now)
@@ -221,6 +231,7 @@
 	}, now)
 }
 
+// deliver delivers messages of the node to its peers with a delay of 1 to 3 ms.
 func (h *testRouter) deliver(r fleetstate.Ready) {
 	for _, m := range r.Messages {
 		if to := h.f.byName[m.To]; to != nil {
@@ -231,7 +242,7 @@
 	}
 }
 
-// Send implements router.Transport.
+// Send implements router.Transport. The unresponsive endpoint does not answer.
 func (h *testRouter) Send(endpoint uint32, a router.AttemptID, _ router.Statement, _ float64) slotmap.Handle {
 	f := h.f
 	h.next++
@@ -270,7 +281,8 @@
 	return true
 }
 
-// CheckHealth implements router.Transport: an unresponsive endpoint answers health checks, as real ones may.
+// CheckHealth implements router.Transport. The unresponsive endpoint passes health
+// checks, as a real one may.
 func (h *testRouter) CheckHealth(endpoint uint32) {
 	h.f.loop.At(h.f.loop.Now()+1, func() {
 		role := decide.RoleReplica
@@ -290,7 +302,8 @@
 // Answer implements router.Client.
 func (h *testRouter) Answer(slotmap.Handle, router.Answer) {}
 
-// unanswered adds up what the unresponsive endpoint unanswered, without byzantine routers' requests.
+// unanswered returns the number of attempts that were not answered, without those
+// of byzantine routers.
 func (f *testFleet) unanswered() (n int) {
 	for _, h := range f.routers {
 		if !h.byzantine {
@@ -300,8 +313,8 @@
 	return n
 }
 
-// caseResult is one case: attempts that the unresponsive endpoint unanswered, over all seeds,
-// and the most of a group's endpoints that gossip wrongly ejected.
+// caseResult is one case with the number of unanswered attempts over all seeds, and
+// the largest fraction of a group's endpoints that gossip wrongly ejected.
 type caseResult struct {
 	routers, byzantine int
 	fault              faultinjection.Fault
@@ -320,13 +333,15 @@
 	return row
 }
 
-// TestUnresponsiveEndpointStandaloneAndShared counts the requests that an endpoint swallows which
-// hangs for 12 s, by standalone routers and by routers that share
-// state, some of which are byzantine in concert. At 20 routers sharing must cut it to a
-// third; with byzantine ones it must not be worse than standalone, and nobody may wrongly
-// eject more than the stated fraction of a group. With LOTUSBEND_LARGE=1 the
-// table of docs/shared-state.md (some minutes), with LOTUSBEND_FIGURES=DIR its
-// plot as well.
+// TestUnresponsiveEndpointStandaloneAndShared counts the requests lost to an
+// endpoint that accepts requests for 12 s without answering, with standalone
+// routers and with routers that share state, some of which are byzantine and
+// collude. With 20 routers, sharing must reduce the losses to a third. With
+// byzantine routers the losses must not exceed those of standalone routers, and no
+// router may wrongly eject more than MaxEjectedFraction of a group.
+//
+// With LOTUSBEND_LARGE=1 it logs the table of docs/shared-state.md, which takes
+// some minutes. With LOTUSBEND_FIGURES=DIR it also plots the table.
 func TestUnresponsiveEndpointStandaloneAndShared(t *testing.T) {
 	seeds, cases := uint64(4), []caseResult{
 		{routers: 20},
@@ -365,19 +380,20 @@
 		t.Logf("| %d | %d | %s | %d | %d | %.2f | %.2f |",
 			row.routers, row.byzantine, row.fault, row.standalone, row.shared, ratio, row.wronglyEjected)
 		if row.standalone == 0 {
-			t.Fatal("the unresponsive endpoint swallowed nothing: nothing is measured")
+			t.Fatal("no attempt was unanswered standalone, want some to compare with")
 		}
 		if row.routers >= 20 && row.byzantine == 0 && 3*row.shared > row.standalone {
-			t.Errorf("%d routers: %d requests lost with shared state, %d standalone: not down by two thirds",
+			t.Errorf("%d routers: %d requests lost with shared state, %d standalone, want at most a third of them",
 				row.routers, row.shared, row.standalone)
 		}
-		// A handful of losses differ by chance: the square root of their number.
+		// The numbers of losses vary at random, with a standard deviation of about
+		// the square root of their number.
 		if most := float64(row.standalone) + 2*math.Sqrt(float64(row.standalone)); float64(row.shared) > most {
-			t.Errorf("%d routers, %d byzantine (%s): %d lost with shared state, %d standalone",
+			t.Errorf("%d routers, %d byzantine (%s): %d lost with shared state, %d standalone, want no more beyond chance",
 				row.routers, row.byzantine, row.fault, row.shared, row.standalone)
 		}
 		if row.wronglyEjected > fleetstate.Defaults().MaxEjectedFraction {
-			t.Errorf("%d routers, %d byzantine (%s): %.2f of a group wrongly ejected",
+			t.Errorf("%d routers, %d byzantine (%s): %.2f of a group wrongly ejected, want at most MaxEjectedFraction",
 				row.routers, row.byzantine, row.fault, row.wronglyEjected)
 		}
 	}
--- a/internal/fleetstate/wire/characterization_test.go
+++ b/internal/fleetstate/wire/characterization_test.go
@@ -18,23 +18,23 @@
 	"lotusbend/internal/fleetstate/wire"
 )
 
-// update rewrites the expected encodings. They are what other routers read, so
-// they may change only with a deliberate change of behaviour: a new version of
-// the format.
+// update rewrites the expected encodings. Other routers decode them, so they may
+// change only with a deliberate change of behaviour, which is a new version of the
+// protocol.
 var update = flag.Bool("update", false, "rewrite testdata/characterization.txt, only with a deliberate change of behaviour")
 
 var goldenFile = filepath.Join("testdata", "characterization.txt")
 
-// example is a message and the name of its line in the golden file, which
-// tells a message's parts by their positions: 1 counters, 2 claims, 3 asks, 4
-// grants.
+// example is a message and the name of its line in the golden file. The name
+// numbers the parts of a message by their CBOR keys: 1 counters, 2 health reports,
+// 3 lease requests, 4 lease grants.
 type example struct {
 	name    string
 	message fleetstate.Message
 }
 
-// TestCharacterization compares the encoding of every part of a message with
-// the recorded bytes, and decodes those to the message again.
+// TestCharacterization compares the encoding of every part of a message with the
+// recorded bytes, and checks that those decode to the message.
 func TestCharacterization(t *testing.T) {
 	codec := newCodec(t)
 	golden, got, all := readGolden(t), map[string]string{}, examples()
@@ -49,7 +49,7 @@
 				return
 			}
 			if got[e.name] != golden[e.name] {
-				t.Fatalf("encoded as %s, want %q", got[e.name], golden[e.name])
+				t.Fatalf("Encode(%s) = %q, want %q", e.name, got[e.name], golden[e.name])
 			}
 			checkDecoded(t, codec, golden[e.name], e.message)
 		})
@@ -60,11 +60,12 @@
 	}
 	for name := range golden {
 		if !slices.ContainsFunc(all, func(e example) bool { return e.name == name }) {
-			t.Errorf("%s has bytes for %q, which is no example", goldenFile, name)
+			t.Errorf("%s has bytes for %q, which is not an example", goldenFile, name)
 		}
 	}
 }
 
+// checkDecoded checks that bytes in hexadecimal decode to a message.
 func checkDecoded(t *testing.T, codec *wire.Codec, golden string, want fleetstate.Message) {
 	t.Helper()
 	encoded, err := hex.DecodeString(golden)
@@ -76,12 +77,12 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(decoded, want) {
-		t.Errorf("decoded %+v, want %+v", decoded, want)
+		t.Errorf("Decode(%s) = %+v, want %+v", golden, decoded, want)
 	}
 }
 
-// examples are each part of a message with the least values that are taken,
-// with usual ones and with the largest, then all parts in one.
+// examples returns messages with each part alone, with the least, usual and largest
+// values, and one message with all parts.
 func examples() []example {
 	longest := strings.Repeat("\U0010ffff", 32) // 128 bytes
 	all := []example{{"empty", fleetstate.Message{}}}
@@ -111,7 +112,7 @@
 	}})
 }
 
-// counterExamples are counters of a router.
+// counterExamples returns messages with one counter entry.
 func counterExamples(longest string) []example {
 	counters := func(entries ...fleetstate.CounterEntry) fleetstate.Message {
 		return fleetstate.Message{Counters: entries}
@@ -144,7 +145,7 @@
 	}
 }
 
-// requestExamples are lease requests.
+// requestExamples returns messages with lease requests.
 func requestExamples(longest string) []example {
 	requests := func(requests ...fleetstate.LeaseRequest) fleetstate.Message {
 		return fleetstate.Message{LeaseRequests: requests}
@@ -167,7 +168,7 @@
 	}
 }
 
-// grantExamples are lease grants.
+// grantExamples returns messages with lease grants.
 func grantExamples(longest string) []example {
 	grants := func(grants ...fleetstate.LeaseGrant) fleetstate.Message {
 		return fleetstate.Message{LeaseGrants: grants}
@@ -197,8 +198,8 @@
 	}
 }
 
-// TestCharacterizationOfBounds holds that durations beyond what the format
-// has are sent as its least or its largest.
+// TestCharacterizationOfBounds checks that durations outside the protocol's range
+// are encoded as its nearest limit.
 func TestCharacterizationOfBounds(t *testing.T) {
 	codec := newCodec(t)
 	for _, bound := range []struct {
@@ -221,7 +222,7 @@
 	}
 }
 
-// TestCharacterizationOfRejections holds which bytes are rejected.
+// TestCharacterizationOfRejections checks that Decode rejects invalid messages.
 func TestCharacterizationOfRejections(t *testing.T) {
 	codec := newCodec(t)
 	for name, message := range map[string]string{
@@ -233,7 +234,7 @@
 		"trailing byte":           "a1000100",
 		"1401 bytes":              strings.Repeat("00", 1401),
 		"counters without a name": "a2000101" + "8184600000" + "80",
-		"counters of long name":   "a2000101" + "81847881" + strings.Repeat("61", 129) + "000080",
+		"counters with long name": "a2000101" + "81847881" + strings.Repeat("61", 129) + "000080",
 		"report without a name":   "a2000102" + "8183600100",
 		"report of status 0":      "a2000102" + "818361610000",
 		"report of status 7":      "a2000102" + "818361610700",
@@ -246,9 +247,9 @@
 		"grant of 0":              "a2000104" + "8185616100f900000000",
 	} {
 		if encoded, err := hex.DecodeString(message); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: decoding the test's own hexadecimal: %v", name, err)
 		} else if _, err := codec.Decode(encoded); err == nil {
-			t.Errorf("%s: decoded", name)
+			t.Errorf("Decode(%s) succeeded, want an error", name)
 		}
 	}
 }
@@ -262,7 +263,8 @@
 	return codec
 }
 
-// readGolden reads lines of an example's name and its bytes in hex.
+// readGolden returns the recorded bytes in hexadecimal by example name. It returns
+// nil if the file does not exist and is about to be written.
 func readGolden(t *testing.T) map[string]string {
 	t.Helper()
 	file, err := os.Open(goldenFile)
@@ -284,10 +286,11 @@
 	return golden
 }
 
+// writeGolden writes the encodings of all examples to the golden file.
 func writeGolden(t *testing.T, got map[string]string, want int) {
 	t.Helper()
 	if len(got) != want {
-		t.Fatalf("only %d of %d examples ran: update with all of them", len(got), want)
+		t.Fatalf("%d of %d examples ran, want all of them for -update", len(got), want)
 	}
 	var content strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(got)) {
--- a/internal/fleetstate/wire/wire_test.go
+++ b/internal/fleetstate/wire/wire_test.go
@@ -10,8 +10,8 @@
 	"lotusbend/internal/fleetstate"
 )
 
-// Whatever a router sends comes back as it was, within the bytes that the
-// rules reckon with.
+// Every valid message decodes to itself, and its encoding is not longer than
+// Message.Size.
 func TestRoundTripWithinItsSize(t *testing.T) {
 	c, err := New()
 	if err != nil {
@@ -26,17 +26,17 @@
 			m.Counters = append(m.Counters, fleetstate.CounterEntry{
 				Name:  name.Draw(t, "name"),
 				Epoch: rapid.Int64().Draw(t, "epoch"),
-				Stamp: rapid.Int64().Draw(t, "stamp"), Counters: rapid.SliceOfN(rapid.Uint64(), 1, 10).Draw(t, "cells"),
+				Stamp: rapid.Int64().Draw(t, "stamp"), Counters: rapid.SliceOfN(rapid.Uint64(), 1, 10).Draw(t, "counters"),
 			})
 		}
 		for range n("reports") {
 			m.HealthReports = append(m.HealthReports, fleetstate.HealthReport{
-				Endpoint: name.Draw(t, "host"),
-				Status:   fleetstate.HealthStatus(rapid.IntRange(1, 6).Draw(t, "kind")),
+				Endpoint: name.Draw(t, "endpoint"),
+				Status:   fleetstate.HealthStatus(rapid.IntRange(1, 6).Draw(t, "status")),
 				AgeMs:    int64(rapid.Uint32().Draw(t, "age")),
 			})
 		}
-		for range n("borrower") {
+		for range n("requests") {
 			m.LeaseRequests = append(m.LeaseRequests, fleetstate.LeaseRequest{
 				Key:         name.Draw(t, "key"),
 				ID:          rapid.Uint64().Draw(t, "id"),
@@ -58,7 +58,7 @@
 			t.Fatal(err)
 		}
 		if len(b) > m.Size() {
-			t.Fatalf("%d bytes, over the %d reckoned", len(b), m.Size())
+			t.Fatalf("Encode returned %d bytes, want at most Size() = %d", len(b), m.Size())
 		}
 		if len(b) > maxMessageBytes {
 			return
@@ -68,12 +68,13 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(got, m) {
-			t.Fatalf("got %+v, sent %+v", got, m)
+			t.Fatalf("Decode(Encode(m)) = %+v, want %+v", got, m)
 		}
 	})
 }
 
-// FuzzDecode holds that no bytes panic, and that what decodes is within bounds.
+// FuzzDecode checks that no input makes Decode or a node panic, and that decoded
+// messages have valid names, amounts and statuses.
 func FuzzDecode(f *testing.F) {
 	c, err := New()
 	if err != nil {
@@ -96,12 +97,12 @@
 		}
 		for _, a := range m.LeaseRequests {
 			if !(a.Wanted > 0) || a.Key == "" {
-				t.Fatalf("a request of %g for %q", a.Wanted, a.Key)
+				t.Fatalf("decoded a lease request of %g for %q, want a positive amount and a key", a.Wanted, a.Key)
 			}
 		}
 		for _, x := range m.HealthReports {
 			if x.Status < fleetstate.Healthy || x.Status > fleetstate.Primary || x.Endpoint == "" {
-				t.Fatalf("a report of status %d", x.Status)
+				t.Fatalf("decoded a report of status %d, want a valid status and an endpoint name", x.Status)
 			}
 		}
 		n := fleetstate.New(func() fleetstate.Config { c := fleetstate.Defaults(); c.Name = "me"; return c }(), 3, 0)
@@ -112,21 +113,21 @@
 	})
 }
 
-// Each kind of error has its type.
+// Decode returns the documented error for each kind of invalid input.
 func TestDecodeErrorsAreTyped(t *testing.T) {
 	codec, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := codec.Decode(make([]byte, maxMessageBytes+1)); !errors.Is(err, ErrTooLong) {
-		t.Errorf("too many bytes: %v, want ErrTooLong", err)
+		t.Errorf("Decode(too many bytes) = %v, want ErrTooLong", err)
 	}
 	if _, err := codec.Decode([]byte{0xff}); !errors.Is(err, ErrMalformed) {
-		t.Errorf("no CBOR: %v, want ErrMalformed", err)
+		t.Errorf("Decode(invalid CBOR) = %v, want ErrMalformed", err)
 	}
 	var version *VersionError
 	if _, err := codec.Decode([]byte{0xa1, 0x00, 0x02}); !errors.As(err, &version) || version.Version != 2 {
-		t.Errorf("version 2: %v, want a VersionError", err)
+		t.Errorf("Decode(version 2) = %v, want a VersionError with version 2", err)
 	}
 	unnamed, err := codec.Encode(fleetstate.Message{LeaseGrants: []fleetstate.LeaseGrant{
 		{Key: "a", Amount: 1}, {Amount: 1},
@@ -136,6 +137,6 @@
 	}
 	var part *PartError
 	if _, err := codec.Decode(unnamed); !errors.As(err, &part) || part.Part != "lease grant" || part.Index != 1 {
-		t.Errorf("a grant without a key: %v, want a PartError of lease grant 1", err)
+		t.Errorf("Decode(grant without a key) = %v, want a PartError of lease grant 1", err)
 	}
 }
