--- a/internal/fleetstate/config.go
+++ b/internal/fleetstate/config.go
@@ -111,9 +111,9 @@
 	case c.TickMs <= 0:
 		return &ConfigError{"tick_ms", c.TickMs, "more than 0"}
 	case c.CounterIntervalMs < c.TickMs:
-		return &ConfigError{"counts_ms", c.CounterIntervalMs, fmt.Sprintf("the tick_ms of %d or more", c.TickMs)}
+		return &ConfigError{"counts_ms", c.CounterIntervalMs, fmt.Sprintf("tick_ms (%d) or more", c.TickMs)}
 	case c.LeaseMs < 2*c.TickMs:
-		return &ConfigError{"lease_ms", c.LeaseMs, fmt.Sprintf("twice the tick_ms of %d or more", c.TickMs)}
+		return &ConfigError{"lease_ms", c.LeaseMs, fmt.Sprintf("twice the tick_ms (%d) or more", c.TickMs)}
 	}
 	return nil
 }
@@ -149,9 +149,9 @@
 	case c.ReportTTLMs <= 0:
 		return &ConfigError{"claim_ms", c.ReportTTLMs, "more than 0"}
 	case c.EjectionMs < c.TickMs:
-		return &ConfigError{"hint_ms", c.EjectionMs, fmt.Sprintf("the tick_ms of %d or more", c.TickMs)}
+		return &ConfigError{"hint_ms", c.EjectionMs, fmt.Sprintf("tick_ms (%d) or more", c.TickMs)}
 	case c.GossipEjectionMs < c.EjectionMs:
-		want := fmt.Sprintf("the hint_ms of %d or more", c.EjectionMs)
+		want := fmt.Sprintf("hint_ms (%d) or more", c.EjectionMs)
 		return &ConfigError{"hearsay_ms", c.GossipEjectionMs, want}
 	case c.FanOut < 1:
 		return &ConfigError{"FanOut", c.FanOut, "1 or more"}
--- a/internal/fleetstate/counterstore.go
+++ b/internal/fleetstate/counterstore.go
@@ -48,7 +48,7 @@
 	entries        []CounterEntry // of peers and of this router's closed epochs, sorted by name and epoch
 	compacted      Counters       // sum of the entries removed
 	lastReceivedAt int64          // when the last message of any peer arrived, ms
-	rejected       uint64         // number of received entries that were too old or exceeded MaxCounterEntries
+	rejected       uint64         // number of received entries that were too old or too many
 }
 
 func newCounterStore(cfg Config, now int64) *counterStore {
--- a/internal/fleetstate/ejection.go
+++ b/internal/fleetstate/ejection.go
@@ -15,13 +15,14 @@
 	tooManyInGroup   rejectionReason = "too many endpoints of the group"
 )
 
-// Ejection deprioritizes an endpoint until a point in time.
+// Ejection deprioritizes an endpoint until a point in time. If this router
+// observed a fault too, the ejection only defers the circuit breaker's next trial.
 type Ejection struct {
 	Endpoint     string
 	Status       HealthStatus // the reported fault
 	Until        int64        // ms
-	Support      float64      // reputations of the peers that report a fault, minus those that report it healthy
-	ObservedHere bool         // this router observed a fault too: only the circuit breaker's next trial is deferred
+	Support      float64      // reputations of peers that report a fault, minus those of peers answered since
+	ObservedHere bool         // this router observed a fault too
 }
 
 // ejectionCandidate is an ejection with enough support, before the limits of its
--- a/internal/fleetstate/node.go
+++ b/internal/fleetstate/node.go
@@ -15,7 +15,7 @@
 	outliers *outlierDetector
 
 	configuredRouters int
-	routers           int   // size of the fleet: the configured one, or the largest recent view if that is larger
+	routers           int   // size of the fleet: the larger of the configured size and the recent views
 	routersAt         int64 // when a view last confirmed or set routers, ms
 	peers             []string
 	retryBudget       RetryBudget
--- a/internal/fleetstate/support.go
+++ b/internal/fleetstate/support.go
@@ -8,8 +8,8 @@
 // onset sums up the reports on an endpoint under the hypothesis that a fault began
 // at one time.
 type onset struct {
-	support        float64      // reputations of peers that report a fault since then, minus peers answered since
-	reporters      int          // number of peers that report a fault since then
+	support        float64      // reputations of the reporters, minus those of peers answered since
+	reporters      int          // number of peers that report a fault which began then or later
 	status         HealthStatus // of the report with the newest evidence
 	newestEvidence int64        // of the reporters, ms
 }
