--- a/internal/fleetstate/adapter_test.go
+++ b/internal/fleetstate/adapter_test.go
@@ -12,13 +12,13 @@
 // Every part of the advice expires without new advice, so that a router resuming
 // from a pause does not apply anything that has expired.
 func TestAdapterForgetsExpiredAdvice(t *testing.T) {
-	var g FleetAdapter
-	advised := g.Deprioritized(1, at(0)) || g.SuggestedPrimary(1, at(0))
-	if g.SlowStartRate(1, 5, 2, at(0)) != 5 || advised || g.RetryRate(at(0)) != 0 {
+	var adapter FleetAdapter
+	advised := adapter.Deprioritized(1, at(0)) || adapter.SuggestedPrimary(1, at(0))
+	if adapter.SlowStartRate(1, 5, 2, at(0)) != 5 || advised || adapter.RetryRate(at(0)) != 0 {
 		t.Fatal("an adapter without advice changes a rate or the order of endpoints, want no effect")
 	}
 	id := func(name string) (uint32, bool) { return uint32(len(name)), name != "unknown" }
-	g.Set(Advice{
+	adapter.Set(Advice{
 		Routers:            4,
 		RemainingStake:     0.5,
 		SlowStart:          map[string]Quota{"h": {Own: 0.125, Borrowed: 0.5, Until: 1000}, "unknown": {}},
@@ -27,22 +27,22 @@
 		SuggestedPrimaries: map[int]string{1: "hhh"},
 	}, id, 100)
 	// The stake is 0.25. Half of it is left, and two stakes are borrowed.
-	if got := g.SlowStartRate(1, 6, 2, at(999)); got != 6*0.5+2*2 {
+	if got := adapter.SlowStartRate(1, 6, 2, at(999)); got != 6*0.5+2*2 {
 		t.Errorf("SlowStartRate within the lease = %g, want 7 (half the own rate and two stakes)", got)
 	}
-	if got := g.SlowStartRate(1, 6, 2, at(1000)); got != 3 {
+	if got := adapter.SlowStartRate(1, 6, 2, at(1000)); got != 3 {
 		t.Errorf("SlowStartRate past the lease = %g, want 3 (half the own rate)", got)
 	}
-	if got := g.SlowStartRate(9, 6, 2, at(500)); got != 3 {
+	if got := adapter.SlowStartRate(9, 6, 2, at(500)); got != 3 {
 		t.Errorf("SlowStartRate of an endpoint without a quota = %g, want 3 (the remaining stake)", got)
 	}
-	if a, b := g.RetryRate(at(999)), g.RetryRate(at(1000)); a != 0.8 || b != -0.2 {
+	if a, b := adapter.RetryRate(at(999)), adapter.RetryRate(at(1000)); a != 0.8 || b != -0.2 {
 		t.Errorf("RetryRate = %g within the lease and %g past it, want 0.8 and -0.2", a, b)
 	}
-	if !g.Deprioritized(2, at(699)) || g.Deprioritized(2, at(700)) {
+	if !adapter.Deprioritized(2, at(699)) || adapter.Deprioritized(2, at(700)) {
 		t.Error("Deprioritized must be true before the ejection's end at 700 ms and false from then on")
 	}
-	if !g.SuggestedPrimary(3, at(1099)) || g.SuggestedPrimary(3, at(1100)) {
+	if !adapter.SuggestedPrimary(3, at(1099)) || adapter.SuggestedPrimary(3, at(1100)) {
 		t.Error("SuggestedPrimary must be true for 1000 ms after the advice and false from then on")
 	}
 }
@@ -68,19 +68,19 @@
 // Converting advice and observations to another clock shifts every time except
 // those that mean never, and leaves the original unchanged.
 func TestShiftedByMovesTimes(t *testing.T) {
-	a := Advice{
+	advice := Advice{
 		SlowStart:  map[string]Quota{"h": {Own: 1, Borrowed: 1, Until: 500}, "i": {Own: 1, Until: math.MaxInt64}},
 		RetryQuota: Quota{Until: 90},
 		Ejections:  []Ejection{{Endpoint: "h", Until: 70}},
 	}
-	b := a.ShiftedBy(2000)
-	quotasShifted := b.SlowStart["h"].Until == 2500 && b.SlowStart["i"].Until == math.MaxInt64 && b.RetryQuota.Until == 2090
-	if !quotasShifted || b.Ejections[0].Until != 2070 || a.Ejections[0].Until != 70 {
-		t.Errorf("ShiftedBy(2000) = %+v from %+v", b, a)
+	shifted := advice.ShiftedBy(2000)
+	quotasShifted := shifted.SlowStart["h"].Until == 2500 && shifted.SlowStart["i"].Until == math.MaxInt64 && shifted.RetryQuota.Until == 2090
+	if !quotasShifted || shifted.Ejections[0].Until != 2070 || advice.Ejections[0].Until != 70 {
+		t.Errorf("ShiftedBy(2000) = %+v from %+v", shifted, advice)
 	}
-	s := Observation{Endpoints: []EndpointHealth{{Name: "h", AnsweredSentAt: 10, FaultAt: 0, LastSentAt: 30}}}
-	got := s.ShiftedBy(5).Endpoints[0]
-	if got.AnsweredSentAt != 15 || got.FaultAt != 0 || got.LastSentAt != 35 || s.Endpoints[0].AnsweredSentAt != 10 {
+	observation := Observation{Endpoints: []EndpointHealth{{Name: "h", AnsweredSentAt: 10, FaultAt: 0, LastSentAt: 30}}}
+	got := observation.ShiftedBy(5).Endpoints[0]
+	if got.AnsweredSentAt != 15 || got.FaultAt != 0 || got.LastSentAt != 35 || observation.Endpoints[0].AnsweredSentAt != 10 {
 		t.Errorf("ShiftedBy(5) = %+v, want times 15, 0 and 35, and the original unchanged", got)
 	}
 }
--- a/internal/fleetstate/cluster_test.go
+++ b/internal/fleetstate/cluster_test.go
@@ -295,14 +295,14 @@
 
 // adapter hashes the results of an adapter at a time in ms, for each endpoint and
 // an unknown one.
-func (d *digest) adapter(g *fleetstate.FleetAdapter, at int64) {
+func (d *digest) adapter(fleet *fleetstate.FleetAdapter, at int64) {
 	now := time.Duration(at) * time.Millisecond
-	d.numbers(int64(g.Routers()))
-	d.amounts(g.RetryRate(now))
+	d.numbers(int64(fleet.Routers()))
+	d.amounts(fleet.RetryRate(now))
 	for number := range uint32(databases + 1) {
-		d.amounts(g.SlowStartRate(number, 0.75, 0.5, now))
-		d.flag(g.Deprioritized(number, now))
-		d.flag(g.SuggestedPrimary(number, now))
+		d.amounts(fleet.SlowStartRate(number, 0.75, 0.5, now))
+		d.flag(fleet.Deprioritized(number, now))
+		d.flag(fleet.SuggestedPrimary(number, now))
 	}
 }
 
--- a/internal/fleetstate/counterstore.go
+++ b/internal/fleetstate/counterstore.go
@@ -12,7 +12,7 @@
 type CounterEntry struct {
 	Name     string // of the owner
 	Epoch    int64  // start of the owner's incarnation, or of a later epoch that it began; ms
-	Stamp    int64  // owner's clock when it last updated the entry; ms
+	Stamp    int64  // owner's clock when it last sent the entry; ms
 	Counters Counters
 	sends    int // how often this router sent the entry since it changed
 }
--- a/internal/fleetstate/digest_test.go
+++ b/internal/fleetstate/digest_test.go
@@ -83,40 +83,40 @@
 	d.numbers(int64(m.Size()))
 	d.entries(m.Counters)
 	d.numbers(int64(len(m.HealthReports)), int64(len(m.LeaseRequests)), int64(len(m.LeaseGrants)))
-	for _, c := range m.HealthReports {
-		d.texts(c.Endpoint)
-		d.numbers(int64(c.Status), c.AgeMs)
+	for _, report := range m.HealthReports {
+		d.texts(report.Endpoint)
+		d.numbers(int64(report.Status), report.AgeMs)
 	}
-	for _, a := range m.LeaseRequests {
-		d.texts(a.Key)
-		d.amounts(a.Wanted)
-		d.numbers(int64(a.ID), a.RequestedAt)
+	for _, request := range m.LeaseRequests {
+		d.texts(request.Key)
+		d.amounts(request.Wanted)
+		d.numbers(int64(request.ID), request.RequestedAt)
 	}
-	for _, g := range m.LeaseGrants {
-		d.texts(g.Key)
-		d.amounts(g.Amount)
-		d.numbers(int64(g.ID), g.RequestedAt, g.DurationMs)
+	for _, grant := range m.LeaseGrants {
+		d.texts(grant.Key)
+		d.amounts(grant.Amount)
+		d.numbers(int64(grant.ID), grant.RequestedAt, grant.DurationMs)
 	}
 }
 
 func (d *digest) ready(r fleetstate.Ready) {
 	d.numbers(int64(len(r.Messages)))
-	for _, out := range r.Messages {
-		d.texts(out.To)
-		d.message(out.Message)
+	for _, envelope := range r.Messages {
+		d.texts(envelope.To)
+		d.message(envelope.Message)
 	}
 	d.numbers(int64(len(r.Events)))
-	for _, e := range r.Events {
-		d.texts(e.Key, e.Peer)
-		d.numbers(int64(e.Kind), int64(e.Status))
-		d.amounts(e.Amount)
-		d.flag(e.Reason != "")
+	for _, event := range r.Events {
+		d.texts(event.Key, event.Peer)
+		d.numbers(int64(event.Kind), int64(event.Status))
+		d.amounts(event.Amount)
+		d.flag(event.Reason != "")
 	}
 }
 
-func (d *digest) quota(s fleetstate.Quota) {
-	d.amounts(s.Own, s.Borrowed)
-	d.numbers(s.Until)
+func (d *digest) quota(value fleetstate.Quota) {
+	d.amounts(value.Own, value.Borrowed)
+	d.numbers(value.Until)
 }
 
 func (d *digest) quotas(quotas map[string]fleetstate.Quota) {
@@ -129,11 +129,11 @@
 
 func (d *digest) ejections(ejections []fleetstate.Ejection) {
 	d.numbers(int64(len(ejections)))
-	for _, j := range ejections {
-		d.texts(j.Endpoint)
-		d.numbers(int64(j.Status), j.Until)
-		d.amounts(j.Support)
-		d.flag(j.ObservedHere)
+	for _, ejection := range ejections {
+		d.texts(ejection.Endpoint)
+		d.numbers(int64(ejection.Status), ejection.Until)
+		d.amounts(ejection.Support)
+		d.flag(ejection.ObservedHere)
 	}
 }
 
--- a/internal/fleetstate/ejection.go
+++ b/internal/fleetstate/ejection.go
@@ -46,7 +46,7 @@
 //   - An answer of the endpoint ends its ejection. Without renewal the ejection
 //     ends after EjectionMs.
 //   - Gossip only ejects: no message of a peer readmits an endpoint, or raises the
-//     rate of requests to a warming one.
+//     fleet's total rate of requests to a warming one.
 func (d *outlierDetector) eject(now int64) (ejections []Ejection) {
 	d.expire(now)
 	candidates := map[int][]ejectionCandidate{}
--- a/internal/fleetstate/faultinjection/faultinjection_test.go
+++ b/internal/fleetstate/faultinjection/faultinjection_test.go
@@ -10,7 +10,7 @@
 // Parse finds each fault by its name. Each fault disables its own guard and the
 // limit on ejection by gossip alone, and no other guard. Parse of an unknown name
 // returns an error.
-func TestEachFaultTakesOutItsOwnGuard(t *testing.T) {
+func TestEachFaultDisablesOnlyItsGuard(t *testing.T) {
 	guards := map[Fault]func(fleetstate.FaultInjection) bool{
 		NoLeaseWait:     fleetstate.FaultInjection.SkipLeaseWait,
 		TrustOne:        fleetstate.FaultInjection.TrustSingleReporter,
--- a/internal/fleetstate/lease_test.go
+++ b/internal/fleetstate/lease_test.go
@@ -65,27 +65,27 @@
 }
 
 func (f *leaseFleet) request(from, to int) {
-	if a, ok := f.leases[from].request(endpoint, fmt.Sprint(to), f.stake(), f.clock(from)); ok {
-		f.inFlight = append(f.inFlight, envelope{from: from, to: to, request: &a})
+	if newRequest, ok := f.leases[from].request(endpoint, fmt.Sprint(to), f.stake(), f.clock(from)); ok {
+		f.inFlight = append(f.inFlight, envelope{from: from, to: to, request: &newRequest})
 	}
 }
 
 // deliver delivers message k and, unless twice is set, removes it from those in
 // flight.
 func (f *leaseFleet) deliver(k int, twice bool) {
-	l := f.inFlight[k]
+	message := f.inFlight[k]
 	if !twice {
 		f.inFlight = slices.Delete(f.inFlight, k, k+1)
 	}
-	if l.request != nil {
-		if g, ok := f.leases[l.to].grant(fmt.Sprint(l.from), *l.request, f.stake(), false, f.clock(l.to)); ok {
-			f.advise(l.to) // the grant is sent only after the lender applies its reduced quota
-			f.inFlight = append(f.inFlight, envelope{from: l.to, to: l.from, grant: &g})
+	if message.request != nil {
+		if newGrant, ok := f.leases[message.to].grant(fmt.Sprint(message.from), *message.request, f.stake(), false, f.clock(message.to)); ok {
+			f.advise(message.to) // the grant is sent only after the lender applies its reduced quota
+			f.inFlight = append(f.inFlight, envelope{from: message.to, to: message.from, grant: &newGrant})
 		}
 		return
 	}
-	f.leases[l.to].accept(fmt.Sprint(l.from), *l.grant, f.stake(), f.clock(l.to))
-	f.advise(l.to)
+	f.leases[message.to].accept(fmt.Sprint(message.from), *message.grant, f.stake(), f.clock(message.to))
+	f.advise(message.to)
 }
 
 // totalQuota returns the sum of the quotas that all routers use now.
@@ -105,7 +105,7 @@
 
 // A restarted borrower reuses request IDs. The lender must not take its request
 // for a duplicate from the earlier incarnation, whose lease expires sooner.
-func TestRequestOfAnotherIncarnationIsAnother(t *testing.T) {
+func TestRestartedBorrowerRequestIsNotADuplicate(t *testing.T) {
 	f := newLeaseFleet(Defaults(), 3)
 	f.now += f.cfg.LeaseMs + f.cfg.SkewMs
 	for i := range 3 {
@@ -137,9 +137,9 @@
 // With the injected faults, a lender that does not wait and leases that never
 // expire exceed the budget, so that the test of the budget detects them.
 func TestInjectedLeaseFaultsExceedTheBudget(t *testing.T) {
-	for _, s := range []faultinjection.Fault{faultinjection.NoLeaseWait, faultinjection.NeverExpire} {
+	for _, fault := range []faultinjection.Fault{faultinjection.NoLeaseWait, faultinjection.NeverExpire} {
 		cfg := Defaults()
-		cfg.FaultInjection = s
+		cfg.FaultInjection = fault
 		f := newLeaseFleet(cfg, 2)
 		f.now += cfg.LeaseMs + cfg.SkewMs
 		worst := 0.0
@@ -154,7 +154,7 @@
 			worst = max(worst, f.totalQuota())
 		}
 		if worst <= 1 {
-			t.Errorf("%s: largest sum of the quotas = %.2f, want more than 1", s, worst)
+			t.Errorf("%s: largest sum of the quotas = %.2f, want more than 1", fault, worst)
 		}
 	}
 }
--- a/internal/fleetstate/link/link_test.go
+++ b/internal/fleetstate/link/link_test.go
@@ -12,7 +12,7 @@
 // A grant is sent only after the lender's router applies its reduced quota, so that
 // lender and borrower never use the same quota. Malformed messages are counted and
 // dropped.
-func TestGrantWaitsForTheRouter(t *testing.T) {
+func TestGrantIsSentOnlyAfterAdviceIsApplied(t *testing.T) {
 	cfg := fleetstate.Defaults()
 	cfg.Name = "lender"
 	l, err := New(cfg, 2, 0, slog.New(slog.NewTextHandler(io.Discard, nil)))
--- a/internal/fleetstate/node.go
+++ b/internal/fleetstate/node.go
@@ -65,7 +65,8 @@
 	}
 }
 
-// Observe adds the router's observations since the previous call.
+// Observe adds the counts of an observation to the counters, and replaces the
+// health of the endpoints and the state of the retry budget.
 func (n *Node) Observe(observed Observation) {
 	n.counters.record(observed.Counters)
 	n.outliers.observe(observed.Endpoints)
--- a/internal/fleetstate/onset_test.go
+++ b/internal/fleetstate/onset_test.go
@@ -14,26 +14,26 @@
 		if began.status == Healthy {
 			continue
 		}
-		var b onset
-		for _, w := range valid {
+		var current onset
+		for _, report := range valid {
 			switch {
-			case w.status == Healthy && w.evidenceAt > began.firstEvidenceAt:
-				b.support -= d.reputation.score(w.peer)
-			case w.status != Healthy && w.firstEvidenceAt >= began.firstEvidenceAt:
-				b.support += d.reputation.score(w.peer)
-				b.reporters++
-				if w.evidenceAt > b.newestEvidence {
-					b.status, b.newestEvidence = w.status, w.evidenceAt
+			case report.status == Healthy && report.evidenceAt > began.firstEvidenceAt:
+				current.support -= d.reputation.score(report.peer)
+			case report.status != Healthy && report.firstEvidenceAt >= began.firstEvidenceAt:
+				current.support += d.reputation.score(report.peer)
+				current.reporters++
+				if report.evidenceAt > current.newestEvidence {
+					current.status, current.newestEvidence = report.status, report.evidenceAt
 				}
 			}
 		}
-		out = append(out, b)
+		out = append(out, current)
 	}
 	return out
 }
 
 // The results of onsets and onsetsByPairs are equal for random reports.
-func TestOnsetsFollowTheirDefinition(t *testing.T) {
+func TestOnsetsMatchPairwiseDefinition(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		detector := newOutlierDetector(Defaults(), 0)
@@ -63,7 +63,7 @@
 }
 
 // The reports of all routers of a large fleet on one endpoint count.
-func TestThousandsOfReportersCount(t *testing.T) {
+func TestSupportCountsThousandsOfReporters(t *testing.T) {
 	const routers = 3000
 	cfg := Defaults()
 	detector := newOutlierDetector(cfg, 0)
--- a/internal/fleetstate/outlier_test.go
+++ b/internal/fleetstate/outlier_test.go
@@ -115,7 +115,7 @@
 
 // Newer evidence of a peer defers the next trial of an endpoint whose fault this
 // router observed, by at most twice ReportTTLMs.
-func TestPeersEvidenceDefersTheTrialForAWhile(t *testing.T) {
+func TestPeerEvidenceDefersTrialForLimitedTime(t *testing.T) {
 	endpoints := groupOfThree()
 	endpoints[1].Fault, endpoints[1].FaultAt, endpoints[1].LastSentAt = Unresponsive, 1000, 1000
 	detector := detectorOf(endpoints...)
@@ -196,7 +196,7 @@
 
 // With the injected fault, a detector that trusts a single report ejects more than
 // the limits allow, so that the test of the limits detects it.
-func TestTrustInOneReporterExceedsTheLimits(t *testing.T) {
+func TestTrustInOneReporterExceedsEjectionLimits(t *testing.T) {
 	cfg := Defaults()
 	cfg.FaultInjection = faultinjection.TrustOne
 	detector := newOutlierDetector(cfg, 0)
--- a/internal/fleetstate/scenarios_advice_test.go
+++ b/internal/fleetstate/scenarios_advice_test.go
@@ -37,23 +37,23 @@
 		}
 		return s
 	}
-	a := fleetstate.Advice{Routers: c.random.IntN(9), RemainingStake: c.random.Float64(), RetryQuota: quota(),
+	advice := fleetstate.Advice{Routers: c.random.IntN(9), RemainingStake: c.random.Float64(), RetryQuota: quota(),
 		SlowStart: map[string]fleetstate.Quota{}, SuggestedPrimaries: map[int]string{}}
 	for _, d := range c.databases {
 		switch c.random.IntN(4) {
 		case 0:
-			a.SlowStart[d.name] = quota()
+			advice.SlowStart[d.name] = quota()
 		case 1:
-			a.Ejections = append(a.Ejections, fleetstate.Ejection{
+			advice.Ejections = append(advice.Ejections, fleetstate.Ejection{
 				Endpoint: d.name,
 				Status:   fleetstate.Unresponsive,
 				Until:    quota().Until,
 			})
 		case 2:
-			a.SuggestedPrimaries[d.group] = d.name
+			advice.SuggestedPrimaries[d.group] = d.name
 		}
 	}
-	return a
+	return advice
 }
 
 // shiftedClocks converts observations and advice to other clocks.
--- a/internal/fleetstate/scenarios_messages_test.go
+++ b/internal/fleetstate/scenarios_messages_test.go
@@ -154,7 +154,7 @@
 // twice.
 func (c *cluster) forge(request fleetstate.LeaseRequest, lender int) {
 	for k := range 7 {
-		g := fleetstate.LeaseGrant{
+		grant := fleetstate.LeaseGrant{
 			Key:         request.Key,
 			ID:          request.ID,
 			Amount:      request.Wanted / 16,
@@ -164,17 +164,17 @@
 		from := c.routers[lender].name
 		switch k {
 		case 0:
-			g.ID++
+			grant.ID++
 		case 1:
-			g.RequestedAt--
+			grant.RequestedAt--
 		case 2:
 			from = c.routers[1+lender%(routers-1)].name
 		case 3:
-			g.Amount = 0
+			grant.Amount = 0
 		case 4:
-			g.DurationMs = -1000
+			grant.DurationMs = -1000
 		}
-		c.inject(from, 0, fleetstate.Message{LeaseGrants: []fleetstate.LeaseGrant{g}})
+		c.inject(from, 0, fleetstate.Message{LeaseGrants: []fleetstate.LeaseGrant{grant}})
 		c.digest.page(c.routers[0].node.StatusPage(c.now))
 	}
 }
--- a/internal/fleetstate/suspicion.go
+++ b/internal/fleetstate/suspicion.go
@@ -38,9 +38,9 @@
 // from them. Times are in ms.
 type suspicion struct {
 	reports         []peerReport
-	reportTTLMs     int64 // age at which reports expire, drawn at random
-	ejected         bool
-	ejectedUntil    int64
+	reportTTLMs     int64           // age at which reports expire, drawn at random
+	ejected         bool            // an ejection is in force or may be renewed
+	ejectedUntil    int64           // end of the last ejection
 	gossipOnlySince int64           // when ejection by gossip alone began, 0 for never
 	rejectedFor     rejectionReason // why the last ejection was rejected, empty if it was not
 }
--- a/internal/fleetstate/wire/wire_test.go
+++ b/internal/fleetstate/wire/wire_test.go
@@ -12,7 +12,7 @@
 
 // Every valid message decodes to itself, and its encoding is not longer than
 // Message.Size.
-func TestRoundTripWithinItsSize(t *testing.T) {
+func TestRoundTripIsExactAndWithinSize(t *testing.T) {
 	c, err := New()
 	if err != nil {
 		t.Fatal(err)
@@ -95,14 +95,14 @@
 		if err != nil {
 			return
 		}
-		for _, a := range m.LeaseRequests {
-			if !(a.Wanted > 0) || a.Key == "" {
-				t.Fatalf("decoded a lease request of %g for %q, want a positive amount and a key", a.Wanted, a.Key)
+		for _, request := range m.LeaseRequests {
+			if !(request.Wanted > 0) || request.Key == "" {
+				t.Fatalf("decoded a lease request of %g for %q, want a positive amount and a key", request.Wanted, request.Key)
 			}
 		}
-		for _, x := range m.HealthReports {
-			if x.Status < fleetstate.Healthy || x.Status > fleetstate.Primary || x.Endpoint == "" {
-				t.Fatalf("decoded a report of status %d, want a valid status and an endpoint name", x.Status)
+		for _, report := range m.HealthReports {
+			if report.Status < fleetstate.Healthy || report.Status > fleetstate.Primary || report.Endpoint == "" {
+				t.Fatalf("decoded a report of status %d, want a valid status and an endpoint name", report.Status)
 			}
 		}
 		n := fleetstate.New(func() fleetstate.Config { c := fleetstate.Defaults(); c.Name = "me"; return c }(), 3, 0)
