--- a/decide/admission.go
+++ b/decide/admission.go
@@ -7,48 +7,54 @@
 )
 
 const (
-	// maxQueuedFraction is the part of its time left for which a request may be
+	// maxQueuedFraction is the fraction of its time left that a request may be
 	// queued before its first attempt.
 	maxQueuedFraction = 0.5
-	// queueAnswerMargin is taken off that, for the way of the answer.
+	// queueAnswerMargin is subtracted from that time, for the transmission of the
+	// answer.
 	queueAnswerMargin = 2 * tickInterval
-	// objectiveDivisor: work is taken to need at most this part of a latency
-	// objective, so that a wrong estimate cannot reject everything.
+	// objectiveDivisor divides a latency objective to give the upper bound of the
+	// latency estimate of a request, so that a wrong estimate cannot reject all
+	// requests.
 	objectiveDivisor = 4
-	// replicaReadFraction is the part of a primary's concurrency limit that is open
-	// to reads which a replica could serve.
+	// replicaReadFraction is the fraction of a primary's concurrency limit that
+	// reads may use which a replica could serve.
 	replicaReadFraction = 0.75
-	// admissionDecrease and admissionIncrease adapt the fraction of reads that are
-	// admitted, by an Overloaded answer and by each served one (and each second).
+	// admissionDecrease is the factor by which each Overloaded answer reduces the
+	// fractions of reads that are admitted.
 	admissionDecrease = 0.8
+	// admissionIncrease is the amount by which the admitted fraction rises with
+	// each served request, and each second.
 	admissionIncrease = 0.02
-	// primaryReadDecrease and primaryReadIncrease adapt the fraction of reads that
-	// may go to a primary, by its late answers and by the others (and each
-	// second). In balance a third of the answers are late.
+	// primaryReadDecrease is the factor by which each late answer of a primary
+	// reduces the fraction of reads that may go to a primary.
 	primaryReadDecrease = 0.9
+	// primaryReadIncrease is the relative increase of that fraction with each
+	// other answer, and the absolute increase each second. The fraction is stable
+	// if a third of the answers are late.
 	primaryReadIncrease = 0.05
 )
 
-// admissionControl sheds load: each read draws a number once, and only those
-// below the fractions pass.
+// admissionControl sheds load: each read draws one random number, and is admitted
+// if the number is less than the fraction.
 type admissionControl struct {
-	readFraction        float64 // of the reads that need no primary, admitted at all
-	primaryReadFraction float64 // of them, admitted at a primary
+	readFraction        float64 // of the reads that need no primary, the fraction that is admitted
+	primaryReadFraction float64 // of those reads, the fraction that may go to a primary
 }
 
-// overloaded notes that an endpoint's queue was full, so longer than most
-// objectives.
+// overloaded records an Overloaded answer: the queue of an endpoint is full, and
+// thus its waiting time longer than most latency objectives.
 func (c *admissionControl) overloaded() {
 	c.readFraction *= admissionDecrease
 	c.primaryReadFraction *= admissionDecrease
 }
 
-// served notes a served request.
+// served records a served attempt.
 func (c *admissionControl) served() {
 	c.readFraction = min(1, c.readFraction+admissionIncrease)
 }
 
-// primaryAnswered notes an answer of a primary.
+// primaryAnswered records the end of an attempt at a primary.
 func (c *admissionControl) primaryAnswered(inTime bool) {
 	if inTime {
 		c.primaryReadFraction = min(1, c.primaryReadFraction*(1+primaryReadIncrease))
@@ -57,15 +63,15 @@
 	c.primaryReadFraction *= primaryReadDecrease
 }
 
-// recover raises the fractions with time, also where nothing is sent that could
-// raise them.
+// recover raises the fractions by the elapsed time, so that they also recover
+// while no requests are sent.
 func (c *admissionControl) recover(elapsed time.Duration) {
 	c.readFraction = min(1, c.readFraction+admissionIncrease*elapsed.Seconds())
 	c.primaryReadFraction = min(1, c.primaryReadFraction+primaryReadIncrease*elapsed.Seconds())
 }
 
-// cannotFinishInTime reports whether the request would earn nothing if it were
-// sent now.
+// cannotFinishInTime reports whether the answer would probably come too late to
+// have any value if the request were sent now.
 func (r *Router) cannotFinishInTime(request *trackedRequest, now time.Duration) bool {
 	needed := r.latency
 	if primary := request.group.primary; primary != nil && request.class.Consistency.needsPrimary() {
@@ -78,7 +84,8 @@
 	return request.class.lateIsWorthless() && now+needed > request.objectiveAt
 }
 
-// expectedValue is what the request would likely earn if it were sent now.
+// expectedValue returns the probable value of the answer if the request were sent
+// now, in units of Class.PriorityWeight.
 func (r *Router) expectedValue(request *trackedRequest, now time.Duration) float64 {
 	if now+r.latency > request.objectiveAt {
 		return request.class.PriorityWeight * request.class.LateWeight
@@ -93,9 +100,9 @@
 	}
 }
 
-// drainQueue sends what a group has queued as far as there is capacity, the most
-// valuable requests first, and sheds those that cannot finish in time or have
-// been queued for too long.
+// drainQueue sends the queued requests of a group as far as there is capacity,
+// those of the greatest expected value first. It sheds requests that cannot finish
+// in time or have been queued for too long.
 func (r *Router) drainQueue(group *replicaGroup, now time.Duration) {
 	slices.SortStableFunc(group.queue, func(a, b *trackedRequest) int {
 		return cmp.Compare(r.expectedValue(b, now), r.expectedValue(a, now))
@@ -111,7 +118,8 @@
 	})
 }
 
-// dequeue sends a queued request if it can be, or sheds it.
+// dequeue sends a queued request if an endpoint can take it, sheds it if it is too
+// late, and leaves it in the queue otherwise.
 func (r *Router) dequeue(request *trackedRequest, now time.Duration) {
 	if r.cannotFinishInTime(request, now) {
 		r.failEarly(request)
--- a/decide/breaker.go
+++ b/decide/breaker.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	// initialTrialLatencies is how many latencies an open breaker first waits
-	// for its trial.
+	// initialTrialLatencies is the shortest backoff before a trial of an open
+	// circuit breaker, as a multiple of the endpoint's latency.
 	initialTrialLatencies = 6
-	// maxTrialBackoff bounds the wait, which doubles with each failed trial, so
-	// that a lasting outage costs few requests.
+	// maxTrialBackoff is the longest backoff between trials. The backoff doubles
+	// with each trial, so that few requests fail in a long outage.
 	maxTrialBackoff = 4 * time.Second
 )
 
-// circuitBreaker keeps requests away from an endpoint that does not answer,
-// except for one trial whenever its backoff has passed.
+// circuitBreaker blocks requests to an endpoint that does not answer, except for
+// one trial request after each backoff. The zero value is closed.
 type circuitBreaker struct {
 	open        bool
 	nextTrialAt time.Duration
-	backoff     time.Duration
+	backoff     time.Duration // 0 if the breaker is closed
 }
 
-// trip opens the breaker, or keeps an open one open twice as long.
+// trip opens the breaker, or doubles the backoff of an open one.
 func (b *circuitBreaker) trip(latency, now time.Duration) {
 	b.backoff = min(max(2*b.backoff, initialTrialLatencies*latency), maxTrialBackoff)
 	b.open = true
@@ -35,27 +35,27 @@
 	return true
 }
 
-// reset closes the breaker of an endpoint that has restarted.
+// reset closes the breaker and clears its backoff.
 func (b *circuitBreaker) reset() {
 	b.open = false
 	b.backoff = 0
 }
 
-// allowsTrial reports whether a closed breaker, or one whose trial is due, lets
-// a request pass.
+// allowsTrial reports whether the breaker lets a request pass: it is closed, or a
+// trial is due.
 func (b *circuitBreaker) allowsTrial(now time.Duration) bool {
 	return !b.open || now >= b.nextTrialAt
 }
 
-// overdue reports whether an open breaker's trial has been due for as long as
-// it waited for it.
+// overdue reports whether the trial of an open breaker has been due for at least
+// as long as its backoff.
 func (b *circuitBreaker) overdue(now time.Duration) bool {
 	return now >= b.nextTrialAt+b.backoff
 }
 
-// openCircuit trips the endpoint's breaker. Once its trial is due a read finds
-// out whether it answers: a health check would tell little, as a process that
-// serves nothing may still answer health checks.
+// openCircuit trips the endpoint's circuit breaker. The trial is a client request
+// and not a health check, because a process that serves no requests may still
+// answer health checks.
 func (r *Router) openCircuit(endpoint *trackedEndpoint, now time.Duration) {
 	endpoint.breaker.trip(r.latencyOf(endpoint), now)
 }
--- a/decide/clientretries.go
+++ b/decide/clientretries.go
@@ -3,29 +3,32 @@
 import "time"
 
 const (
-	// clientTimeJitter is the spread of the clients' way to the router.
+	// clientTimeJitter is the greatest difference between two times left that
+	// count as equal, due to the varying network latency from client to router.
 	clientTimeJitter = 10 * time.Millisecond
-	// maxTimeLeftVotes bounds the votes for the typical time left: as many more
-	// others replace it.
+	// maxTimeLeftVotes is the greatest vote count of the typical time left, and
+	// so the number of differing requests that replace it.
 	maxTimeLeftVotes = 32
-	// maxPendingClientRetries bounds the client retries that are waited for.
+	// maxPendingClientRetries is the greatest number of expected client retries.
 	maxPendingClientRetries = 1 << 14
-	// expectedClientRetries is how many retries a first request that is answered
-	// early may bring.
+	// expectedClientRetries is how many retries by its client may follow a first
+	// request that is answered early.
 	expectedClientRetries = 2
 )
 
-// clientRetryEstimate recognizes requests that are retries by a client, which
-// do not say so. First requests of a class mostly come with the same time left;
-// a request with another one is a retry with what remains of its client's wait.
-// As uneven first requests look the same, the number of requests answered early
-// bounds how many are taken for retries.
+// clientRetryEstimate estimates which requests are retries by a client, as they
+// are not marked. Most first requests of a class arrive with the same time left,
+// which a majority vote finds; a request with another time left is taken for a
+// retry with the remainder of its client's deadline. First requests whose time
+// left varies look the same, so the number of requests answered early limits how
+// many are taken for retries.
 type clientRetryEstimate struct {
 	typicalTimeLeft []time.Duration // by class
 	votes           []int           // by class, for the typical time left
-	pending         int             // retries expected
+	pending         int             // number of retries that are still expected
 }
 
+// newClientRetryEstimate returns an estimate for the given number of classes.
 func newClientRetryEstimate(classes int) clientRetryEstimate {
 	return clientRetryEstimate{
 		typicalTimeLeft: make([]time.Duration, classes),
@@ -33,7 +36,8 @@
 	}
 }
 
-// expect notes that so many retries may follow a request answered early.
+// expect records that the given number of retries may follow a request that was
+// answered early.
 func (e *clientRetryEstimate) expect(retries int) {
 	e.pending = min(e.pending+retries, maxPendingClientRetries)
 }
--- a/decide/concurrency.go
+++ b/decide/concurrency.go
@@ -3,31 +3,32 @@
 import "time"
 
 const (
-	// initialConcurrency is the limit of an endpoint of which nothing is known.
+	// initialConcurrency is the concurrency limit of a new endpoint.
 	initialConcurrency = 4.0
-	// recoveryConcurrency is the limit after its circuit breaker was open.
+	// recoveryConcurrency is the greatest limit after a circuit breaker has closed.
 	recoveryConcurrency = 2.0
-	// increaseBelow is the fraction of a latency objective below which an answer
-	// raises the limit.
+	// increaseBelow is the fraction of a latency objective up to which the latency
+	// of an answer raises the limit.
 	increaseBelow = 0.25
-	// decreaseAbove is the fraction above which an answer lowers it: queues must
-	// end well before objectives do.
+	// decreaseAbove is the fraction of a latency objective above which the latency
+	// of an answer lowers the limit: requests must leave an endpoint's queue well
+	// before their objectives end.
 	decreaseAbove = 0.35
-	// concurrencyDecrease is the factor of one reduction; the load of a lost
-	// zone arrives at once.
+	// concurrencyDecrease is the factor of one decrease. It is small enough for
+	// the failure of a zone, which moves all its load at once.
 	concurrencyDecrease = 0.7
 )
 
-// concurrencyLimit bounds the attempts in flight at one endpoint: additive
-// increase, multiplicative decrease, at most one decrease for the attempts sent
-// before it.
+// concurrencyLimit limits the attempts in flight at one endpoint. It adapts by
+// additive increase and multiplicative decrease; attempts sent before a decrease
+// cause no further one.
 type concurrencyLimit struct {
-	value     float64
+	value     float64 // attempts in flight
 	reducedAt time.Duration
 }
 
-// observe adapts the limit to an answer that used a fraction of its latency
-// objective.
+// observe adapts the limit to the latency of an answer, given as a fraction of
+// its latency objective.
 func (l *concurrencyLimit) observe(objectiveUsed float64, inFlight int, sentAt, now time.Duration) {
 	if objectiveUsed <= increaseBelow && float64(inFlight) >= l.value/2 {
 		l.value += 1 / l.value
@@ -42,10 +43,11 @@
 // capAt lowers the limit to at most the given one.
 func (l *concurrencyLimit) capAt(limit float64) { l.value = min(l.value, limit) }
 
-// adaptConcurrency adapts the limits to an attempt that used a fraction of its
-// latency objective. What primaries answer later than the tightest objective of
-// the classes that only they serve also lowers the fraction of reads that may go
-// to primaries, as many routers' limits add up.
+// adaptConcurrency adapts the endpoint's concurrency limit to the latency of an
+// attempt, given as a fraction of its latency objective. An attempt at a primary
+// that took at least as long as the tightest objective of the classes that only
+// primaries serve also lowers the fraction of reads that may go to primaries: the
+// limits of many routers add up, so the concurrency limit alone is not enough.
 func (r *Router) adaptConcurrency(attempt *attempt, objectiveUsed float64, now time.Duration) {
 	endpoint := attempt.endpoint
 	if endpoint.isPrimary() {
@@ -54,8 +56,8 @@
 	endpoint.limit.observe(objectiveUsed, endpoint.inFlight, attempt.sentAt, now)
 }
 
-// hasCapacity reports whether the endpoint may hold one more attempt, using at
-// most the given fraction of its limit.
+// hasCapacity reports whether one more attempt fits into the given fraction of the
+// endpoint's concurrency limit, and into its slow start rate while it warms up.
 func (r *Router) hasCapacity(endpoint *trackedEndpoint, limitFraction float64, now time.Duration) bool {
 	fraction := r.slowStartFraction(endpoint, now)
 	if endpoint.slowStart.active {
--- a/decide/config.go
+++ b/decide/config.go
@@ -8,67 +8,69 @@
 	"time"
 )
 
-// Class describes one class of request.
+// Class describes one class of requests.
 type Class struct {
 	Name              string
-	LatencyObjective  time.Duration // the full priority weight is earned within this time
-	Deadline          time.Duration // the client's whole wait, its own retries included
-	PriorityWeight    float64       // value of serving one request in time
-	LateWeight        float64       // fraction of PriorityWeight earned after LatencyObjective
+	LatencyObjective  time.Duration // an answer within this time has the full PriorityWeight; positive
+	Deadline          time.Duration // how long the client waits in total, its own retries included
+	PriorityWeight    float64       // value of one request that is served in time; not negative
+	LateWeight        float64       // fraction of PriorityWeight that an answer after LatencyObjective has
 	Idempotency       Idempotency
-	IdempotencyScope  IdempotencyScope
-	IdempotencyWindow time.Duration // how long duplicates of an idempotency key are dropped
+	IdempotencyScope  IdempotencyScope // with IdempotencyKey
+	IdempotencyWindow time.Duration    // with IdempotencyKey, how long duplicates are dropped
 	Consistency       Consistency
-	MaxStaleness      time.Duration // greatest age of the data for a Bounded class
+	MaxStaleness      time.Duration // with Bounded, the staleness bound
 }
 
-// lateIsWorthless reports whether an answer after the latency objective earns
-// nothing.
+// lateIsWorthless reports whether an answer after the latency objective has no
+// value.
 func (c *Class) lateIsWorthless() bool { return c.LateWeight == 0 }
 
-// Config is a router's configuration, fixed for its lifetime.
+// Config is the configuration of a router, fixed for its lifetime.
 type Config struct {
 	Zone    int // the router's own zone
-	Routers int // size of the fleet of routers
+	Routers int // number of routers in the fleet
 	Classes []Class
 
 	StaleReadPolicy        StaleReadPolicy
-	StaleReadWait          time.Duration // with WaitThenReject
+	StaleReadWait          time.Duration // with WaitThenReject, how long a replica waits
 	AnswersCarryPosition   bool          // every answer carries a replication position
-	SessionTokens          bool          // session reads carry their token; else commits are remembered here
+	SessionTokens          bool          // session reads carry a token; if false the router stores commits
 	HealthChecksReportRole bool          // health checks report role and position
-	PollOnly               bool          // the endpoint list comes only when polled
-	PollInterval           time.Duration // greatest interval between polls
-	MaxAttempts            int           // of one request, 0 or less for no limit
+	PollOnly               bool          // the endpoint list is only sent when it is polled
+	PollInterval           time.Duration // longest interval between polls
+	MaxAttempts            int           // per request, 0 or less for no limit
 	ParallelAttempts       bool          // a request may have several attempts in flight
 	HealthChecks           bool          // endpoints answer health checks
 	CancelAttempts         bool          // attempts in flight can be cancelled
-	MaxRetryAfter          time.Duration // longest Retry-After that clients follow, 0 if they follow none
+	MaxRetryAfter          time.Duration // longest Retry-After that clients follow, 0 if they ignore it
 
-	SlowStartCapacity float64       // fraction of its capacity with which a restarted endpoint begins
-	SlowStartDuration time.Duration // until it has all of it
-	OverloadFactor    float64       // multiple of its present capacity that overloads a warming endpoint
-	OverloadDuration  time.Duration // how long that must last
-	RemovalEnforced   bool          // a removed endpoint must not receive anything more
+	SlowStartCapacity float64       // fraction of its full capacity that a restarted endpoint starts with
+	SlowStartDuration time.Duration // time from the start of an endpoint until it has full capacity
+	OverloadFactor    float64       // multiple of its current capacity that overloads a warming endpoint
+	OverloadDuration  time.Duration // how long that load must last to count as overload
+	RemovalEnforced   bool          // a removed endpoint must not receive any further request
 }
 
-// ErrIncomplete is returned by New for a configuration without classes, or
-// without Actions.
-var ErrIncomplete = errors.New("decide: classes and actions are needed")
+// ErrIncomplete is returned by New for a configuration without classes, and for
+// nil Actions.
+var ErrIncomplete = errors.New("decide: creating a router requires at least one class and non-nil actions")
 
-// ClassError is returned by New for a class without a positive latency
-// objective or with an invalid priority weight.
+// ClassError is returned by New for a class whose latency objective is not
+// positive, or whose priority weight is negative or NaN.
 type ClassError struct {
-	Index int
+	Index int // in Config.Classes
 	Name  string
 }
 
 // Error implements error.
 func (e *ClassError) Error() string {
-	return fmt.Sprintf("decide: class %d (%s) has no latency objective or priority weight", e.Index, e.Name)
+	return fmt.Sprintf("decide: class %d (%q): latency objective not positive, or priority weight invalid",
+		e.Index, e.Name)
 }
 
-// normalized returns a checked copy of c that is independent of it.
+// normalized validates c and returns a copy that shares no memory with it, with
+// MaxAttempts set to math.MaxInt where there is no limit.
 func (c Config) normalized() (Config, error) {
 	if len(c.Classes) == 0 {
 		return Config{}, ErrIncomplete
@@ -85,8 +87,8 @@
 	return c, nil
 }
 
-// tightestPrimaryObjective is the shortest latency objective among the classes
-// that only a primary serves.
+// tightestPrimaryObjective returns the shortest latency objective of the classes
+// that only a primary serves, the greatest duration if there is no such class.
 func (c *Config) tightestPrimaryObjective() time.Duration {
 	tightest := time.Duration(math.MaxInt64)
 	for i := range c.Classes {
@@ -97,8 +99,8 @@
 	return tightest
 }
 
-// tightestStaleness is the smallest staleness bound of a class, 0 if no class
-// has one.
+// tightestStaleness returns the smallest staleness bound of the Bounded classes,
+// 0 if there is no such class.
 func (c *Config) tightestStaleness() time.Duration {
 	var tightest time.Duration
 	for i := range c.Classes {
--- a/decide/deadline.go
+++ b/decide/deadline.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// stuckLatencies is the number of latencies after which an attempt may be stuck:
-// rare by chance.
+// stuckLatencies is the time after which an attempt may be stuck, as a multiple of
+// the expected latency. A healthy attempt rarely takes this long.
 const stuckLatencies = 8.0
 
-// expiryMargin is how long before its deadline a request without an attempt is
-// answered.
+// expiryMargin is how long before its deadline a request without an attempt in
+// flight is answered.
 const expiryMargin = 2 * tickInterval
 
-// enforceDeadline answers a request at its deadline, and replaces an attempt
+// enforceDeadline answers a request at its deadline, and replaces its attempt if
 // that is stuck.
 func (r *Router) enforceDeadline(request *trackedRequest, now time.Duration) {
 	if request.answered && now > request.expiresAt+retentionPeriod {
@@ -32,8 +32,8 @@
 	}
 }
 
-// forgetAttempts ends the attempts of an answered request whose outcome never
-// came.
+// forgetAttempts ends the attempts of an answered request whose outcome was never
+// reported.
 func (r *Router) forgetAttempts(request *trackedRequest, now time.Duration) {
 	for number := range request.attempts {
 		if request.attempts[number].endedAt == 0 {
@@ -43,10 +43,10 @@
 }
 
 // replaceStuckAttempt cancels the only attempt of a request if it is stuck, and
-// sends another: to any endpoint that the request may go to, or to the same
-// primary where only that will do. It serves against lost answers and silent
-// connections; the retry budget bounds what it costs where the attempt was only
-// slow.
+// sends another one to an endpoint that selectEndpoint returns, or to the same
+// primary if there is none. This recovers from lost answers and from connections
+// that stopped transmitting. The retry budget limits the cost where the attempt
+// was merely slow.
 func (r *Router) replaceStuckAttempt(request *trackedRequest, now time.Duration) {
 	number := slices.IndexFunc(request.attempts, func(a attempt) bool { return a.endedAt == 0 })
 	current := &request.attempts[number]
@@ -68,16 +68,17 @@
 	r.send(request, endpoint, now)
 }
 
-// stuck reports whether an attempt is long overdue while its endpoint has
-// answered what was sent a latency later: a queue alone is not overtaken.
+// stuck reports whether an attempt is long overdue although its endpoint has served
+// an attempt that was sent at least the expected latency later. A long queue alone
+// does not let a later attempt overtake an earlier one.
 func (r *Router) stuck(current *attempt, now time.Duration) bool {
 	expected := max(current.endpoint.latency, r.latency)
 	overdue := float64(now-current.sentAt) > stuckLatencies*float64(expected)
 	return overdue && current.endpoint.lastAnsweredSentAt > current.sentAt+expected
 }
 
-// mayRepeatAtPrimary reports whether an attempt at the primary may be replaced
-// by another one there.
+// mayRepeatAtPrimary reports whether an attempt at the primary may be replaced by
+// another attempt there.
 func (r *Router) mayRepeatAtPrimary(request *trackedRequest, current *attempt, now time.Duration) bool {
 	primary := request.group.primary
 	return current.endpoint == primary && !primary.breaker.open && primary.State == Ready &&
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -10,7 +10,7 @@
 	f := newFixture(t, testConfig(), oneGroup())
 	for _, class := range []int{writeClass, freshReadClass} {
 		if s := f.last(f.submit(class)); s.endpoint != 1 {
-			t.Errorf("class %d went to %d", class, s.endpoint)
+			t.Errorf("request of class %d was sent to endpoint %d, want primary 1", class, s.endpoint)
 		}
 	}
 }
@@ -20,7 +20,7 @@
 	f.learnPosition(2)
 	for range 3 {
 		if s := f.last(f.submit(boundedReadClass)); s.endpoint != 2 {
-			t.Errorf("sent to %d, want the local replica", s.endpoint)
+			t.Errorf("bounded read was sent to endpoint %d, want local replica 2", s.endpoint)
 		}
 	}
 }
@@ -30,7 +30,7 @@
 	f.learnPosition(2)
 	f.wait(400 * ms)
 	if s := f.last(f.submit(boundedReadClass)); s.endpoint != 1 {
-		t.Errorf("sent to %d, whose position is older than the bound", s.endpoint)
+		t.Errorf("bounded read was sent to endpoint %d, want primary 1: replica 2 is beyond the staleness bound", s.endpoint)
 	}
 }
 
@@ -41,35 +41,38 @@
 	f.wait(20 * ms)
 	f.end(w, OK, RolePrimary, f.now)
 	if s := f.last(f.submit(sessionReadClass)); s.endpoint != 1 {
-		t.Errorf("read sent to %d, which has not shown the session's commit", s.endpoint)
+		t.Errorf("session read was sent to endpoint %d, want primary 1: no replica has reported the session's commit", s.endpoint)
 	}
 }
 
-// committed has a write of a session told, without its attempt.
-func (f *fixture) recordCommit(group *replicaGroup, of uint64, commit time.Duration) {
-	f.router.rememberCommit(&trackedRequest{Request: Request{Session: of}, class: &f.router.cfg.Classes[writeClass], group: group}, 0, commit)
+// recordCommit records a commit of a session without sending a write.
+func (f *fixture) recordCommit(group *replicaGroup, session uint64, commit time.Duration) {
+	f.router.rememberCommit(&trackedRequest{Request: Request{Session: session}, class: &f.router.cfg.Classes[writeClass], group: group}, 0, commit)
 }
 
-// What an answer tells counts as known a while after the host has sent it, even
-// if it is lost on the way: as long as a write is out, its session's reads may
-// need its commit. A read that waits sees commits that are told meanwhile.
-func TestSessionReadGoesToThePrimaryWhileItsWriteIsOut(t *testing.T) {
+// A session read must see a write of its session whose answer was lost or is late.
+// It therefore goes to the primary as long as such a write is in flight, until an
+// outcome proves that the write was not executed.
+func TestSessionReadGoesToThePrimaryWhileItsWriteIsInFlight(t *testing.T) {
 	config := testConfig()
 	config.StaleReadPolicy = ServeStale
 	f := newFixture(t, config, oneGroup())
 	f.learnPosition(2)
-	w := f.last(f.submit(writeClass)) // its answer never comes
+	w := f.last(f.submit(writeClass)) // not answered
 	f.wait(200 * ms)
 	if s := f.last(f.submit(sessionReadClass)); s.endpoint != 1 {
-		t.Errorf("a session's read went to %d while a write of it is out", s.endpoint)
+		t.Errorf("session read was sent to endpoint %d while a write of its session is in flight, want primary 1", s.endpoint)
 	}
-	f.end(w, Overloaded, RolePrimary, 0) // it surely never ran
+	f.end(w, Overloaded, RolePrimary, 0) // not executed
 	if s := f.last(f.submit(sessionReadClass)); s.endpoint != 2 {
-		t.Errorf("a session's read went to %d after its write did not run", s.endpoint)
+		t.Errorf("session read was sent to endpoint %d after its write was not executed, want replica 2", s.endpoint)
 	}
 }
 
-func TestForgettingSessionsNeverLoosensTheGate(t *testing.T) {
+// The router stores the commits of a limited number of sessions. When it drops
+// some, a read of a dropped session must not go to a replica that may lack its
+// commit.
+func TestDroppedSessionCommitsDoNotLoosenFreshness(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	group := f.router.groups[0]
 	commit := f.now
@@ -78,10 +81,10 @@
 		f.recordCommit(group, 1000+i, commit-ms)
 	}
 	if s := f.last(f.submit(sessionReadClass)); s.endpoint != 1 {
-		t.Errorf("read of a forgotten session sent to unproven member %d", s.endpoint)
+		t.Errorf("read of a dropped session was sent to endpoint %d, want primary 1", s.endpoint)
 	}
 	if n := len(group.sessions.commits); n > maxSessions {
-		t.Errorf("%d sessions kept", n)
+		t.Errorf("%d sessions are stored, want at most maxSessions", n)
 	}
 }
 
@@ -92,11 +95,11 @@
 	f.wait(500 * ms)
 	s := f.last(id)
 	if s.endpoint == 1 || s.attempt == 0 {
-		t.Fatalf("no other member was sought: %+v", s)
+		t.Fatalf("last attempt of the rejected write = %+v, want a retry at another endpoint", s)
 	}
 	f.end(s, OK, RolePrimary, f.now)
 	if got := f.last(f.submit(writeClass)); got.endpoint != s.endpoint {
-		t.Errorf("next write went to %d, want %d", got.endpoint, s.endpoint)
+		t.Errorf("next write was sent to endpoint %d, want the new primary %d", got.endpoint, s.endpoint)
 	}
 }
 
@@ -105,22 +108,23 @@
 	id := f.submit(writeClass)
 	f.wait(2 * time.Second)
 	if _, ok := f.rejected[id]; !ok {
-		t.Error("a request of a group without members had no answer")
+		t.Error("a request of a group without endpoints was not rejected before its deadline")
 	}
 }
 
-// A client refused early can come back in time; on sockets one refused late,
-// for whom nothing was ever sent, costs as well.
+// A request for which no attempt was sent is rejected after half of its time left,
+// so that the client can retry before its deadline. A late rejection costs as much
+// as an early one and leaves no time for a retry.
 func TestRequestQueuedUnsentIsRejectedWithinHalfItsTime(t *testing.T) {
 	f := newFixture(t, testConfig(), nil)
 	f.router.RequestArrived(f.now, Request{ID: 1, Class: writeClass, TimeLeft: 600 * ms})
 	f.wait(250 * ms)
 	if _, ok := f.rejected[1]; ok {
-		t.Error("refused before half of its wait")
+		t.Error("request was rejected before half of its time left had passed")
 	}
 	f.wait(50 * ms)
 	if _, ok := f.rejected[1]; !ok {
-		t.Error("still held after half of its wait")
+		t.Error("request was not rejected after half of its time left")
 	}
 }
 
@@ -129,11 +133,11 @@
 	id := f.submit(writeClass)
 	f.wait(2*time.Second + 20*ms)
 	if !f.failed[id] {
-		t.Error("no answer at the deadline")
+		t.Error("write without an outcome was not failed at its deadline")
 	}
 	f.wait(retentionPeriod + time.Second)
 	if len(f.router.requests) != 0 || f.router.endpoints[1].inFlight != 0 {
-		t.Error("the lost attempt is still counted")
+		t.Error("the attempt without an outcome is still counted after the retention period")
 	}
 }
 
@@ -150,13 +154,13 @@
 	f.router.RequestArrived(f.now, Request{ID: 50, Class: 99})
 	f.router.RequestArrived(f.now, Request{ID: 51, Class: writeClass, TimeLeft: -time.Hour})
 	if f.router.endpoints[2].position != 0 {
-		t.Error("a position in the future was believed")
+		t.Error("a position in the future was recorded")
 	}
 	if len(f.rejected) != 2 {
-		t.Errorf("%d refusals, want those of requests 50 and 51", len(f.rejected))
+		t.Errorf("%d requests were rejected, want 2: requests 50 and 51", len(f.rejected))
 	}
 	if _, err := New(Config{}, 1, f.recorder); err == nil {
-		t.Error("a config with no classes was taken")
+		t.Error("New returned no error for a configuration without classes")
 	}
 }
 
@@ -167,17 +171,18 @@
 	s := f.last(f.submit(boundedReadClass))
 	f.end(s, Ineligible, RoleReplica, f.now-2*time.Second)
 	if s = f.last(f.submit(boundedReadClass)); s.endpoint != 1 {
-		t.Errorf("sent to %d, just heard to lag", s.endpoint)
+		t.Errorf("bounded read was sent to endpoint %d, want primary 1: the replica has just reported its lag", s.endpoint)
 	}
 	f.wait(20 * ms)
 	f.end(s, OK, RolePrimary, f.now)
 	f.wait(lagValidity)
 	if s := f.last(f.submit(boundedReadClass)); s.endpoint != 2 {
-		t.Errorf("sent to %d: the replica stays out for good", s.endpoint)
+		t.Errorf("bounded read was sent to endpoint %d after the lag expired, want replica 2", s.endpoint)
 	}
 }
 
-// All replicas answer with a position that stands still, as in a group without a primary.
+// In a group without a primary, all replicas report the same position for ever: the
+// router must measure their age by its own clock, not by comparing replicas.
 func TestFrozenPositionsMakeTheWholeGroupStale(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
@@ -188,15 +193,16 @@
 		f.end(s, OK, RoleReplica, frozen)
 	}
 	if s := f.last(f.submit(boundedReadClass)); s.endpoint != 1 {
-		t.Errorf("a bounded read went to %d, whose position stands still", s.endpoint)
+		t.Errorf("bounded read was sent to endpoint %d, want primary 1: the replicas' positions are frozen", s.endpoint)
 	}
-	f.learnPosition(2) // the positions move again
+	f.learnPosition(2) // the positions advance again
 	if s := f.last(f.submit(boundedReadClass)); s.endpoint != 2 {
-		t.Errorf("a bounded read went to %d, want the replica that caught up", s.endpoint)
+		t.Errorf("bounded read was sent to endpoint %d, want replica 2, which has caught up", s.endpoint)
 	}
 }
 
-// Where no class needs a primary, no answer of one is late for such a class.
+// Where no class needs a primary, there is no objective by which an answer of a
+// primary could be late, so primaries accept all reads.
 func TestPrimaryAnswersShedNothingWithoutClassesThatNeedOne(t *testing.T) {
 	config := testConfig()
 	config.Classes = config.Classes[sessionReadClass : boundedReadClass+1]
@@ -207,20 +213,20 @@
 		f.end(s, OK, RolePrimary, f.now)
 	}
 	if f.router.admission.primaryReadFraction < 1 {
-		t.Errorf("share of reads at primaries fell to %.2f", f.router.admission.primaryReadFraction)
+		t.Errorf("fraction of reads admitted at primaries = %.2f, want 1", f.router.admission.primaryReadFraction)
 	}
 }
 
-// A group that is asked for nothing but fresh reads must find its new primary,
-// too, where replicas refuse what they are behind for; elsewhere one would
-// answer from old data.
+// A group that receives only fresh reads must find its new primary, too, where
+// replicas reject stale reads. Where replicas serve stale reads, a fresh read sent
+// to a replica would be answered with old data.
 func TestFreshReadLooksForThePrimaryWhereReplicasReject(t *testing.T) {
 	for _, check := range []StaleReadPolicy{RejectStale, ServeStale} {
 		config := testConfig()
 		config.StaleReadPolicy = check
 		f := newFixture(t, config, oneGroup())
 		done, before := 0, 0
-		for n := range 100 { // the primary, 1, is gone; 3 has taken over
+		for n := range 100 { // endpoint 1 has failed, and 3 is the new primary
 			if n == 60 {
 				before = len(f.sends)
 			}
@@ -242,10 +248,10 @@
 			asked[s.endpoint]++
 		}
 		if check == ServeStale && asked[2]+asked[3] > 0 {
-			t.Errorf("fresh reads went to replicas that check nothing: %v", asked)
+			t.Errorf("fresh reads were sent to replicas that serve stale reads; attempts by endpoint: %v", asked)
 		}
 		if check == RejectStale && asked[3] < 20 {
-			t.Errorf("the new primary was not found: %v", asked)
+			t.Errorf("fewer than 20 fresh reads were sent to new primary 3; attempts by endpoint: %v", asked)
 		}
 	}
 }
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -1,7 +1,7 @@
 // Package decide makes the decisions of a query router for sharded, replicated
 // databases: which endpoint of a replica group serves each request, when to
 // retry, when to reject, and how to respect freshness, draining and slow start
-// while endpoints fail.
+// while endpoints fail. It also decides when to run health checks.
 //
 // A [Router] is driven by events (RequestArrived, AttemptEnded, HealthChecked,
 // EndpointsUpdated, TimerFired, ...) and answers through [Actions]. It performs
@@ -10,9 +10,9 @@
 // all randomness comes from the seed given to [New]. Equal configurations,
 // seeds and events give equal actions.
 //
-// The files follow a request: request.go (arrival), admission.go
+// The files follow the path of a request: request.go (arrival), admission.go
 // (queueing and load shedding), selection.go (choice of an endpoint),
-// routing.go (attempts and retries), outcome.go (evidence from an attempt's end)
-// and deadline.go. The state of an endpoint stands in endpoint.go, breaker.go,
-// concurrency.go, slowstart.go and freshness.go.
+// routing.go (attempts and retries), outcome.go (what the end of an attempt
+// shows about its endpoint) and deadline.go. The state of an endpoint is kept
+// by endpoint.go, breaker.go, concurrency.go, slowstart.go and freshness.go.
 package decide
--- a/decide/endpoint.go
+++ b/decide/endpoint.go
@@ -2,52 +2,53 @@
 
 import "time"
 
-// trackedEndpoint is what this router knows of one endpoint.
+// trackedEndpoint is the router's state of one endpoint.
 type trackedEndpoint struct {
-	Endpoint // its entry in the endpoint list
+	Endpoint // entry in the endpoint list
 	group    *replicaGroup
 	local    bool // in the router's own zone
 
 	replication
 	lastAnswerAt time.Duration
-	latency      time.Duration // smoothed, 0 if it never answered
+	latency      time.Duration // smoothed, 0 if it never served an attempt
 
-	inFlight           int           // attempts
-	unanswered         int           // attempts in flight that were sent since the last answer
-	oldestUnansweredAt time.Duration // when the first of those was sent
-	lastAnsweredSentAt time.Duration // when the last attempt that was answered was sent
+	inFlight           int           // number of attempts in flight
+	unanswered         int           // number of those that were sent since the last answer
+	oldestUnansweredAt time.Duration // send time of the first of those
+	lastAnsweredSentAt time.Duration // latest send time of a served attempt
 
 	consecutiveFailures    int
-	busyUntil              time.Duration // selected after others until then
-	backoffUntil           time.Duration // not selected until then
+	busyUntil              time.Duration // until then other replicas are preferred
+	backoffUntil           time.Duration // until then it is not selected
 	unreachable            bool          // the last connection attempt failed
-	connectionsScarceUntil time.Duration // until then no idle connection to it is kept
+	connectionsScarceUntil time.Duration // until then idle connections to it are closed
 
 	limit     concurrencyLimit
 	breaker   circuitBreaker
 	slowStart slowStart
 
 	healthCheckInFlight bool
-	awaitsHealthCheck   bool // one is wanted
-	healthCheckedAt     time.Duration
+	awaitsHealthCheck   bool          // a health check is due as soon as the budget and interval allow it
+	healthCheckedAt     time.Duration // start of the last health check
 
-	discoveryAttemptAt time.Duration // when primary discovery last tried it, or learnt its role
+	discoveryAttemptAt time.Duration // when primary discovery last tried it, or it last reported its role
 	removedAt          time.Duration
-	selectionWeight    float64 // in the current draw
+	selectionWeight    float64 // in the current weighted draw
 }
 
-// replicaGroup is one primary and its replicas.
+// replicaGroup is the state of a primary and its replicas.
 type replicaGroup struct {
 	endpoints        []*trackedEndpoint
-	primary          *trackedEndpoint // as believed, nil while it is not known
-	announcedPrimary *trackedEndpoint // by the endpoint list
+	primary          *trackedEndpoint // assumed primary, nil if unknown
+	announcedPrimary *trackedEndpoint // primary named by the endpoint list
 	queue            []*trackedRequest
-	nextDiscoveryAt  time.Duration // earliest next attempt to find the primary
+	nextDiscoveryAt  time.Duration // earliest time of the next primary discovery attempt
 	primaryKnownAt   time.Duration // when the primary was last known
 	sessions         sessionCommits
 }
 
-// group returns the replica group with the given number, made on first use.
+// group returns the replica group with the given number and creates it on first
+// use.
 func (r *Router) group(number int) *replicaGroup {
 	group := r.groups[number]
 	if group == nil {
@@ -58,10 +59,10 @@
 	return group
 }
 
-// isPrimary reports whether the endpoint is believed to be its group's primary.
+// isPrimary reports whether the endpoint is the assumed primary of its group.
 func (e *trackedEndpoint) isPrimary() bool { return e.group.primary == e }
 
-// attemptSent counts an attempt that is sent now.
+// attemptSent counts an attempt that is sent to the endpoint now.
 func (e *trackedEndpoint) attemptSent(now time.Duration) {
 	if e.unanswered == 0 {
 		e.oldestUnansweredAt = now
@@ -71,7 +72,7 @@
 	e.slowStart.spend()
 }
 
-// attemptEnded takes an attempt off the counts.
+// attemptEnded removes an ended attempt from the counts.
 func (e *trackedEndpoint) attemptEnded(sentAt time.Duration) {
 	e.inFlight--
 	if sentAt >= e.lastAnswerAt && e.unanswered > 0 {
@@ -79,8 +80,8 @@
 	}
 }
 
-// recordAnswer notes that the endpoint runs and answers, which closes its
-// circuit breaker.
+// recordAnswer records that the endpoint has answered, and closes its circuit
+// breaker.
 func (r *Router) recordAnswer(endpoint *trackedEndpoint, now time.Duration) {
 	endpoint.lastAnswerAt = now
 	endpoint.unanswered = 0
--- a/decide/endpointlist.go
+++ b/decide/endpointlist.go
@@ -6,31 +6,33 @@
 )
 
 const (
-	// initialWatchBackoff is the first wait after a failed poll of the endpoint
-	// list; it doubles, with jitter.
+	// initialWatchBackoff is the backoff after the first failed poll of the
+	// endpoint list. It doubles after each further failure, and jitter is applied.
 	initialWatchBackoff = 200 * time.Millisecond
-	// pollBackoffDivisor bounds the wait to this part of the poll interval.
+	// pollBackoffDivisor divides the poll interval to give the longest backoff.
 	pollBackoffDivisor = 4
-	// neverStarted is the start time of an endpoint that is new to the list.
+	// neverStarted is the start time of an endpoint before its first list entry
+	// is applied.
 	neverStarted = -1
 )
 
-// endpointWatch is the state of the watch on the endpoint list, where the
-// router polls it.
+// endpointWatch is the state of the polls of the endpoint list, with
+// Config.PollOnly.
 type endpointWatch struct {
-	active     bool
+	active     bool // a poll is in progress
 	nextPollAt time.Duration
 	backoff    time.Duration
 }
 
-// failed schedules the next poll after a failed one; jitter is in [0.5, 1.5).
+// failed schedules the next poll after a failed one. The backoff is multiplied by
+// jitter, which is in [0.5, 1.5).
 func (w *endpointWatch) failed(jitter float64, pollInterval, now time.Duration) {
 	w.active = false
 	w.nextPollAt = now + time.Duration(float64(w.backoff)*jitter)
 	w.backoff = min(2*w.backoff, max(pollInterval/pollBackoffDivisor, initialWatchBackoff))
 }
 
-// pollEndpointList polls the endpoint list if that is due.
+// pollEndpointList polls the endpoint list if a poll is due.
 func (r *Router) pollEndpointList(now time.Duration) {
 	if r.cfg.PollOnly && !r.watch.active && now >= r.watch.nextPollAt {
 		r.watch.active = true
@@ -38,8 +40,8 @@
 	}
 }
 
-// EndpointsUpdated takes an update of the endpoint list. The endpoints of a
-// WatchFailed are ignored.
+// EndpointsUpdated applies an update of the endpoint list. With WatchFailed the
+// endpoints are ignored and the next poll is scheduled.
 func (r *Router) EndpointsUpdated(now time.Duration, kind EndpointUpdateKind, endpoints []Endpoint) {
 	if kind == WatchFailed {
 		r.watch.failed(0.5+r.rng.Float64(), r.cfg.PollInterval, now)
@@ -59,7 +61,7 @@
 	r.drainQueues(now)
 }
 
-// removeUnlisted removes the endpoints that a snapshot does not name.
+// removeUnlisted removes the endpoints that are missing in a snapshot.
 func (r *Router) removeUnlisted(snapshot []Endpoint, now time.Duration) {
 	named := make(map[uint32]bool, len(snapshot))
 	for _, endpoint := range snapshot {
@@ -75,8 +77,8 @@
 	}
 }
 
-// trackEndpoint returns the state kept for an entry's endpoint, made for its first
-// entry.
+// trackEndpoint returns the state of an entry's endpoint and creates it for a new
+// endpoint.
 func (r *Router) trackEndpoint(entry Endpoint, now time.Duration) *trackedEndpoint {
 	if endpoint := r.endpoints[entry.ID]; endpoint != nil {
 		return endpoint
@@ -94,7 +96,7 @@
 	return endpoint
 }
 
-// updateEndpoint takes one entry of the endpoint list.
+// updateEndpoint applies one entry of the endpoint list.
 func (r *Router) updateEndpoint(endpoint *trackedEndpoint, entry Endpoint, now time.Duration) {
 	previous := endpoint.Endpoint
 	isNew := previous.StartedAt == neverStarted
@@ -121,9 +123,10 @@
 	}
 }
 
-// removedState is the state of an endpoint that the list removes. Where removal
-// is not enforced the list does not prove which endpoints run: one that was
-// ready stays so, and its backoff and circuit breaker tell.
+// removedState returns the new state of an endpoint that the list removes. Where
+// removal is not enforced, a missing entry does not prove that the endpoint is
+// down: an endpoint that was ready stays ready, and its backoff and circuit
+// breaker keep requests away if it fails.
 func (r *Router) removedState(endpoint *trackedEndpoint, now time.Duration) EndpointState {
 	if !r.cfg.RemovalEnforced && endpoint.State == Ready {
 		return Ready
@@ -134,8 +137,8 @@
 	return Removed
 }
 
-// beginSlowStart starts the warm-up of an endpoint that started lately; one that
-// is only new to the list is warm.
+// beginSlowStart starts the slow start of an endpoint that started less than
+// Config.SlowStartDuration ago. An endpoint that is only new to the list is warm.
 func (r *Router) beginSlowStart(endpoint *trackedEndpoint, now time.Duration) {
 	startedAt := endpoint.StartedAt
 	if startedAt > 0 && now-startedAt < r.cfg.SlowStartDuration {
@@ -144,8 +147,9 @@
 	}
 }
 
-// announce takes an endpoint that the list names as the group's primary. It is
-// believed until the endpoint itself reports otherwise.
+// announce handles an endpoint that the list names as the group's primary. It is
+// assumed to be the primary if the group has none and the endpoint itself has not
+// reported to be a replica.
 func (g *replicaGroup) announce(endpoint *trackedEndpoint) {
 	if g.announcedPrimary == endpoint {
 		return
@@ -157,7 +161,8 @@
 	}
 }
 
-// forgetRemoved drops the endpoints that were removed long ago.
+// forgetRemoved drops the state of endpoints that were removed more than
+// retentionPeriod ago and have no attempt in flight.
 func (r *Router) forgetRemoved(now time.Duration) {
 	forgotten := func(endpoint *trackedEndpoint) bool {
 		return endpoint.State == Removed && endpoint.inFlight == 0 && now > endpoint.removedAt+retentionPeriod
@@ -171,6 +176,7 @@
 	r.ordered = slices.DeleteFunc(r.ordered, forgotten)
 }
 
+// countReady updates the number of ready endpoints.
 func (r *Router) countReady() {
 	r.readyEndpoints = 0
 	for _, endpoint := range r.ordered {
--- a/decide/endpointlist_test.go
+++ b/decide/endpointlist_test.go
@@ -16,19 +16,19 @@
 		}
 		for _, s := range f.sends[before:] {
 			if s.endpoint == 2 {
-				t.Errorf("state %d: sent to the member", state)
+				t.Errorf("state %d: a read was sent to the endpoint", state)
 			}
 		}
 	}
 }
 
-func TestRemovalThatIsNotEnforced(t *testing.T) {
+func TestRemovedEndpointIsUsedWhereRemovalIsNotEnforced(t *testing.T) {
 	config := testConfig()
 	config.RemovalEnforced = false
 	f := newFixture(t, config, oneGroup())
 	f.router.EndpointsUpdated(f.now, UpdateDelta, []Endpoint{{ID: 1, State: Removed}})
 	if s := f.last(f.submit(writeClass)); s.endpoint != 1 {
-		t.Errorf("sent to %d", s.endpoint)
+		t.Errorf("write was sent to endpoint %d, want removed primary 1", s.endpoint)
 	}
 }
 
@@ -41,7 +41,7 @@
 		f.router.EndpointsUpdated(f.now, WatchFailed, nil)
 		f.wait(config.PollInterval)
 		if f.polls != n+1 {
-			t.Fatalf("watched %d times after a failure", f.polls-n)
+			t.Fatalf("%d polls within the poll interval after a failure, want 1", f.polls-n)
 		}
 	}
 }
@@ -53,6 +53,6 @@
 		f.now += time.Second
 	}
 	if n := len(f.router.endpoints); n > 40 {
-		t.Errorf("%d members kept", n)
+		t.Errorf("%d endpoints are stored, want at most 40", n)
 	}
 }
--- a/decide/events.go
+++ b/decide/events.go
@@ -2,65 +2,67 @@
 
 import "time"
 
-// Endpoint is one entry of the endpoint list: a database host.
+// Endpoint is an entry of the endpoint list, which describes one database host.
 type Endpoint struct {
 	ID        uint32
 	Zone      int
-	Group     int // the replica group that it belongs to
+	Group     int // number of its replica group
 	State     EndpointState
-	Primary   bool
-	StartedAt time.Duration // when it last started, 0 if long ago
+	Primary   bool          // the list names it as its group's primary
+	StartedAt time.Duration // when it last started, 0 if unknown or long ago
 }
 
-// Request is a client's request on its arrival at the router.
+// Request describes a client's request when it arrives at the router.
 type Request struct {
 	ID          uint64
 	Group       int
 	Class       int           // index in Config.Classes
 	Session     uint64        // 0 if none
-	SinceCommit time.Duration // age of the session's last commit, 0 if none
-	TimeLeft    time.Duration // until the client gives this request up
+	SinceCommit time.Duration // time since the commit in its session token, 0 if none
+	TimeLeft    time.Duration // until the client stops waiting for the answer
 }
 
-// ReplicationStatus is what an answer or a health check reports of its
-// endpoint.
+// ReplicationStatus is the role and position that an endpoint reports in an
+// answer or a health check.
 type ReplicationStatus struct {
 	Role Role
-	// Position is a time on the router's clock up to which every commit is
-	// applied, 0 if not reported. A served write reports its commit instead.
+	// Position is the time on the router's clock up to which the endpoint has
+	// applied every commit, 0 if not reported. The answer of a served write
+	// carries the position of its commit instead.
 	Position time.Duration
 }
 
-// AttemptResult is the end of one attempt.
+// AttemptResult reports the end of one attempt.
 type AttemptResult struct {
 	Request        uint64
-	Attempt        int // counted from 0 for each request
+	Attempt        int // number of the attempt within its request, from 0
 	Endpoint       uint32
 	Outcome        Outcome
 	Latency        time.Duration
-	ClientAnswered bool // the client has its answer already
+	ClientAnswered bool // the client has already received its answer
 	Status         ReplicationStatus
 }
 
-// HealthCheckResult is the end of one health check.
+// HealthCheckResult reports the end of one health check.
 type HealthCheckResult struct {
 	Endpoint uint32
 	Outcome  Outcome
-	Status   ReplicationStatus // as old as the endpoint's report
+	Status   ReplicationStatus // may be outdated: as of the time when the endpoint made the report
 }
 
-// Actions carries out what a Router decides. Its methods are called from within
-// the Router's own methods and must not call back into the Router.
+// Actions carries out the decisions of a Router. The Router calls it from within
+// its own methods; an implementation must not call back into the Router.
 type Actions interface {
-	// Send starts the next attempt of a request. A timeout of 0 stands for the
-	// client's deadline.
+	// Send starts the next attempt of a request. A timeout of 0 means that the
+	// attempt ends at the client's deadline.
 	Send(request uint64, endpoint uint32, timeout time.Duration)
 	// Cancel cancels an attempt in flight.
 	Cancel(request uint64, attempt int)
-	// Reject answers that the request may be retried without harm. A retryAfter
-	// of 0 gives no advice.
+	// Reject answers a request with an error that tells the client that it can
+	// safely retry, after retryAfter if that is not 0.
 	Reject(request uint64, retryAfter time.Duration)
-	// Fail answers with no promise about the effect.
+	// Fail answers a request with an error that leaves open whether the request
+	// was executed.
 	Fail(request uint64)
 	// CheckHealth starts a health check.
 	CheckHealth(endpoint uint32)
@@ -68,6 +70,6 @@
 	CloseIdle(endpoint uint32)
 	// WatchEndpoints polls the endpoint list.
 	WatchEndpoints()
-	// SetTimer asks for TimerFired with the token after a while.
+	// SetTimer schedules a call of Router.TimerFired with the token.
 	SetTimer(after time.Duration, token uint32)
 }
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,23 +7,23 @@
 	"lotusbend/decide"
 )
 
-// printer is the embedding router's side: it would send, answer and set
-// timers; here it prints.
+// printer implements Actions by printing. A real implementation sends requests,
+// answers clients and sets timers.
 type printer struct{}
 
 func (printer) Send(request uint64, endpoint uint32, _ time.Duration) {
 	fmt.Println("send", request, "to", endpoint)
 }
 func (printer) Cancel(request uint64, attempt int)         { fmt.Println("cancel", request, attempt) }
-func (printer) Reject(request uint64, after time.Duration) { fmt.Println("refuse", request, after) }
+func (printer) Reject(request uint64, after time.Duration) { fmt.Println("reject", request, after) }
 func (printer) Fail(request uint64)                        { fmt.Println("fail", request) }
-func (printer) CheckHealth(endpoint uint32)                { fmt.Println("probe", endpoint) }
+func (printer) CheckHealth(endpoint uint32)                { fmt.Println("check health of", endpoint) }
 func (printer) WatchEndpoints()                            {}
 func (printer) CloseIdle(endpoint uint32)                  { fmt.Println("close idle", endpoint) }
 func (printer) SetTimer(time.Duration, uint32)             {}
 
-// A router embeds the module by passing it what happens, each with the time on
-// the router's own clock, and by carrying out the actions.
+// A program that embeds a Router passes it events, each with the current time on a
+// monotonic clock, and carries out its actions.
 func Example() {
 	config := decide.Config{
 		Classes: []decide.Class{
--- a/decide/failures_test.go
+++ b/decide/failures_test.go
@@ -10,8 +10,8 @@
 		f := newFixture(t, testConfig(), oneGroup())
 		id := f.submit(writeClass)
 		f.end(f.last(id), outcome, RoleUnknown, 0)
-		if _, refused := f.rejected[id]; refused || !f.failed[id] || f.attempts[id] != 1 {
-			t.Errorf("outcome %d: refused %v, failed %v, tries %d", outcome, refused, f.failed[id], f.attempts[id])
+		if _, isRejected := f.rejected[id]; isRejected || !f.failed[id] || f.attempts[id] != 1 {
+			t.Errorf("outcome %d: rejected %v, failed %v after %d attempts, want failed after 1", outcome, isRejected, f.failed[id], f.attempts[id])
 		}
 	}
 }
@@ -22,7 +22,7 @@
 	for range 3 {
 		f.submit(writeClass)
 	}
-	// The replicas go on answering while the primary is silent.
+	// The replicas answer while the primary does not.
 	for range 60 {
 		s := f.last(f.submit(sessionReadClass))
 		f.wait(20 * ms)
@@ -32,39 +32,40 @@
 	id := f.submit(writeClass)
 	for _, s := range f.sends[before:] {
 		if s.request == id && s.endpoint == 1 {
-			t.Error("a write was sent into the silent primary")
+			t.Error("a write was sent to the silent primary")
 		}
 	}
 }
 
-// A lost answer, or a connection that fell silent, must not cost a request its
-// whole wait: once its endpoint has answered what came later, it is sent again.
+// A request whose answer was lost, or whose connection stopped transmitting, must
+// not wait until its deadline: it is sent again once its endpoint has answered
+// later requests.
 func TestStuckAttemptIsReplaced(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
 	lost := f.last(f.submit(idempotentWriteClass))
-	for range 2 * int(stuckLatencies) { // the primary answers the others, slowly
+	for range 2 * int(stuckLatencies) { // the primary answers the later requests
 		s := f.last(f.submit(idempotentWriteClass))
 		f.wait(20 * ms)
 		f.end(s, OK, RolePrimary, 0)
 	}
 	if s := f.last(lost.request); s.attempt != 1 || s.endpoint != lost.endpoint {
-		t.Fatalf("attempt %d at %d, want another at %d", s.attempt, s.endpoint, lost.endpoint)
+		t.Fatalf("last attempt of the stuck request: number %d at endpoint %d, want number 1 at endpoint %d", s.attempt, s.endpoint, lost.endpoint)
 	}
 	if len(f.cancels) != 1 || f.cancels[0].request != lost.request || f.cancels[0].attempt != 0 {
-		t.Errorf("called off %v, want the first attempt", f.cancels)
+		t.Errorf("cancelled attempts = %v, want only the first attempt of the stuck request", f.cancels)
 	}
-	// A queue that is long for all is no reason: nothing was overtaken.
+	// An attempt is not stuck if no later one has overtaken it.
 	late := f.last(f.submit(sessionReadClass))
 	f.wait(time.Second)
 	if s := f.last(late.request); s != late {
-		t.Errorf("sent again as %v though nothing sent later was answered", s)
+		t.Errorf("last attempt = %v, want no retry while no later request was answered", s)
 	}
 }
 
-// An attempt that never ends is no sign that its endpoint is silent when nothing
-// was sent since the endpoint last answered: breakers of primaries opened on it
-// in every short pause.
+// An attempt without an outcome does not show that its endpoint is silent if nothing
+// was sent since the endpoint last answered. Otherwise the circuit breaker of a
+// primary would open in every short pause between writes.
 func TestOldAttemptDoesNotMakeItsEndpointSilent(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
@@ -78,59 +79,60 @@
 	}
 	f.wait(4 * f.router.latency)
 	if f.router.endpoints[1].breaker.open {
-		t.Error("the breaker opened on attempts from before the last answer")
+		t.Error("circuit breaker opened because of attempts that were sent before the last answer")
 	}
 	f.submit(writeClass)
 	f.wait(7 * f.router.latency)
 	if !f.router.endpoints[1].breaker.open {
-		t.Error("the breaker stays shut though what was sent since is not answered")
+		t.Error("circuit breaker is closed though an attempt sent after the last answer is not answered")
 	}
 }
 
-func TestSilenceOfAllPasses(t *testing.T) {
+// If all endpoints stall at once, they must be used again as soon as they answer.
+func TestEndpointsAreUsedAgainAfterAllWereSilent(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
-	var out []sent
+	var inFlight []sent
 	for range 4 {
-		out = append(out, f.last(f.submit(sessionReadClass)), f.last(f.submit(writeClass)))
+		inFlight = append(inFlight, f.last(f.submit(sessionReadClass)), f.last(f.submit(writeClass)))
 	}
 	f.wait(450 * ms)
-	for _, s := range out {
+	for _, s := range inFlight {
 		f.end(s, OK, RoleUnknown, f.now)
 	}
 	if s := f.last(f.submit(writeClass)); s.endpoint != 1 {
-		t.Errorf("a write went to %d", s.endpoint)
+		t.Errorf("write was sent to endpoint %d after all have answered again, want primary 1", s.endpoint)
 	}
 	if s := f.last(f.submit(sessionReadClass)); s.endpoint != 2 {
-		t.Errorf("a read went to %d after all answered again", s.endpoint)
+		t.Errorf("session read was sent to endpoint %d after all have answered again, want replica 2", s.endpoint)
 	}
 }
 
-// A process that died refuses too: that must not cost the connections to all
-// the others, which one refusal once closed after every answer for ten seconds.
+// A process that has crashed also refuses connections. That must close idle
+// connections to its endpoint only, and not those to all other endpoints.
 func TestRefusedConnectionClosesIdleOnesToItsEndpoint(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
 	if len(f.closed) > 0 {
-		t.Fatal("idle connections closed though none were scarce")
+		t.Fatal("idle connections were closed though no connection was refused")
 	}
 	s := f.last(f.submit(sessionReadClass))
 	refusing := s.endpoint
 	f.end(s, ConnectFailed, RoleUnknown, 0)
 	if f.router.endpoints[refusing].breaker.open {
-		t.Error("a refused connection opened the breaker")
+		t.Error("a refused connection opened the circuit breaker")
 	}
 	if s = f.last(s.request); s.endpoint == refusing {
-		t.Fatal("sent again where the connection was refused")
+		t.Fatal("request was retried at the endpoint that refused the connection")
 	}
 	f.wait(20 * ms)
 	f.end(s, OK, RoleReplica, f.now)
 	if len(f.closed) != 1 || f.closed[0] != refusing {
-		t.Errorf("closed the idle connections to %v, want those to %d", f.closed, refusing)
+		t.Errorf("idle connections were closed to endpoints %v, want endpoint %d only", f.closed, refusing)
 	}
 }
 
-func TestPrimaryThatRefusesConnectionsIsLookedForElsewhere(t *testing.T) {
+func TestRefusedConnectionsOfThePrimaryStartPrimaryDiscovery(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
 	id := f.submit(writeClass)
@@ -144,7 +146,7 @@
 			f.end(s, ConnectFailed, RoleUnknown, 0)
 		}
 	}
-	t.Error("no other member was asked")
+	t.Error("the write was not sent to another endpoint within 200 ticks")
 }
 
 func TestOverloadedPrimariesGetFewerReads(t *testing.T) {
@@ -163,20 +165,20 @@
 		return n
 	}
 	if n := toPrimary(); n < 40 {
-		t.Fatalf("%d of 40 reads went to an idle primary", n)
+		t.Fatalf("%d of 40 reads were sent to an idle primary, want all", n)
 	}
 	for range 15 {
 		s := f.last(f.submit(writeClass))
-		f.wait(600 * ms) // of an aim of 500
+		f.wait(600 * ms) // the latency objective is 500 ms
 		f.end(s, OK, RolePrimary, f.now)
 	}
 	f.router.endpoints[1].limit.value = initialConcurrency
 	if n := toPrimary(); n > 30 {
-		t.Errorf("%d of 40 reads went to the crowded primary", n)
+		t.Errorf("%d of 40 reads were sent to the overloaded primary, want at most 30", n)
 	}
 	f.wait(10 * time.Second)
 	if n := toPrimary() + toPrimary(); n < 40 {
-		t.Errorf("%d of 80 reads went to a primary that is quick again", n)
+		t.Errorf("%d of 80 reads were sent to a primary that has recovered, want at least 40", n)
 	}
 }
 
@@ -196,9 +198,9 @@
 	}
 	f.wait(time.Second)
 	for id := range f.router.requests {
-		t.Fatalf("request %d is still open", id)
+		t.Fatalf("request %d is not finished", id)
 	}
-	f.wait(5 * time.Second) // no endpoint rests any longer
+	f.wait(5 * time.Second) // longer than any backoff
 	sent := func() (n int) {
 		for range 40 {
 			id := f.submit(sessionReadClass)
@@ -212,11 +214,11 @@
 		return n
 	}
 	if n := sent(); n > 30 {
-		t.Errorf("%d of 40 reads let in while queues were full", n)
+		t.Errorf("%d of 40 reads were admitted while queues were full, want at most 30", n)
 	}
 	f.wait(50 * time.Second)
 	if n := sent(); n < 35 {
-		t.Errorf("%d of 40 reads let in a while after", n)
+		t.Errorf("%d of 40 reads were admitted 50 s after the overload, want at least 35", n)
 	}
 }
 
@@ -224,17 +226,17 @@
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
 	f.wait(time.Minute)
-	repeats := 0
+	retries := 0
 	for range 5 {
 		id := f.submit(sessionReadClass)
 		for f.router.requests[id] != nil && f.router.requests[id].inFlight > 0 {
 			f.end(f.last(id), Reset, RoleUnknown, 0)
 		}
-		repeats += f.attempts[id] - 1
-		f.wait(5 * time.Second) // no endpoint rests any longer
+		retries += f.attempts[id] - 1
+		f.wait(5 * time.Second) // longer than any backoff
 	}
-	if repeats > 2 { // the first failure of a endpoint alone costs its repeat less
-		t.Errorf("%d repeats of 5 requests after a quiet minute", repeats)
+	if retries > 2 { // a retry after the first failure of an endpoint costs less than a token
+		t.Errorf("%d retries of 5 requests after an idle minute, want at most 2", retries)
 	}
 }
 
@@ -247,37 +249,39 @@
 	f.wait(maxTrialBackoff + time.Second)
 	s := f.last(f.submit(sessionReadClass))
 	if s.endpoint != 2 {
-		t.Fatalf("the due trial went to %d", s.endpoint)
+		t.Fatalf("read was sent to endpoint %d, want a trial of endpoint 2", s.endpoint)
 	}
 	f.wait(20 * ms)
 	f.end(s, OK, RoleReplica, f.now)
 	if endpoint.breaker.open {
-		t.Error("still open after an answer")
+		t.Error("circuit breaker is open after an answer")
 	}
 }
 
-// A statement that no endpoint would take says nothing of the one that was asked,
-// and a repeat elsewhere would only cost that one, too.
+// A statement that every endpoint would reject says nothing about the health of the
+// endpoint that rejected it, and a retry would only put load on another one.
 func TestInvalidRequestIsNoFailureOfItsEndpoint(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
 	s := f.last(f.submit(sessionReadClass))
 	f.end(s, InvalidRequest, RoleUnknown, 0)
 	if endpoint := f.router.endpoints[s.endpoint]; !f.failed[s.request] || f.attempts[s.request] != 1 || endpoint.consecutiveFailures > 0 || endpoint.busyUntil > 0 {
-		t.Errorf("failed %v after %d tries; failures of the member %d, busy until %v",
+		t.Errorf("failed %v after %d attempts, want after 1; endpoint has %d failures and is busy until %v, want none",
 			f.failed[s.request], f.attempts[s.request], endpoint.consecutiveFailures, endpoint.busyUntil)
 	}
 }
 
-// After a cut or a restart a endpoint waited out its rest, or up to four seconds
-// for its trial, though it could be reached again. One that merely answers
-// nothing may answer health checks, so that is no way back for it.
+// An endpoint that can be reached again after a network failure or a restart must
+// not stay unused until its backoff ends or its trial is due, which takes up to
+// four seconds. A health check ends the wait, but only for an endpoint that was
+// unreachable: one that accepts requests without answering them may still answer
+// health checks.
 func TestEndpointThatCanBeReachedAgainIsTriedAtOnce(t *testing.T) {
 	config := testConfig()
 	config.HealthChecks = true
 	for _, outcome := range []Outcome{ConnectFailed, TimedOut} {
 		f := newFixture(t, config, oneGroup())
-		for _, id := range []uint32{1, 2, 3} { // as each endpoint is asked at the start
+		for _, id := range []uint32{1, 2, 3} { // the results of the first health checks
 			f.router.HealthChecked(f.now, HealthCheckResult{Endpoint: id, Outcome: OK})
 		}
 		f.learnPosition(2)
@@ -286,76 +290,77 @@
 		endpoint.consecutiveFailures = maxBackoffDoublings
 		f.router.openCircuit(endpoint, f.now)
 		endpoint.breaker.nextTrialAt = f.now + maxTrialBackoff
-		asked := len(f.healthChecks)
+		started := len(f.healthChecks)
 		f.wait(reconnectInterval + 2*tickInterval)
 		if outcome == TimedOut {
-			if len(f.healthChecks) > asked {
-				t.Error("a member that takes work and answers none is probed")
+			if len(f.healthChecks) > started {
+				t.Error("a health check was started of an endpoint that timed out")
 			}
 			continue
 		}
-		if len(f.healthChecks) != asked+1 {
-			t.Fatalf("%d probes of a member that could not be reached, want one", len(f.healthChecks)-asked)
+		if len(f.healthChecks) != started+1 {
+			t.Fatalf("%d health checks of an unreachable endpoint, want 1", len(f.healthChecks)-started)
 		}
 		f.router.HealthChecked(f.now, HealthCheckResult{Endpoint: 2, Outcome: ConnectFailed})
 		if endpoint.breaker.nextTrialAt <= f.now {
-			t.Error("a failed probe is taken for a way back")
+			t.Error("a failed health check made the trial due")
 		}
 		f.wait(reconnectInterval + 2*tickInterval)
 		f.router.HealthChecked(f.now, HealthCheckResult{Endpoint: 2, Outcome: OK})
 		if s := f.last(f.submit(sessionReadClass)); s.endpoint != 2 {
-			t.Errorf("the trial went to %d", s.endpoint)
+			t.Errorf("read was sent to endpoint %d, want a trial of endpoint 2", s.endpoint)
 		}
 	}
 }
 
-// Answers spoilt or broken off on their way come from every endpoint alike:
-// resting each of them, and spending the retries meant for overload, cost more
-// than they did.
+// A faulty network corrupts or cuts off answers of every endpoint alike. Putting
+// each endpoint in backoff, and spending the retry budget that is meant for
+// overload, would cost more than the faults themselves.
 func TestOneMalformedAnswerIsNoFailureOfItsEndpoint(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
-	for _, outcome := range []Outcome{Malformed, Reset, Malformed} { // more than an overloaded group would be granted
+	for _, outcome := range []Outcome{Malformed, Reset, Malformed} { // more retries than the budget covers at full cost
 		s := f.last(f.submit(idempotentWriteClass))
 		f.wait(20 * ms)
 		f.end(s, outcome, RoleUnknown, 0)
 		if endpoint := f.router.endpoints[1]; endpoint.backoffUntil > f.now || endpoint.busyUntil > f.now {
-			t.Fatalf("the primary rests until %v, busy until %v, at %v", endpoint.backoffUntil, endpoint.busyUntil, f.now)
+			t.Fatalf("primary is in backoff until %v and busy until %v at %v, want neither", endpoint.backoffUntil, endpoint.busyUntil, f.now)
 		}
-		f.wait(200 * ms) // longer than the same endpoint is left out after its attempt
-		again := f.last(s.request)
-		if again.attempt != 1 {
-			t.Fatal("not sent again")
+		f.wait(200 * ms) // longer than a request avoids an endpoint after an attempt
+		second := f.last(s.request)
+		if second.attempt != 1 {
+			t.Fatal("request was not retried")
 		}
-		f.end(again, OK, RolePrimary, 0)
+		f.end(second, OK, RolePrimary, 0)
 	}
 	s := f.last(f.submit(idempotentWriteClass))
 	f.end(s, Malformed, RoleUnknown, 0)
 	f.wait(200 * ms)
 	f.end(f.last(s.request), Malformed, RoleUnknown, 0)
 	if endpoint := f.router.endpoints[1]; endpoint.backoffUntil <= f.now {
-		t.Error("a member that spoils its answers in a row does not rest")
+		t.Error("endpoint is not in backoff after consecutive malformed answers")
 	}
 }
 
-// A report that can't be read tells of no role, which fresh reads wait for: it
-// is asked for again, at a pace, and a endpoint that answers is not shut out.
+// A malformed health check reports no role, which fresh reads wait for. It is
+// repeated, but not at once, and does not open the circuit breaker, as the endpoint
+// has answered.
 func TestMalformedHealthCheckIsRepeated(t *testing.T) {
 	config := testConfig()
 	config.HealthChecks = true
 	f := newFixture(t, config, oneGroup())
 	f.wait(tickInterval)
-	asked := len(f.healthChecks)
+	started := len(f.healthChecks)
 	for range 3 {
 		f.router.HealthChecked(f.now, HealthCheckResult{Endpoint: 2, Outcome: Error})
 		f.wait(2 * tickInterval)
 	}
-	if endpoint := f.router.endpoints[2]; endpoint.breaker.open || !endpoint.awaitsHealthCheck || len(f.healthChecks) != asked {
-		t.Errorf("open %v, waits %v, %d probes more at once", endpoint.breaker.open, endpoint.awaitsHealthCheck, len(f.healthChecks)-asked)
+	if endpoint := f.router.endpoints[2]; endpoint.breaker.open || !endpoint.awaitsHealthCheck || len(f.healthChecks) != started {
+		t.Errorf("circuit open %v, health check wanted %v, %d started at once; want false, true, 0", endpoint.breaker.open, endpoint.awaitsHealthCheck, len(f.healthChecks)-started)
 	}
 	f.wait(primaryDiscoveryInterval)
-	if len(f.healthChecks) != asked+1 {
-		t.Errorf("%d probes more, want one", len(f.healthChecks)-asked)
+	if len(f.healthChecks) != started+1 {
+		t.Errorf("%d health checks were started after the interval, want 1", len(f.healthChecks)-started)
 	}
 }
 
@@ -370,7 +375,7 @@
 	}
 	for range 5 {
 		if s := f.last(f.submit(sessionReadClass)); s.endpoint == 2 {
-			t.Error("a member that has just been full was sent more at once")
+			t.Error("a read was sent to endpoint 2 right after it was overloaded")
 		}
 	}
 }
@@ -380,7 +385,7 @@
 	f.router.failEarly(f.router.requests[f.submit(boundedReadClass)])
 	f.router.RequestArrived(f.now, Request{ID: 77, Class: boundedReadClass, TimeLeft: 900 * ms})
 	if _, ok := f.rejected[77]; !ok {
-		t.Error("a repeat whose aim passed with its first try was taken")
+		t.Error("a client's retry was accepted after the latency objective of its first request had passed")
 	}
 }
 
@@ -390,21 +395,22 @@
 	f.end(f.last(f.submit(sessionReadClass)), Reset, RoleUnknown, 0)
 	for _, endpoint := range f.router.ordered {
 		if endpoint.breaker.open {
-			t.Errorf("breaker of %d open after one broken connection", endpoint.ID)
+			t.Errorf("circuit breaker of endpoint %d is open after one reset connection", endpoint.ID)
 		}
 	}
 }
 
-func TestUnevenClientTimesAreNotRetries(t *testing.T) {
+func TestFirstRequestsWithOtherTimeLeftAreNotRetries(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.submit(boundedReadClass)
 	f.router.RequestArrived(f.now, Request{ID: 77, Class: boundedReadClass, TimeLeft: 900 * ms})
-	if _, refused := f.rejected[77]; refused || f.attempts[77] != 1 {
-		t.Error("a first try with a shorter time was taken for a repeat though nothing had been given up")
+	if _, isRejected := f.rejected[77]; isRejected || f.attempts[77] != 1 {
+		t.Error("a first request with less time left was taken for a client's retry though no request was answered early")
 	}
 }
 
-// Requests reach a endpoint and its answers are lost, while health checks are answered.
+// Requests reach an endpoint and its answers are lost, while its health checks
+// succeed: the health checks must not close its circuit breaker.
 func TestOneWayLossIsAvoidedThoughHealthChecksSucceed(t *testing.T) {
 	config := testConfig()
 	config.HealthChecks = true
@@ -417,7 +423,7 @@
 		if s.endpoint == 2 {
 			toLossy++
 			if f.wait(time.Second); !f.router.endpoints[2].breaker.open {
-				t.Fatal("answered probes keep the breaker of a silent member shut")
+				t.Fatal("successful health checks keep the circuit breaker of a silent endpoint closed")
 			}
 			continue
 		}
@@ -425,6 +431,6 @@
 		f.end(s, OK, RoleUnknown, f.now)
 	}
 	if toLossy > 20 {
-		t.Errorf("%d of 100 reads went to a member whose answers are lost", toLossy)
+		t.Errorf("%d of 100 reads were sent to an endpoint whose answers are lost, want at most 20", toLossy)
 	}
 }
--- a/decide/fixture_test.go
+++ b/decide/fixture_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// sent is one attempt as a recorder saw it.
+// sent is one attempt that a recorder was told to send.
 type sent struct {
 	request  uint64
 	endpoint uint32
@@ -15,7 +15,7 @@
 	timeout  time.Duration
 }
 
-// recorder is an Actions that records its calls.
+// recorder implements Actions by recording the calls.
 type recorder struct {
 	sends        []sent
 	attempts     map[uint64]int
@@ -60,7 +60,7 @@
 func (a *recorder) CloseIdle(endpoint uint32)      { a.closed = append(a.closed, endpoint) }
 func (a *recorder) SetTimer(time.Duration, uint32) {}
 
-// The classes of the tests' configs.
+// The indices of the classes of testConfig.
 const (
 	writeClass = iota
 	freshReadClass
@@ -69,10 +69,12 @@
 	idempotentWriteClass
 )
 
+// testConfig returns a configuration with one class per consistency level but Any,
+// and a write with an idempotency key.
 func testConfig() Config {
-	class := func(name string, c Consistency, rep Idempotency) Class {
-		return Class{Name: name, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: rep,
-			Consistency: c, MaxStaleness: 300 * ms, IdempotencyWindow: 5 * time.Second}
+	class := func(name string, consistency Consistency, idempotency Idempotency) Class {
+		return Class{Name: name, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: idempotency,
+			Consistency: consistency, MaxStaleness: 300 * ms, IdempotencyWindow: 5 * time.Second}
 	}
 	return Config{
 		Classes: []Class{class("write", Write, NonIdempotent), class("fresh", Fresh, Idempotent),
@@ -83,13 +85,14 @@
 	}
 }
 
-// oneGroup is a group of a primary, 1, and two replicas: 2 here, 3 in another zone.
+// oneGroup returns one replica group: primary 1, replica 2 in the router's zone, and
+// replica 3 in another zone.
 func oneGroup() []Endpoint {
 	return []Endpoint{{ID: 1, State: Ready, Primary: true, Zone: 1}, {ID: 2, State: Ready},
 		{ID: 3, State: Ready, Zone: 1}}
 }
 
-// fixture drives one router on a clock of its own.
+// fixture drives one router on a simulated clock.
 type fixture struct {
 	t *testing.T
 	*recorder
@@ -98,31 +101,34 @@
 	next   uint64
 }
 
+// newFixture returns a started router that has received the endpoints.
 func newFixture(t *testing.T, config Config, endpoints []Endpoint) *fixture {
 	t.Helper()
 	return newSeededFixture(t, config, endpoints, 1)
 }
 
+// newSeededFixture is newFixture with a given random seed.
 func newSeededFixture(t *testing.T, config Config, endpoints []Endpoint, seed uint64) *fixture {
 	t.Helper()
 	f := &fixture{t: t, recorder: newRecorder(), now: time.Hour}
-	r, err := New(config, seed, f.recorder)
+	router, err := New(config, seed, f.recorder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.router = r
-	r.Start(f.now)
-	r.EndpointsUpdated(f.now, UpdateCachedSnapshot, endpoints)
+	f.router = router
+	router.Start(f.now)
+	router.EndpointsUpdated(f.now, UpdateCachedSnapshot, endpoints)
 	return f
 }
 
+// submit delivers a request of the class to the router and returns its ID.
 func (f *fixture) submit(class int) uint64 {
 	f.next++
 	f.router.RequestArrived(f.now, Request{ID: f.next, Class: class, Session: 9, TimeLeft: 2 * time.Second})
 	return f.next
 }
 
-// wait lets time pass in ticks.
+// advance moves the clock forward by d in ticks.
 func (f *fixture) wait(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.now += tickInterval
@@ -130,7 +136,8 @@
 	}
 }
 
-// last returns the last attempt of a request.
+// lastAttempt returns the last attempt of a request and fails the test if there is
+// none.
 func (f *fixture) last(request uint64) sent {
 	f.t.Helper()
 	for i := len(f.sends) - 1; i >= 0; i-- {
@@ -138,16 +145,18 @@
 			return f.sends[i]
 		}
 	}
-	f.t.Fatalf("request %d was never sent", request)
+	f.t.Fatalf("request %d: no attempt was sent", request)
 	return sent{}
 }
 
-func (f *fixture) end(s sent, outcome Outcome, role Role, pos time.Duration) {
+// endAttempt reports the end of an attempt to the router.
+func (f *fixture) end(s sent, outcome Outcome, role Role, position time.Duration) {
 	f.router.AttemptEnded(f.now, AttemptResult{Request: s.request, Attempt: s.attempt, Endpoint: s.endpoint, Outcome: outcome,
-		ClientAnswered: outcome == OK, Status: ReplicationStatus{Role: role, Position: pos}})
+		ClientAnswered: outcome == OK, Status: ReplicationStatus{Role: role, Position: position}})
 }
 
-// teach makes a replica's position known through a session read with no token.
+// learnPosition sends session reads, which are answered with the current position,
+// until the endpoint has served one.
 func (f *fixture) learnPosition(endpoint uint32) {
 	f.t.Helper()
 	for range 50 {
@@ -159,5 +168,5 @@
 			return
 		}
 	}
-	f.t.Fatalf("member %d was never drawn", endpoint)
+	f.t.Fatalf("endpoint %d was not selected for any of 50 session reads", endpoint)
 }
--- a/decide/fleet.go
+++ b/decide/fleet.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// Fleet is what the other routers of the fleet contribute to the decisions; it
-// is implemented by internal/fleetstate. It can only make the router more
-// careful, except for quotas that other routers gave up. Without one the router
-// acts as if every method returned what it was given.
+// Fleet provides the information of the other routers of the fleet that decisions
+// use; internal/fleetstate implements it. It can only make the router more
+// cautious, except for quotas that other routers have lent to it. A router without
+// a Fleet uses its own rates and prefers no endpoint.
 type Fleet interface {
-	// Routers is how many routers there may be, 0 if that is not known. Fewer
-	// than Config.Routers change nothing.
+	// Routers returns an upper bound of the number of routers in the fleet, 0 if
+	// it is unknown. A number less than Config.Routers has no effect.
 	Routers() int
-	// SlowStartRate returns the rate, in requests a second of a warm endpoint,
-	// that this router may send to a warming endpoint. own is the router's own
-	// rate; one is its stake in an endpoint that serves one request at a time.
-	SlowStartRate(endpoint uint32, own, one float64, now time.Duration) float64
-	// RetryRate returns the retries a second that this router has besides the
-	// ones that it earns, negative if it gave some up.
+	// SlowStartRate returns the rate at which this router may send to a warming
+	// endpoint, in requests a second and as if the endpoint were warm. ownRate is
+	// the rate that the router would use without a Fleet. singleRequestRate is
+	// the router's share of the rate of an endpoint that serves one request at a
+	// time.
+	SlowStartRate(endpoint uint32, ownRate, singleRequestRate float64, now time.Duration) float64
+	// RetryRate returns the retries a second that are added to the router's retry
+	// budget, negative if the router has lent some of its own.
 	RetryRate(now time.Duration) float64
-	// Deprioritized reports that an endpoint is selected last among those that
-	// are fresh enough, and is not tried yet if its circuit breaker is open.
+	// Deprioritized reports whether other replicas that are fresh enough are
+	// preferred to the endpoint, and the trial of its open circuit breaker is
+	// postponed.
 	Deprioritized(endpoint uint32, now time.Duration) bool
-	// SuggestedPrimary reports that primary discovery in the endpoint's group
+	// SuggestedPrimary reports whether primary discovery in the endpoint's group
 	// tries this endpoint next.
 	SuggestedPrimary(endpoint uint32, now time.Duration) bool
 }
 
-// JoinFleet sets the Fleet to consult; before that the router
-// is standalone.
+// JoinFleet sets the Fleet to use. Before the first call the router is standalone.
 func (r *Router) JoinFleet(fleet Fleet) { r.fleet = fleet }
 
 // standalone is the Fleet of a router without peers.
@@ -34,7 +36,9 @@
 
 func (standalone) Routers() int { return 0 }
 
-func (standalone) SlowStartRate(_ uint32, own, _ float64, _ time.Duration) float64 { return own }
+func (standalone) SlowStartRate(_ uint32, ownRate, _ float64, _ time.Duration) float64 {
+	return ownRate
+}
 
 func (standalone) RetryRate(time.Duration) float64 { return 0 }
 
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -6,82 +6,85 @@
 	"time"
 )
 
-// fleetStub is a Fleet that answers as a test sets it.
+// fleetStub is a Fleet whose results are set by a test.
 type fleetStub struct {
 	counted
-	slowStartRate func(own, one float64) float64
+	slowStartRate func(ownRate, singleRequestRate float64) float64
 	retryRate     float64
 	deprioritized map[uint32]bool
 	primary       uint32
 }
 
-func (f *fleetStub) SlowStartRate(_ uint32, own, one float64, _ time.Duration) float64 {
+func (f *fleetStub) SlowStartRate(_ uint32, ownRate, singleRequestRate float64, _ time.Duration) float64 {
 	if f.slowStartRate == nil {
-		return own
+		return ownRate
 	}
-	return f.slowStartRate(own, one)
+	return f.slowStartRate(ownRate, singleRequestRate)
 }
-func (f *fleetStub) RetryRate(time.Duration) float64                 { return f.retryRate }
-func (f *fleetStub) Deprioritized(m uint32, _ time.Duration) bool    { return f.deprioritized[m] }
-func (f *fleetStub) SuggestedPrimary(m uint32, _ time.Duration) bool { return m == f.primary }
+func (f *fleetStub) RetryRate(time.Duration) float64                  { return f.retryRate }
+func (f *fleetStub) Deprioritized(id uint32, _ time.Duration) bool    { return f.deprioritized[id] }
+func (f *fleetStub) SuggestedPrimary(id uint32, _ time.Duration) bool { return id == f.primary }
 
-// A replica that peers doubt goes last among those fresh enough, and is used
-// where it is the only one: gossip orders, it never takes the last away.
+// A replica that the fleet deprioritizes is selected last among those that are
+// fresh enough, and is still used if no other is left: reports of peers change the
+// order of endpoints but never exclude one.
 func TestDeprioritizedReplicaIsSelectedLastAndStillUsed(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
 	f.router.recordPosition(f.router.endpoints[3], f.now, f.now)
-	advice := &fleetStub{deprioritized: map[uint32]bool{2: true}}
-	f.router.JoinFleet(advice)
+	fleet := &fleetStub{deprioritized: map[uint32]bool{2: true}}
+	f.router.JoinFleet(fleet)
 	if s := f.last(f.submit(sessionReadClass)); s.endpoint != 3 {
-		t.Fatalf("the read went to %d, want the replica in the other zone that nobody doubts", s.endpoint)
+		t.Fatalf("read was sent to endpoint %d, want remote replica 3, which is not deprioritized", s.endpoint)
 	}
-	advice.deprioritized[3] = true
+	fleet.deprioritized[3] = true
 	if s := f.last(f.submit(sessionReadClass)); s.endpoint != 2 {
-		t.Fatalf("with all replicas doubted the read went to %d, want 2 as without peers", s.endpoint)
+		t.Fatalf("read was sent to endpoint %d with all replicas deprioritized, want local replica 2", s.endpoint)
 	}
 }
 
-// A endpoint whose breaker is open here is not tried while peers doubt it.
+// The trial of an open circuit breaker waits while the fleet deprioritizes the
+// endpoint.
 func TestTrialOfDeprioritizedEndpointWaits(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup()[:2])
 	f.learnPosition(2)
 	f.router.openCircuit(f.router.endpoints[2], f.now)
-	advice := &fleetStub{deprioritized: map[uint32]bool{2: true}}
-	f.router.JoinFleet(advice)
+	fleet := &fleetStub{deprioritized: map[uint32]bool{2: true}}
+	f.router.JoinFleet(fleet)
 	f.wait(maxTrialBackoff + time.Second)
 	if s := f.last(f.submit(sessionReadClass)); s.endpoint == 2 {
-		t.Fatal("the trial went out though peers' evidence is fresher")
+		t.Fatal("the trial was sent to a deprioritized endpoint")
 	}
-	advice.deprioritized[2] = false
+	fleet.deprioritized[2] = false
 	f.wait(10 * ms)
 	if s := f.last(f.submit(sessionReadClass)); s.endpoint != 2 {
-		t.Errorf("nobody doubts it any more, and the trial went to %d", s.endpoint)
+		t.Errorf("read was sent to endpoint %d, want a trial of endpoint 2, which is no longer deprioritized", s.endpoint)
 	}
 }
 
-// A group that seeks its primary asks the one first that a peer heard lead.
+// Primary discovery first tries the endpoint that has reported to another router
+// to be the primary.
 func TestSuggestedPrimaryIsTriedFirst(t *testing.T) {
-	for _, leads := range []uint32{2, 3} {
+	for _, suggested := range []uint32{2, 3} {
 		f := newFixture(t, testConfig(), oneGroup())
-		f.router.JoinFleet(&fleetStub{primary: leads})
+		f.router.JoinFleet(&fleetStub{primary: suggested})
 		id := f.submit(writeClass)
 		f.end(f.last(id), Ineligible, RoleReplica, 0)
 		f.wait(500 * ms)
-		if s := f.last(id); s.endpoint != leads {
-			t.Errorf("the write asked %d next, want %d", s.endpoint, leads)
+		if s := f.last(id); s.endpoint != suggested {
+			t.Errorf("write was sent to endpoint %d next, want suggested primary %d", s.endpoint, suggested)
 		}
 	}
 }
 
-// A warming endpoint's allowance is what the shares say: none, and no more than the
-// rate without peers where nothing was borrowed.
+// The rate to a warming endpoint follows the Fleet: the router's own rate, half of
+// it, or none.
 func TestFleetSetsSlowStartRate(t *testing.T) {
-	sent := func(cold func(own, one float64) float64) (n int) {
+	sent := func(fleetRate func(ownRate, singleRequestRate float64) float64) (n int) {
 		f := newFixture(t, testConfig(), oneGroup()[:2])
 		f.learnPosition(2)
-		if cold != nil {
-			f.router.JoinFleet(&fleetStub{slowStartRate: cold})
+		if fleetRate != nil {
+			f.router.JoinFleet(&fleetStub{slowStartRate: fleetRate})
 		}
 		f.router.EndpointsUpdated(f.now, UpdateDelta, []Endpoint{{ID: 2, State: Ready, StartedAt: f.now}, {ID: 1, State: Draining, Primary: true}})
 		done := len(f.sends)
@@ -95,50 +98,50 @@
 		}
 		return n
 	}
-	own := sent(nil)
-	same := sent(func(own, _ float64) float64 { return own })
-	half := sent(func(own, _ float64) float64 { return own / 2 })
+	standaloneSends := sent(nil)
+	same := sent(func(ownRate, _ float64) float64 { return ownRate })
+	half := sent(func(ownRate, _ float64) float64 { return ownRate / 2 })
 	none := sent(func(float64, float64) float64 { return 0 })
-	if own < 10 || same != own || half >= own*3/4 || none > 1 {
-		t.Errorf("sent alone %d, with its own rate %d, with half %d, with none %d", own, same, half, none)
+	if standaloneSends < 10 || same != standaloneSends || half >= standaloneSends*3/4 || none > 1 {
+		t.Errorf("attempts at the warming endpoint: %d standalone, %d at the own rate, %d at half of it, %d at rate 0", standaloneSends, same, half, none)
 	}
 }
 
-// Repeats lent are a debt that a router pays before it repeats again; what is
-// borrowed adds to its own, up to what may be saved.
-func TestLentRetriesAreADebt(t *testing.T) {
-	saved := func(rate float64) float64 {
+// Retries lent to other routers overdraw the retry budget, down to a bound. Borrowed
+// retries fill it, up to its size.
+func TestLentRetriesOverdrawTheRetryBudget(t *testing.T) {
+	tokensAt := func(rate float64) float64 {
 		f := newFixture(t, testConfig(), oneGroup())
 		f.router.retries.tokens = 0
 		f.router.JoinFleet(&fleetStub{retryRate: rate})
 		f.wait(2 * time.Second)
 		return f.router.retries.tokens
 	}
-	if a, b, c := saved(0), saved(-0.2), saved(10); a != 0 || b > -0.39 || b < -0.41 || c != maxRetryTokens {
-		t.Errorf("after 2 s saved %.2f alone, %.2f with 0.2 a second lent, %.2f with 10 borrowed", a, b, c)
+	if none, lent, borrowed := tokensAt(0), tokensAt(-0.2), tokensAt(10); none != 0 || lent > -0.39 || lent < -0.41 || borrowed != maxRetryTokens {
+		t.Errorf("tokens after 2 s: %.2f at rate 0, %.2f with 0.2 a second lent, %.2f with 10 a second borrowed", none, lent, borrowed)
 	}
-	if d := saved(-100); d != -maxRetryTokens {
-		t.Errorf("the debt is %.2f, want %.2f at most", d, maxRetryTokens)
+	if overdraft := tokensAt(-100); overdraft != -maxRetryTokens {
+		t.Errorf("tokens with 100 a second lent = %.2f, want -%.2f", overdraft, maxRetryTokens)
 	}
 }
 
-// atRandom is a Fleet that says anything at any time.
-type atRandom struct{ rng *rand.Rand }
+// randomFleet is a Fleet that returns random results.
+type randomFleet struct{ rng *rand.Rand }
 
-func (f atRandom) Routers() int { return f.rng.IntN(400) }
-func (f atRandom) SlowStartRate(_ uint32, own, _ float64, _ time.Duration) float64 {
-	return own * f.rng.Float64()
+func (f randomFleet) Routers() int { return f.rng.IntN(400) }
+func (f randomFleet) SlowStartRate(_ uint32, ownRate, _ float64, _ time.Duration) float64 {
+	return ownRate * f.rng.Float64()
 }
-func (f atRandom) RetryRate(time.Duration) float64             { return 4 * (f.rng.Float64() - 0.5) }
-func (f atRandom) Deprioritized(uint32, time.Duration) bool    { return f.rng.IntN(2) == 0 }
-func (f atRandom) SuggestedPrimary(uint32, time.Duration) bool { return f.rng.IntN(2) == 0 }
+func (f randomFleet) RetryRate(time.Duration) float64             { return 4 * (f.rng.Float64() - 0.5) }
+func (f randomFleet) Deprioritized(uint32, time.Duration) bool    { return f.rng.IntN(2) == 0 }
+func (f randomFleet) SuggestedPrimary(uint32, time.Duration) bool { return f.rng.IntN(2) == 0 }
 
-// Whatever peers say, no rule is broken: the random histories that the module
-// is held to, with a Fleet that says anything.
-func TestNoAdviceOfTheFleetBreaksARule(t *testing.T) {
+// No result of a Fleet may make the router violate an invariant: this plays the
+// random histories of histories_test.go with a random Fleet.
+func TestRandomFleetViolatesNoInvariant(t *testing.T) {
 	for seed := range uint64(150) {
-		if faults := historyWith(t, seed, atRandom{rand.New(rand.NewPCG(seed, 11))}); len(faults) > 0 {
-			t.Fatalf("seed %d: %d faults, first: %s", seed, len(faults), faults[0])
+		if violations := historyWith(t, seed, randomFleet{rand.New(rand.NewPCG(seed, 11))}); len(violations) > 0 {
+			t.Fatalf("seed %d: %d violations, first: %s", seed, len(violations), violations[0])
 		}
 	}
 }
--- a/decide/freshness.go
+++ b/decide/freshness.go
@@ -3,29 +3,31 @@
 import "time"
 
 const (
-	// lagIncreaseSmoothing is the weight of a lag greater than the estimate. A
-	// smaller one counts whole: the age of a report only ever adds to a lag.
+	// lagIncreaseSmoothing is the weight of a measured lag that is greater than
+	// the estimate. A smaller one replaces the estimate, because the age of a
+	// report can only make the measured lag too great.
 	lagIncreaseSmoothing = 0.3
-	// lagValidity is how long a measured lag keeps a replica out that checks
-	// for itself.
+	// lagValidity is how long a measured lag excludes a replica that rejects stale
+	// reads itself.
 	lagValidity = time.Second
-	// maxFuturePosition is how far a position may lie ahead of the clock.
+	// maxFuturePosition is how far a reported position may be ahead of the
+	// router's clock. Positions further ahead are ignored.
 	maxFuturePosition = time.Second
 )
 
-// replication is what an endpoint reported of its role and position.
+// replication is the role and position that an endpoint has reported.
 type replication struct {
 	role           Role
-	roleReportedAt time.Duration
-	position       time.Duration // the greatest one proven
+	roleReportedAt time.Duration // 0 if the role was never reported
+	position       time.Duration // greatest reported position, 0 if none
 	lag            time.Duration // smoothed
-	lagMeasuredAt  time.Duration
+	lagMeasuredAt  time.Duration // 0 if no lag was measured
 }
 
-// record takes a reported position.
+// record records a reported position. One that is 0 or impossible is ignored.
 func (s *replication) record(position, now time.Duration) {
 	if position <= 0 || position > now+maxFuturePosition {
-		return // not reported, or impossible
+		return
 	}
 	lag := max(now-position, 0)
 	if s.position > 0 && lag > s.lag {
@@ -36,8 +38,8 @@
 	s.position = max(s.position, position)
 }
 
-// requiredPosition is the position that a replica must have reached to serve
-// the request, 0 if any will do.
+// requiredPosition returns the position that a replica must have reached to serve
+// the request, 0 if any position is sufficient.
 func (r *Router) requiredPosition(request *trackedRequest, now time.Duration) time.Duration {
 	switch request.class.Consistency {
 	case Bounded:
@@ -52,12 +54,11 @@
 	return 0
 }
 
-// freshEnough reports whether a replica may serve the request. Where replicas
-// serve stale reads only a proven position counts. Where they check for
-// themselves the smoothed lag is estimate enough, and one measured longer ago
-// than lagValidity says nothing: an attempt finds out, at the price of an
-// Ineligible answer, while otherwise the replica would stay out after it has
-// caught up.
+// freshEnough reports whether a replica is fresh enough for the request. Where
+// replicas serve stale reads, only a reported position counts. Where they reject
+// stale reads, the position is estimated from the smoothed lag. A lag measured
+// longer ago than lagValidity is ignored there: an attempt may cost an Ineligible
+// answer, but otherwise a replica that has caught up would stay excluded.
 func (r *Router) freshEnough(request *trackedRequest, endpoint *trackedEndpoint, now time.Duration) bool {
 	required := r.requiredPosition(request, now)
 	if required <= 0 || endpoint.position >= required {
--- a/decide/healthcheck.go
+++ b/decide/healthcheck.go
@@ -3,42 +3,50 @@
 import "time"
 
 const (
-	// healthCheckTokensPerRequest is what each request earns towards the health
-	// checks that could be done without: little beside its own work.
+	// healthCheckTokensPerRequest is the number of optional health checks that
+	// each client request adds to the budget. Their load is small compared with
+	// that of the request.
 	healthCheckTokensPerRequest = 0.02
-	// maxHealthCheckTokens is the most that is saved.
+	// maxHealthCheckTokens is the size of the health check budget.
 	maxHealthCheckTokens = 1
-	// healthCheckTimeout is when a health check without a result counts as lost.
+	// healthCheckTimeout is how long a health check may run before another one
+	// is started.
 	healthCheckTimeout = maxTrialBackoff
-	// healthCheckInterval is the least time between two health checks of an
-	// endpoint, and for how long a request waits for the result of one.
+	// healthCheckInterval is the shortest time between two health checks of an
+	// endpoint, and the longest time that a request waits for the result of one.
 	healthCheckInterval = primaryDiscoveryInterval
-	// reconnectInterval is the time between health checks of an endpoint that
-	// could not be reached.
+	// reconnectInterval is the time between health checks of an endpoint to which
+	// no connection could be made.
 	reconnectInterval = 500 * time.Millisecond
-	// maxReportAge is how old a health check's report of a role may be.
+	// maxReportAge is the greatest age of a role or position reported by a health
+	// check that is still used.
 	maxReportAge = 500 * time.Millisecond
-	// silentLatencies is the number of latencies without an answer, divided by
-	// the unanswered attempts, that trips a circuit breaker ...
+	// silentLatencies is the time without an answer that opens a circuit breaker,
+	// as a multiple of the latency and divided by the number of unanswered
+	// attempts.
 	silentLatencies = 6.0
-	// minSilentLatencies ... but never fewer than these: rare by chance.
+	// minSilentLatencies is the lower bound of that multiple. A healthy endpoint
+	// rarely takes this long.
 	minSilentLatencies = 2.5
 )
 
-// healthCheckBudget limits optional health checks to a fraction of the requests.
+// healthCheckBudget limits optional health checks to a fraction of the client
+// requests (a token bucket).
 type healthCheckBudget struct {
 	tokens float64
 }
 
-// earn credits one client request.
+// earn adds the tokens of one client request.
 func (b *healthCheckBudget) earn() {
 	b.tokens = min(b.tokens+healthCheckTokensPerRequest, maxHealthCheckTokens)
 }
 
-// spend debits one health check. A required one may find the budget empty.
+// spend takes the token of one health check, if there is one: a required health
+// check runs even if the budget is empty.
 func (b *healthCheckBudget) spend() { b.tokens = max(b.tokens-1, 0) }
 
-// HealthChecked takes the end of a health check.
+// HealthChecked handles the end of a health check. A result for an unknown
+// endpoint is ignored.
 func (r *Router) HealthChecked(now time.Duration, result HealthCheckResult) {
 	endpoint := r.endpoints[result.Endpoint]
 	if endpoint == nil {
@@ -46,14 +54,14 @@
 	}
 	endpoint.healthCheckInFlight = false
 	if result.Outcome == Error || result.Outcome == Malformed {
-		return // it runs but reported nothing: another health check follows
+		return // the endpoint runs but reported no status, so the health check is repeated
 	}
 	endpoint.awaitsHealthCheck = false
 	if result.Outcome != OK {
 		r.healthCheckFailed(endpoint, now)
 		return
 	}
-	if endpoint.unreachable { // it can be reached again, so its waits end
+	if endpoint.unreachable { // it can be reached again, so its backoff ends
 		endpoint.unreachable = false
 		endpoint.breaker.nextTrialAt = now
 		endpoint.backoffUntil = now
@@ -63,8 +71,8 @@
 	r.drainQueue(endpoint.group, now)
 }
 
-// healthCheckFailed trips the breaker of an endpoint, unless it is known to be
-// unreachable.
+// healthCheckFailed opens the circuit breaker of an endpoint, unless the endpoint
+// is already known to be unreachable.
 func (r *Router) healthCheckFailed(endpoint *trackedEndpoint, now time.Duration) {
 	if endpoint.unreachable {
 		return
@@ -73,16 +81,16 @@
 	r.openCircuit(endpoint, now)
 }
 
-// recordReportedRole takes the role in a health check's report, which may be
-// old: it counts only if it was made lately and after the last word on the
-// endpoint's role.
+// recordReportedRole records the role that a health check reports. The report may
+// be outdated, so it is used only if the endpoint's role was never reported, or if
+// the report is at most maxReportAge old and newer than the last report.
 func (r *Router) recordReportedRole(endpoint *trackedEndpoint, status ReplicationStatus, now time.Duration) {
 	if status.Role == RoleUnknown {
 		return
 	}
-	reportedAt := now - maxReportAge // at the latest
+	reportedAt := now - maxReportAge // the time of a replica's report is unknown
 	if status.Role == RolePrimary {
-		reportedAt = status.Position // a primary's position is the time itself
+		reportedAt = status.Position // the position of a primary is the time of its report
 	}
 	recent := reportedAt > endpoint.roleReportedAt && now-reportedAt <= maxReportAge
 	if endpoint.roleReportedAt == 0 || recent {
@@ -90,20 +98,21 @@
 	}
 }
 
-// healthCheckBeforeUse reports whether an endpoint must have passed a health
-// check before its first use. Where every answer reports role and position and
-// replicas reject what they are too far behind for, a wrong guess costs one
-// Ineligible answer. There requests pay for first health checks: one of each
-// endpoint by each router would cost a large fleet more than it saves.
+// healthCheckBeforeUse reports whether an endpoint must pass a health check before
+// its first use. That is not required where every answer reports role and
+// position and replicas reject reads that they are too far behind for: there a
+// wrong choice costs one Ineligible answer, and health checks are limited by a
+// budget, because checking every endpoint from every router would cost a large
+// fleet more than it saves.
 func (r *Router) healthCheckBeforeUse() bool {
 	return r.cfg.StaleReadPolicy == ServeStale || !r.cfg.AnswersCarryPosition
 }
 
-// requestHealthCheck asks for a health check of a replica that a read could use:
-// about once in each staleness bound where answers report no position, and once
-// its position has aged where only a proven one counts, as otherwise the reads
-// of many routers would go to the primary. It reports whether the result is
-// worth waiting for.
+// requestHealthCheck requests a health check of a replica that a read could use.
+// Where answers report no position, that is about once per staleness bound. Where
+// replicas serve stale reads, it is once the last position has become too old, as
+// otherwise the reads of many routers would go to the primary. It reports whether
+// a health check is pending whose result the read should wait for.
 func (r *Router) requestHealthCheck(replica *trackedEndpoint, fresh bool, now time.Duration) (pending bool) {
 	age := now - max(replica.lagMeasuredAt, replica.healthCheckedAt)
 	positionAged := !fresh && r.cfg.StaleReadPolicy == ServeStale && age >= maxReportAge
@@ -116,9 +125,10 @@
 	return replica.awaitsHealthCheck && !lost
 }
 
-// detectSilence trips the breaker of an endpoint that accepts work and does not
-// answer (hung, cut off, stuck), whatever the cause. That could do harm only
-// where all endpoints stall together; requests are then queued.
+// detectSilence opens the circuit breaker of an endpoint that accepts attempts and
+// does not answer, whether it hangs or is partitioned from the router. The
+// breakers of all endpoints open only if all of them stall at once; requests are
+// then queued.
 func (r *Router) detectSilence(endpoint *trackedEndpoint, now time.Duration) {
 	if endpoint.inFlight == 0 || endpoint.breaker.open {
 		return
@@ -133,8 +143,8 @@
 	}
 }
 
-// checkHealthIfDue starts a health check of a ready endpoint that awaits one, or
-// that could not be reached.
+// checkHealthIfDue starts a health check of a ready endpoint for which one was
+// requested, or to which no connection could be made.
 func (r *Router) checkHealthIfDue(endpoint *trackedEndpoint, now time.Duration) {
 	if !r.cfg.HealthChecks || endpoint.State != Ready {
 		return
--- a/decide/histories_test.go
+++ b/decide/histories_test.go
@@ -7,132 +7,140 @@
 	"time"
 )
 
-// checker asserts the five rules from what a router was told and did, without
-// looking at the router's own state.
+// checker checks the invariants of a router by its events and actions, without
+// access to the router's state: one answer by the deadline, no unsafe duplicate, no
+// attempt beyond the limits or at an endpoint that is not ready, and no stale read.
 type checker struct {
-	cfg     Config
-	now     time.Duration
-	reqs    map[uint64]*checked
-	pos     map[uint32]time.Duration // proven
-	primary map[uint32]bool          // told primary, and not denied by an answer
-	stopped map[uint32]bool
-	zone    map[uint32]int
-	faults  []string
+	cfg             Config
+	now             time.Duration
+	checkedRequests map[uint64]*checkedRequest
+	positions       map[uint32]time.Duration // greatest reported position
+	primaries       map[uint32]bool          // named as primary, and not reported as replica by a later answer
+	stopped         map[uint32]bool          // draining or removed
+	zones           map[uint32]int
+	violations      []string
 }
 
-type checked struct {
-	class    *Class
-	expires  time.Duration
-	token    time.Duration
-	members  []uint32
-	ended    []bool
-	out      int
-	mayRun   bool
-	firstRan time.Duration
-	ranZone  int
-	answers  int
+// checkedRequest is the checker's state of one request.
+type checkedRequest struct {
+	class            *Class
+	expiresAt        time.Duration
+	requiredPosition time.Duration // of the session's last commit
+	endpoints        []uint32      // by attempt
+	ended            []bool        // by attempt
+	inFlight         int
+	mayHaveExecuted  bool
+	firstSentAt      time.Duration
+	firstZone        int
+	answers          int
 }
 
-func (c *checker) fault(format string, args ...any) {
-	c.faults = append(c.faults, fmt.Sprintf("%v: ", c.now)+fmt.Sprintf(format, args...))
+// report records a violation of an invariant.
+func (c *checker) report(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("%v: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-func (c *checker) send(id uint64, m uint32) {
-	q := c.reqs[id]
+// send checks an attempt that the router sends.
+func (c *checker) send(id uint64, endpoint uint32) {
+	checked := c.checkedRequests[id]
 	switch {
-	case q == nil || q.answers > 0:
-		c.fault("request %d sent after its answer", id)
+	case checked == nil || checked.answers > 0:
+		c.report("attempt of request %d was sent after its answer", id)
 		return
-	case len(q.members) >= c.cfg.MaxAttempts:
-		c.fault("request %d sent too often", id)
-	case q.out > 0 && !c.cfg.ParallelAttempts:
-		c.fault("request %d has two attempts out", id)
+	case len(checked.endpoints) >= c.cfg.MaxAttempts:
+		c.report("request %d has more attempts than allowed", id)
+	case checked.inFlight > 0 && !c.cfg.ParallelAttempts:
+		c.report("request %d has two attempts in flight", id)
 	}
-	if risky := q.mayRun || q.out > 0; risky {
+	if duplicate := checked.mayHaveExecuted || checked.inFlight > 0; duplicate {
 		switch {
-		case q.class.Idempotency == NonIdempotent:
-			c.fault("unsafe request %d repeated", id)
-		case q.class.Idempotency == IdempotencyKey && c.now > q.firstRan+q.class.IdempotencyWindow:
-			c.fault("keyed request %d repeated past its window", id)
-		case q.class.Idempotency == IdempotencyKey && q.class.IdempotencyScope == ScopeZone && c.zone[m] != q.ranZone:
-			c.fault("keyed request %d repeated out of its zone", id)
+		case checked.class.Idempotency == NonIdempotent:
+			c.report("non-idempotent request %d was sent again", id)
+		case checked.class.Idempotency == IdempotencyKey && c.now > checked.firstSentAt+checked.class.IdempotencyWindow:
+			c.report("request %d was sent again after its idempotency window", id)
+		case checked.class.Idempotency == IdempotencyKey && checked.class.IdempotencyScope == ScopeZone && c.zones[endpoint] != checked.firstZone:
+			c.report("request %d was sent again outside the zone of its idempotency key", id)
 		}
 	} else {
-		q.firstRan, q.ranZone = c.now, c.zone[m]
+		checked.firstSentAt, checked.firstZone = c.now, c.zones[endpoint]
 	}
-	if c.stopped[m] {
-		c.fault("request %d sent to member %d, which drains or is gone", id, m)
+	if c.stopped[endpoint] {
+		c.report("request %d was sent to endpoint %d, which is draining or removed", id, endpoint)
 	}
-	if c.cfg.StaleReadPolicy == ServeStale && q.class.Consistency != Write && !c.primary[m] {
-		need := time.Duration(0)
-		switch q.class.Consistency {
+	if c.cfg.StaleReadPolicy == ServeStale && checked.class.Consistency != Write && !c.primaries[endpoint] {
+		required := time.Duration(0)
+		switch checked.class.Consistency {
 		case Fresh:
-			c.fault("fresh read %d sent to replica %d", id, m)
+			c.report("fresh read %d was sent to replica %d", id, endpoint)
 		case Bounded:
-			need = c.now - q.class.MaxStaleness
+			required = c.now - checked.class.MaxStaleness
 		case Session:
-			need = q.token
+			required = checked.requiredPosition
 		}
-		if c.pos[m] < need {
-			c.fault("read %d sent to member %d at %v, needs %v", id, m, c.pos[m], need)
+		if c.positions[endpoint] < required {
+			c.report("read %d was sent to endpoint %d at position %v, requires %v", id, endpoint, c.positions[endpoint], required)
 		}
 	}
-	q.members = append(q.members, m)
-	q.ended = append(q.ended, false)
-	q.out++
+	checked.endpoints = append(checked.endpoints, endpoint)
+	checked.ended = append(checked.ended, false)
+	checked.inFlight++
 }
 
-func (c *checker) answer(id uint64, refused bool) {
-	q := c.reqs[id]
-	if q == nil {
+// answer checks an error answer of the router.
+func (c *checker) answer(id uint64, rejected bool) {
+	checked := c.checkedRequests[id]
+	if checked == nil {
 		return
 	}
-	if q.answers++; q.answers > 1 {
-		c.fault("request %d answered twice", id)
+	if checked.answers++; checked.answers > 1 {
+		c.report("request %d was answered twice", id)
 	}
-	keptFrom := q.class.Idempotency == NonIdempotent || (q.class.Idempotency == IdempotencyKey && q.class.IdempotencyScope != ScopeAll)
-	if refused && keptFrom && (q.mayRun || q.out > 0) {
-		c.fault("request %d refused though it may have run", id)
+	duplicatesUnsafe := checked.class.Idempotency == NonIdempotent || (checked.class.Idempotency == IdempotencyKey && checked.class.IdempotencyScope != ScopeAll)
+	if rejected && duplicatesUnsafe && (checked.mayHaveExecuted || checked.inFlight > 0) {
+		c.report("request %d was rejected though it may have been executed", id)
 	}
 }
 
+// overdue checks that every request is answered at most slack after its deadline.
 func (c *checker) overdue(slack time.Duration) {
-	for id, q := range c.reqs {
-		if q.answers == 0 && c.now > q.expires+slack {
-			c.fault("request %d has no answer in time", id)
-			q.answers = 1
+	for id, checked := range c.checkedRequests {
+		if checked.answers == 0 && c.now > checked.expiresAt+slack {
+			c.report("request %d was not answered by its deadline", id)
+			checked.answers = 1
 		}
 	}
 }
 
-// TestRandomHistoriesKeepTheRules feeds seeded random histories of arrivals,
-// outcomes, lists, restarts and losses under varied settings.
-func TestRandomHistoriesKeepTheRules(t *testing.T) {
+// TestRandomHistoriesViolateNoInvariant plays seeded random histories of requests,
+// outcomes, endpoint list updates, restarts and lost outcomes under random
+// configurations.
+func TestRandomHistoriesViolateNoInvariant(t *testing.T) {
 	seeds := 300
 	if testing.Short() {
 		seeds = 50
 	}
 	for seed := range seeds {
-		if faults := history(t, uint64(seed)); len(faults) > 0 {
-			t.Fatalf("seed %d: %d faults, first: %s", seed, len(faults), faults[0])
+		if violations := history(t, uint64(seed)); len(violations) > 0 {
+			t.Fatalf("seed %d: %d violations, first: %s", seed, len(violations), violations[0])
 		}
 	}
 }
 
+// FuzzHistories is TestRandomHistoriesViolateNoInvariant with seeds of the fuzzer.
 func FuzzHistories(f *testing.F) {
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		if faults := history(t, seed); len(faults) > 0 {
-			t.Fatal(faults[0])
+		if violations := history(t, seed); len(violations) > 0 {
+			t.Fatal(violations[0])
 		}
 	})
 }
 
-// history plays one random history and returns the broken rules.
+// history plays one random history and returns the violations.
 func history(t *testing.T, seed uint64) []string { return historyWith(t, seed, standalone{}) }
 
-// historyWith plays it for a router that hears of its peers from f.
-func historyWith(t *testing.T, seed uint64, f Fleet) []string {
+// historyWith plays one random history for a router that uses the given Fleet.
+func historyWith(t *testing.T, seed uint64, fleet Fleet) []string {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	coin := func() bool { return rng.IntN(2) == 0 }
 	config := testConfig()
@@ -151,75 +159,75 @@
 		config.Classes[i].IdempotencyScope = IdempotencyScope(rng.IntN(3))
 		config.Classes[i].IdempotencyWindow = time.Duration(rng.IntN(2000)) * ms
 	}
-	c := &checker{cfg: config, now: time.Hour, reqs: map[uint64]*checked{}, pos: map[uint32]time.Duration{},
-		primary: map[uint32]bool{}, stopped: map[uint32]bool{}, zone: map[uint32]int{}}
-	act := newRecorder()
-	act.onSend, act.onAnswer = c.send, c.answer
-	r, err := New(config, seed, act)
+	c := &checker{cfg: config, now: time.Hour, checkedRequests: map[uint64]*checkedRequest{}, positions: map[uint32]time.Duration{},
+		primaries: map[uint32]bool{}, stopped: map[uint32]bool{}, zones: map[uint32]int{}}
+	recorder := newRecorder()
+	recorder.onSend, recorder.onAnswer = c.send, c.answer
+	router, err := New(config, seed, recorder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.JoinFleet(f)
-	tokens := map[uint64]time.Duration{}
+	router.JoinFleet(fleet)
+	commits := map[uint64]time.Duration{}
 	endpoints := make([]Endpoint, 2+rng.IntN(7))
 	for i := range endpoints {
 		endpoints[i] = Endpoint{ID: uint32(i + 1), Group: i % 2, Zone: rng.IntN(2), State: Ready, Primary: i < 2}
-		c.zone[endpoints[i].ID] = endpoints[i].Zone
+		c.zones[endpoints[i].ID] = endpoints[i].Zone
 	}
 	list := func(kind EndpointUpdateKind, ms []Endpoint) {
-		for _, m := range ms {
-			if config.RemovalEnforced || m.State != Removed { // else gone alone proves nothing: it is as it was
-				c.stopped[m.ID] = m.State != Ready
+		for _, entry := range ms {
+			if config.RemovalEnforced || entry.State != Removed { // a removal that is not enforced leaves the endpoint as it was
+				c.stopped[entry.ID] = entry.State != Ready
 			}
-			if m.Primary {
-				c.primary[m.ID] = true
+			if entry.Primary {
+				c.primaries[entry.ID] = true
 			}
 		}
-		r.EndpointsUpdated(c.now, kind, ms)
+		router.EndpointsUpdated(c.now, kind, ms)
 	}
-	r.Start(c.now)
+	router.Start(c.now)
 	list(UpdateCachedSnapshot, endpoints)
-	lost := map[int]bool{} // sends whose outcome never comes
+	lost := map[int]bool{} // by index in sends, whether the outcome was delivered or lost
 	done := 0
 	for step := range 600 {
 		switch rng.IntN(8) {
 		case 0, 1, 2:
 			class := rng.IntN(len(config.Classes))
-			q := Request{ID: uint64(step + 1), Class: class, Group: rng.IntN(2), Session: uint64(rng.IntN(4)),
+			request := Request{ID: uint64(step + 1), Class: class, Group: rng.IntN(2), Session: uint64(rng.IntN(4)),
 				TimeLeft: time.Duration(rng.IntN(2000)-50) * ms}
-			k := &checked{class: &config.Classes[class], expires: c.now + max(q.TimeLeft, 0)}
+			checked := &checkedRequest{class: &config.Classes[class], expiresAt: c.now + max(request.TimeLeft, 0)}
 			if config.SessionTokens {
-				q.SinceCommit = time.Duration(rng.IntN(500)) * ms
-			} else if q.Session != 0 {
-				k.token = tokens[q.Session+uint64(q.Group)<<8]
+				request.SinceCommit = time.Duration(rng.IntN(500)) * ms
+			} else if request.Session != 0 {
+				checked.requiredPosition = commits[request.Session+uint64(request.Group)<<8]
 			}
-			c.reqs[q.ID] = k
-			r.RequestArrived(c.now, q)
+			c.checkedRequests[request.ID] = checked
+			router.RequestArrived(c.now, request)
 		case 3, 4, 5:
-			for i := done; i < len(act.sends); i++ {
-				s := act.sends[i]
+			for i := done; i < len(recorder.sends); i++ {
+				s := recorder.sends[i]
 				if lost[i] || rng.IntN(3) > 0 {
 					continue
 				}
-				lost[i] = true // it ends now, or is lost
+				lost[i] = true // the outcome is delivered now or never
 				if rng.IntN(12) > 0 {
-					end(c, r, rng, tokens, s)
+					endRandomly(c, router, rng, commits, s)
 				}
 			}
-			for done < len(act.sends) && lost[done] {
+			for done < len(recorder.sends) && lost[done] {
 				done++
 			}
 		case 6:
-			m := &endpoints[rng.IntN(len(endpoints))]
+			entry := &endpoints[rng.IntN(len(endpoints))]
 			switch rng.IntN(4) {
 			case 0:
-				m.State = EndpointState(rng.IntN(3))
+				entry.State = EndpointState(rng.IntN(3))
 			case 1:
-				m.StartedAt, m.State = c.now, Ready
+				entry.StartedAt, entry.State = c.now, Ready
 			case 2:
 				for i := range endpoints {
-					if endpoints[i].Group == m.Group {
-						endpoints[i].Primary = endpoints[i].ID == m.ID
+					if endpoints[i].Group == entry.Group {
+						endpoints[i].Primary = endpoints[i].ID == entry.ID
 					}
 				}
 			default:
@@ -228,88 +236,89 @@
 			if coin() {
 				list(UpdateSnapshot, endpoints)
 			} else {
-				list(UpdateDelta, []Endpoint{*m})
+				list(UpdateDelta, []Endpoint{*entry})
 			}
 		case 7:
-			for _, id := range act.healthChecks {
-				note := ReplicationStatus{}
+			for _, id := range recorder.healthChecks {
+				status := ReplicationStatus{}
 				if config.HealthChecksReportRole {
-					note = ReplicationStatus{Role: Role(1 + rng.IntN(2)), Position: c.now - time.Duration(rng.IntN(900))*ms}
-					c.pos[id] = max(c.pos[id], note.Position)
-					c.primary[id] = c.primary[id] || note.Role == RolePrimary
+					status = ReplicationStatus{Role: Role(1 + rng.IntN(2)), Position: c.now - time.Duration(rng.IntN(900))*ms}
+					c.positions[id] = max(c.positions[id], status.Position)
+					c.primaries[id] = c.primaries[id] || status.Role == RolePrimary
 				}
-				r.HealthChecked(c.now, HealthCheckResult{Endpoint: id, Outcome: Outcome(rng.IntN(2) * int(TimedOut)), Status: note})
+				router.HealthChecked(c.now, HealthCheckResult{Endpoint: id, Outcome: Outcome(rng.IntN(2) * int(TimedOut)), Status: status})
 			}
-			act.healthChecks = act.healthChecks[:0]
+			recorder.healthChecks = recorder.healthChecks[:0]
 		}
 		for range rng.IntN(6) {
 			c.now += tickInterval
-			r.TimerFired(c.now, tickToken)
+			router.TimerFired(c.now, tickToken)
 			c.overdue(2 * tickInterval)
 		}
 	}
 	for range 300 {
 		c.now += tickInterval
-		r.TimerFired(c.now, tickToken)
+		router.TimerFired(c.now, tickToken)
 	}
 	c.overdue(2 * tickInterval)
-	return c.faults
+	return c.violations
 }
 
-// end gives an attempt a random outcome and tells the checker what it shows.
-func end(c *checker, r *Router, rng *rand.Rand, tokens map[uint64]time.Duration, s sent) {
-	q := c.reqs[s.request]
+// endRandomly ends an attempt with a random outcome, and updates the checker by what
+// the outcome reports.
+func endRandomly(c *checker, router *Router, rng *rand.Rand, commits map[uint64]time.Duration, s sent) {
+	checked := c.checkedRequests[s.request]
 	outcome := []Outcome{OK, OK, OK, Error, Overloaded, TimedOut, ConnectFailed, Reset, Cancelled, NotSent, Ineligible, Ineligible}[rng.IntN(12)]
-	res := AttemptResult{Request: s.request, Attempt: s.attempt, Endpoint: s.endpoint, Outcome: outcome, ClientAnswered: q.answers > 0 || outcome == OK}
+	result := AttemptResult{Request: s.request, Attempt: s.attempt, Endpoint: s.endpoint, Outcome: outcome, ClientAnswered: checked.answers > 0 || outcome == OK}
 	if outcome == OK || outcome == Ineligible || outcome == Overloaded || outcome == Error {
-		res.Status.Role = Role(1 + rng.IntN(2))
-		write := q.class.Consistency == Write
+		result.Status.Role = Role(1 + rng.IntN(2))
+		write := checked.class.Consistency == Write
 		if outcome == OK && write {
-			res.Status.Role = RolePrimary
+			result.Status.Role = RolePrimary
 		}
-		if r.cfg.AnswersCarryPosition {
-			res.Status.Position = c.now - time.Duration(rng.IntN(900))*ms
+		if router.cfg.AnswersCarryPosition {
+			result.Status.Position = c.now - time.Duration(rng.IntN(900))*ms
 			if outcome != OK || !write {
-				c.pos[s.endpoint] = max(c.pos[s.endpoint], res.Status.Position)
+				c.positions[s.endpoint] = max(c.positions[s.endpoint], result.Status.Position)
 			}
 		}
-		c.primary[s.endpoint] = res.Status.Role == RolePrimary
-		if in := r.requests[s.request]; outcome == OK && write && in != nil && in.Session != 0 {
-			key := in.Session + uint64(in.Group)<<8
-			tokens[key] = max(tokens[key], res.Status.Position)
+		c.primaries[s.endpoint] = result.Status.Role == RolePrimary
+		if tracked := router.requests[s.request]; outcome == OK && write && tracked != nil && tracked.Session != 0 {
+			key := tracked.Session + uint64(tracked.Group)<<8
+			commits[key] = max(commits[key], result.Status.Position)
 		}
 	}
-	q.ended[s.attempt] = true
-	q.out--
+	checked.ended[s.attempt] = true
+	checked.inFlight--
 	if outcome == OK || outcome == Error || outcome == TimedOut || outcome == Reset || outcome == Cancelled {
-		q.mayRun = true
+		checked.mayHaveExecuted = true
 	}
-	if outcome == OK && q.answers == 0 {
-		q.answers = 1
+	if outcome == OK && checked.answers == 0 {
+		checked.answers = 1
 	}
-	r.AttemptEnded(c.now, res)
+	router.AttemptEnded(c.now, result)
 }
 
-// TestCheckerCatchesBrokenRules shows that the checker can fail: it is given
-// the acts of a router that breaks each rule.
-func TestCheckerCatchesBrokenRules(t *testing.T) {
+// TestCheckerReportsViolations tests the checker itself with actions that violate
+// the invariants.
+func TestCheckerReportsViolations(t *testing.T) {
 	config := testConfig()
-	for name, act := range map[string]func(c *checker){
-		"two answers":      func(c *checker) { c.answer(1, false); c.answer(1, false) },
-		"send when over":   func(c *checker) { c.answer(1, false); c.send(1, 1) },
-		"unsafe twice":     func(c *checker) { c.send(1, 1); c.send(1, 1) },
-		"refused unsafe":   func(c *checker) { c.send(1, 1); c.answer(1, true) },
-		"sent to draining": func(c *checker) { c.send(1, 2) },
-		"stale read":       func(c *checker) { c.send(2, 3) },
-		"no answer":        func(c *checker) { c.now += time.Minute; c.overdue(0) },
+	for name, violate := range map[string]func(c *checker){
+		"two answers":       func(c *checker) { c.answer(1, false); c.answer(1, false) },
+		"sent after answer": func(c *checker) { c.answer(1, false); c.send(1, 1) },
+		"sent twice":        func(c *checker) { c.send(1, 1); c.send(1, 1) },
+		"unsafe rejection":  func(c *checker) { c.send(1, 1); c.answer(1, true) },
+		"sent to draining":  func(c *checker) { c.send(1, 2) },
+		"stale read":        func(c *checker) { c.send(2, 3) },
+		"no answer":         func(c *checker) { c.now += time.Minute; c.overdue(0) },
 	} {
-		c := &checker{cfg: config, now: time.Hour, pos: map[uint32]time.Duration{}, zone: map[uint32]int{},
-			primary: map[uint32]bool{1: true}, stopped: map[uint32]bool{2: true},
-			reqs: map[uint64]*checked{1: {class: &config.Classes[writeClass], expires: time.Hour + time.Second},
-				2: {class: &config.Classes[boundedReadClass], expires: time.Hour + time.Second}}}
-		act(c)
-		if len(c.faults) == 0 {
-			t.Errorf("%s: not caught", name)
+		c := &checker{cfg: config, now: time.Hour, positions: map[uint32]time.Duration{}, zones: map[uint32]int{},
+			primaries: map[uint32]bool{1: true}, stopped: map[uint32]bool{2: true},
+			checkedRequests: map[uint64]*checkedRequest{1: {class: &config.Classes[writeClass], expiresAt: time.Hour + time.Second},
+				2: {class: &config.Classes[boundedReadClass], expiresAt: time.Hour + time.Second}}}
+		violate(c)
+		if len(c.violations) == 0 {
+			t.Errorf("%s: the checker reported no violation", name)
 		}
 	}
 }
@@ -327,6 +336,6 @@
 		return fmt.Sprint(f.sends, f.healthChecks, f.cancels)
 	}
 	if first, second := play(), play(); first != second {
-		t.Error("two runs of the same events differ")
+		t.Error("two routers with equal seeds and events took different actions")
 	}
 }
--- a/decide/layout_test.go
+++ b/decide/layout_test.go
@@ -12,15 +12,15 @@
 	"testing"
 )
 
-// Bounds on the package's source, so that each decision stays easy to read.
+// Limits on the size of the package's source files, which keep it readable.
 const (
-	maxColumns       = 110 // a tab counts as four
+	maxColumns       = 110 // a tab counts as four columns
 	maxFileLines     = 400
 	maxFunctionLines = 60
 )
 
-// TestSourceStaysReadable replaces a bound on the lines of the former single
-// file: every file is bounded now, with its functions and lines.
+// TestSourceStaysReadable checks the length of every file, function and line of
+// the package but its tests.
 func TestSourceStaysReadable(t *testing.T) {
 	for _, name := range sourceFiles(t) {
 		text, err := os.ReadFile(name)
@@ -40,6 +40,7 @@
 	}
 }
 
+// checkFunctions checks the length of every function of one file.
 func checkFunctions(t *testing.T, name string, text []byte) {
 	t.Helper()
 	files := token.NewFileSet()
@@ -59,8 +60,8 @@
 	}
 }
 
-// TestDeploymentNamesEveryFile: a decision may stand in any file of the
-// package, so the deployment must name each of them as policy.
+// TestDeploymentNamesEveryFile checks that the policy list of the deployment file
+// names every file of the package but its tests, as each may hold decisions.
 func TestDeploymentNamesEveryFile(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -80,7 +81,7 @@
 	}
 }
 
-// sourceFiles are the package's files but its tests, sorted.
+// sourceFiles returns the names of the package's files but its tests, sorted.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
--- a/decide/outcome.go
+++ b/decide/outcome.go
@@ -3,26 +3,29 @@
 import "time"
 
 const (
-	// busyLatencies is for how many latencies a failure makes an endpoint busy:
-	// its queue turns over meanwhile.
+	// busyLatencies is how long an endpoint counts as busy after a failure, as a
+	// multiple of its latency. In that time its queue turns over.
 	busyLatencies = 10
-	// silentDuration is for how long silence does, until the endpoint answers: a
-	// router that meets it seldom learns late.
+	// silentDuration is how long an endpoint that gave no answer counts as busy,
+	// unless it answers earlier. It is long because a router that rarely sends to
+	// the endpoint finds out late whether it answers again.
 	silentDuration = 10 * time.Second
-	// maxBackoffDoublings bounds the backoff after failures in a row.
+	// maxBackoffDoublings is how often the backoff doubles at most.
 	maxBackoffDoublings = 6
-	// connectionsScarceDuration is for how long no connection is kept idle to an
-	// endpoint that refused one.
+	// connectionsScarceDuration is how long idle connections to an endpoint are
+	// closed after it has refused a connection.
 	connectionsScarceDuration = 10 * time.Second
-	// refusalDivisor: a connection attempt that fails within this part of the
-	// endpoint's latency was refused; a later failure is silence.
+	// refusalDivisor divides an endpoint's latency to give the time within which
+	// a failed connection attempt was refused. A later failure means that the
+	// endpoint did not respond.
 	refusalDivisor = 4
-	// minServiceTime is the least time that an answer is taken to have needed.
+	// minServiceTime is the shortest latency recorded for a served attempt, so
+	// that a recorded latency is never 0.
 	minServiceTime = time.Microsecond
 )
 
-// AttemptEnded takes the end of an attempt. One that this router does not know
-// any more is evidence on its endpoint only.
+// AttemptEnded handles the end of an attempt. If the attempt is unknown or has
+// already ended, only the reported status of its endpoint is used.
 func (r *Router) AttemptEnded(now time.Duration, result AttemptResult) {
 	request := r.requests[result.Request]
 	current := request.attemptInFlight(result.Attempt)
@@ -45,8 +48,8 @@
 	r.drainQueue(request.group, now)
 }
 
-// attemptInFlight returns an attempt by its number, nil if there is none in
-// flight. The request may be nil.
+// attemptInFlight returns the attempt with the given number, nil if there is none
+// or it has ended. The request may be nil.
 func (request *trackedRequest) attemptInFlight(number int) *attempt {
 	if request == nil || number < 0 || number >= len(request.attempts) {
 		return nil
@@ -57,7 +60,8 @@
 	return &request.attempts[number]
 }
 
-// detachAttempt takes an ended attempt off its endpoint and request.
+// detachAttempt marks an attempt as ended and removes it from the counts of its
+// endpoint and request.
 func (r *Router) detachAttempt(request *trackedRequest, ended *attempt, now time.Duration) {
 	endpoint := ended.endpoint
 	ended.endedAt = max(now, 1)
@@ -72,8 +76,8 @@
 	}
 }
 
-// recordStatus takes what an outcome reports of its endpoint's role, position
-// and commits. The request is nil if it is not known any more.
+// recordStatus records the role and position that an endpoint reports with an
+// outcome, and the commit of a write. The request is nil if it is unknown.
 func (r *Router) recordStatus(
 	endpoint *trackedEndpoint, request *trackedRequest, result AttemptResult, now time.Duration,
 ) {
@@ -84,7 +88,8 @@
 		if result.Status.Role != RoleUnknown {
 			r.recordRole(endpoint, result.Status.Role, now)
 		}
-		servedUnknown := result.Outcome == OK && request == nil // its position may be a commit
+		// The position of an unknown request may be that of its commit.
+		servedUnknown := result.Outcome == OK && request == nil
 		if !servedWrite && !servedUnknown {
 			r.recordPosition(endpoint, result.Status.Position, now)
 		}
@@ -92,25 +97,25 @@
 	if !isWrite || result.Outcome.NotExecuted() {
 		return
 	}
-	commit := now // the answer may have been lost on the way
+	commit := now // the write may have committed at any time until now
 	if servedWrite && result.Status.Position > 0 {
 		commit = result.Status.Position
 	}
 	r.rememberCommit(request, 0, commit)
 }
 
-// recordPosition takes an endpoint's reported position.
+// recordPosition records a position that an endpoint has reported.
 func (r *Router) recordPosition(endpoint *trackedEndpoint, position, now time.Duration) {
 	endpoint.record(position, now)
 }
 
-// recordOutcome takes the evidence that the end of an attempt gives of its endpoint's health.
+// recordOutcome updates the health of an endpoint by the outcome of an attempt.
 func (r *Router) recordOutcome(
 	request *trackedRequest, ended *attempt, result AttemptResult, now time.Duration,
 ) {
 	endpoint := ended.endpoint
 	switch result.Outcome {
-	case NotSent, Cancelled, InvalidRequest: // not caused by the endpoint
+	case NotSent, Cancelled, InvalidRequest: // not a fault of the endpoint
 	case OK:
 		r.recordServed(request, ended, now)
 	case Ineligible:
@@ -119,7 +124,7 @@
 		}
 	case Malformed, Reset:
 		if endpoint.consecutiveFailures == 0 {
-			endpoint.consecutiveFailures = 1 // a single one says more of the network than of the endpoint
+			endpoint.consecutiveFailures = 1 // a single one is more likely a fault of the network
 			return
 		}
 		r.recordFailure(ended, result, now)
@@ -128,30 +133,32 @@
 	}
 }
 
-// recordServed takes a served attempt.
+// recordServed records a served attempt: its latency, and its effect on the
+// concurrency limit and on admission.
 func (r *Router) recordServed(request *trackedRequest, ended *attempt, now time.Duration) {
 	endpoint := ended.endpoint
-	took := max(now-ended.sentAt, minServiceTime)
+	serviceTime := max(now-ended.sentAt, minServiceTime)
 	endpoint.consecutiveFailures = 0
 	endpoint.lastAnsweredSentAt = max(endpoint.lastAnsweredSentAt, ended.sentAt)
 	r.answers.record(now, r.readyEndpoints)
-	endpoint.latency = smooth(endpoint.latency, took, latencySmoothing)
-	r.latency = smooth(r.latency, took, latencySmoothing)
-	r.adaptConcurrency(ended, float64(took)/float64(request.class.LatencyObjective), now)
+	endpoint.latency = smooth(endpoint.latency, serviceTime, latencySmoothing)
+	r.latency = smooth(r.latency, serviceTime, latencySmoothing)
+	r.adaptConcurrency(ended, float64(serviceTime)/float64(request.class.LatencyObjective), now)
 	r.admission.served()
 }
 
 // assumeLag raises the lag of a replica that rejected a read as too far behind
-// without reporting its position.
+// without reporting its position, to the least lag that explains the rejection.
 func (r *Router) assumeLag(request *trackedRequest, endpoint *trackedEndpoint, now time.Duration) {
 	behind := now - r.requiredPosition(request, now) + r.cfg.StaleReadWait
 	endpoint.lag = max(endpoint.lag, behind)
 	endpoint.lagMeasuredAt = now
 }
 
-// recordFailure takes a failed attempt: its endpoint backs off, twice as long
-// after each failure in a row, since fast failures would look idle and attract
-// more requests. A timeout is slow by itself and causes no backoff.
+// recordFailure records a failed attempt. The endpoint is put in backoff, twice as
+// long after each consecutive failure, because an endpoint that fails fast has
+// few attempts in flight and would attract more requests. A timeout causes no
+// backoff, as it takes long by itself.
 func (r *Router) recordFailure(ended *attempt, result AttemptResult, now time.Duration) {
 	endpoint, outcome := ended.endpoint, result.Outcome
 	latency := r.latencyOf(endpoint)
--- a/decide/primary.go
+++ b/decide/primary.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// primaryDiscoveryInterval is the interval between the requests that look
-	// for a primary: elections take seconds.
+	// primaryDiscoveryInterval is the interval between the requests that primary
+	// discovery sends to a group. It is short compared with an election, which
+	// takes seconds.
 	primaryDiscoveryInterval = 100 * time.Millisecond
-	// readDiscoveryDelay is for how long no write must have looked for the
-	// primary before a fresh read does.
+	// readDiscoveryDelay is how long primary discovery waits for a write before it
+	// sends a fresh read.
 	readDiscoveryDelay = 3 * time.Second
-	// reservedAttempts is how many attempts of a request primary discovery may
-	// not use up.
+	// reservedAttempts is the number of attempts of a request that primary
+	// discovery leaves for the primary that it finds.
 	reservedAttempts = 3
-	// primaryFailureThreshold is the number of failures in a row after which
-	// another primary is looked for.
+	// primaryFailureThreshold is the number of consecutive failures of the primary
+	// that starts primary discovery.
 	primaryFailureThreshold = 2
 )
 
@@ -26,7 +27,8 @@
 		g.primary.consecutiveFailures >= primaryFailureThreshold
 }
 
-// recordRole takes an endpoint's own report of its role.
+// recordRole records the role that an endpoint has reported, and updates the
+// assumed primary of its group.
 func (r *Router) recordRole(endpoint *trackedEndpoint, role Role, now time.Duration) {
 	group := endpoint.group
 	endpoint.role = role
@@ -43,9 +45,9 @@
 	}
 }
 
-// discoverPrimary sends one queued request to look for the primary: an
-// Ineligible answer is cheap and reports the role. The endpoint announced last
-// goes first, then the one that was not tried for the longest time.
+// discoverPrimary sends one queued request to an endpoint that may be the primary:
+// an Ineligible answer is cheap and reports the endpoint's role. A newly announced
+// primary is tried first, then the endpoint whose last try is the longest ago.
 func (r *Router) discoverPrimary(group *replicaGroup, now time.Duration) {
 	if !group.primaryUnknown() {
 		group.primaryKnownAt = now
@@ -67,8 +69,8 @@
 	endpoint.discoveryAttemptAt = now
 }
 
-// discoveryCandidate is the endpoint that primary discovery tries next, nil if
-// none can be tried now.
+// discoveryCandidate returns the endpoint that primary discovery tries next, nil
+// if none can be tried now.
 func (r *Router) discoveryCandidate(group *replicaGroup, now time.Duration) *trackedEndpoint {
 	var best *trackedEndpoint
 	for _, endpoint := range group.endpoints {
@@ -86,9 +88,9 @@
 		r.hasCapacity(endpoint, 1, now)
 }
 
-// triedBefore reports whether primary discovery prefers one endpoint to the
-// best one so far: as suggested by the fleet, then the one not tried for
-// longer, then the one that is further ahead.
+// triedBefore reports whether primary discovery prefers an endpoint to the best
+// one so far: an endpoint suggested by the fleet, then the one whose last try is
+// longer ago, then the one with the greater position.
 func (r *Router) triedBefore(endpoint, best *trackedEndpoint, now time.Duration) bool {
 	if r.fleet.SuggestedPrimary(endpoint.ID, now) {
 		return true
@@ -102,10 +104,11 @@
 	return endpoint.position > best.position
 }
 
-// discoveryRequest is the first queued request that may look for the primary at
-// the endpoint, nil if there is none. Where no write came for a while and
-// replicas check for themselves, a fresh read may: nothing else might ever find
-// the primary. Where few attempts are allowed, only a first one may.
+// discoveryRequest returns the first queued request that primary discovery may
+// send to the endpoint, nil if there is none. After readDiscoveryDelay without a
+// write a fresh read may be sent where replicas reject stale reads: without
+// writes, nothing else finds the primary. Where Config.MaxAttempts is small, only
+// a first attempt is used.
 func (r *Router) discoveryRequest(
 	group *replicaGroup, endpoint *trackedEndpoint, now time.Duration,
 ) *trackedRequest {
--- a/decide/primary_test.go
+++ b/decide/primary_test.go
@@ -4,12 +4,13 @@
 	"testing"
 )
 
-// Where a request has few attempts the first one may look for the primary:
-// else a group whose primary has gone would take no write again.
-func TestWritesLookForThePrimaryWhateverTheirAttempts(t *testing.T) {
-	for most := 1; most <= 6; most++ {
+// Even where requests may have few attempts, the first one may be used for primary
+// discovery. Otherwise a group whose primary was removed would never serve a write
+// again.
+func TestPrimaryIsDiscoveredWithAnyAttemptLimit(t *testing.T) {
+	for maxAttempts := 1; maxAttempts <= 6; maxAttempts++ {
 		config := testConfig()
-		config.MaxAttempts = most
+		config.MaxAttempts = maxAttempts
 		f := newFixture(t, config, oneGroup())
 		f.updateState(1, Removed)
 		found := false
@@ -24,14 +25,14 @@
 			}
 		}
 		if !found || f.router.endpoints[2].group.primary == nil {
-			t.Errorf("%d attempts: no write looked for the primary", most)
+			t.Errorf("MaxAttempts = %d: no write found the primary", maxAttempts)
 		}
 	}
 }
 
-// list tells that a endpoint of the trio is in another state.
-func (f *fixture) updateState(id uint32, s EndpointState) {
-	e := oneGroup()[id-1]
-	e.State = s
-	f.router.EndpointsUpdated(f.now, UpdateDelta, []Endpoint{e})
+// updateState delivers a list update with a new state of an endpoint of oneGroup.
+func (f *fixture) updateState(id uint32, state EndpointState) {
+	entry := oneGroup()[id-1]
+	entry.State = state
+	f.router.EndpointsUpdated(f.now, UpdateDelta, []Endpoint{entry})
 }
--- a/decide/request.go
+++ b/decide/request.go
@@ -5,47 +5,49 @@
 	"time"
 )
 
-// tokenRounding covers the rounding of a session token's age.
+// tokenRounding is added to the position of a session token, as the age that it
+// is computed from is rounded.
 const tokenRounding = time.Millisecond
 
-// attempt is one attempt of a request at an endpoint.
+// attempt is one attempt to execute a request at an endpoint.
 type attempt struct {
 	endpoint *trackedEndpoint
 	sentAt   time.Duration
 	endedAt  time.Duration // 0 while it is in flight
 }
 
-// trackedRequest is a request from its arrival until its last attempt has
-// ended.
+// trackedRequest is the state of a request, from its arrival until it is answered
+// and its last attempt has ended.
 type trackedRequest struct {
 	Request
 	class *Class
 	group *replicaGroup
 
 	expiresAt       time.Duration // the client's deadline
-	objectiveAt     time.Duration // when its latency objective has passed
-	queuedUntil     time.Duration // it is shed if nothing was sent by then
-	tokenPosition   time.Duration // of its session token, 0 if none
-	admissionDraw   float64       // in [0, 1), compared with the admission fractions
-	clientMayRetry  bool          // false if it is taken for a client's retry
+	objectiveAt     time.Duration // when the latency objective ends
+	queuedUntil     time.Duration // the request is shed at this time if no attempt was sent
+	tokenPosition   time.Duration // position of the session token, 0 if none
+	admissionDraw   float64       // random in [0, 1), compared with the admission fractions
+	clientMayRetry  bool          // false if the request is itself taken for a client's retry
 	attempts        []attempt
-	inFlight        int           // attempts
-	firstSentAt     time.Duration // of the first attempt that may have executed
-	firstZone       int           // of that attempt
-	mayHaveExecuted bool
+	inFlight        int           // number of attempts in flight
+	firstSentAt     time.Duration // send time of the first attempt that may have been executed
+	firstZone       int           // zone of that attempt's endpoint
+	mayHaveExecuted bool          // an attempt has ended that may have been executed
 
-	queued        bool // it waits in its group's queue
-	answered      bool // the client has its final answer, or has gone
-	answerStarted bool // the first bytes of an answer went to the client
+	queued        bool // in its group's queue
+	answered      bool // the client has its final answer, or has disconnected
+	answerStarted bool // the client has received the first bytes of an answer
 
-	previous, next *trackedRequest // in the requestList
+	previous, next *trackedRequest // neighbours in the requestList
 }
 
-// RequestArrived takes a client's request. Its answer comes as Actions.Reject or
-// Actions.Fail, or by an attempt that is served.
+// RequestArrived handles a new request of a client. The request is answered by
+// an attempt that is served, by Actions.Reject or by Actions.Fail. An ID that is
+// still in use is ignored, and a request of an unknown class is rejected.
 func (r *Router) RequestArrived(now time.Duration, arrived Request) {
 	if r.requests[arrived.ID] != nil {
-		return // a duplicate of one that gets its answer
+		return // a request with this ID is already being handled
 	}
 	if arrived.Class < 0 || arrived.Class >= len(r.cfg.Classes) {
 		r.actions.Reject(arrived.ID, 0)
@@ -61,7 +63,7 @@
 	r.route(request, now)
 }
 
-// track registers an arrived request.
+// track creates and registers the state of an arrived request.
 func (r *Router) track(arrived Request, now time.Duration) *trackedRequest {
 	timeLeft := max(arrived.TimeLeft, 0)
 	class := &r.cfg.Classes[arrived.Class]
@@ -76,8 +78,8 @@
 	}
 	objectiveAt := now + class.LatencyObjective
 	if r.clientRetries.isRetry(arrived.Class, arrived.TimeLeft) {
-		// Its objective counts from the client's first request, so that late
-		// ones go first in a retry storm.
+		// The latency objective counts from the client's first request, so that
+		// a retry storm sheds the latest requests first.
 		objectiveAt -= max(class.Deadline-arrived.TimeLeft, 0)
 		request.clientMayRetry = false
 	}
@@ -90,25 +92,27 @@
 	return request
 }
 
-// ClientCancelled reports that the client of a request has gone.
+// ClientCancelled reports that the client of a request has disconnected or
+// cancelled the request. An unknown id is ignored.
 func (r *Router) ClientCancelled(_ time.Duration, id uint64) {
 	if request := r.requests[id]; request != nil && !request.answered {
 		r.finish(request)
 	}
 }
 
-// AnswerStarted reports that the answer of an attempt has begun to leave: from
-// here on it is the client's, and no deadline applies.
+// AnswerStarted reports that the first bytes of an attempt's answer were sent to
+// the client. From then on the request is neither retried nor ended at its
+// deadline.
 func (r *Router) AnswerStarted(_ time.Duration, id uint64, _ int) {
 	if request := r.requests[id]; request != nil {
 		request.answerStarted = true
 	}
 }
 
-// failEarly answers a request without waiting any longer: rejected where a retry
-// by the client does no harm, failed otherwise. A retry helps only once queues
-// have drained or a primary was found, so the advice is the longest wait that
-// clients follow.
+// failEarly answers a request with an error before its deadline and cancels its
+// attempts in flight. The request is rejected if the client can safely retry it,
+// and failed otherwise. A retry helps only after queues have drained or a primary
+// was found, so Retry-After is the longest wait that clients follow.
 func (r *Router) failEarly(request *trackedRequest) {
 	if request.safeToReject() {
 		r.actions.Reject(request.ID, r.cfg.MaxRetryAfter)
@@ -126,7 +130,8 @@
 	r.finish(request)
 }
 
-// safeToReject reports whether the client may repeat the request without harm.
+// safeToReject reports whether the client can retry the request without executing
+// it twice.
 func (request *trackedRequest) safeToReject() bool {
 	neverExecuted := !request.mayHaveExecuted && request.inFlight == 0
 	class := request.class
@@ -134,8 +139,8 @@
 	return neverExecuted || droppedEverywhere || class.Idempotency == Idempotent
 }
 
-// finish marks a request as answered. Its record stays until its attempts have
-// ended.
+// finish marks a request as answered and drops its state if it has no attempt in
+// flight.
 func (r *Router) finish(request *trackedRequest) {
 	request.answered = true
 	request.queued = false
@@ -145,16 +150,19 @@
 	}
 }
 
-// requestList is a doubly linked ring of requests, oldest first.
+// requestList is a doubly linked circular list of requests, oldest first. Call
+// init before use.
 type requestList struct {
 	sentinel trackedRequest
 }
 
+// init makes the list empty.
 func (l *requestList) init() {
 	l.sentinel.previous = &l.sentinel
 	l.sentinel.next = &l.sentinel
 }
 
+// pushBack appends a request, which must not be in a list.
 func (l *requestList) pushBack(request *trackedRequest) {
 	last := l.sentinel.previous
 	request.previous = last
@@ -163,12 +171,13 @@
 	l.sentinel.previous = request
 }
 
+// remove unlinks a request of the list.
 func (l *requestList) remove(request *trackedRequest) {
 	request.previous.next = request.next
 	request.next.previous = request.previous
 }
 
-// all yields each request; the current one may be removed meanwhile.
+// all iterates over the requests. The loop body may remove the current request.
 func (l *requestList) all() iter.Seq[*trackedRequest] {
 	return func(yield func(*trackedRequest) bool) {
 		request := l.sentinel.next
--- a/decide/rolereport_test.go
+++ b/decide/rolereport_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// A report may be old: of a host that hangs it is as old as the hang. Its word
-// that a endpoint is the primary counts only where it was made after the last
-// answer that told otherwise, and lately: where hosts do not check, a fresh
-// read would be answered from old data.
+// The report of a health check may be outdated: that of a host that hangs is as old
+// as the hang. A report that an endpoint is the primary is only used if it is recent
+// and newer than the last answer that said otherwise. Where replicas serve stale
+// reads, a fresh read would otherwise be answered with old data.
 func TestOldReportDoesNotMakeAReplicaPrimary(t *testing.T) {
 	const second = time.Second
 	for name, c := range map[string]struct {
-		told, made time.Duration // how long ago; told 0: never
-		leads      bool
+		answerAge, reportAge time.Duration // answerAge 0: no answer
+		isPrimary            bool
 	}{
-		"never told":                          {0, 100 * ms, true},
-		"never told, of a host that hangs":    {0, 9 * second, true},
-		"made before the answer":              {200 * ms, 300 * ms, false},
-		"made after the answer":               {600 * ms, 100 * ms, true},
-		"made after the answer, and long ago": {9 * second, 2 * second, false},
-		"made after a late answer":            {200 * ms, 100 * ms, true},
+		"no answer":                         {0, 100 * ms, true},
+		"no answer, outdated report":        {0, 9 * second, true},
+		"report older than the answer":      {200 * ms, 300 * ms, false},
+		"report newer than the answer":      {600 * ms, 100 * ms, true},
+		"report newer than an old answer":   {9 * second, 2 * second, false},
+		"report newer than a recent answer": {200 * ms, 100 * ms, true},
 	} {
 		config := testConfig()
 		config.StaleReadPolicy, config.HealthChecks, config.HealthChecksReportRole = ServeStale, true, true
@@ -28,12 +28,12 @@
 		endpoint := f.router.endpoints[2]
 		f.now += 10 * second
 		endpoint.roleReportedAt = 0
-		if c.told > 0 {
-			f.router.recordRole(endpoint, RoleReplica, f.now-c.told)
+		if c.answerAge > 0 {
+			f.router.recordRole(endpoint, RoleReplica, f.now-c.answerAge)
 		}
-		f.router.HealthChecked(f.now, HealthCheckResult{Endpoint: 2, Status: ReplicationStatus{Role: RolePrimary, Position: f.now - c.made}})
-		if leads := endpoint.group.primary == endpoint; leads != c.leads {
-			t.Errorf("%s: the report makes a primary: %v", name, leads)
+		f.router.HealthChecked(f.now, HealthCheckResult{Endpoint: 2, Status: ReplicationStatus{Role: RolePrimary, Position: f.now - c.reportAge}})
+		if isPrimary := endpoint.group.primary == endpoint; isPrimary != c.isPrimary {
+			t.Errorf("%s: the endpoint is assumed to be the primary: %v", name, isPrimary)
 		}
 	}
 }
--- a/decide/router.go
+++ b/decide/router.go
@@ -7,26 +7,28 @@
 )
 
 const (
-	// tickInterval is how often deadlines, queues and silent endpoints are
-	// inspected: short beside any latency objective.
+	// tickInterval is the interval between checks of deadlines, queues and
+	// endpoints. It is short compared with any latency objective.
 	tickInterval = 10 * time.Millisecond
-	// tickToken names the tick among the timers.
+	// tickToken is the timer token of the tick.
 	tickToken = 1
-	// initialLatency stands in until any answer was measured.
+	// initialLatency is the average latency assumed before the first answer.
 	initialLatency = 100 * time.Millisecond
-	// latencySmoothing is the weight of a new sample: about ten answers of
-	// memory.
+	// latencySmoothing is the weight of a new sample in a moving average of
+	// latencies, which spans about ten answers.
 	latencySmoothing = 0.1
-	// answerRateWindow is the memory of the rate of answers.
+	// answerRateWindow is the time constant of the moving average of the rate of
+	// answers.
 	answerRateWindow = 5 * time.Second
-	// retentionPeriod is how long the outcome of an attempt is waited for after
-	// its request has expired, and a removed endpoint is remembered.
+	// retentionPeriod is how long the router keeps an expired request with an
+	// attempt in flight, and a removed endpoint.
 	retentionPeriod = 30 * time.Second
-	// seedMix separates the two words of the generator's state.
+	// seedMix makes the two words of the generator's seed differ.
 	seedMix = 0x9e3779b97f4a7c15
 )
 
-// Router decides for one router process. It is not safe for concurrent use.
+// Router makes the decisions of one router process. Create it with New. It is
+// not safe for concurrent use.
 type Router struct {
 	cfg     Config
 	actions Actions
@@ -34,12 +36,12 @@
 	rng     *rand.Rand
 
 	endpoints     map[uint32]*trackedEndpoint
-	ordered       []*trackedEndpoint // in the order of their first entries in the endpoint list
+	ordered       []*trackedEndpoint // in the order in which they first appeared in the endpoint list
 	groups        map[int]*replicaGroup
-	orderedGroups []*replicaGroup
+	orderedGroups []*replicaGroup // in the order of their creation
 	requests      map[uint64]*trackedRequest
-	active        requestList // the same requests, oldest first
-	candidates    []*trackedEndpoint
+	active        requestList        // the requests of the map, oldest first
+	candidates    []*trackedEndpoint // buffer that bestReplicas reuses
 
 	watch         endpointWatch
 	retries       retryBudget
@@ -48,14 +50,15 @@
 	admission     admissionControl
 	answers       answerRate
 
-	latency                  time.Duration // smoothed over all endpoints
-	readyEndpoints           int           // by the endpoint list
-	tightestStaleness        time.Duration // smallest staleness bound of a class, 0 for none
-	tightestPrimaryObjective time.Duration // of the classes that only a primary serves
+	latency                  time.Duration // smoothed over the answers of all endpoints
+	readyEndpoints           int           // number of endpoints in the state Ready
+	tightestStaleness        time.Duration // smallest staleness bound of a class, 0 if there is none
+	tightestPrimaryObjective time.Duration // shortest objective of a class that only a primary serves
 }
 
-// New returns a router that acts through actions. It returns ErrIncomplete or a
-// *ClassError for a configuration that it cannot work with.
+// New returns a router that carries out its decisions through actions. Equal
+// seeds give equal random draws. For an invalid configuration it returns
+// ErrIncomplete or a *ClassError.
 func New(config Config, seed uint64, actions Actions) (*Router, error) {
 	config, err := config.normalized()
 	if err != nil {
@@ -84,12 +87,13 @@
 	return r, nil
 }
 
-// Start begins the router's work.
+// Start starts the router's periodic tick. Call it once, before any other event.
 func (r *Router) Start(now time.Duration) {
 	r.TimerFired(now, tickToken)
 }
 
-// TimerFired is the end of a wait asked for with Actions.SetTimer.
+// TimerFired reports that a timer set with Actions.SetTimer has fired. It runs
+// the periodic checks and sets the next timer.
 func (r *Router) TimerFired(now time.Duration, token uint32) {
 	if token != tickToken {
 		return
@@ -108,8 +112,8 @@
 	r.drainQueues(now)
 }
 
-// latencyOf is the endpoint's smoothed latency, the router's average if it
-// never answered.
+// latencyOf returns the endpoint's smoothed latency, or the router's average if
+// the endpoint never answered.
 func (r *Router) latencyOf(endpoint *trackedEndpoint) time.Duration {
 	if endpoint.latency == 0 {
 		return r.latency
@@ -117,8 +121,8 @@
 	return endpoint.latency
 }
 
-// smooth moves an average towards a sample by the weight; the first sample
-// counts whole.
+// smooth returns the exponential moving average after a new sample of the given
+// weight in [0, 1]. An average of 0 is replaced by the sample.
 func smooth(average, sample time.Duration, weight float64) time.Duration {
 	if average == 0 {
 		average = sample
@@ -126,14 +130,14 @@
 	return average + time.Duration(weight*float64(sample-average))
 }
 
-// answerRate measures how many answers the endpoints give this router.
+// answerRate measures the rate at which endpoints serve this router's attempts.
 type answerRate struct {
-	perSecond  float64 // exponentially decaying
-	peak       float64 // the greatest average of a ready endpoint
+	perSecond  float64 // moving average over all endpoints
+	peak       float64 // greatest rate per ready endpoint so far, in answers a second
 	measuredAt time.Duration
 }
 
-// record counts one answer; readyEndpoints divides the rate.
+// record counts one served attempt, with the number of endpoints that are ready.
 func (a *answerRate) record(now time.Duration, readyEndpoints int) {
 	decay := math.Exp(-(now - a.measuredAt).Seconds() / answerRateWindow.Seconds())
 	a.perSecond = a.perSecond*decay + 1/answerRateWindow.Seconds()
--- a/decide/routing.go
+++ b/decide/routing.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// minAttemptTimeout is the shortest timeout that an attempt is sent with.
+// minAttemptTimeout is the shortest timeout of an attempt.
 const minAttemptTimeout = tickInterval
 
-// earlyErrorDivisor: an error within this part of the endpoint's latency cost
-// the endpoint little work.
+// earlyErrorDivisor divides an endpoint's latency to give the time within which
+// an error answer is early: it took the endpoint little work.
 const earlyErrorDivisor = 4
 
-// route sends the request where it may go now, or queues it in its group.
+// route sends the request to an endpoint that can take it now, or queues it in
+// its group.
 func (r *Router) route(request *trackedRequest, now time.Duration) {
 	if endpoint := r.selectEndpoint(request, now); endpoint != nil {
 		r.send(request, endpoint, now)
@@ -33,13 +34,14 @@
 	endpoint.attemptSent(now)
 	r.rememberCommit(request, 1, 0)
 	if endpoint.breaker.open {
-		r.openCircuit(endpoint, now) // this is its trial
+		r.openCircuit(endpoint, now) // this attempt is the trial; the next one waits twice as long
 	}
 	r.actions.Send(request.ID, endpoint.ID, request.attemptTimeout(now))
 }
 
-// attemptTimeout is the timeout of an attempt sent now, 0 for the client's: an
-// idempotent request that earns nothing late may be dropped at its objective.
+// attemptTimeout returns the timeout of an attempt sent now, 0 for the client's
+// deadline. An attempt of an idempotent request whose late answer has no value
+// ends when the latency objective does.
 func (request *trackedRequest) attemptTimeout(now time.Duration) time.Duration {
 	if request.class.Idempotency != Idempotent || !request.class.lateIsWorthless() {
 		return 0
@@ -47,8 +49,9 @@
 	return max(request.objectiveAt-now, minAttemptTimeout)
 }
 
-// attemptAllowed is the one place that decides whether an attempt of the request
-// may be sent (again) to the endpoint, or to any endpoint if it is nil.
+// attemptAllowed reports whether the request's limits on attempts, its deadline
+// and its idempotency allow an attempt at the endpoint, or at any endpoint if it
+// is nil. Every first attempt and every retry passes this check.
 func (r *Router) attemptAllowed(request *trackedRequest, endpoint *trackedEndpoint, now time.Duration) bool {
 	if request.answered || request.answerStarted || now >= request.expiresAt {
 		return false
@@ -68,7 +71,7 @@
 }
 
 // withinIdempotencyWindow reports whether a duplicate sent now would still be
-// dropped. The window counts from the first attempt.
+// dropped. The window starts when the first attempt is sent.
 func (request *trackedRequest) withinIdempotencyWindow(now time.Duration) bool {
 	return now+tickInterval < request.firstSentAt+request.class.IdempotencyWindow
 }
@@ -79,8 +82,9 @@
 	return request.class.IdempotencyScope != ScopeZone || endpoint.Zone == request.firstZone
 }
 
-// MaySend reports whether an attempt that has waited for its connection may
-// still be written: what allowed it may no longer hold.
+// MaySend reports whether attempt number of request id, which has waited for a
+// connection, may still be written: meanwhile the request or the idempotency
+// window may have ended, or the endpoint may no longer be ready or fresh enough.
 func (r *Router) MaySend(now time.Duration, id uint64, number int) bool {
 	request := r.requests[id]
 	if request == nil || request.answered || now >= request.expiresAt {
@@ -97,9 +101,9 @@
 	return r.stillFresh(request, endpoint, now)
 }
 
-// stillFresh reports whether the endpoint may serve the request as far as the
-// router must see to the freshness of its data. A write needs no check: another
-// endpoint than the primary refuses it.
+// stillFresh reports whether the endpoint's data is still fresh enough for the
+// request. The router must check that only where replicas serve stale reads. A
+// write needs no check, as every endpoint but the primary rejects it.
 func (r *Router) stillFresh(request *trackedRequest, endpoint *trackedEndpoint, now time.Duration) bool {
 	if r.cfg.StaleReadPolicy != ServeStale || request.class.Consistency == Write || endpoint.isPrimary() {
 		return true
@@ -107,9 +111,10 @@
 	return !request.class.Consistency.needsPrimary() && r.freshEnough(request, endpoint, now)
 }
 
-// retry decides what follows an attempt that did not serve the request.
+// retry retries a request whose last attempt in flight did not serve it, or answers
+// it with an error. elapsed is the time from sending that attempt to its end.
 func (r *Router) retry(
-	request *trackedRequest, endpoint *trackedEndpoint, outcome Outcome, took, now time.Duration,
+	request *trackedRequest, endpoint *trackedEndpoint, outcome Outcome, elapsed, now time.Duration,
 ) {
 	if !outcome.NotExecuted() {
 		request.mayHaveExecuted = true
@@ -117,12 +122,12 @@
 	if request.inFlight > 0 {
 		return
 	}
-	if outcome == InvalidRequest { // it would fare no better elsewhere
+	if outcome == InvalidRequest { // every endpoint would reject it
 		r.actions.Fail(request.ID)
 		r.finish(request)
 		return
 	}
-	cost := r.retryCost(endpoint, outcome, took)
+	cost := r.retryCost(endpoint, outcome, elapsed)
 	if !r.retries.covers(cost) || !r.attemptAllowed(request, nil, now) || r.cannotFinishInTime(request, now) {
 		r.failEarly(request)
 		return
@@ -131,11 +136,11 @@
 	r.route(request, now)
 }
 
-// retryCost is what a retry after the outcome takes from the retry budget: by
-// how much work is repeated.
-func (r *Router) retryCost(endpoint *trackedEndpoint, outcome Outcome, took time.Duration) float64 {
+// retryCost returns the retry tokens that a retry after the outcome costs. The
+// cost depends on how much work of the endpoint was wasted.
+func (r *Router) retryCost(endpoint *trackedEndpoint, outcome Outcome, elapsed time.Duration) float64 {
 	singleReset := outcome == Reset && endpoint.consecutiveFailures == 1
-	earlyError := outcome == Error && took < r.latencyOf(endpoint)/earlyErrorDivisor
+	earlyError := outcome == Error && elapsed < r.latencyOf(endpoint)/earlyErrorDivisor
 	switch {
 	case outcome.NotExecuted():
 		return 0
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -6,13 +6,16 @@
 	"time"
 )
 
-// retrySameEndpointLatencies is for how many latencies after its last attempt
-// there a request avoids an endpoint.
+// retrySameEndpointLatencies is how long a request avoids an endpoint after its
+// attempt there has ended, as a multiple of the endpoint's latency.
 const retrySameEndpointLatencies = 2
 
-// tier ranks replicas: all of a lower tier are preferred to any of a higher one.
+// tier is the preference of a replica for reads: a replica of a lower tier is
+// always preferred to one of a higher tier.
 type tier int
 
+// The tiers. Local replicas are in the router's zone, and busy ones have recently
+// failed or are deprioritized by the fleet.
 const (
 	idleLocal tier = iota
 	idleRemote
@@ -20,13 +23,12 @@
 	busyRemote
 )
 
-// worstTier is worse than the tier of any replica.
+// worstTier is higher than the tier of any replica.
 const worstTier = tier(math.MaxInt)
 
-// selectEndpoint chooses the endpoint that the request goes to now, nil if it
-// must wait. Writes and fresh reads go to the primary. Other reads go to a
-// replica of the best tier (idle local, idle remote, busy local, busy remote),
-// else to the primary.
+// selectEndpoint returns the endpoint to send the request to now, nil if the
+// request must wait. Writes and fresh reads go to the primary. Other reads go to
+// a replica of the best tier, or to the primary if no replica can serve them.
 func (r *Router) selectEndpoint(request *trackedRequest, now time.Duration) *trackedEndpoint {
 	if !r.attemptAllowed(request, nil, now) {
 		return nil
@@ -45,13 +47,13 @@
 		return nil
 	}
 	if healthCheckPending && r.cfg.StaleReadPolicy == ServeStale {
-		return nil // a replica may soon prove to be fresh enough
+		return nil // the result may show that a replica is fresh enough
 	}
 	return r.selectPrimary(request, replicaReadFraction, now)
 }
 
-// selectPrimary returns the primary of the request's group if it may be used,
-// with at most the given fraction of its concurrency limit.
+// selectPrimary returns the primary of the request's group if it can take the
+// request within the given fraction of its concurrency limit, nil otherwise.
 func (r *Router) selectPrimary(
 	request *trackedRequest, limitFraction float64, now time.Duration,
 ) *trackedEndpoint {
@@ -65,9 +67,9 @@
 	return primary
 }
 
-// bestReplicas returns the usable replicas of the best tier, and whether the
-// result of some replica's health check is worth waiting for. The slice is
-// valid until the next call.
+// bestReplicas returns the replicas of the best tier that can take the request,
+// and whether the request should wait for a replica's health check. The slice is
+// only valid until the next call.
 func (r *Router) bestReplicas(
 	request *trackedRequest, now time.Duration,
 ) (best []*trackedEndpoint, healthCheckPending bool) {
@@ -96,7 +98,7 @@
 	return best, healthCheckPending
 }
 
-// tierOf ranks a replica.
+// tierOf returns the tier of a replica.
 func (r *Router) tierOf(replica *trackedEndpoint, now time.Duration) tier {
 	busy := now < replica.busyUntil || r.fleet.Deprioritized(replica.ID, now)
 	switch {
@@ -110,8 +112,9 @@
 	return busyRemote
 }
 
-// selectWeighted draws an endpoint with weight 1 / (smoothed latency x (in
-// flight + 1)). Endpoints that never answered take the average of the others.
+// selectWeighted draws one of the endpoints at random, with the weight
+// 1 / (smoothed latency x (attempts in flight + 1)). An endpoint that never
+// answered counts with the average latency of the others.
 func (r *Router) selectWeighted(endpoints []*trackedEndpoint) *trackedEndpoint {
 	unmeasured := r.averageLatency(endpoints)
 	total := 0.0
@@ -133,8 +136,8 @@
 	return endpoints[len(endpoints)-1]
 }
 
-// averageLatency is the mean latency of the endpoints that have answered, the
-// router's average if none has.
+// averageLatency returns the mean latency of those endpoints that have answered,
+// or the router's average if none has.
 func (r *Router) averageLatency(endpoints []*trackedEndpoint) time.Duration {
 	var sum, measured time.Duration
 	for _, endpoint := range endpoints {
@@ -149,9 +152,9 @@
 	return sum / measured
 }
 
-// usable reports whether the request may be sent to the endpoint: the list
-// has it as ready, neither backing off nor cut off by its circuit breaker, and was not
-// just tried by this request.
+// usable reports whether the request may be sent to the endpoint: the endpoint is
+// ready, not in backoff, not blocked by its circuit breaker, and was not recently
+// tried by this request.
 func (r *Router) usable(request *trackedRequest, endpoint *trackedEndpoint, now time.Duration) bool {
 	if endpoint.State != Ready || now < endpoint.backoffUntil {
 		return false
@@ -168,8 +171,8 @@
 	})
 }
 
-// mayBeTrial reports whether the request may be the trial of an open circuit
-// breaker.
+// mayBeTrial reports whether the request may be sent as the trial of the
+// endpoint's open circuit breaker. Only idempotent requests may.
 func (r *Router) mayBeTrial(request *trackedRequest, endpoint *trackedEndpoint, now time.Duration) bool {
 	return request.class.Idempotency == Idempotent && endpoint.breaker.allowsTrial(now) &&
 		!r.fleet.Deprioritized(endpoint.ID, now)
--- a/decide/sessiontoken_test.go
+++ b/decide/sessiontoken_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// A session's reads see its writes that were answered. Of one whose attempt
-// ended without an answer that was read, because its client went, its time was
-// over or its connection broke, the answer may have been on its way: it counts
-// as committed when the attempt ended. One that surely never ran does not.
+// A session's reads must see its writes that were served. A write whose attempt ended
+// without a usable answer, because its client disconnected, it timed out or its
+// connection broke, may also have committed: it counts as committed at the end of
+// its attempt. A write that was certainly not executed does not count.
 func TestWriteWithoutAnAnswerMayHaveCommitted(t *testing.T) {
-	for outcome, waits := range map[Outcome]bool{
+	for outcome, mayHaveCommitted := range map[Outcome]bool{
 		OK: true, Cancelled: true, TimedOut: true, Reset: true, Malformed: true, Error: true,
 		Ineligible: false, Overloaded: false, ConnectFailed: false,
 	} {
@@ -17,21 +17,21 @@
 		f.router.recordRole(f.router.endpoints[2], RoleReplica, f.now)
 		id := f.submit(writeClass)
 		f.now += 50 * ms
-		note := ReplicationStatus{}
+		status := ReplicationStatus{}
 		if outcome == OK {
-			note = ReplicationStatus{Role: RolePrimary, Position: f.now}
+			status = ReplicationStatus{Role: RolePrimary, Position: f.now}
 		}
 		f.router.ClientCancelled(f.now, id)
-		f.router.AttemptEnded(f.now, AttemptResult{Request: id, Endpoint: 1, Outcome: outcome, Status: note})
+		f.router.AttemptEnded(f.now, AttemptResult{Request: id, Endpoint: 1, Outcome: outcome, Status: status})
 		f.router.recordPosition(f.router.endpoints[2], f.now-10*ms, f.now)
 		read := &Request{ID: 99, Class: sessionReadClass, Session: 9, TimeLeft: 2e9}
 		f.router.RequestArrived(f.now, *read)
 		request := f.router.requests[99]
 		if request == nil {
-			t.Fatalf("outcome %d: the read is not held", outcome)
+			t.Fatalf("outcome %d: the read is not in flight or queued", outcome)
 		}
-		if fresh := f.router.freshEnough(request, f.router.endpoints[2], f.now); fresh == waits {
-			t.Errorf("outcome %d: a replica from before the write's end is fresh: %v", outcome, fresh)
+		if fresh := f.router.freshEnough(request, f.router.endpoints[2], f.now); fresh == mayHaveCommitted {
+			t.Errorf("outcome %d: freshEnough = %v for a replica whose position is before the end of the write", outcome, fresh)
 		}
 	}
 }
--- a/decide/types.go
+++ b/decide/types.go
@@ -1,32 +1,33 @@
 package decide
 
-// Consistency says how fresh the data behind a request's answer must be.
+// Consistency is the freshness that a request requires of the data that it reads.
 type Consistency uint8
 
 // The consistency levels. Write and Fresh need the primary.
 const (
-	Write   Consistency = iota // only the primary accepts it
-	Fresh                      // must see every commit made before it arrived
-	Session                    // must see its session's own writes
-	Bounded                    // data no older than Class.MaxStaleness when sent
-	Any                        // any endpoint's data will do
+	Write   Consistency = iota // a write: only the primary accepts it
+	Fresh                      // a read that sees every commit made before it arrived
+	Session                    // a read that sees the writes of its own session
+	Bounded                    // a read of data at most Class.MaxStaleness old when it is sent
+	Any                        // a read of data of any age
 )
 
-// needsPrimary reports whether only the primary can serve the level.
+// needsPrimary reports whether only the primary can serve requests of this level.
 func (c Consistency) needsPrimary() bool { return c <= Fresh }
 
-// Idempotency says whether an attempt that may have executed can be repeated.
+// Idempotency states whether a request that may have been executed can be sent
+// again.
 type Idempotency uint8
 
-// The kinds of effect.
+// The kinds of idempotency.
 const (
-	Idempotent     Idempotency = iota // may be repeated and rejected at will
-	IdempotencyKey                    // duplicates are dropped by the endpoints in Class.IdempotencyScope
-	NonIdempotent                     // must never execute twice
+	Idempotent     Idempotency = iota // can be executed any number of times
+	IdempotencyKey                    // the endpoints in Class.IdempotencyScope drop duplicates
+	NonIdempotent                     // must not be executed twice
 )
 
-// IdempotencyScope names the endpoints that drop duplicates of an idempotency
-// key.
+// IdempotencyScope is the set of endpoints that recognize an idempotency key and
+// drop duplicates of its request.
 type IdempotencyScope uint8
 
 // The scopes of an idempotency key.
@@ -36,21 +37,21 @@
 	ScopeAll                           // every endpoint
 )
 
-// StaleReadPolicy says what a replica does with a read for which its data are
-// too old.
+// StaleReadPolicy is what a replica does with a read for which its data is too
+// old.
 type StaleReadPolicy uint8
 
-// The policies of a lagging replica.
+// The stale read policies.
 const (
-	ServeStale     StaleReadPolicy = iota // answers from what it has: the router must check
+	ServeStale     StaleReadPolicy = iota // serves stale data; the router must check freshness
 	RejectStale                           // answers Ineligible
 	WaitThenReject                        // waits up to Config.StaleReadWait, then answers Ineligible
 )
 
-// Role is an endpoint's part in its replica group.
+// Role is the role of an endpoint in its replica group.
 type Role uint8
 
-// Roles as reported by answers, health checks and the endpoint list.
+// The roles, as reported by answers and health checks.
 const (
 	RoleUnknown Role = iota
 	RolePrimary
@@ -60,29 +61,29 @@
 // EndpointState is an endpoint's state in the endpoint list.
 type EndpointState uint8
 
-// The states of the endpoint list.
+// The endpoint states.
 const (
-	Removed EndpointState = iota
-	Ready
-	Draining
+	Removed  EndpointState = iota // not in the endpoint list
+	Ready                         // may receive requests
+	Draining                      // finishes its requests and must receive no new ones
 )
 
-// Outcome is how an attempt or a health check ended.
+// Outcome is the way in which an attempt or a health check ended.
 type Outcome uint8
 
 // The outcomes. Overloaded, ConnectFailed, NotSent, Ineligible and
 // InvalidRequest prove that nothing was executed.
 const (
 	OK             Outcome = iota // served
-	Error                         // an error; may have had an effect
-	Overloaded                    // rejected unread by a full queue
-	TimedOut                      // no answer in time; may still execute
-	ConnectFailed                 // no connection could be made
-	Reset                         // the connection broke; may have executed
-	Cancelled                     // cancelled by the router; may have executed
-	NotSent                       // never written
-	Ineligible                    // rejected unread: not the primary, or too far behind
-	Malformed                     // the answer cannot be parsed; has executed, or may have
+	Error                         // an error answer; the request may have been executed
+	Overloaded                    // rejected before execution because the queue is full
+	TimedOut                      // no answer in time; the request may still be executed
+	ConnectFailed                 // the connection could not be established
+	Reset                         // the connection broke; the request may have been executed
+	Cancelled                     // cancelled by the router; the request may have been executed
+	NotSent                       // never written to the connection
+	Ineligible                    // rejected before execution: not the primary, or too far behind
+	Malformed                     // the answer cannot be parsed; the request may have been executed
 	InvalidRequest                // rejected for its content: no endpoint would accept it
 )
 
@@ -95,8 +96,9 @@
 	return false
 }
 
-// fromEndpoint reports whether the outcome is an answer of the endpoint's own,
-// which proves that it runs and carries its ReplicationStatus.
+// fromEndpoint reports whether the outcome is an answer of the endpoint itself.
+// Such an answer proves that the endpoint runs and carries its
+// ReplicationStatus.
 func (outcome Outcome) fromEndpoint() bool {
 	switch outcome {
 	case OK, Ineligible, Overloaded, Error, Malformed, InvalidRequest:
@@ -105,13 +107,13 @@
 	return false
 }
 
-// EndpointUpdateKind says what an update of the endpoint list holds.
+// EndpointUpdateKind is the kind of content of an endpoint list update.
 type EndpointUpdateKind uint8
 
-// The kinds of update.
+// The kinds of endpoint list updates.
 const (
-	UpdateDelta          EndpointUpdateKind = iota // changed endpoints only
+	UpdateDelta          EndpointUpdateKind = iota // the changed endpoints only
 	UpdateSnapshot                                 // every endpoint
-	UpdateCachedSnapshot                           // every endpoint as last seen, possibly stale
-	WatchFailed                                    // a poll failed, or the watch dropped
+	UpdateCachedSnapshot                           // every endpoint from a cache that may be stale
+	WatchFailed                                    // no endpoints: a poll failed or the watch ended
 )
--- a/decide/view.go
+++ b/decide/view.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// EndpointView is the router's knowledge of an endpoint at one moment, for
-// whoever shares it with other routers. It has no effect on decisions.
+// EndpointView is a snapshot of a router's state of an endpoint, which can be
+// shared with other routers. It has no effect on decisions.
 type EndpointView struct {
 	ID                uint32
 	Group             int
 	Ready             bool
-	Primary           bool          // as believed
-	PrimaryReportedAt time.Duration // when it last reported itself as the primary, 0 if it did not
+	Primary           bool          // the router takes it for its group's primary
+	PrimaryReportedAt time.Duration // when it last reported to be the primary, 0 if it did not
 	CircuitOpen       bool
 	Failing           bool          // unreachable, or failed more than once in a row
 	Latency           time.Duration // smoothed; the router's average if it never answered
 	TypicalLatency    time.Duration // the router's average over all endpoints
-	Lag               time.Duration // replication lag as last reported, 0 if none was
-	LagMeasuredAt     time.Duration
-	WarmingUp         bool // in slow start
-	RequestsQueued    bool // its group has queued requests
-	PrimaryUnknown    bool // its group has no primary that answers
+	Lag               time.Duration // smoothed replication lag, 0 if none was reported
+	LagMeasuredAt     time.Duration // 0 if no lag was reported
+	WarmingUp         bool          // in slow start
+	RequestsQueued    bool          // its group has queued requests
+	PrimaryUnknown    bool          // its group has no primary that answers
 }
 
-// View calls visit with every endpoint of the list, in the order in which they
-// first appeared there.
+// View calls visit with every endpoint that is not removed, in the order in
+// which they first appeared in the endpoint list.
 func (r *Router) View(now time.Duration, visit func(EndpointView)) {
 	for _, endpoint := range r.ordered {
 		if endpoint.State != Removed {
@@ -31,6 +31,7 @@
 	}
 }
 
+// viewOf returns the snapshot of one endpoint.
 func (r *Router) viewOf(endpoint *trackedEndpoint, now time.Duration) EndpointView {
 	view := EndpointView{
 		ID:             endpoint.ID,
@@ -53,8 +54,9 @@
 	return view
 }
 
-// RetryBudget returns the retries saved up, the most that can be saved, and
-// the fraction of a retry that each request earns.
+// RetryBudget returns the retries that the budget holds (negative if it is
+// overdrawn), the most that it can hold, and the fraction of a retry that each
+// client request adds.
 func (r *Router) RetryBudget() (saved, limit, earned float64) {
 	return r.retries.tokens, maxRetryTokens, retryTokensPerRequest
 }
