--- a/decide/characterization_test.go
+++ b/decide/characterization_test.go
@@ -23,21 +23,22 @@
 )
 
 var update = flag.Bool("update", false,
-	"write testdata/characterization.txt anew: only with a deliberate change of the decisions")
+	"rewrite testdata/characterization.txt; use it only for an intended change of the decisions")
 
-// scenario is one simulated fleet, played for a while.
+// scenario is the setup of one simulation.
 type scenario struct {
 	name     string
 	seed     uint64
 	groups   int
-	arrivals float64 // a second
+	arrivals float64 // requests a second
 	sessions int
 	length   time.Duration
-	fleet    bool
+	fleet    bool // the router uses a Fleet
 	config   decide.Config
 }
 
-// classes cover each consistency, each kind of effect and each scope of a key.
+// classes returns classes that cover each consistency level, each kind of idempotency
+// and each idempotency scope.
 func classes() []decide.Class {
 	return []decide.Class{
 		{Name: "plain write", LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 4,
@@ -59,6 +60,7 @@
 	}
 }
 
+// scenarios returns the scenarios. Their names are the keys of the golden file.
 func scenarios() []scenario {
 	base := decide.Config{
 		Routers: 3, Classes: classes(), StaleReadPolicy: decide.RejectStale, AnswersCarryPosition: true, HealthChecksReportRole: true,
@@ -90,9 +92,9 @@
 	}
 }
 
-// TestCharacterization holds the stream of actions of each scenario against a
-// digest that was taken before the package was restructured. Only numbers and
-// positions are hashed, so names may change; the decisions may not.
+// TestCharacterization compares a digest of the actions of each scenario with the
+// golden file, to detect any change of the decisions. Only numbers are hashed, so
+// names may change.
 func TestCharacterization(t *testing.T) {
 	path := filepath.Join("testdata", "characterization.txt")
 	got := map[string]string{}
@@ -112,10 +114,11 @@
 		delete(want, name)
 	}
 	for name := range want {
-		t.Errorf("%s: a digest of no scenario", name)
+		t.Errorf("%s: the golden file has a digest of an unknown scenario", name)
 	}
 }
 
+// writeDigests writes the golden file.
 func writeDigests(t *testing.T, path string, digests map[string]string) {
 	t.Helper()
 	var text strings.Builder
@@ -130,6 +133,7 @@
 	}
 }
 
+// readDigests reads the golden file.
 func readDigests(t *testing.T, path string) map[string]string {
 	t.Helper()
 	file, err := os.Open(path)
@@ -162,8 +166,8 @@
 
 // host is a simulated database host.
 type host struct {
-	line      decide.Endpoint
-	primary   bool
+	entry     decide.Endpoint // in the endpoint list
+	primary   bool            // the actual role, which the list may not show yet
 	condition condition
 	latency   time.Duration
 	lag       time.Duration
@@ -177,15 +181,16 @@
 	router   *decide.Router
 	hosts    []*host
 	events   eventQueue
-	order    int
+	order    int // number of the events scheduled so far
 	nextID   uint64
-	attempts map[uint64][]bool // by request, whether each attempt has ended
-	class    map[uint64]int
-	deadline map[uint64]time.Duration
+	attempts map[uint64][]bool        // by request, whether each attempt has ended
+	class    map[uint64]int           // by request
+	deadline map[uint64]time.Duration // by request
 	digest   hash.Hash
-	counts   [9]int
+	counts   [9]int // of recorded actions, by kind
 }
 
+// play simulates a scenario and returns the digest and the counts of its actions.
 func play(t *testing.T, s scenario) (digest string, counts [9]int) {
 	t.Helper()
 	sim := &simulation{
@@ -199,7 +204,7 @@
 	}
 	sim.router = router
 	if s.fleet {
-		router.JoinFleet(advice{})
+		router.JoinFleet(fleetStub{})
 	}
 	sim.addHosts()
 	end := sim.now + s.length
@@ -217,11 +222,12 @@
 	return hex.EncodeToString(sim.digest.Sum(nil)), sim.counts
 }
 
+// addHosts creates four hosts per group.
 func (s *simulation) addHosts() {
 	for group := range s.groups {
 		for i := range 4 {
 			s.hosts = append(s.hosts, &host{
-				line: decide.Endpoint{ID: uint32(len(s.hosts) + 1), Zone: (group + i) % 2, Group: group,
+				entry: decide.Endpoint{ID: uint32(len(s.hosts) + 1), Zone: (group + i) % 2, Group: group,
 					State: decide.Ready, Primary: i == 0},
 				primary: i == 0,
 				latency: time.Duration(5+10*i) * time.Millisecond,
@@ -231,35 +237,36 @@
 	}
 }
 
-// list is the endpoint list as it is now.
+// list returns the current endpoint list.
 func (s *simulation) list() []decide.Endpoint {
-	var lines []decide.Endpoint
+	var entries []decide.Endpoint
 	for _, h := range s.hosts {
-		if h.line.State != decide.Removed {
-			lines = append(lines, h.line)
+		if h.entry.State != decide.Removed {
+			entries = append(entries, h.entry)
 		}
 	}
-	return lines
+	return entries
 }
 
 func (s *simulation) host(id uint32) *host { return s.hosts[id-1] }
 
-// chance is true with probability p.
+// chance returns true with probability p.
 func (s *simulation) chance(p float64) bool { return s.rng.Float64() < p }
 
-// spread draws around d.
+// spread returns a random duration of at least d/2 with the mean d.
 func (s *simulation) spread(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.5 + s.rng.ExpFloat64()/2))
 }
 
-// arrive sends the next new request and schedules the one after it.
+// arrive delivers a new request and schedules the next one. Some requests have an ID
+// that is in use or an unknown class, and some are cancelled by their client.
 func (s *simulation) arrive() {
 	s.after(time.Duration(s.rng.ExpFloat64()/s.arrivals*float64(time.Second)), s.arrive)
 	class := s.rng.IntN(len(s.config.Classes))
 	s.request(class, s.config.Classes[class].Deadline)
 	switch {
 	case s.chance(0.002):
-		s.router.RequestArrived(s.now, decide.Request{ID: s.nextID, Class: class}) // its id is in use
+		s.router.RequestArrived(s.now, decide.Request{ID: s.nextID, Class: class}) // the ID is in use
 	case s.chance(0.001):
 		s.nextID++
 		s.router.RequestArrived(s.now, decide.Request{ID: s.nextID, Class: len(s.config.Classes)})
@@ -269,6 +276,7 @@
 	}
 }
 
+// request delivers a request of the class to the router.
 func (s *simulation) request(class int, timeLeft time.Duration) {
 	s.nextID++
 	request := decide.Request{ID: s.nextID, Group: s.rng.IntN(s.groups), Class: class,
@@ -280,7 +288,7 @@
 	s.router.RequestArrived(s.now, request)
 }
 
-// disturb makes one fault, or ends one, and schedules the next.
+// disturb injects or ends a fault and schedules the next call.
 func (s *simulation) disturb() {
 	s.after(s.spread(250*time.Millisecond), s.disturb)
 	h := s.hosts[s.rng.IntN(len(s.hosts))]
@@ -298,59 +306,61 @@
 	case 10:
 		s.notify([]decide.EndpointUpdateKind{decide.UpdateSnapshot, decide.UpdateCachedSnapshot, decide.WatchFailed}[s.rng.IntN(3)], s.list())
 	case 11:
-		s.router.AttemptEnded(s.now, decide.AttemptResult{Request: s.nextID + 1000, Endpoint: h.line.ID, Outcome: decide.OK,
+		s.router.AttemptEnded(s.now, decide.AttemptResult{Request: s.nextID + 1000, Endpoint: h.entry.ID, Outcome: decide.OK,
 			Status: decide.ReplicationStatus{Role: decide.RoleReplica, Position: s.now - h.lag}})
 	}
 }
 
-// moveState drains a ready host, removes a draining one, or brings one back
-// cold.
+// moveState drains a ready host, removes a draining one, or restarts a removed one.
 func (s *simulation) moveState(h *host) {
-	switch h.line.State {
+	switch h.entry.State {
 	case decide.Ready:
-		h.line.State = decide.Draining
+		h.entry.State = decide.Draining
 	case decide.Draining:
-		h.line.State = decide.Removed
+		h.entry.State = decide.Removed
 	case decide.Removed:
-		h.line.State, h.line.StartedAt, h.condition = decide.Ready, s.now, healthy
+		h.entry.State, h.entry.StartedAt, h.condition = decide.Ready, s.now, healthy
 	}
-	s.notify(decide.UpdateDelta, []decide.Endpoint{h.line})
+	s.notify(decide.UpdateDelta, []decide.Endpoint{h.entry})
 }
 
 // failOver makes h its group's primary; the endpoint list follows later.
 func (s *simulation) failOver(h *host) {
 	var changed []*host
 	for _, other := range s.hosts {
-		if other.line.Group == h.line.Group && other.primary != (other == h) {
+		if other.entry.Group == h.entry.Group && other.primary != (other == h) {
 			other.primary = other == h
 			changed = append(changed, other)
 		}
 	}
 	s.after(s.spread(400*time.Millisecond), func() {
-		var lines []decide.Endpoint
+		var entries []decide.Endpoint
 		for _, other := range changed {
-			other.line.Primary = other.primary
-			lines = append(lines, other.line)
+			other.entry.Primary = other.primary
+			entries = append(entries, other.entry)
 		}
-		s.notify(decide.UpdateDelta, lines)
+		s.notify(decide.UpdateDelta, entries)
 	})
 }
 
-func (s *simulation) notify(kind decide.EndpointUpdateKind, lines []decide.Endpoint) {
-	s.router.EndpointsUpdated(s.now, kind, lines)
+// notify delivers an update of the endpoint list.
+func (s *simulation) notify(kind decide.EndpointUpdateKind, entries []decide.Endpoint) {
+	s.router.EndpointsUpdated(s.now, kind, entries)
 }
 
-// observe hashes what the router tells of its endpoints.
+// observe hashes the router's view of its endpoints and its retry budget, and schedules
+// the next call.
 func (s *simulation) observe() {
 	s.after(time.Second, s.observe)
 	s.router.View(s.now, func(v decide.EndpointView) {
 		s.record(7, uint64(v.ID), uint64(v.Group), flags(v.Ready, v.Primary, v.CircuitOpen, v.Failing, v.WarmingUp, v.RequestsQueued, v.PrimaryUnknown),
 			uint64(v.PrimaryReportedAt), uint64(v.Latency), uint64(v.TypicalLatency), uint64(v.Lag), uint64(v.LagMeasuredAt))
 	})
-	saved, most, earned := s.router.RetryBudget()
-	s.record(8, math.Float64bits(saved), math.Float64bits(most), math.Float64bits(earned))
+	saved, limit, earned := s.router.RetryBudget()
+	s.record(8, math.Float64bits(saved), math.Float64bits(limit), math.Float64bits(earned))
 }
 
+// flags packs values into bits, the first into the lowest.
 func flags(values ...bool) uint64 {
 	var bits uint64
 	for i, value := range values {
@@ -361,7 +371,7 @@
 	return bits
 }
 
-// record hashes one action with its time.
+// record hashes an action with its kind and time.
 func (s *simulation) record(kind byte, values ...uint64) {
 	s.counts[kind]++
 	buffer := binary.LittleEndian.AppendUint64([]byte{kind}, uint64(s.now))
@@ -371,15 +381,15 @@
 	s.digest.Write(buffer)
 }
 
-// The simulation is the router's Actions. What they bring about is scheduled,
-// never called from within them.
+// The simulation implements decide.Actions. The consequences of an action are scheduled
+// as events, because actions must not call the router.
 
 func (s *simulation) Send(request uint64, endpoint uint32, timeout time.Duration) {
 	s.record(0, request, uint64(endpoint), uint64(timeout))
 	attempt := len(s.attempts[request])
 	s.attempts[request] = append(s.attempts[request], false)
 	h := s.host(endpoint)
-	if s.chance(0.1) { // it waits for its connection, and may no longer leave after that
+	if s.chance(0.1) { // the attempt waits for a connection, after which it may no longer be allowed
 		s.after(s.spread(20*time.Millisecond), func() {
 			if s.attempts[request][attempt] {
 				return
@@ -397,7 +407,7 @@
 	s.serve(request, attempt, h, timeout)
 }
 
-// serve schedules what becomes of an attempt at h.
+// serve schedules the end of an attempt at h.
 func (s *simulation) serve(request uint64, attempt int, h *host, timeout time.Duration) {
 	took, outcome := s.spread(h.latency), decide.OK
 	class := s.config.Classes[s.class[request]]
@@ -407,7 +417,7 @@
 		if timeout > 0 {
 			took = timeout
 		}
-		if s.chance(0.1) { // its end is never told
+		if s.chance(0.1) { // the outcome is lost
 			return
 		}
 	case refusing:
@@ -429,7 +439,7 @@
 	s.after(took, func() { s.end(request, attempt, h, outcome, took) })
 }
 
-// outcome is what a healthy host answers.
+// outcome returns the outcome of an attempt at a healthy host.
 func (s *simulation) outcome(h *host, class decide.Class) decide.Outcome {
 	needsPrimary := class.Consistency <= decide.Fresh
 	tooOld := class.Consistency == decide.Bounded && h.lag > class.MaxStaleness
@@ -444,29 +454,29 @@
 	return decide.OK
 }
 
-// end tells the router the end of an attempt, once.
+// end reports the end of an attempt to the router, unless it was already reported.
 func (s *simulation) end(request uint64, attempt int, h *host, outcome decide.Outcome, took time.Duration) {
 	if s.attempts[request][attempt] {
 		return
 	}
 	s.attempts[request][attempt] = true
-	s.router.AttemptEnded(s.now, decide.AttemptResult{Request: request, Attempt: attempt, Endpoint: h.line.ID, Outcome: outcome,
-		Latency: took, ClientAnswered: outcome == decide.OK, Status: s.note(h)})
+	s.router.AttemptEnded(s.now, decide.AttemptResult{Request: request, Attempt: attempt, Endpoint: h.entry.ID, Outcome: outcome,
+		Latency: took, ClientAnswered: outcome == decide.OK, Status: s.status(h)})
 }
 
-// note is what an answer or a report tells of h.
-func (s *simulation) note(h *host) decide.ReplicationStatus {
-	note := decide.ReplicationStatus{Role: decide.RoleReplica, Position: s.now - h.lag}
+// status returns the status that h reports in an answer or a health check.
+func (s *simulation) status(h *host) decide.ReplicationStatus {
+	status := decide.ReplicationStatus{Role: decide.RoleReplica, Position: s.now - h.lag}
 	if h.primary {
-		note = decide.ReplicationStatus{Role: decide.RolePrimary, Position: s.now}
+		status = decide.ReplicationStatus{Role: decide.RolePrimary, Position: s.now}
 	}
 	if !s.config.AnswersCarryPosition && s.chance(0.7) {
-		note.Position = 0
+		status.Position = 0
 	}
 	if s.chance(0.02) {
-		note = decide.ReplicationStatus{}
+		status = decide.ReplicationStatus{}
 	}
-	return note
+	return status
 }
 
 func (s *simulation) Cancel(request uint64, attempt int) {
@@ -478,9 +488,9 @@
 func (s *simulation) Reject(request uint64, retryAfter time.Duration) {
 	s.record(2, request, uint64(retryAfter))
 	class, known := s.class[request]
-	left := s.deadline[request] - s.now - retryAfter
-	if known && left > 0 && s.chance(0.5) {
-		s.after(retryAfter, func() { s.request(class, left) })
+	timeLeft := s.deadline[request] - s.now - retryAfter
+	if known && timeLeft > 0 && s.chance(0.5) {
+		s.after(retryAfter, func() { s.request(class, timeLeft) })
 	}
 }
 
@@ -490,7 +500,7 @@
 	s.record(4, uint64(endpoint))
 	h := s.host(endpoint)
 	s.after(s.spread(8*time.Millisecond), func() {
-		result := decide.HealthCheckResult{Endpoint: endpoint, Outcome: decide.OK, Status: s.note(h)}
+		result := decide.HealthCheckResult{Endpoint: endpoint, Outcome: decide.OK, Status: s.status(h)}
 		switch h.condition {
 		case hung:
 			result.Outcome = decide.TimedOut
@@ -500,7 +510,7 @@
 			result.Outcome = decide.Error
 		}
 		if result.Outcome == decide.OK && s.chance(0.1) {
-			return // lost
+			return // the result is lost
 		}
 		s.router.HealthChecked(s.now, result)
 	})
@@ -523,35 +533,35 @@
 	s.after(after, func() { s.router.TimerFired(s.now, token) })
 }
 
-// advice is a Fleet whose answers depend on nothing but what it is asked.
-type advice struct{}
+// fleetStub is a Fleet whose results depend only on the arguments.
+type fleetStub struct{}
 
-func (advice) Routers() int { return 5 }
-func (advice) SlowStartRate(endpoint uint32, own, one float64, _ time.Duration) float64 {
-	return own*0.7 + one*float64(endpoint%3)
+func (fleetStub) Routers() int { return 5 }
+func (fleetStub) SlowStartRate(endpoint uint32, ownRate, singleRequestRate float64, _ time.Duration) float64 {
+	return ownRate*0.7 + singleRequestRate*float64(endpoint%3)
 }
-func (advice) RetryRate(now time.Duration) float64 { return 0.5 * math.Sin(now.Seconds()) }
-func (advice) Deprioritized(endpoint uint32, now time.Duration) bool {
+func (fleetStub) RetryRate(now time.Duration) float64 { return 0.5 * math.Sin(now.Seconds()) }
+func (fleetStub) Deprioritized(endpoint uint32, now time.Duration) bool {
 	return (uint32(now/time.Second)+endpoint)%7 == 0
 }
-func (advice) SuggestedPrimary(endpoint uint32, now time.Duration) bool {
+func (fleetStub) SuggestedPrimary(endpoint uint32, now time.Duration) bool {
 	return (uint32(now/time.Second)+endpoint)%5 == 0
 }
 
-// event is something that happens at a time.
+// event is a scheduled function call.
 type event struct {
 	at    time.Duration
-	order int // among events of the same time
+	order int // order among events of the same time
 	run   func()
 }
 
-// after schedules run.
+// after schedules a call of run.
 func (s *simulation) after(wait time.Duration, run func()) {
 	s.order++
 	heap.Push(&s.events, event{at: s.now + max(wait, 0), order: s.order, run: run})
 }
 
-// eventQueue is a heap of events, the earliest first.
+// eventQueue is a heap of events with the earliest on top.
 type eventQueue []event
 
 func (q eventQueue) Len() int      { return len(q) }
--- a/decide/fixture_test.go
+++ b/decide/fixture_test.go
@@ -111,13 +111,13 @@
 func newSeededFixture(t *testing.T, config Config, endpoints []Endpoint, seed uint64) *fixture {
 	t.Helper()
 	f := &fixture{t: t, recorder: newRecorder(), now: time.Hour}
-	router, err := New(config, seed, f.recorder)
+	r, err := New(config, seed, f.recorder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.router = router
-	router.Start(f.now)
-	router.EndpointsUpdated(f.now, UpdateCachedSnapshot, endpoints)
+	f.router = r
+	r.Start(f.now)
+	r.EndpointsUpdated(f.now, UpdateCachedSnapshot, endpoints)
 	return f
 }
 
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -80,7 +80,7 @@
 // The rate to a warming endpoint follows the Fleet: the router's own rate, half of
 // it, or none.
 func TestFleetSetsSlowStartRate(t *testing.T) {
-	sent := func(fleetRate func(ownRate, singleRequestRate float64) float64) (n int) {
+	sent := func(fleetRate func(own, singleRequestRate float64) float64) (n int) {
 		f := newFixture(t, testConfig(), oneGroup()[:2])
 		f.learnPosition(2)
 		if fleetRate != nil {
@@ -98,12 +98,12 @@
 		}
 		return n
 	}
-	standaloneSends := sent(nil)
-	same := sent(func(ownRate, _ float64) float64 { return ownRate })
-	half := sent(func(ownRate, _ float64) float64 { return ownRate / 2 })
+	own := sent(nil)
+	same := sent(func(own, _ float64) float64 { return own })
+	half := sent(func(own, _ float64) float64 { return own / 2 })
 	none := sent(func(float64, float64) float64 { return 0 })
-	if standaloneSends < 10 || same != standaloneSends || half >= standaloneSends*3/4 || none > 1 {
-		t.Errorf("attempts at the warming endpoint: %d standalone, %d at the own rate, %d at half of it, %d at rate 0", standaloneSends, same, half, none)
+	if own < 10 || same != own || half >= own*3/4 || none > 1 {
+		t.Errorf("attempts at the warming endpoint: %d standalone, %d at the own rate, %d at half of it, %d at rate 0", own, same, half, none)
 	}
 }
 
--- a/decide/manyrouters_test.go
+++ b/decide/manyrouters_test.go
@@ -6,32 +6,35 @@
 	"time"
 )
 
-// The tests in this file drive many routers that share nothing, each with its
-// own seed, and count over all of them.
+// The tests in this file drive many routers without a Fleet, each with its own seed,
+// and check the sums over all of them.
 
-// groups returns n groups of a primary and two replicas in two zones.
+// groups returns the endpoints of n replica groups, each of a primary and two
+// replicas in two zones.
 func groups(n int) []Endpoint {
-	var ms []Endpoint
-	for g := range n {
+	var endpoints []Endpoint
+	for group := range n {
 		for i := range 3 {
-			ms = append(ms, Endpoint{ID: uint32(3*g + i + 1), Group: g, Zone: (g + i) % 2, State: Ready, Primary: i == 0})
+			endpoints = append(endpoints, Endpoint{ID: uint32(3*group + i + 1), Group: group, Zone: (group + i) % 2, State: Ready, Primary: i == 0})
 		}
 	}
-	return ms
+	return endpoints
 }
 
-// checkingConfig is that of a fleet in which answers tell all that a health check does.
+// checkingConfig returns the configuration of a fleet in which answers report all
+// that a health check does, and replicas reject stale reads.
 func checkingConfig(routers int) Config {
 	config := testConfig()
 	config.Routers, config.HealthChecks, config.StaleReadPolicy, config.HealthChecksReportRole = routers, true, RejectStale, true
 	return config
 }
 
-// When all routers start together, the fleet sends no more health checks than its
-// requests pay for, whatever its size, and a fresh read waits for none.
-func TestHealthChecksOfAFleetArePaidByItsRequests(t *testing.T) {
+// When all routers start at the same time, the fleet starts no more health checks than
+// its requests have added to the budgets, whatever its size, and a fresh read waits
+// for none.
+func TestHealthChecksOfAFleetAreLimitedByItsRequests(t *testing.T) {
 	for _, routers := range []int{1, 3, 100} {
-		probes, requests := 0, 0
+		checks, requests := 0, 0
 		for i := range routers {
 			f := newSeededFixture(t, checkingConfig(routers), groups(20), uint64(i+1))
 
@@ -39,26 +42,26 @@
 				f.next++
 				f.router.RequestArrived(f.now, Request{ID: f.next, Class: n % 4, Group: n % 20, Session: 9, TimeLeft: 2 * time.Second})
 				if n == 1 && len(f.sends) != 2 {
-					t.Fatal("a fresh read waited for a probe")
+					t.Fatal("a fresh read waited for a health check")
 				}
 				for _, s := range f.sends[len(f.sends)-1:] {
 					f.router.AttemptEnded(f.now, AttemptResult{Request: s.request, Attempt: s.attempt, Endpoint: s.endpoint, Outcome: OK, ClientAnswered: true})
 				}
 				f.wait(tickInterval)
-				for _, m := range f.healthChecks[min(probesHeard(f), len(f.healthChecks)):] {
-					f.router.HealthChecked(f.now, HealthCheckResult{Endpoint: m, Outcome: OK, Status: ReplicationStatus{Position: f.now}})
+				for _, id := range f.healthChecks[min(endedHealthChecks(f), len(f.healthChecks)):] {
+					f.router.HealthChecked(f.now, HealthCheckResult{Endpoint: id, Outcome: OK, Status: ReplicationStatus{Position: f.now}})
 				}
 			}
-			probes, requests = probes+len(f.healthChecks), requests+200
+			checks, requests = checks+len(f.healthChecks), requests+200
 		}
-		if paid := int(math.Ceil(healthCheckTokensPerRequest * float64(requests))); probes > paid || probes == 0 {
-			t.Errorf("%d routers sent %d probes, their %d requests paid for %d", routers, probes, requests, paid)
+		if allowed := int(math.Ceil(healthCheckTokensPerRequest * float64(requests))); checks > allowed || checks == 0 {
+			t.Errorf("%d routers started %d health checks for %d requests, want 1 to %d", routers, checks, requests, allowed)
 		}
 	}
 }
 
-// probesHeard is how many of a rig's health checks have been answered.
-func probesHeard(f *fixture) int {
+// endedHealthChecks returns the number of health checks of a fixture that have ended.
+func endedHealthChecks(f *fixture) int {
 	n := len(f.healthChecks)
 	for _, endpoint := range f.router.ordered {
 		if endpoint.healthCheckInFlight {
@@ -68,27 +71,27 @@
 	return n
 }
 
-// Where replicas serve unchecked, each endpoint is still health-checked before its use.
+// Where replicas serve stale reads, each endpoint is checked before its first use.
 func TestEndpointsThatServeStaleAreCheckedFirst(t *testing.T) {
 	config := checkingConfig(100)
 	config.StaleReadPolicy = ServeStale
 	f := newFixture(t, config, groups(20))
 	f.wait(tickInterval)
 	if len(f.healthChecks) != 60 {
-		t.Errorf("%d of 60 members were probed", len(f.healthChecks))
+		t.Errorf("%d health checks were started, want one of each of the 60 endpoints", len(f.healthChecks))
 	}
-	if q := f.submit(freshReadClass); len(f.sends) != 0 {
-		t.Errorf("fresh read %d did not wait for the probe of its primary", q)
+	if id := f.submit(freshReadClass); len(f.sends) != 0 {
+		t.Errorf("fresh read %d did not wait for the health check of its primary", id)
 	}
 }
 
-// A router of many meets a warming endpoint seldom, and then not evenly: what came
-// due meanwhile is not lost to it.
-func TestSeldomUsedWarmingEndpointKeepsItsTokens(t *testing.T) {
+// In a large fleet, each router sends to a warming endpoint rarely and at irregular
+// times. It must not lose the tokens of the slow start that accrue in between.
+func TestRarelyUsedWarmingEndpointKeepsItsTokens(t *testing.T) {
 	config := testConfig()
 	config.Routers, config.SlowStartDuration = 100, time.Hour
 	f := newFixture(t, config, groups(1))
-	f.router.answers.peak = 0.5 // answers a second that a endpoint gives this router
+	f.router.answers.peak = 0.5 // answers a second
 	f.router.EndpointsUpdated(f.now, UpdateDelta, []Endpoint{{ID: 1, State: Ready, Primary: true, StartedAt: f.now - 1}})
 	f.router.groups[0].primary = f.router.endpoints[1]
 	rate := f.router.answers.peak * config.SlowStartCapacity * config.OverloadFactor * slowStartRateFraction
@@ -101,43 +104,43 @@
 		}
 	}
 	if len(f.sends) != 20 {
-		t.Errorf("%d of 20 attempts that were due were sent", len(f.sends))
+		t.Errorf("%d attempts were sent, want the 20 that the tokens allow", len(f.sends))
 	}
 }
 
-// Clients that give each try a part of their wait give a last one all that is
-// left, which is more: first tries are no repeats because of that.
-func TestLongLastRetriesMakeFirstRequestsNoRetries(t *testing.T) {
+// Some clients give each attempt a part of their deadline and the last retry all that
+// remains, which is more. The longer time left of such retries must not make the
+// router take first requests for retries.
+func TestRetriesWithMoreTimeLeftDoNotMakeFirstRequestsRetries(t *testing.T) {
 	f := newFixture(t, checkingConfig(80), groups(1))
-	try := func(left time.Duration) uint64 {
+	submitWith := func(timeLeft time.Duration) uint64 {
 		f.next++
-		f.router.RequestArrived(f.now, Request{ID: f.next, Class: boundedReadClass, Session: 9, TimeLeft: left})
+		f.router.RequestArrived(f.now, Request{ID: f.next, Class: boundedReadClass, Session: 9, TimeLeft: timeLeft})
 		return f.next
 	}
 	for range 10 {
-		f.end(f.last(try(800*ms)), OK, RoleReplica, f.now)
+		f.end(f.last(submitWith(800*ms)), OK, RoleReplica, f.now)
 	}
-	f.router.clientRetries.pending = 100 // so many were given up
+	f.router.clientRetries.pending = 100
 	for range 20 {
-		f.end(f.last(try(800*ms)), OK, RoleReplica, f.now)
-		if id := try(1900 * ms); f.attempts[id] != 1 {
-			t.Fatal("a repeat with most of its aim left was not sent")
+		f.end(f.last(submitWith(800*ms)), OK, RoleReplica, f.now)
+		if id := submitWith(1900 * ms); f.attempts[id] != 1 {
+			t.Fatal("a retry within its latency objective was not sent")
 		}
 		f.end(f.last(f.next), OK, RoleReplica, f.now)
 	}
-	if id := try(800 * ms); f.attempts[id] != 1 {
-		t.Error("a first try was refused as a late repeat")
+	if id := submitWith(800 * ms); f.attempts[id] != 1 {
+		t.Error("a first request was taken for a late retry and rejected")
 	}
-	if id := try(700 * ms); f.attempts[id] != 0 {
-		t.Error("a repeat whose aim has passed was sent")
+	if id := submitWith(700 * ms); f.attempts[id] != 0 {
+		t.Error("a retry after its latency objective was sent")
 	}
 }
 
-// An error that comes at once cost its endpoint next to no work: a router that
-// meets an erring endpoint seldom can repeat each such read, where late errors
-// exhaust the budget.
+// An early error cost its endpoint almost no work, so its retry costs few tokens: the
+// budget covers a retry of each read, while late errors exhaust the budget.
 func TestEarlyErrorsAreRetried(t *testing.T) {
-	served := func(took time.Duration) (n int) {
+	retries := func(latency time.Duration) (n int) {
 		f := newFixture(t, checkingConfig(80), groups(1))
 		f.learnPosition(3)
 		for range 10 {
@@ -146,57 +149,59 @@
 			}
 			id := f.submit(sessionReadClass)
 			s := f.last(id)
-			f.now += took
+			f.now += latency
 			f.end(s, Error, RoleReplica, f.now)
 			n += f.attempts[id] - 1
 			if f.attempts[id] > 1 {
 				f.end(f.last(id), OK, RoleReplica, f.now)
 			}
-			f.wait(5 * time.Second) // longer than any rest
+			f.wait(5 * time.Second) // longer than any backoff
 		}
 		return n
 	}
-	if early, late := served(ms), served(60*ms); early != 10 || late > 6 {
-		t.Errorf("of 10 reads that failed at once %d were repeated, of 10 that failed late %d", early, late)
+	if early, late := retries(ms), retries(60*ms); early != 10 || late > 6 {
+		t.Errorf("retries of 10 reads: %d after early errors and %d after late ones, want 10 and at most 6", early, late)
 	}
 }
 
-// Routers that have just started have seen no load: what they may send to cold
-// endpoints must not wait for answers that only such sends could bring.
+// Routers that have just started have not measured any rate of answers. They must
+// still send to warming endpoints, as only the answers to those attempts can raise
+// the measured rate.
 func TestRestartedFleetServesFromWarmingEndpoints(t *testing.T) {
-	const routers, took = 80, 40 * ms // an answer's time: a endpoint bears 25 a second at least
+	const routers, latency = 80, 40 * ms // an endpoint serves at least 25 requests a second
 	config := checkingConfig(routers)
 	config.SlowStartDuration = time.Hour
-	served, asked := 0, 0
+	served, requests := 0, 0
 	for i := range routers {
 		ms := groups(1)
 		for j := range ms {
-			ms[j].StartedAt = time.Hour / 2 // at three fifths of their capacity
+			ms[j].StartedAt = time.Hour / 2 // three fifths of their capacity
 		}
 		f := newSeededFixture(t, config, ms, uint64(i+1))
 		f.wait(time.Duration(i) * time.Second / 10)
 		for range 20 {
-			asked++
-			id := f.submit(writeClass) // one in 8 s from each: ten a second from all
-			f.wait(took)
+			requests++
+			id := f.submit(writeClass) // one in 8 s per router, ten a second in total
+			f.wait(latency)
 			if f.attempts[id] > 0 {
 				served++
 				f.end(f.last(id), OK, RolePrimary, 0)
 			}
-			f.wait(8*time.Second - took)
+			f.wait(8*time.Second - latency)
 		}
 	}
-	if served < asked*4/5 {
-		t.Errorf("%d of %d writes were sent, at two fifths of what the primary bears when warm", served, asked)
+	if served < requests*4/5 {
+		t.Errorf("%d of %d writes were sent at two fifths of the warm primary's capacity, want at least four fifths", served, requests)
 	}
 }
 
-// A router that meets a endpoint once in seconds passes over one that fell
-// silent, until it is heard again: each further try would cost a read.
+// A router that sends to an endpoint only every few seconds avoids it after a timeout
+// or an unanswered connection attempt, until it answers again: each further attempt
+// would cost a read.
 func TestSilentEndpointIsAvoidedUntilItAnswers(t *testing.T) {
 	for _, outcome := range []Outcome{TimedOut, ConnectFailed} {
 		endpoints := append(groups(1), Endpoint{ID: 4, Zone: 0, State: Ready})
-		f := newFixture(t, checkingConfig(80), endpoints) // 3 and 4 are replicas here
+		f := newFixture(t, checkingConfig(80), endpoints) // 3 and 4 are local replicas
 		f.learnPosition(3)
 		f.learnPosition(4)
 		local := f.last(f.submit(boundedReadClass))
@@ -206,81 +211,81 @@
 		for range 4 {
 			f.wait(time.Second)
 			if s := f.last(f.submit(boundedReadClass)); s.endpoint == local.endpoint {
-				t.Errorf("outcome %d: the silent member was sent a read", outcome)
+				t.Errorf("outcome %d: a read was sent to the silent endpoint", outcome)
 			} else {
 				f.end(s, OK, RoleReplica, f.now)
 			}
 		}
 		if len(f.sends) == before {
-			t.Fatal("nothing was sent")
+			t.Fatal("no read was sent")
 		}
-		// A late answer tells that it is there: it is used again well before silentFor is over.
+		// A late answer shows that the endpoint runs: it is used again well before
+		// silentDuration has passed.
 		f.router.AttemptEnded(f.now, AttemptResult{Request: 1 << 40, Endpoint: local.endpoint, Outcome: OK})
 		f.wait(2 * time.Second)
-		back := false
+		usedAgain := false
 		for range 20 {
 			s := f.last(f.submit(boundedReadClass))
-			back = back || s.endpoint == local.endpoint
+			usedAgain = usedAgain || s.endpoint == local.endpoint
 			f.end(s, OK, RoleReplica, f.now)
 		}
-		if !back {
-			t.Errorf("outcome %d: a member that was heard again is still passed over", outcome)
+		if !usedAgain {
+			t.Errorf("outcome %d: the endpoint is not used after it has answered again", outcome)
 		}
 	}
 }
 
-// longestWithoutAttempt plays ten seconds of a router of 300 that has just
-// started on the list that it was given, which nobody brings up to date. Half
-// of the endpoints have just been replaced, and some groups have another primary
-// than the list names. It returns the longest time in which every request was
-// turned away.
+// longestWithoutAttempt plays the first ten seconds of one of 300 routers whose
+// endpoint list is outdated and never updated. Half of the endpoints have just
+// started, and some groups have another primary than the list names. It returns the
+// longest time in which no attempt was sent.
 func longestWithoutAttempt(t *testing.T, config Config, seed uint64) time.Duration {
-	const nGroups, every, took = 8, 50 * ms, 40 * ms
-	endpoints := groups(nGroups)
-	leads := map[int]uint32{}
+	const groupCount, interval, latency = 8, 50 * ms, 40 * ms
+	endpoints := groups(groupCount)
+	primaries := map[int]uint32{} // the actual primaries by group
 	for i := range endpoints {
-		if m := &endpoints[i]; i%2 == 0 {
-			m.StartedAt = time.Hour // now
+		if entry := &endpoints[i]; i%2 == 0 {
+			entry.StartedAt = time.Hour // now
 		}
-		if m := endpoints[i]; m.Primary {
-			leads[m.Group] = m.ID + uint32(m.Group%2)
+		if entry := endpoints[i]; entry.Primary {
+			primaries[entry.Group] = entry.ID + uint32(entry.Group%2)
 		}
 	}
 	f := newSeededFixture(t, config, endpoints, seed)
 	lastAttempt, longest := f.now, time.Duration(0)
-	for n := range int(10 * time.Second / every) {
-		heard := len(f.sends)
+	for n := range int(10 * time.Second / interval) {
+		answered := len(f.sends)
 		f.next++
-		f.router.RequestArrived(f.now, Request{ID: f.next, Class: n % len(config.Classes), Group: n / len(config.Classes) % nGroups,
+		f.router.RequestArrived(f.now, Request{ID: f.next, Class: n % len(config.Classes), Group: n / len(config.Classes) % groupCount,
 			Session: uint64(n), TimeLeft: 2 * time.Second})
-		f.wait(took)
-		for ; heard < len(f.sends); heard++ { // what is sent for an answer is answered too
-			s := f.sends[heard]
+		f.wait(latency)
+		for ; answered < len(f.sends); answered++ { // includes attempts that an answer causes
+			s := f.sends[answered]
 			lastAttempt = f.now
 			role, outcome := RoleReplica, OK
-			if leads[int(s.endpoint-1)/3] == s.endpoint {
+			if primaries[int(s.endpoint-1)/3] == s.endpoint {
 				role = RolePrimary
 			} else if class := config.Classes[(s.request-1)%uint64(len(config.Classes))]; class.Consistency == Write {
 				outcome = Ineligible
 			}
 			f.end(s, outcome, role, f.now)
 		}
-		f.wait(every - took)
+		f.wait(interval - latency)
 		longest = max(longest, f.now-lastAttempt)
 	}
 	return longest
 }
 
-// A router that has just started never turns away all that it gets for 4 s.
+// A router that has just started must not leave all requests unsent for 4 s.
 func TestRestartedRouterNeverRejectsEverything(t *testing.T) {
-	unchecked := testConfig()
-	unchecked.Routers = 300
-	probing := unchecked
-	probing.HealthChecks = true
-	for name, config := range map[string]Config{"checking": checkingConfig(300), "unchecked": unchecked, "probing": probing} {
+	serveStale := testConfig()
+	serveStale.Routers = 300
+	healthChecked := serveStale
+	healthChecked.HealthChecks = true
+	for name, config := range map[string]Config{"reject stale": checkingConfig(300), "serve stale": serveStale, "health checks": healthChecked} {
 		for seed := range uint64(20) {
 			if longest := longestWithoutAttempt(t, config, seed); longest >= 4*time.Second {
-				t.Errorf("%s, seed %d: no attempt for %v", name, seed, longest)
+				t.Errorf("%s, seed %d: no attempt was sent for %v, want less than 4 s", name, seed, longest)
 			}
 		}
 	}
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -23,17 +23,17 @@
 		}
 	}
 	if n > 1 {
-		t.Errorf("%d attempts at once to a member that has just started", n)
+		t.Errorf("%d attempts were sent at once to an endpoint that has just started, want at most 1", n)
 	}
 }
 
 func TestWholeGroupInSlowStartStillServes(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
-	ms3 := oneGroup()
-	for i := range ms3 {
-		ms3[i].StartedAt = f.now
+	endpoints := oneGroup()
+	for i := range endpoints {
+		endpoints[i].StartedAt = f.now
 	}
-	f.router.EndpointsUpdated(f.now, UpdateSnapshot, ms3)
+	f.router.EndpointsUpdated(f.now, UpdateSnapshot, endpoints)
 	before := len(f.sends)
 	for range 30 {
 		f.submit(sessionReadClass)
@@ -41,7 +41,7 @@
 		f.wait(100 * ms)
 	}
 	if len(f.sends) == before {
-		t.Error("nothing was sent for three seconds")
+		t.Error("no attempt was sent within three seconds")
 	}
 }
 
@@ -62,49 +62,52 @@
 		f.wait(20 * ms)
 		f.end(s, OK, RoleReplica, f.now)
 	}
-	// An answer in 20 ms tells of 50 a second at least; the rule allows twice a fifth of that.
+	// An answer in 20 ms shows a capacity of at least 50 requests a second; the permitted
+	// rate is twice a fifth of that.
 	if n > 15 {
-		t.Errorf("%d of 45 reads went to a member at a fifth of its capacity within a second", n)
+		t.Errorf("%d of 45 reads were sent to an endpoint at a fifth of its capacity within a second, want at most 15", n)
 	}
 }
 
-// counted is a Fleet that only counts routers.
+// counted is a Fleet that only reports the number of routers.
 type counted int
 
-func (n counted) Routers() int                                                  { return int(n) }
-func (counted) SlowStartRate(_ uint32, own, _ float64, _ time.Duration) float64 { return own }
-func (counted) RetryRate(time.Duration) float64                                 { return 0 }
-func (counted) Deprioritized(uint32, time.Duration) bool                        { return false }
-func (counted) SuggestedPrimary(uint32, time.Duration) bool                     { return false }
+func (n counted) Routers() int                                                      { return int(n) }
+func (counted) SlowStartRate(_ uint32, ownRate, _ float64, _ time.Duration) float64 { return ownRate }
+func (counted) RetryRate(time.Duration) float64                                     { return 0 }
+func (counted) Deprioritized(uint32, time.Duration) bool                            { return false }
+func (counted) SuggestedPrimary(uint32, time.Duration) bool                         { return false }
 
-// coldFleet plays many routers, each with its own seed and traffic, of which
-// one endpoint starts anew; it returns the most that all sent it within the
-// time that the rule counts over, as a share of what the rule allows then.
-func coldFleet(t *testing.T, routers int, told int, load float64, seen ...int) (worst float64) {
+// slowStartLoad plays a fleet of routers, each with its own seed and requests, while
+// one endpoint restarts. It returns the greatest number of attempts that all routers
+// sent to the endpoint within Config.OverloadDuration, as a fraction of the permitted
+// number. Each router is configured for a fleet of configured routers, and its Fleet
+// reports each number of reported in turn; without any it has no Fleet.
+func slowStartLoad(t *testing.T, routers int, configured int, load float64, reported ...int) (worst float64) {
 	config := testConfig()
-	config.Routers = told
-	const warmRate = 60 // requests a second that a warm endpoint bears at full load
+	config.Routers = configured
+	const warmRate = 60 // capacity of a warm endpoint, in requests a second
 	endpoints := oneGroup()[:2]
-	rigs := make([]*fixture, routers)
-	for i := range rigs {
-		rigs[i] = newFixture(t, config, endpoints)
-		rigs[i].router.rng = rand.New(rand.NewPCG(uint64(i), 7))
-		for _, n := range seen { // the fleet view's counts, in order
-			rigs[i].router.JoinFleet(counted(n))
+	fixtures := make([]*fixture, routers)
+	for i := range fixtures {
+		fixtures[i] = newFixture(t, config, endpoints)
+		fixtures[i].router.rng = rand.New(rand.NewPCG(uint64(i), 7))
+		for _, n := range reported {
+			fixtures[i].router.JoinFleet(counted(n))
 		}
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
-	var sends []time.Duration // to endpoint 2 since it started
+	var sends []time.Duration // times of the attempts at endpoint 2 since its restart
 	var started time.Duration
-	due := make([][]sent, routers)                                           // attempts out, by the step of their answers
-	share := 2 * load * warmRate / float64(routers) * tickInterval.Seconds() // a router's requests in a beat
+	due := make([][]sent, routers)                                           // attempts in flight, with the step of their answers as timeout
+	share := 2 * load * warmRate / float64(routers) * tickInterval.Seconds() // requests per router and tick
 	for step := range 1000 {
-		for i, f := range rigs {
+		for i, f := range fixtures {
 			for len(due[i]) > 0 && due[i][0].timeout <= time.Duration(step) {
 				f.end(due[i][0], OK, RoleUnknown, 0)
 				due[i] = due[i][1:]
 			}
-			if step == 500 { // it restarts, and the list says so
+			if step == 500 { // endpoint 2 restarts
 				started = f.now
 				f.router.EndpointsUpdated(f.now, UpdateDelta, []Endpoint{{ID: 2, State: Ready, StartedAt: started}})
 			}
@@ -116,7 +119,7 @@
 						sends = append(sends, f.now)
 					}
 				}
-				if f.attempts[id] > 0 { // an answer takes longer than 1 / warmRate, as one core would
+				if f.attempts[id] > 0 { // an answer takes longer than 1 / warmRate
 					s := f.last(id)
 					s.timeout = time.Duration(step + 2)
 					due[i] = append(due[i], s)
@@ -132,56 +135,57 @@
 				n++
 			}
 		}
-		warm := config.SlowStartCapacity + (1-config.SlowStartCapacity)*(from-started).Seconds()/config.SlowStartDuration.Seconds()
-		worst = max(worst, float64(n)/(config.OverloadFactor*warm*warmRate*config.OverloadDuration.Seconds()))
+		capacity := config.SlowStartCapacity + (1-config.SlowStartCapacity)*(from-started).Seconds()/config.SlowStartDuration.Seconds()
+		worst = max(worst, float64(n)/(config.OverloadFactor*capacity*warmRate*config.OverloadDuration.Seconds()))
 	}
 	return worst
 }
 
-func TestManyRoutersShareOneSlowStartBudget(t *testing.T) {
+func TestManyRoutersShareTheSlowStartRate(t *testing.T) {
 	for _, load := range []float64{0.7, 1} {
 		for _, routers := range []int{1, 3, 40, 140} {
-			if worst := coldFleet(t, routers, routers, load); worst > 1 || worst == 0 {
-				t.Errorf("%d routers sent a cold member %.2f of what the rule allows", routers, worst)
+			if worst := slowStartLoad(t, routers, routers, load); worst > 1 || worst == 0 {
+				t.Errorf("%d routers sent %.2f of the permitted rate to a warming endpoint, want more than 0 and at most 1", routers, worst)
 			}
 		}
 	}
-	for _, absurd := range []int{0, -5, math.MaxInt} {
-		coldFleet(t, 1, absurd, 0.7)
+	for _, invalid := range []int{0, -5, math.MaxInt} {
+		slowStartLoad(t, 1, invalid, 0.7)
 	}
 }
 
-// Settings that tell of too few routers overrun a warming endpoint; a fleet view
-// that counts them all keeps it within the rule, and one that counts fewer
-// than told, or no view at all, changes nothing.
+// A fleet that is larger than Config.Routers overloads a warming endpoint. A Fleet that
+// reports all routers keeps the load within the permitted rate; one that reports fewer
+// than Config.Routers changes nothing.
 func TestRoutersBeyondTheConfiguredNumberShareSlowStart(t *testing.T) {
-	worst := coldFleet(t, 140, 20, 1)
+	worst := slowStartLoad(t, 140, 20, 1)
 	if worst <= 1 {
-		t.Fatalf("140 routers told of 20 sent a cold member %.2f of the rule: the case does not test", worst)
+		t.Fatalf("140 routers configured for 20 sent %.2f of the permitted rate, want more than 1: the scenario causes no overload", worst)
 	}
-	t.Logf("140 routers told of 20, no view: %.2f of the rule's rate", worst)
-	if worst = coldFleet(t, 140, 20, 1, 140); worst > 1 || worst == 0 {
-		t.Errorf("140 routers that saw 140 sent a cold member %.2f of what the rule allows", worst)
+	t.Logf("140 routers configured for 20, no Fleet: %.2f of the permitted rate", worst)
+	if worst = slowStartLoad(t, 140, 20, 1, 140); worst > 1 || worst == 0 {
+		t.Errorf("140 routers with 140 reported sent %.2f of the permitted rate to a warming endpoint, want more than 0 and at most 1", worst)
 	}
-	t.Logf("seeing 140: %.2f", worst)
-	if worst := coldFleet(t, 140, 20, 1, 200, 140); worst > 1 || worst == 0 {
-		t.Errorf("after 200 seen, then 140: %.2f of what the rule allows", worst)
+	t.Logf("140 routers configured for 20, 140 reported: %.2f of the permitted rate", worst)
+	if worst := slowStartLoad(t, 140, 20, 1, 200, 140); worst > 1 || worst == 0 {
+		t.Errorf("140 routers with 200 and then 140 reported sent %.2f of the permitted rate, want more than 0 and at most 1", worst)
 	}
-	told, fewer := coldFleet(t, 40, 40, 0.7), coldFleet(t, 40, 40, 0.7, 3)
-	if told != fewer {
-		t.Errorf("fewer routers seen than told changed the sends: %.4f, %.4f without a view", fewer, told)
+	standaloneLoad, fewer := slowStartLoad(t, 40, 40, 0.7), slowStartLoad(t, 40, 40, 0.7, 3)
+	if standaloneLoad != fewer {
+		t.Errorf("load with 3 of 40 routers reported = %.4f, want %.4f as without a Fleet", fewer, standaloneLoad)
 	}
 }
 
-// A router that restarts while the list is wrong hears of most endpoints late.
+// A router that starts with an outdated list learns of most endpoints late. Those
+// without a recent start time must not go through slow start.
 func TestEndpointListedLateIsWarm(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup()[:1])
 	f.wait(10 * time.Second)
 	f.router.EndpointsUpdated(f.now, UpdateDelta, []Endpoint{{ID: 2, State: Ready}, {ID: 4, State: Ready, StartedAt: f.now - ms}})
 	if f.router.endpoints[2].slowStart.active {
-		t.Error("a member with no start told counts as cold")
+		t.Error("an endpoint without a start time is in slow start")
 	}
 	if !f.router.endpoints[4].slowStart.active {
-		t.Error("a member that has just started does not count as cold")
+		t.Error("an endpoint that has just started is not in slow start")
 	}
 }
--- a/decide/state_test.go
+++ b/decide/state_test.go
@@ -16,34 +16,34 @@
 			t.Errorf("backoff %v, next trial after %v, want %v", breaker.backoff, breaker.nextTrialAt-now, want)
 		}
 		if breaker.allowsTrial(now+want-1) || !breaker.allowsTrial(now+want) {
-			t.Errorf("backoff %v: a trial is not allowed exactly from its end on", want)
+			t.Errorf("backoff %v: allowsTrial does not change to true at the end of the backoff", want)
 		}
 		if breaker.overdue(now+2*want-1) || !breaker.overdue(now+2*want) {
-			t.Errorf("backoff %v: overdue is not exactly twice as late", want)
+			t.Errorf("backoff %v: overdue does not change to true after twice the backoff", want)
 		}
 	}
 	if !breaker.close() || breaker.close() {
-		t.Error("only the first close finds the breaker open")
+		t.Error("close must return true for an open circuit breaker and false for a closed one")
 	}
 	if breaker.trip(100*ms, now); breaker.backoff != 600*ms {
-		t.Errorf("backoff %v after a close, want the first one", breaker.backoff)
+		t.Errorf("backoff %v after close and trip, want the initial one", breaker.backoff)
 	}
 }
 
-func TestConcurrencyLimitRisesAddAndFallsOnceForWhatWasSentBefore(t *testing.T) {
+func TestConcurrencyLimitIncreasesAdditivelyAndDecreasesMultiplicatively(t *testing.T) {
 	for name, c := range map[string]struct {
 		used     float64
 		inFlight int
 		sentAt   time.Duration
 		want     float64
 	}{
-		"fast answer under load":            {0.1, 2, 0, 4.25},
-		"fast answer without load":          {0.1, 1, 0, 4},
-		"answer between the bounds":         {0.3, 4, 0, 4},
-		"slow answer":                       {0.5, 4, time.Second, 2.8},
-		"slow answer from before the fall":  {0.5, 4, time.Second - 1, 4},
-		"exactly at the bound of increase":  {increaseBelow, 4, 0, 4.25},
-		"exactly at the bound of reduction": {decreaseAbove, 4, time.Second, 4},
+		"fast answer under load":             {0.1, 2, 0, 4.25},
+		"fast answer without load":           {0.1, 1, 0, 4},
+		"answer between the thresholds":      {0.3, 4, 0, 4},
+		"slow answer":                        {0.5, 4, time.Second, 2.8},
+		"slow answer sent before a decrease": {0.5, 4, time.Second - 1, 4},
+		"at the threshold of the increase":   {increaseBelow, 4, 0, 4.25},
+		"at the threshold of the decrease":   {decreaseAbove, 4, time.Second, 4},
 	} {
 		limit := concurrencyLimit{value: 4, reducedAt: time.Second}
 		limit.observe(c.used, c.inFlight, c.sentAt, 2*time.Second)
@@ -63,7 +63,7 @@
 		budget.earn()
 	}
 	if budget.tokens != maxRetryTokens {
-		t.Errorf("%g tokens saved, want %g", budget.tokens, maxRetryTokens)
+		t.Errorf("full budget has %g tokens, want %g", budget.tokens, maxRetryTokens)
 	}
 	budget.spend(repeatedWorkCost)
 	if budget.covers(brokenRetryCost) {
@@ -73,7 +73,7 @@
 		budget.refill(-1, time.Second)
 	}
 	if budget.tokens != -maxRetryTokens {
-		t.Errorf("%g tokens, want a debt of %g at most", budget.tokens, maxRetryTokens)
+		t.Errorf("overdrawn budget has %g tokens, want -%g", budget.tokens, maxRetryTokens)
 	}
 }
 
@@ -85,17 +85,17 @@
 		}
 	}
 	if estimate.isRetry(0, 500*ms) {
-		t.Error("a retry is recognized though no request was answered early")
+		t.Error("a request is taken for a retry though no request was answered early")
 	}
 	estimate.expect(1)
 	if !estimate.isRetry(0, 500*ms) || estimate.isRetry(0, 500*ms) {
-		t.Error("not exactly one retry is recognized where one is expected")
+		t.Error("not exactly one request is taken for a retry where one retry is expected")
 	}
 	for range 2 * maxPendingClientRetries {
 		estimate.expect(expectedClientRetries)
 	}
 	if estimate.pending != maxPendingClientRetries {
-		t.Errorf("%d retries are waited for, at most %d", estimate.pending, maxPendingClientRetries)
+		t.Errorf("%d retries are expected, want %d", estimate.pending, maxPendingClientRetries)
 	}
 }
 
@@ -105,16 +105,16 @@
 	sessions.record(1, 0, 5*time.Second)
 	sessions.record(1, 0, 3*time.Second)
 	if position, writing := sessions.required(1); position != 5*time.Second || !writing {
-		t.Errorf("position %v, writing %v, want the latest commit and a write", position, writing)
+		t.Errorf("required(1) = %v, %v, want the position of the latest commit, 5s, and true", position, writing)
 	}
 	for session := range uint64(maxSessions) {
 		sessions.record(session+2, 0, 7*time.Second)
 	}
 	if len(sessions.commits) != 1 {
-		t.Errorf("%d sessions kept, want the one with a write in flight", len(sessions.commits))
+		t.Errorf("%d sessions are stored, want only the one with a write in flight", len(sessions.commits))
 	}
 	if position, _ := sessions.required(99); position != 7*time.Second {
-		t.Errorf("position %v for a forgotten session, want the latest known commit", position)
+		t.Errorf("required(99) = %v for a dropped session, want the latest known commit, 7s", position)
 	}
 }
 
@@ -123,7 +123,7 @@
 	warmUp.begin(time.Minute, 0.5, time.Minute)
 	warmUp.refill(10, time.Minute+100*ms)
 	if math.Abs(warmUp.tokens-1.5) > 1e-9 {
-		t.Errorf("%g tokens, want 1.5", warmUp.tokens)
+		t.Errorf("%g tokens after 100 ms at 10 a second, want 1.5", warmUp.tokens)
 	}
 	warmUp.refill(10, 2*time.Minute)
 	if warmUp.tokens != maxSlowStartTokens {
@@ -156,21 +156,21 @@
 		left = append(left, request.ID)
 	}
 	if len(seen) != 5 || len(left) != 2 || left[0] != 1 || left[1] != 3 {
-		t.Errorf("seen %v, left %v", seen, left)
+		t.Errorf("iterated over %v, want all 5; list holds %v, want [1 3]", seen, left)
 	}
 }
 
 func TestConfigurationErrorsAreTyped(t *testing.T) {
 	if _, err := New(Config{}, 1, newRecorder()); !errors.Is(err, ErrIncomplete) {
-		t.Errorf("no classes: %v, want ErrIncomplete", err)
+		t.Errorf("New without classes: error %v, want ErrIncomplete", err)
 	}
 	if _, err := New(testConfig(), 1, nil); !errors.Is(err, ErrIncomplete) {
-		t.Errorf("no actions: %v, want ErrIncomplete", err)
+		t.Errorf("New without actions: error %v, want ErrIncomplete", err)
 	}
 	config := testConfig()
 	config.Classes[2].LatencyObjective = 0
 	var invalid *ClassError
 	if _, err := New(config, 1, newRecorder()); !errors.As(err, &invalid) || invalid.Index != 2 {
-		t.Errorf("a class without an objective: %v, want a ClassError of class 2", err)
+		t.Errorf("New with a class without a latency objective: error %v, want a ClassError of class 2", err)
 	}
 }
