--- a/decide/admission.go
+++ b/decide/admission.go
@@ -13,22 +13,22 @@
 	// queueAnswerMargin is subtracted from that time, for the transmission of the
 	// answer.
 	queueAnswerMargin = 2 * tickInterval
-	// objectiveDivisor divides a latency objective to give the upper bound of the
+	// maxLatencyEstimateDivisor divides a latency objective to give the upper bound of the
 	// latency estimate of a request, so that a wrong estimate cannot reject all
 	// requests.
-	objectiveDivisor = 4
-	// replicaReadFraction is the fraction of a primary's concurrency limit that
+	maxLatencyEstimateDivisor = 4
+	// primaryReadLimitFraction is the fraction of a primary's concurrency limit that
 	// reads may use which a replica could serve.
-	replicaReadFraction = 0.75
-	// admissionDecrease is the factor by which each Overloaded answer reduces the
+	primaryReadLimitFraction = 0.75
+	// admissionDecreaseFactor is the factor by which each Overloaded answer reduces the
 	// fractions of reads that are admitted.
-	admissionDecrease = 0.8
+	admissionDecreaseFactor = 0.8
 	// admissionIncrease is the amount by which the admitted fraction rises with
 	// each served request, and each second.
 	admissionIncrease = 0.02
-	// primaryReadDecrease is the factor by which each late answer of a primary
+	// primaryReadDecreaseFactor is the factor by which each late answer of a primary
 	// reduces the fraction of reads that may go to a primary.
-	primaryReadDecrease = 0.9
+	primaryReadDecreaseFactor = 0.9
 	// primaryReadIncrease is the relative increase of that fraction with each
 	// other answer, and the absolute increase each second. The fraction is stable
 	// if a third of the answers are late.
@@ -45,8 +45,8 @@
 // overloaded records an Overloaded answer: the queue of an endpoint is full, and
 // thus its waiting time longer than most latency objectives.
 func (c *admissionControl) overloaded() {
-	c.readFraction *= admissionDecrease
-	c.primaryReadFraction *= admissionDecrease
+	c.readFraction *= admissionDecreaseFactor
+	c.primaryReadFraction *= admissionDecreaseFactor
 }
 
 // served records a served attempt.
@@ -60,7 +60,7 @@
 		c.primaryReadFraction = min(1, c.primaryReadFraction*(1+primaryReadIncrease))
 		return
 	}
-	c.primaryReadFraction *= primaryReadDecrease
+	c.primaryReadFraction *= primaryReadDecreaseFactor
 }
 
 // recover raises the fractions by the elapsed time, so that they also recover
@@ -77,7 +77,7 @@
 	if primary := request.group.primary; primary != nil && request.class.Consistency.needsPrimary() {
 		needed = r.latencyOf(primary)
 	}
-	needed = min(needed, request.class.LatencyObjective/objectiveDivisor)
+	needed = min(needed, request.class.LatencyObjective/maxLatencyEstimateDivisor)
 	if now+needed > request.expiresAt {
 		return true
 	}
@@ -129,7 +129,7 @@
 		r.send(request, endpoint, now)
 		return
 	}
-	if len(request.attempts) == 0 && now >= request.queuedUntil {
+	if len(request.attempts) == 0 && now >= request.queueDeadline {
 		r.failEarly(request)
 	}
 }
--- a/decide/breaker.go
+++ b/decide/breaker.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// initialTrialLatencies is the shortest backoff before a trial of an open
+	// trialBackoffLatencyMultiple is the shortest backoff before a trial of an open
 	// circuit breaker, as a multiple of the endpoint's latency.
-	initialTrialLatencies = 6
+	trialBackoffLatencyMultiple = 6
 	// maxTrialBackoff is the longest backoff between trials. The backoff doubles
 	// with each trial, so that few requests fail in a long outage.
 	maxTrialBackoff = 4 * time.Second
@@ -21,7 +21,7 @@
 
 // trip opens the breaker, or doubles the backoff of an open one.
 func (b *circuitBreaker) trip(latency, now time.Duration) {
-	b.backoff = min(max(2*b.backoff, initialTrialLatencies*latency), maxTrialBackoff)
+	b.backoff = min(max(2*b.backoff, trialBackoffLatencyMultiple*latency), maxTrialBackoff)
 	b.open = true
 	b.nextTrialAt = now + b.backoff
 }
--- a/decide/clientretries.go
+++ b/decide/clientretries.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// clientTimeJitter is the greatest difference between two times left that
+	// timeLeftTolerance is the greatest difference between two times left that
 	// count as equal, due to the varying network latency from client to router.
-	clientTimeJitter = 10 * time.Millisecond
+	timeLeftTolerance = 10 * time.Millisecond
 	// maxTimeLeftVotes is the greatest vote count of the typical time left, and
 	// so the number of differing requests that replace it.
 	maxTimeLeftVotes = 32
@@ -45,7 +45,7 @@
 // isRetry reports whether a request of the class with that time left is taken
 // for a client's retry.
 func (e *clientRetryEstimate) isRetry(class int, timeLeft time.Duration) bool {
-	if (timeLeft - e.typicalTimeLeft[class]).Abs() < clientTimeJitter {
+	if (timeLeft - e.typicalTimeLeft[class]).Abs() < timeLeftTolerance {
 		e.votes[class] = min(e.votes[class]+1, maxTimeLeftVotes)
 		return false
 	}
--- a/decide/concurrency.go
+++ b/decide/concurrency.go
@@ -7,16 +7,16 @@
 	initialConcurrency = 4.0
 	// recoveryConcurrency is the greatest limit after a circuit breaker has closed.
 	recoveryConcurrency = 2.0
-	// increaseBelow is the fraction of a latency objective up to which the latency
+	// concurrencyIncreaseBelow is the fraction of a latency objective up to which the latency
 	// of an answer raises the limit.
-	increaseBelow = 0.25
-	// decreaseAbove is the fraction of a latency objective above which the latency
+	concurrencyIncreaseBelow = 0.25
+	// concurrencyDecreaseAbove is the fraction of a latency objective above which the latency
 	// of an answer lowers the limit: requests must leave an endpoint's queue well
 	// before their objectives end.
-	decreaseAbove = 0.35
-	// concurrencyDecrease is the factor of one decrease. It is small enough for
+	concurrencyDecreaseAbove = 0.35
+	// concurrencyDecreaseFactor is the factor of one decrease. It is small enough for
 	// the failure of a zone, which moves all its load at once.
-	concurrencyDecrease = 0.7
+	concurrencyDecreaseFactor = 0.7
 )
 
 // concurrencyLimit limits the attempts in flight at one endpoint. It adapts by
@@ -30,12 +30,12 @@
 // observe adapts the limit to the latency of an answer, given as a fraction of
 // its latency objective.
 func (l *concurrencyLimit) observe(objectiveUsed float64, inFlight int, sentAt, now time.Duration) {
-	if objectiveUsed <= increaseBelow && float64(inFlight) >= l.value/2 {
+	if objectiveUsed <= concurrencyIncreaseBelow && float64(inFlight) >= l.value/2 {
 		l.value += 1 / l.value
 		return
 	}
-	if objectiveUsed > decreaseAbove && sentAt >= l.reducedAt {
-		l.value = max(1, l.value*concurrencyDecrease)
+	if objectiveUsed > concurrencyDecreaseAbove && sentAt >= l.reducedAt {
+		l.value = max(1, l.value*concurrencyDecreaseFactor)
 		l.reducedAt = now
 	}
 }
--- a/decide/deadline.go
+++ b/decide/deadline.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// stuckLatencies is the time after which an attempt may be stuck, as a multiple of
+// stuckLatencyMultiple is the time after which an attempt may be stuck, as a multiple of
 // the expected latency. A healthy attempt rarely takes this long.
-const stuckLatencies = 8.0
+const stuckLatencyMultiple = 8.0
 
 // expiryMargin is how long before its deadline a request without an attempt in
 // flight is answered.
@@ -17,7 +17,7 @@
 // that is stuck.
 func (r *Router) enforceDeadline(request *trackedRequest, now time.Duration) {
 	if request.answered && now > request.expiresAt+retentionPeriod {
-		r.forgetAttempts(request, now)
+		r.abandonAttempts(request, now)
 	}
 	if request.answered || request.answerStarted {
 		return
@@ -32,9 +32,9 @@
 	}
 }
 
-// forgetAttempts ends the attempts of an answered request whose outcome was never
+// abandonAttempts ends the attempts of an answered request whose outcome was never
 // reported.
-func (r *Router) forgetAttempts(request *trackedRequest, now time.Duration) {
+func (r *Router) abandonAttempts(request *trackedRequest, now time.Duration) {
 	for number := range request.attempts {
 		if request.attempts[number].endedAt == 0 {
 			r.detachAttempt(request, &request.attempts[number], now)
@@ -50,7 +50,7 @@
 func (r *Router) replaceStuckAttempt(request *trackedRequest, now time.Duration) {
 	number := slices.IndexFunc(request.attempts, func(a attempt) bool { return a.endedAt == 0 })
 	current := &request.attempts[number]
-	if !r.cfg.CancelAttempts || !r.retries.covers(repeatedWorkCost) {
+	if !r.cfg.CancelAttempts || !r.retries.covers(fullRetryCost) {
 		return
 	}
 	if !r.stuck(current, now) || r.cannotFinishInTime(request, now) {
@@ -63,7 +63,7 @@
 	if endpoint == nil {
 		return
 	}
-	r.retries.spend(repeatedWorkCost)
+	r.retries.spend(fullRetryCost)
 	r.actions.Cancel(request.ID, number)
 	r.send(request, endpoint, now)
 }
@@ -73,7 +73,7 @@
 // does not let a later attempt overtake an earlier one.
 func (r *Router) stuck(current *attempt, now time.Duration) bool {
 	expected := max(current.endpoint.latency, r.latency)
-	overdue := float64(now-current.sentAt) > stuckLatencies*float64(expected)
+	overdue := float64(now-current.sentAt) > stuckLatencyMultiple*float64(expected)
 	return overdue && current.endpoint.lastAnsweredSentAt > current.sentAt+expected
 }
 
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -9,7 +9,7 @@
 func TestWritesAndFreshReadsGoToThePrimary(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	for _, class := range []int{writeClass, freshReadClass} {
-		if s := f.last(f.submit(class)); s.endpoint != 1 {
+		if s := f.lastAttempt(f.submit(class)); s.endpoint != 1 {
 			t.Errorf("request of class %d was sent to endpoint %d, want primary 1", class, s.endpoint)
 		}
 	}
@@ -19,7 +19,7 @@
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
 	for range 3 {
-		if s := f.last(f.submit(boundedReadClass)); s.endpoint != 2 {
+		if s := f.lastAttempt(f.submit(boundedReadClass)); s.endpoint != 2 {
 			t.Errorf("bounded read was sent to endpoint %d, want local replica 2", s.endpoint)
 		}
 	}
@@ -28,8 +28,8 @@
 func TestBoundedReadLeavesReplicaWithOldPosition(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
-	f.wait(400 * ms)
-	if s := f.last(f.submit(boundedReadClass)); s.endpoint != 1 {
+	f.advance(400 * ms)
+	if s := f.lastAttempt(f.submit(boundedReadClass)); s.endpoint != 1 {
 		t.Errorf("bounded read was sent to endpoint %d, want primary 1: replica 2 is beyond the staleness bound", s.endpoint)
 	}
 }
@@ -37,10 +37,10 @@
 func TestSessionReadWaitsForItsOwnWrite(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
-	w := f.last(f.submit(writeClass))
-	f.wait(20 * ms)
-	f.end(w, OK, RolePrimary, f.now)
-	if s := f.last(f.submit(sessionReadClass)); s.endpoint != 1 {
+	w := f.lastAttempt(f.submit(writeClass))
+	f.advance(20 * ms)
+	f.endAttempt(w, OK, RolePrimary, f.now)
+	if s := f.lastAttempt(f.submit(sessionReadClass)); s.endpoint != 1 {
 		t.Errorf("session read was sent to endpoint %d, want primary 1: no replica has reported the session's commit", s.endpoint)
 	}
 }
@@ -58,13 +58,13 @@
 	config.StaleReadPolicy = ServeStale
 	f := newFixture(t, config, oneGroup())
 	f.learnPosition(2)
-	w := f.last(f.submit(writeClass)) // not answered
-	f.wait(200 * ms)
-	if s := f.last(f.submit(sessionReadClass)); s.endpoint != 1 {
+	w := f.lastAttempt(f.submit(writeClass)) // not answered
+	f.advance(200 * ms)
+	if s := f.lastAttempt(f.submit(sessionReadClass)); s.endpoint != 1 {
 		t.Errorf("session read was sent to endpoint %d while a write of its session is in flight, want primary 1", s.endpoint)
 	}
-	f.end(w, Overloaded, RolePrimary, 0) // not executed
-	if s := f.last(f.submit(sessionReadClass)); s.endpoint != 2 {
+	f.endAttempt(w, Overloaded, RolePrimary, 0) // not executed
+	if s := f.lastAttempt(f.submit(sessionReadClass)); s.endpoint != 2 {
 		t.Errorf("session read was sent to endpoint %d after its write was not executed, want replica 2", s.endpoint)
 	}
 }
@@ -80,7 +80,7 @@
 	for i := range uint64(3 * maxSessions) {
 		f.recordCommit(group, 1000+i, commit-ms)
 	}
-	if s := f.last(f.submit(sessionReadClass)); s.endpoint != 1 {
+	if s := f.lastAttempt(f.submit(sessionReadClass)); s.endpoint != 1 {
 		t.Errorf("read of a dropped session was sent to endpoint %d, want primary 1", s.endpoint)
 	}
 	if n := len(group.sessions.commits); n > maxSessions {
@@ -91,14 +91,14 @@
 func TestIneligibleWriteStartsPrimaryDiscovery(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	id := f.submit(writeClass)
-	f.end(f.last(id), Ineligible, RoleReplica, 0)
-	f.wait(500 * ms)
-	s := f.last(id)
+	f.endAttempt(f.lastAttempt(id), Ineligible, RoleReplica, 0)
+	f.advance(500 * ms)
+	s := f.lastAttempt(id)
 	if s.endpoint == 1 || s.attempt == 0 {
 		t.Fatalf("last attempt of the rejected write = %+v, want a retry at another endpoint", s)
 	}
-	f.end(s, OK, RolePrimary, f.now)
-	if got := f.last(f.submit(writeClass)); got.endpoint != s.endpoint {
+	f.endAttempt(s, OK, RolePrimary, f.now)
+	if got := f.lastAttempt(f.submit(writeClass)); got.endpoint != s.endpoint {
 		t.Errorf("next write was sent to endpoint %d, want the new primary %d", got.endpoint, s.endpoint)
 	}
 }
@@ -106,7 +106,7 @@
 func TestQueuedRequestIsAnsweredBeforeItsDeadline(t *testing.T) {
 	f := newFixture(t, testConfig(), nil)
 	id := f.submit(writeClass)
-	f.wait(2 * time.Second)
+	f.advance(2 * time.Second)
 	if _, ok := f.rejected[id]; !ok {
 		t.Error("a request of a group without endpoints was not rejected before its deadline")
 	}
@@ -118,11 +118,11 @@
 func TestRequestQueuedUnsentIsRejectedWithinHalfItsTime(t *testing.T) {
 	f := newFixture(t, testConfig(), nil)
 	f.router.RequestArrived(f.now, Request{ID: 1, Class: writeClass, TimeLeft: 600 * ms})
-	f.wait(250 * ms)
+	f.advance(250 * ms)
 	if _, ok := f.rejected[1]; ok {
 		t.Error("request was rejected before half of its time left had passed")
 	}
-	f.wait(50 * ms)
+	f.advance(50 * ms)
 	if _, ok := f.rejected[1]; !ok {
 		t.Error("request was not rejected after half of its time left")
 	}
@@ -131,11 +131,11 @@
 func TestLostOutcomeStillGetsOneAnswer(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	id := f.submit(writeClass)
-	f.wait(2*time.Second + 20*ms)
+	f.advance(2*time.Second + 20*ms)
 	if !f.failed[id] {
 		t.Error("write without an outcome was not failed at its deadline")
 	}
-	f.wait(retentionPeriod + time.Second)
+	f.advance(retentionPeriod + time.Second)
 	if len(f.router.requests) != 0 || f.router.endpoints[1].inFlight != 0 {
 		t.Error("the attempt without an outcome is still counted after the retention period")
 	}
@@ -168,15 +168,15 @@
 	config := testConfig()
 	config.StaleReadPolicy, config.SessionTokens = RejectStale, true
 	f := newFixture(t, config, oneGroup()[:2])
-	s := f.last(f.submit(boundedReadClass))
-	f.end(s, Ineligible, RoleReplica, f.now-2*time.Second)
-	if s = f.last(f.submit(boundedReadClass)); s.endpoint != 1 {
+	s := f.lastAttempt(f.submit(boundedReadClass))
+	f.endAttempt(s, Ineligible, RoleReplica, f.now-2*time.Second)
+	if s = f.lastAttempt(f.submit(boundedReadClass)); s.endpoint != 1 {
 		t.Errorf("bounded read was sent to endpoint %d, want primary 1: the replica has just reported its lag", s.endpoint)
 	}
-	f.wait(20 * ms)
-	f.end(s, OK, RolePrimary, f.now)
-	f.wait(lagValidity)
-	if s := f.last(f.submit(boundedReadClass)); s.endpoint != 2 {
+	f.advance(20 * ms)
+	f.endAttempt(s, OK, RolePrimary, f.now)
+	f.advance(lagValidity)
+	if s := f.lastAttempt(f.submit(boundedReadClass)); s.endpoint != 2 {
 		t.Errorf("bounded read was sent to endpoint %d after the lag expired, want replica 2", s.endpoint)
 	}
 }
@@ -188,15 +188,15 @@
 	f.learnPosition(2)
 	frozen := f.now
 	for range 30 {
-		s := f.last(f.submit(sessionReadClass))
-		f.wait(20 * ms)
-		f.end(s, OK, RoleReplica, frozen)
+		s := f.lastAttempt(f.submit(sessionReadClass))
+		f.advance(20 * ms)
+		f.endAttempt(s, OK, RoleReplica, frozen)
 	}
-	if s := f.last(f.submit(boundedReadClass)); s.endpoint != 1 {
+	if s := f.lastAttempt(f.submit(boundedReadClass)); s.endpoint != 1 {
 		t.Errorf("bounded read was sent to endpoint %d, want primary 1: the replicas' positions are frozen", s.endpoint)
 	}
 	f.learnPosition(2) // the positions advance again
-	if s := f.last(f.submit(boundedReadClass)); s.endpoint != 2 {
+	if s := f.lastAttempt(f.submit(boundedReadClass)); s.endpoint != 2 {
 		t.Errorf("bounded read was sent to endpoint %d, want replica 2, which has caught up", s.endpoint)
 	}
 }
@@ -208,9 +208,9 @@
 	config.Classes = config.Classes[sessionReadClass : boundedReadClass+1]
 	f := newFixture(t, config, oneGroup()[:1])
 	for range 20 {
-		s := f.last(f.submit(1)) // bounded
-		f.wait(20 * ms)
-		f.end(s, OK, RolePrimary, f.now)
+		s := f.lastAttempt(f.submit(1)) // bounded
+		f.advance(20 * ms)
+		f.endAttempt(s, OK, RolePrimary, f.now)
 	}
 	if f.router.admission.primaryReadFraction < 1 {
 		t.Errorf("fraction of reads admitted at primaries = %.2f, want 1", f.router.admission.primaryReadFraction)
@@ -220,7 +220,7 @@
 // A group that receives only fresh reads must find its new primary, too, where
 // replicas reject stale reads. Where replicas serve stale reads, a fresh read sent
 // to a replica would be answered with old data.
-func TestFreshReadLooksForThePrimaryWhereReplicasReject(t *testing.T) {
+func TestFreshReadDiscoversThePrimaryWhereReplicasRejectStaleReads(t *testing.T) {
 	for _, check := range []StaleReadPolicy{RejectStale, ServeStale} {
 		config := testConfig()
 		config.StaleReadPolicy = check
@@ -231,15 +231,15 @@
 				before = len(f.sends)
 			}
 			f.submit(freshReadClass)
-			f.wait(primaryDiscoveryInterval)
+			f.advance(primaryDiscoveryInterval)
 			for ; done < len(f.sends); done++ {
 				switch s := f.sends[done]; s.endpoint {
 				case 1:
-					f.end(s, ConnectFailed, RoleUnknown, 0)
+					f.endAttempt(s, ConnectFailed, RoleUnknown, 0)
 				case 2:
-					f.end(s, Ineligible, RoleReplica, 0)
+					f.endAttempt(s, Ineligible, RoleReplica, 0)
 				case 3:
-					f.end(s, OK, RolePrimary, f.now)
+					f.endAttempt(s, OK, RolePrimary, f.now)
 				}
 			}
 		}
--- a/decide/endpoint.go
+++ b/decide/endpoint.go
@@ -17,18 +17,18 @@
 	oldestUnansweredAt time.Duration // send time of the first of those
 	lastAnsweredSentAt time.Duration // latest send time of a served attempt
 
-	consecutiveFailures    int
-	busyUntil              time.Duration // until then other replicas are preferred
-	backoffUntil           time.Duration // until then it is not selected
-	unreachable            bool          // the last connection attempt failed
-	connectionsScarceUntil time.Duration // until then idle connections to it are closed
+	consecutiveFailures int
+	busyUntil           time.Duration // until then other replicas are preferred
+	backoffUntil        time.Duration // until then it is not selected
+	unreachable         bool          // the last connection attempt failed
+	closeIdleUntil      time.Duration // until then idle connections to it are closed
 
 	limit     concurrencyLimit
 	breaker   circuitBreaker
 	slowStart slowStart
 
 	healthCheckInFlight bool
-	awaitsHealthCheck   bool          // a health check is due as soon as the budget and interval allow it
+	healthCheckWanted   bool          // a health check is due as soon as the budget and interval allow it
 	healthCheckedAt     time.Duration // start of the last health check
 
 	discoveryAttemptAt time.Duration // when primary discovery last tried it, or it last reported its role
@@ -86,10 +86,10 @@
 	endpoint.lastAnswerAt = now
 	endpoint.unanswered = 0
 	if r.cfg.AnswersCarryPosition {
-		endpoint.awaitsHealthCheck = false
+		endpoint.healthCheckWanted = false
 	}
 	endpoint.unreachable = false
-	endpoint.busyUntil = min(endpoint.busyUntil, now+busyLatencies*r.latencyOf(endpoint))
+	endpoint.busyUntil = min(endpoint.busyUntil, now+busyLatencyMultiple*r.latencyOf(endpoint))
 	if endpoint.breaker.close() {
 		endpoint.limit.capAt(recoveryConcurrency)
 	}
--- a/decide/endpointlist.go
+++ b/decide/endpointlist.go
@@ -109,7 +109,7 @@
 	returned := previous.State == Removed && entry.State == Ready
 	if isNew || restarted || returned {
 		r.beginSlowStart(endpoint, now)
-		endpoint.awaitsHealthCheck = r.cfg.HealthChecks
+		endpoint.healthCheckWanted = r.cfg.HealthChecks
 	}
 	if restarted {
 		endpoint.role = RoleUnknown
--- a/decide/endpointlist_test.go
+++ b/decide/endpointlist_test.go
@@ -27,7 +27,7 @@
 	config.RemovalEnforced = false
 	f := newFixture(t, config, oneGroup())
 	f.router.EndpointsUpdated(f.now, UpdateDelta, []Endpoint{{ID: 1, State: Removed}})
-	if s := f.last(f.submit(writeClass)); s.endpoint != 1 {
+	if s := f.lastAttempt(f.submit(writeClass)); s.endpoint != 1 {
 		t.Errorf("write was sent to endpoint %d, want removed primary 1", s.endpoint)
 	}
 }
@@ -39,7 +39,7 @@
 	for range 5 {
 		n := f.polls
 		f.router.EndpointsUpdated(f.now, WatchFailed, nil)
-		f.wait(config.PollInterval)
+		f.advance(config.PollInterval)
 		if f.polls != n+1 {
 			t.Fatalf("%d polls within the poll interval after a failure, want 1", f.polls-n)
 		}
--- a/decide/failures_test.go
+++ b/decide/failures_test.go
@@ -9,7 +9,7 @@
 	for _, outcome := range []Outcome{Error, TimedOut, Reset, Cancelled} {
 		f := newFixture(t, testConfig(), oneGroup())
 		id := f.submit(writeClass)
-		f.end(f.last(id), outcome, RoleUnknown, 0)
+		f.endAttempt(f.lastAttempt(id), outcome, RoleUnknown, 0)
 		if _, isRejected := f.rejected[id]; isRejected || !f.failed[id] || f.attempts[id] != 1 {
 			t.Errorf("outcome %d: rejected %v, failed %v after %d attempts, want failed after 1", outcome, isRejected, f.failed[id], f.attempts[id])
 		}
@@ -24,9 +24,9 @@
 	}
 	// The replicas answer while the primary does not.
 	for range 60 {
-		s := f.last(f.submit(sessionReadClass))
-		f.wait(20 * ms)
-		f.end(s, OK, RoleReplica, f.now)
+		s := f.lastAttempt(f.submit(sessionReadClass))
+		f.advance(20 * ms)
+		f.endAttempt(s, OK, RoleReplica, f.now)
 	}
 	before := len(f.sends)
 	id := f.submit(writeClass)
@@ -43,22 +43,22 @@
 func TestStuckAttemptIsReplaced(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
-	lost := f.last(f.submit(idempotentWriteClass))
-	for range 2 * int(stuckLatencies) { // the primary answers the later requests
-		s := f.last(f.submit(idempotentWriteClass))
-		f.wait(20 * ms)
-		f.end(s, OK, RolePrimary, 0)
+	lost := f.lastAttempt(f.submit(idempotentWriteClass))
+	for range 2 * int(stuckLatencyMultiple) { // the primary answers the later requests
+		s := f.lastAttempt(f.submit(idempotentWriteClass))
+		f.advance(20 * ms)
+		f.endAttempt(s, OK, RolePrimary, 0)
 	}
-	if s := f.last(lost.request); s.attempt != 1 || s.endpoint != lost.endpoint {
+	if s := f.lastAttempt(lost.request); s.attempt != 1 || s.endpoint != lost.endpoint {
 		t.Fatalf("last attempt of the stuck request: number %d at endpoint %d, want number 1 at endpoint %d", s.attempt, s.endpoint, lost.endpoint)
 	}
 	if len(f.cancels) != 1 || f.cancels[0].request != lost.request || f.cancels[0].attempt != 0 {
 		t.Errorf("cancelled attempts = %v, want only the first attempt of the stuck request", f.cancels)
 	}
 	// An attempt is not stuck if no later one has overtaken it.
-	late := f.last(f.submit(sessionReadClass))
-	f.wait(time.Second)
-	if s := f.last(late.request); s != late {
+	late := f.lastAttempt(f.submit(sessionReadClass))
+	f.advance(time.Second)
+	if s := f.lastAttempt(late.request); s != late {
 		t.Errorf("last attempt = %v, want no retry while no later request was answered", s)
 	}
 }
@@ -73,16 +73,16 @@
 		f.submit(writeClass)
 	}
 	for range 3 {
-		s := f.last(f.submit(writeClass))
-		f.wait(20 * ms)
-		f.end(s, OK, RolePrimary, 0)
+		s := f.lastAttempt(f.submit(writeClass))
+		f.advance(20 * ms)
+		f.endAttempt(s, OK, RolePrimary, 0)
 	}
-	f.wait(4 * f.router.latency)
+	f.advance(4 * f.router.latency)
 	if f.router.endpoints[1].breaker.open {
 		t.Error("circuit breaker opened because of attempts that were sent before the last answer")
 	}
 	f.submit(writeClass)
-	f.wait(7 * f.router.latency)
+	f.advance(7 * f.router.latency)
 	if !f.router.endpoints[1].breaker.open {
 		t.Error("circuit breaker is closed though an attempt sent after the last answer is not answered")
 	}
@@ -92,18 +92,18 @@
 func TestEndpointsAreUsedAgainAfterAllWereSilent(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
-	var inFlight []sent
+	var inFlight []sentAttempt
 	for range 4 {
-		inFlight = append(inFlight, f.last(f.submit(sessionReadClass)), f.last(f.submit(writeClass)))
+		inFlight = append(inFlight, f.lastAttempt(f.submit(sessionReadClass)), f.lastAttempt(f.submit(writeClass)))
 	}
-	f.wait(450 * ms)
+	f.advance(450 * ms)
 	for _, s := range inFlight {
-		f.end(s, OK, RoleUnknown, f.now)
+		f.endAttempt(s, OK, RoleUnknown, f.now)
 	}
-	if s := f.last(f.submit(writeClass)); s.endpoint != 1 {
+	if s := f.lastAttempt(f.submit(writeClass)); s.endpoint != 1 {
 		t.Errorf("write was sent to endpoint %d after all have answered again, want primary 1", s.endpoint)
 	}
-	if s := f.last(f.submit(sessionReadClass)); s.endpoint != 2 {
+	if s := f.lastAttempt(f.submit(sessionReadClass)); s.endpoint != 2 {
 		t.Errorf("session read was sent to endpoint %d after all have answered again, want replica 2", s.endpoint)
 	}
 }
@@ -113,22 +113,22 @@
 func TestRefusedConnectionClosesIdleOnesToItsEndpoint(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
-	if len(f.closed) > 0 {
+	if len(f.closedIdle) > 0 {
 		t.Fatal("idle connections were closed though no connection was refused")
 	}
-	s := f.last(f.submit(sessionReadClass))
+	s := f.lastAttempt(f.submit(sessionReadClass))
 	refusing := s.endpoint
-	f.end(s, ConnectFailed, RoleUnknown, 0)
+	f.endAttempt(s, ConnectFailed, RoleUnknown, 0)
 	if f.router.endpoints[refusing].breaker.open {
 		t.Error("a refused connection opened the circuit breaker")
 	}
-	if s = f.last(s.request); s.endpoint == refusing {
+	if s = f.lastAttempt(s.request); s.endpoint == refusing {
 		t.Fatal("request was retried at the endpoint that refused the connection")
 	}
-	f.wait(20 * ms)
-	f.end(s, OK, RoleReplica, f.now)
-	if len(f.closed) != 1 || f.closed[0] != refusing {
-		t.Errorf("idle connections were closed to endpoints %v, want endpoint %d only", f.closed, refusing)
+	f.advance(20 * ms)
+	f.endAttempt(s, OK, RoleReplica, f.now)
+	if len(f.closedIdle) != 1 || f.closedIdle[0] != refusing {
+		t.Errorf("idle connections were closed to endpoints %v, want endpoint %d only", f.closedIdle, refusing)
 	}
 }
 
@@ -137,13 +137,13 @@
 	f.learnPosition(2)
 	id := f.submit(writeClass)
 	for range 200 {
-		f.wait(tickInterval)
-		s := f.last(id)
+		f.advance(tickInterval)
+		s := f.lastAttempt(id)
 		if s.endpoint != 1 {
 			return
 		}
 		if request := f.router.requests[id]; request != nil && request.inFlight > 0 {
-			f.end(s, ConnectFailed, RoleUnknown, 0)
+			f.endAttempt(s, ConnectFailed, RoleUnknown, 0)
 		}
 	}
 	t.Error("the write was not sent to another endpoint within 200 ticks")
@@ -156,8 +156,8 @@
 			id := f.submit(boundedReadClass) // no replica's position is known
 			if f.attempts[id] > 0 {
 				n++
-				f.wait(20 * ms)
-				f.end(f.last(id), OK, RolePrimary, f.now)
+				f.advance(20 * ms)
+				f.endAttempt(f.lastAttempt(id), OK, RolePrimary, f.now)
 			} else {
 				f.router.failEarly(f.router.requests[id])
 			}
@@ -168,15 +168,15 @@
 		t.Fatalf("%d of 40 reads were sent to an idle primary, want all", n)
 	}
 	for range 15 {
-		s := f.last(f.submit(writeClass))
-		f.wait(600 * ms) // the latency objective is 500 ms
-		f.end(s, OK, RolePrimary, f.now)
+		s := f.lastAttempt(f.submit(writeClass))
+		f.advance(600 * ms) // the latency objective is 500 ms
+		f.endAttempt(s, OK, RolePrimary, f.now)
 	}
 	f.router.endpoints[1].limit.value = initialConcurrency
 	if n := toPrimary(); n > 30 {
 		t.Errorf("%d of 40 reads were sent to the overloaded primary, want at most 30", n)
 	}
-	f.wait(10 * time.Second)
+	f.advance(10 * time.Second)
 	if n := toPrimary() + toPrimary(); n < 40 {
 		t.Errorf("%d of 80 reads were sent to a primary that has recovered, want at least 40", n)
 	}
@@ -188,25 +188,25 @@
 	for i := range uint64(12) {
 		f.submit(sessionReadClass)
 		for range 20 {
-			for id := f.next - min(i, 9); id <= f.next; id++ {
+			for id := f.lastID - min(i, 9); id <= f.lastID; id++ {
 				if request := f.router.requests[id]; request != nil && request.inFlight > 0 {
-					f.end(f.last(id), Overloaded, RoleUnknown, 0)
+					f.endAttempt(f.lastAttempt(id), Overloaded, RoleUnknown, 0)
 				}
 			}
-			f.wait(tickInterval)
+			f.advance(tickInterval)
 		}
 	}
-	f.wait(time.Second)
+	f.advance(time.Second)
 	for id := range f.router.requests {
 		t.Fatalf("request %d is not finished", id)
 	}
-	f.wait(5 * time.Second) // longer than any backoff
+	f.advance(5 * time.Second) // longer than any backoff
 	sent := func() (n int) {
 		for range 40 {
 			id := f.submit(sessionReadClass)
 			if n += f.attempts[id]; f.attempts[id] > 0 {
-				f.wait(20 * ms)
-				f.end(f.last(id), OK, RoleUnknown, f.now)
+				f.advance(20 * ms)
+				f.endAttempt(f.lastAttempt(id), OK, RoleUnknown, f.now)
 			} else {
 				f.router.failEarly(f.router.requests[id])
 			}
@@ -216,24 +216,24 @@
 	if n := sent(); n > 30 {
 		t.Errorf("%d of 40 reads were admitted while queues were full, want at most 30", n)
 	}
-	f.wait(50 * time.Second)
+	f.advance(50 * time.Second)
 	if n := sent(); n < 35 {
 		t.Errorf("%d of 40 reads were admitted 50 s after the overload, want at least 35", n)
 	}
 }
 
-func TestSavedRetriesOfManyRoutersStayFew(t *testing.T) {
+func TestRetryBudgetOfAnIdleRouterStaysSmall(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
-	f.wait(time.Minute)
+	f.advance(time.Minute)
 	retries := 0
 	for range 5 {
 		id := f.submit(sessionReadClass)
 		for f.router.requests[id] != nil && f.router.requests[id].inFlight > 0 {
-			f.end(f.last(id), Reset, RoleUnknown, 0)
+			f.endAttempt(f.lastAttempt(id), Reset, RoleUnknown, 0)
 		}
 		retries += f.attempts[id] - 1
-		f.wait(5 * time.Second) // longer than any backoff
+		f.advance(5 * time.Second) // longer than any backoff
 	}
 	if retries > 2 { // a retry after the first failure of an endpoint costs less than a token
 		t.Errorf("%d retries of 5 requests after an idle minute, want at most 2", retries)
@@ -246,13 +246,13 @@
 	f.learnPosition(2)
 	endpoint := f.router.endpoints[2]
 	f.router.openCircuit(endpoint, f.now)
-	f.wait(maxTrialBackoff + time.Second)
-	s := f.last(f.submit(sessionReadClass))
+	f.advance(maxTrialBackoff + time.Second)
+	s := f.lastAttempt(f.submit(sessionReadClass))
 	if s.endpoint != 2 {
 		t.Fatalf("read was sent to endpoint %d, want a trial of endpoint 2", s.endpoint)
 	}
-	f.wait(20 * ms)
-	f.end(s, OK, RoleReplica, f.now)
+	f.advance(20 * ms)
+	f.endAttempt(s, OK, RoleReplica, f.now)
 	if endpoint.breaker.open {
 		t.Error("circuit breaker is open after an answer")
 	}
@@ -263,8 +263,8 @@
 func TestInvalidRequestIsNoFailureOfItsEndpoint(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
-	s := f.last(f.submit(sessionReadClass))
-	f.end(s, InvalidRequest, RoleUnknown, 0)
+	s := f.lastAttempt(f.submit(sessionReadClass))
+	f.endAttempt(s, InvalidRequest, RoleUnknown, 0)
 	if endpoint := f.router.endpoints[s.endpoint]; !f.failed[s.request] || f.attempts[s.request] != 1 || endpoint.consecutiveFailures > 0 || endpoint.busyUntil > 0 {
 		t.Errorf("failed %v after %d attempts, want after 1; endpoint has %d failures and is busy until %v, want none",
 			f.failed[s.request], f.attempts[s.request], endpoint.consecutiveFailures, endpoint.busyUntil)
@@ -286,12 +286,12 @@
 		}
 		f.learnPosition(2)
 		endpoint := f.router.endpoints[2]
-		f.end(f.last(f.submit(sessionReadClass)), outcome, RoleUnknown, 0)
+		f.endAttempt(f.lastAttempt(f.submit(sessionReadClass)), outcome, RoleUnknown, 0)
 		endpoint.consecutiveFailures = maxBackoffDoublings
 		f.router.openCircuit(endpoint, f.now)
 		endpoint.breaker.nextTrialAt = f.now + maxTrialBackoff
 		started := len(f.healthChecks)
-		f.wait(reconnectInterval + 2*tickInterval)
+		f.advance(reconnectInterval + 2*tickInterval)
 		if outcome == TimedOut {
 			if len(f.healthChecks) > started {
 				t.Error("a health check was started of an endpoint that timed out")
@@ -305,9 +305,9 @@
 		if endpoint.breaker.nextTrialAt <= f.now {
 			t.Error("a failed health check made the trial due")
 		}
-		f.wait(reconnectInterval + 2*tickInterval)
+		f.advance(reconnectInterval + 2*tickInterval)
 		f.router.HealthChecked(f.now, HealthCheckResult{Endpoint: 2, Outcome: OK})
-		if s := f.last(f.submit(sessionReadClass)); s.endpoint != 2 {
+		if s := f.lastAttempt(f.submit(sessionReadClass)); s.endpoint != 2 {
 			t.Errorf("read was sent to endpoint %d, want a trial of endpoint 2", s.endpoint)
 		}
 	}
@@ -320,23 +320,23 @@
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
 	for _, outcome := range []Outcome{Malformed, Reset, Malformed} { // more retries than the budget covers at full cost
-		s := f.last(f.submit(idempotentWriteClass))
-		f.wait(20 * ms)
-		f.end(s, outcome, RoleUnknown, 0)
+		s := f.lastAttempt(f.submit(idempotentWriteClass))
+		f.advance(20 * ms)
+		f.endAttempt(s, outcome, RoleUnknown, 0)
 		if endpoint := f.router.endpoints[1]; endpoint.backoffUntil > f.now || endpoint.busyUntil > f.now {
 			t.Fatalf("primary is in backoff until %v and busy until %v at %v, want neither", endpoint.backoffUntil, endpoint.busyUntil, f.now)
 		}
-		f.wait(200 * ms) // longer than a request avoids an endpoint after an attempt
-		second := f.last(s.request)
+		f.advance(200 * ms) // longer than a request avoids an endpoint after an attempt
+		second := f.lastAttempt(s.request)
 		if second.attempt != 1 {
 			t.Fatal("request was not retried")
 		}
-		f.end(second, OK, RolePrimary, 0)
+		f.endAttempt(second, OK, RolePrimary, 0)
 	}
-	s := f.last(f.submit(idempotentWriteClass))
-	f.end(s, Malformed, RoleUnknown, 0)
-	f.wait(200 * ms)
-	f.end(f.last(s.request), Malformed, RoleUnknown, 0)
+	s := f.lastAttempt(f.submit(idempotentWriteClass))
+	f.endAttempt(s, Malformed, RoleUnknown, 0)
+	f.advance(200 * ms)
+	f.endAttempt(f.lastAttempt(s.request), Malformed, RoleUnknown, 0)
 	if endpoint := f.router.endpoints[1]; endpoint.backoffUntil <= f.now {
 		t.Error("endpoint is not in backoff after consecutive malformed answers")
 	}
@@ -349,16 +349,16 @@
 	config := testConfig()
 	config.HealthChecks = true
 	f := newFixture(t, config, oneGroup())
-	f.wait(tickInterval)
+	f.advance(tickInterval)
 	started := len(f.healthChecks)
 	for range 3 {
 		f.router.HealthChecked(f.now, HealthCheckResult{Endpoint: 2, Outcome: Error})
-		f.wait(2 * tickInterval)
+		f.advance(2 * tickInterval)
 	}
-	if endpoint := f.router.endpoints[2]; endpoint.breaker.open || !endpoint.awaitsHealthCheck || len(f.healthChecks) != started {
-		t.Errorf("circuit open %v, health check wanted %v, %d started at once; want false, true, 0", endpoint.breaker.open, endpoint.awaitsHealthCheck, len(f.healthChecks)-started)
+	if endpoint := f.router.endpoints[2]; endpoint.breaker.open || !endpoint.healthCheckWanted || len(f.healthChecks) != started {
+		t.Errorf("circuit open %v, health check wanted %v, %d started at once; want false, true, 0", endpoint.breaker.open, endpoint.healthCheckWanted, len(f.healthChecks)-started)
 	}
-	f.wait(primaryDiscoveryInterval)
+	f.advance(primaryDiscoveryInterval)
 	if len(f.healthChecks) != started+1 {
 		t.Errorf("%d health checks were started after the interval, want 1", len(f.healthChecks)-started)
 	}
@@ -369,12 +369,12 @@
 	f.learnPosition(2)
 	id := f.submit(sessionReadClass)
 	for range 4 {
-		if s := f.last(id); s.endpoint == 2 {
-			f.end(s, Overloaded, RoleReplica, f.now)
+		if s := f.lastAttempt(id); s.endpoint == 2 {
+			f.endAttempt(s, Overloaded, RoleReplica, f.now)
 		}
 	}
 	for range 5 {
-		if s := f.last(f.submit(sessionReadClass)); s.endpoint == 2 {
+		if s := f.lastAttempt(f.submit(sessionReadClass)); s.endpoint == 2 {
 			t.Error("a read was sent to endpoint 2 right after it was overloaded")
 		}
 	}
@@ -392,7 +392,7 @@
 func TestSingleResetOpensNoCircuitBreaker(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
-	f.end(f.last(f.submit(sessionReadClass)), Reset, RoleUnknown, 0)
+	f.endAttempt(f.lastAttempt(f.submit(sessionReadClass)), Reset, RoleUnknown, 0)
 	for _, endpoint := range f.router.ordered {
 		if endpoint.breaker.open {
 			t.Errorf("circuit breaker of endpoint %d is open after one reset connection", endpoint.ID)
@@ -418,17 +418,17 @@
 	f.learnPosition(2)
 	var toLossy int
 	for range 100 {
-		s := f.last(f.submit(sessionReadClass))
+		s := f.lastAttempt(f.submit(sessionReadClass))
 		f.router.HealthChecked(f.now, HealthCheckResult{Endpoint: 2, Outcome: OK})
 		if s.endpoint == 2 {
 			toLossy++
-			if f.wait(time.Second); !f.router.endpoints[2].breaker.open {
+			if f.advance(time.Second); !f.router.endpoints[2].breaker.open {
 				t.Fatal("successful health checks keep the circuit breaker of a silent endpoint closed")
 			}
 			continue
 		}
-		f.wait(20 * ms)
-		f.end(s, OK, RoleUnknown, f.now)
+		f.advance(20 * ms)
+		f.endAttempt(s, OK, RoleUnknown, f.now)
 	}
 	if toLossy > 20 {
 		t.Errorf("%d of 100 reads were sent to an endpoint whose answers are lost, want at most 20", toLossy)
--- a/decide/fixture_test.go
+++ b/decide/fixture_test.go
@@ -7,8 +7,8 @@
 
 const ms = time.Millisecond
 
-// sent is one attempt that a recorder was told to send.
-type sent struct {
+// sentAttempt is one attempt that a recorder was told to send.
+type sentAttempt struct {
 	request  uint64
 	endpoint uint32
 	attempt  int
@@ -17,48 +17,48 @@
 
 // recorder implements Actions by recording the calls.
 type recorder struct {
-	sends        []sent
+	sends        []sentAttempt
 	attempts     map[uint64]int
 	rejected     map[uint64]time.Duration
 	failed       map[uint64]bool
-	cancels      []sent
+	cancels      []sentAttempt
 	healthChecks []uint32
-	closed       []uint32
+	closedIdle   []uint32
 	polls        int
 	onSend       func(request uint64, endpoint uint32)
-	onAnswer     func(request uint64, refused bool)
+	onAnswer     func(request uint64, isRejection bool)
 }
 
 func newRecorder() *recorder {
 	return &recorder{attempts: map[uint64]int{}, rejected: map[uint64]time.Duration{}, failed: map[uint64]bool{}}
 }
 
-func (a *recorder) Send(request uint64, endpoint uint32, timeout time.Duration) {
-	if a.onSend != nil {
-		a.onSend(request, endpoint)
+func (r *recorder) Send(request uint64, endpoint uint32, timeout time.Duration) {
+	if r.onSend != nil {
+		r.onSend(request, endpoint)
 	}
-	a.sends = append(a.sends, sent{request, endpoint, a.attempts[request], timeout})
-	a.attempts[request]++
+	r.sends = append(r.sends, sentAttempt{request, endpoint, r.attempts[request], timeout})
+	r.attempts[request]++
 }
-func (a *recorder) Cancel(request uint64, attempt int) {
-	a.cancels = append(a.cancels, sent{request: request, attempt: attempt})
+func (r *recorder) Cancel(request uint64, attempt int) {
+	r.cancels = append(r.cancels, sentAttempt{request: request, attempt: attempt})
 }
-func (a *recorder) Reject(request uint64, after time.Duration) {
-	a.rejected[request] = after
-	if a.onAnswer != nil {
-		a.onAnswer(request, true)
+func (r *recorder) Reject(request uint64, after time.Duration) {
+	r.rejected[request] = after
+	if r.onAnswer != nil {
+		r.onAnswer(request, true)
 	}
 }
-func (a *recorder) Fail(request uint64) {
-	a.failed[request] = true
-	if a.onAnswer != nil {
-		a.onAnswer(request, false)
+func (r *recorder) Fail(request uint64) {
+	r.failed[request] = true
+	if r.onAnswer != nil {
+		r.onAnswer(request, false)
 	}
 }
-func (a *recorder) CheckHealth(endpoint uint32)    { a.healthChecks = append(a.healthChecks, endpoint) }
-func (a *recorder) WatchEndpoints()                { a.polls++ }
-func (a *recorder) CloseIdle(endpoint uint32)      { a.closed = append(a.closed, endpoint) }
-func (a *recorder) SetTimer(time.Duration, uint32) {}
+func (r *recorder) CheckHealth(endpoint uint32)    { r.healthChecks = append(r.healthChecks, endpoint) }
+func (r *recorder) WatchEndpoints()                { r.polls++ }
+func (r *recorder) CloseIdle(endpoint uint32)      { r.closedIdle = append(r.closedIdle, endpoint) }
+func (r *recorder) SetTimer(time.Duration, uint32) {}
 
 // The indices of the classes of testConfig.
 const (
@@ -98,7 +98,7 @@
 	*recorder
 	router *Router
 	now    time.Duration
-	next   uint64
+	lastID uint64
 }
 
 // newFixture returns a started router that has received the endpoints.
@@ -123,13 +123,13 @@
 
 // submit delivers a request of the class to the router and returns its ID.
 func (f *fixture) submit(class int) uint64 {
-	f.next++
-	f.router.RequestArrived(f.now, Request{ID: f.next, Class: class, Session: 9, TimeLeft: 2 * time.Second})
-	return f.next
+	f.lastID++
+	f.router.RequestArrived(f.now, Request{ID: f.lastID, Class: class, Session: 9, TimeLeft: 2 * time.Second})
+	return f.lastID
 }
 
 // advance moves the clock forward by d in ticks.
-func (f *fixture) wait(d time.Duration) {
+func (f *fixture) advance(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.now += tickInterval
 		f.router.TimerFired(f.now, tickToken)
@@ -138,7 +138,7 @@
 
 // lastAttempt returns the last attempt of a request and fails the test if there is
 // none.
-func (f *fixture) last(request uint64) sent {
+func (f *fixture) lastAttempt(request uint64) sentAttempt {
 	f.t.Helper()
 	for i := len(f.sends) - 1; i >= 0; i-- {
 		if f.sends[i].request == request {
@@ -146,11 +146,11 @@
 		}
 	}
 	f.t.Fatalf("request %d: no attempt was sent", request)
-	return sent{}
+	return sentAttempt{}
 }
 
 // endAttempt reports the end of an attempt to the router.
-func (f *fixture) end(s sent, outcome Outcome, role Role, position time.Duration) {
+func (f *fixture) endAttempt(s sentAttempt, outcome Outcome, role Role, position time.Duration) {
 	f.router.AttemptEnded(f.now, AttemptResult{Request: s.request, Attempt: s.attempt, Endpoint: s.endpoint, Outcome: outcome,
 		ClientAnswered: outcome == OK, Status: ReplicationStatus{Role: role, Position: position}})
 }
@@ -161,9 +161,9 @@
 	f.t.Helper()
 	for range 50 {
 		id := f.submit(sessionReadClass)
-		s := f.last(id)
-		f.wait(20 * ms)
-		f.end(s, OK, RoleReplica, f.now)
+		s := f.lastAttempt(id)
+		f.advance(20 * ms)
+		f.endAttempt(s, OK, RoleReplica, f.now)
 		if s.endpoint == endpoint {
 			return
 		}
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -34,11 +34,11 @@
 	f.router.recordPosition(f.router.endpoints[3], f.now, f.now)
 	fleet := &fleetStub{deprioritized: map[uint32]bool{2: true}}
 	f.router.JoinFleet(fleet)
-	if s := f.last(f.submit(sessionReadClass)); s.endpoint != 3 {
+	if s := f.lastAttempt(f.submit(sessionReadClass)); s.endpoint != 3 {
 		t.Fatalf("read was sent to endpoint %d, want remote replica 3, which is not deprioritized", s.endpoint)
 	}
 	fleet.deprioritized[3] = true
-	if s := f.last(f.submit(sessionReadClass)); s.endpoint != 2 {
+	if s := f.lastAttempt(f.submit(sessionReadClass)); s.endpoint != 2 {
 		t.Fatalf("read was sent to endpoint %d with all replicas deprioritized, want local replica 2", s.endpoint)
 	}
 }
@@ -51,13 +51,13 @@
 	f.router.openCircuit(f.router.endpoints[2], f.now)
 	fleet := &fleetStub{deprioritized: map[uint32]bool{2: true}}
 	f.router.JoinFleet(fleet)
-	f.wait(maxTrialBackoff + time.Second)
-	if s := f.last(f.submit(sessionReadClass)); s.endpoint == 2 {
+	f.advance(maxTrialBackoff + time.Second)
+	if s := f.lastAttempt(f.submit(sessionReadClass)); s.endpoint == 2 {
 		t.Fatal("the trial was sent to a deprioritized endpoint")
 	}
 	fleet.deprioritized[2] = false
-	f.wait(10 * ms)
-	if s := f.last(f.submit(sessionReadClass)); s.endpoint != 2 {
+	f.advance(10 * ms)
+	if s := f.lastAttempt(f.submit(sessionReadClass)); s.endpoint != 2 {
 		t.Errorf("read was sent to endpoint %d, want a trial of endpoint 2, which is no longer deprioritized", s.endpoint)
 	}
 }
@@ -69,9 +69,9 @@
 		f := newFixture(t, testConfig(), oneGroup())
 		f.router.JoinFleet(&fleetStub{primary: suggested})
 		id := f.submit(writeClass)
-		f.end(f.last(id), Ineligible, RoleReplica, 0)
-		f.wait(500 * ms)
-		if s := f.last(id); s.endpoint != suggested {
+		f.endAttempt(f.lastAttempt(id), Ineligible, RoleReplica, 0)
+		f.advance(500 * ms)
+		if s := f.lastAttempt(id); s.endpoint != suggested {
 			t.Errorf("write was sent to endpoint %d next, want suggested primary %d", s.endpoint, suggested)
 		}
 	}
@@ -90,10 +90,10 @@
 		done := len(f.sends)
 		for range 400 {
 			f.submit(sessionReadClass)
-			f.wait(10 * ms)
+			f.advance(10 * ms)
 			for ; done < len(f.sends); done++ {
 				n++
-				f.end(f.sends[done], OK, RoleReplica, f.now)
+				f.endAttempt(f.sends[done], OK, RoleReplica, f.now)
 			}
 		}
 		return n
@@ -114,7 +114,7 @@
 		f := newFixture(t, testConfig(), oneGroup())
 		f.router.retries.tokens = 0
 		f.router.JoinFleet(&fleetStub{retryRate: rate})
-		f.wait(2 * time.Second)
+		f.advance(2 * time.Second)
 		return f.router.retries.tokens
 	}
 	if none, lent, borrowed := tokensAt(0), tokensAt(-0.2), tokensAt(10); none != 0 || lent > -0.39 || lent < -0.41 || borrowed != maxRetryTokens {
--- a/decide/healthcheck.go
+++ b/decide/healthcheck.go
@@ -21,13 +21,13 @@
 	// maxReportAge is the greatest age of a role or position reported by a health
 	// check that is still used.
 	maxReportAge = 500 * time.Millisecond
-	// silentLatencies is the time without an answer that opens a circuit breaker,
+	// silenceLatencyMultiple is the time without an answer that opens a circuit breaker,
 	// as a multiple of the latency and divided by the number of unanswered
 	// attempts.
-	silentLatencies = 6.0
-	// minSilentLatencies is the lower bound of that multiple. A healthy endpoint
+	silenceLatencyMultiple = 6.0
+	// minSilenceLatencyMultiple is the lower bound of that multiple. A healthy endpoint
 	// rarely takes this long.
-	minSilentLatencies = 2.5
+	minSilenceLatencyMultiple = 2.5
 )
 
 // healthCheckBudget limits optional health checks to a fraction of the client
@@ -56,7 +56,7 @@
 	if result.Outcome == Error || result.Outcome == Malformed {
 		return // the endpoint runs but reported no status, so the health check is repeated
 	}
-	endpoint.awaitsHealthCheck = false
+	endpoint.healthCheckWanted = false
 	if result.Outcome != OK {
 		r.healthCheckFailed(endpoint, now)
 		return
@@ -77,7 +77,7 @@
 	if endpoint.unreachable {
 		return
 	}
-	endpoint.busyUntil = max(endpoint.busyUntil, now+busyLatencies*r.latencyOf(endpoint))
+	endpoint.busyUntil = max(endpoint.busyUntil, now+busyLatencyMultiple*r.latencyOf(endpoint))
 	r.openCircuit(endpoint, now)
 }
 
@@ -119,10 +119,10 @@
 	boundPassed := !r.cfg.AnswersCarryPosition && r.tightestStaleness > 0 && age >= r.tightestStaleness
 	reports := r.cfg.HealthChecks && r.cfg.HealthChecksReportRole && !replica.breaker.open
 	if reports && (positionAged || boundPassed) {
-		replica.awaitsHealthCheck = true
+		replica.healthCheckWanted = true
 	}
 	lost := replica.healthCheckInFlight && now-replica.healthCheckedAt >= healthCheckInterval
-	return replica.awaitsHealthCheck && !lost
+	return replica.healthCheckWanted && !lost
 }
 
 // detectSilence opens the circuit breaker of an endpoint that accepts attempts and
@@ -137,7 +137,7 @@
 	if endpoint.unanswered > 0 {
 		silentSince = endpoint.oldestUnansweredAt
 	}
-	allowed := max(minSilentLatencies, silentLatencies/float64(max(endpoint.unanswered, 1)))
+	allowed := max(minSilenceLatencyMultiple, silenceLatencyMultiple/float64(max(endpoint.unanswered, 1)))
 	if float64(now-silentSince) > allowed*float64(max(endpoint.latency, r.latency)) {
 		r.openCircuit(endpoint, now)
 	}
@@ -154,7 +154,7 @@
 		return
 	}
 	affordable := r.healthCheckBeforeUse() || r.healthChecks.tokens >= 1
-	wanted := endpoint.awaitsHealthCheck && sinceLast >= healthCheckInterval && affordable
+	wanted := endpoint.healthCheckWanted && sinceLast >= healthCheckInterval && affordable
 	waiting := endpoint.breaker.open || now < endpoint.backoffUntil
 	reconnect := endpoint.unreachable && waiting && sinceLast >= reconnectInterval
 	if !wanted && !reconnect {
--- a/decide/healthcheck_test.go
+++ b/decide/healthcheck_test.go
@@ -52,12 +52,12 @@
 		}
 		read := f.submit(boundedReadClass)
 		for range 15 {
-			f.wait(tickInterval)
+			f.advance(tickInterval)
 			if len(f.healthChecks) == 1 && c.answer != nil {
 				c.answer(f, f.healthChecks[0])
 			}
 		}
-		if got := f.last(read).endpoint; got != c.want || len(f.healthChecks) > 0 != c.checked {
+		if got := f.lastAttempt(read).endpoint; got != c.want || len(f.healthChecks) > 0 != c.checked {
 			t.Errorf("%s: %d health checks, and the read was sent to endpoint %d", name, len(f.healthChecks), got)
 		}
 	}
@@ -74,7 +74,7 @@
 			f.router.HealthChecked(f.now, HealthCheckResult{Endpoint: id, Status: ReplicationStatus{Role: RoleReplica, Position: f.now}})
 		}
 	}
-	f.wait(100 * ms)
+	f.advance(100 * ms)
 	endHealthChecks()
 	for _, reads := range []bool{true, false} {
 		counts := map[uint32]int{}
@@ -83,10 +83,10 @@
 			if reads {
 				f.submit(boundedReadClass)
 				if n := len(f.sends); n > 0 {
-					f.end(f.sends[n-1], OK, RoleReplica, 0)
+					f.endAttempt(f.sends[n-1], OK, RoleReplica, 0)
 				}
 			}
-			f.wait(tickInterval)
+			f.advance(tickInterval)
 			for _, id := range f.healthChecks {
 				counts[id]++
 			}
--- a/decide/histories_test.go
+++ b/decide/histories_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// overdue checks that every request is answered at most slack after its deadline.
-func (c *checker) overdue(slack time.Duration) {
+// checkDeadlines checks that every request is answered at most slack after its deadline.
+func (c *checker) checkDeadlines(slack time.Duration) {
 	for id, checked := range c.checkedRequests {
 		if checked.answers == 0 && c.now > checked.expiresAt+slack {
 			c.report("request %d was not answered by its deadline", id)
@@ -174,7 +174,7 @@
 		endpoints[i] = Endpoint{ID: uint32(i + 1), Group: i % 2, Zone: rng.IntN(2), State: Ready, Primary: i < 2}
 		c.zones[endpoints[i].ID] = endpoints[i].Zone
 	}
-	list := func(kind EndpointUpdateKind, ms []Endpoint) {
+	updateList := func(kind EndpointUpdateKind, ms []Endpoint) {
 		for _, entry := range ms {
 			if config.RemovalEnforced || entry.State != Removed { // a removal that is not enforced leaves the endpoint as it was
 				c.stopped[entry.ID] = entry.State != Ready
@@ -186,9 +186,9 @@
 		router.EndpointsUpdated(c.now, kind, ms)
 	}
 	router.Start(c.now)
-	list(UpdateCachedSnapshot, endpoints)
-	lost := map[int]bool{} // by index in sends, whether the outcome was delivered or lost
-	done := 0
+	updateList(UpdateCachedSnapshot, endpoints)
+	finished := map[int]bool{} // by index in sends, whether the outcome was delivered or lost
+	allFinished := 0
 	for step := range 600 {
 		switch rng.IntN(8) {
 		case 0, 1, 2:
@@ -204,18 +204,18 @@
 			c.checkedRequests[request.ID] = checked
 			router.RequestArrived(c.now, request)
 		case 3, 4, 5:
-			for i := done; i < len(recorder.sends); i++ {
+			for i := allFinished; i < len(recorder.sends); i++ {
 				s := recorder.sends[i]
-				if lost[i] || rng.IntN(3) > 0 {
+				if finished[i] || rng.IntN(3) > 0 {
 					continue
 				}
-				lost[i] = true // the outcome is delivered now or never
+				finished[i] = true // the outcome is delivered now or never
 				if rng.IntN(12) > 0 {
 					endRandomly(c, router, rng, commits, s)
 				}
 			}
-			for done < len(recorder.sends) && lost[done] {
-				done++
+			for allFinished < len(recorder.sends) && finished[allFinished] {
+				allFinished++
 			}
 		case 6:
 			entry := &endpoints[rng.IntN(len(endpoints))]
@@ -231,12 +231,12 @@
 					}
 				}
 			default:
-				list(WatchFailed, nil)
+				updateList(WatchFailed, nil)
 			}
 			if coin() {
-				list(UpdateSnapshot, endpoints)
+				updateList(UpdateSnapshot, endpoints)
 			} else {
-				list(UpdateDelta, []Endpoint{*entry})
+				updateList(UpdateDelta, []Endpoint{*entry})
 			}
 		case 7:
 			for _, id := range recorder.healthChecks {
@@ -253,20 +253,20 @@
 		for range rng.IntN(6) {
 			c.now += tickInterval
 			router.TimerFired(c.now, tickToken)
-			c.overdue(2 * tickInterval)
+			c.checkDeadlines(2 * tickInterval)
 		}
 	}
 	for range 300 {
 		c.now += tickInterval
 		router.TimerFired(c.now, tickToken)
 	}
-	c.overdue(2 * tickInterval)
+	c.checkDeadlines(2 * tickInterval)
 	return c.violations
 }
 
 // endRandomly ends an attempt with a random outcome, and updates the checker by what
 // the outcome reports.
-func endRandomly(c *checker, router *Router, rng *rand.Rand, commits map[uint64]time.Duration, s sent) {
+func endRandomly(c *checker, router *Router, rng *rand.Rand, commits map[uint64]time.Duration, s sentAttempt) {
 	checked := c.checkedRequests[s.request]
 	outcome := []Outcome{OK, OK, OK, Error, Overloaded, TimedOut, ConnectFailed, Reset, Cancelled, NotSent, Ineligible, Ineligible}[rng.IntN(12)]
 	result := AttemptResult{Request: s.request, Attempt: s.attempt, Endpoint: s.endpoint, Outcome: outcome, ClientAnswered: checked.answers > 0 || outcome == OK}
@@ -310,7 +310,7 @@
 		"unsafe rejection":  func(c *checker) { c.send(1, 1); c.answer(1, true) },
 		"sent to draining":  func(c *checker) { c.send(1, 2) },
 		"stale read":        func(c *checker) { c.send(2, 3) },
-		"no answer":         func(c *checker) { c.now += time.Minute; c.overdue(0) },
+		"no answer":         func(c *checker) { c.now += time.Minute; c.checkDeadlines(0) },
 	} {
 		c := &checker{cfg: config, now: time.Hour, positions: map[uint32]time.Duration{}, zones: map[uint32]int{},
 			primaries: map[uint32]bool{1: true}, stopped: map[uint32]bool{2: true},
@@ -329,9 +329,9 @@
 		for i := range 200 {
 			id := f.submit(i % 5)
 			if f.attempts[id] > 0 && i%3 > 0 {
-				f.end(f.last(id), Outcome(i%3), RoleUnknown, f.now)
+				f.endAttempt(f.lastAttempt(id), Outcome(i%3), RoleUnknown, f.now)
 			}
-			f.wait(20 * ms)
+			f.advance(20 * ms)
 		}
 		return fmt.Sprint(f.sends, f.healthChecks, f.cancels)
 	}
--- a/decide/manyrouters_test.go
+++ b/decide/manyrouters_test.go
@@ -39,15 +39,15 @@
 			f := newSeededFixture(t, checkingConfig(routers), groups(20), uint64(i+1))
 
 			for n := range 200 {
-				f.next++
-				f.router.RequestArrived(f.now, Request{ID: f.next, Class: n % 4, Group: n % 20, Session: 9, TimeLeft: 2 * time.Second})
+				f.lastID++
+				f.router.RequestArrived(f.now, Request{ID: f.lastID, Class: n % 4, Group: n % 20, Session: 9, TimeLeft: 2 * time.Second})
 				if n == 1 && len(f.sends) != 2 {
 					t.Fatal("a fresh read waited for a health check")
 				}
 				for _, s := range f.sends[len(f.sends)-1:] {
 					f.router.AttemptEnded(f.now, AttemptResult{Request: s.request, Attempt: s.attempt, Endpoint: s.endpoint, Outcome: OK, ClientAnswered: true})
 				}
-				f.wait(tickInterval)
+				f.advance(tickInterval)
 				for _, id := range f.healthChecks[min(endedHealthChecks(f), len(f.healthChecks)):] {
 					f.router.HealthChecked(f.now, HealthCheckResult{Endpoint: id, Outcome: OK, Status: ReplicationStatus{Position: f.now}})
 				}
@@ -76,7 +76,7 @@
 	config := checkingConfig(100)
 	config.StaleReadPolicy = ServeStale
 	f := newFixture(t, config, groups(20))
-	f.wait(tickInterval)
+	f.advance(tickInterval)
 	if len(f.healthChecks) != 60 {
 		t.Errorf("%d health checks were started, want one of each of the 60 endpoints", len(f.healthChecks))
 	}
@@ -96,10 +96,10 @@
 	f.router.groups[0].primary = f.router.endpoints[1]
 	rate := f.router.answers.peak * config.SlowStartCapacity * config.OverloadFactor * slowStartRateFraction
 	for range 10 {
-		f.wait(time.Duration(2.1 / rate * float64(time.Second)))
+		f.advance(time.Duration(2.1 / rate * float64(time.Second)))
 		for range 2 {
 			if id := f.submit(writeClass); f.attempts[id] > 0 {
-				f.end(f.last(id), OK, RolePrimary, 0)
+				f.endAttempt(f.lastAttempt(id), OK, RolePrimary, 0)
 			}
 		}
 	}
@@ -114,20 +114,20 @@
 func TestRetriesWithMoreTimeLeftDoNotMakeFirstRequestsRetries(t *testing.T) {
 	f := newFixture(t, checkingConfig(80), groups(1))
 	submitWith := func(timeLeft time.Duration) uint64 {
-		f.next++
-		f.router.RequestArrived(f.now, Request{ID: f.next, Class: boundedReadClass, Session: 9, TimeLeft: timeLeft})
-		return f.next
+		f.lastID++
+		f.router.RequestArrived(f.now, Request{ID: f.lastID, Class: boundedReadClass, Session: 9, TimeLeft: timeLeft})
+		return f.lastID
 	}
 	for range 10 {
-		f.end(f.last(submitWith(800*ms)), OK, RoleReplica, f.now)
+		f.endAttempt(f.lastAttempt(submitWith(800*ms)), OK, RoleReplica, f.now)
 	}
 	f.router.clientRetries.pending = 100
 	for range 20 {
-		f.end(f.last(submitWith(800*ms)), OK, RoleReplica, f.now)
+		f.endAttempt(f.lastAttempt(submitWith(800*ms)), OK, RoleReplica, f.now)
 		if id := submitWith(1900 * ms); f.attempts[id] != 1 {
 			t.Fatal("a retry within its latency objective was not sent")
 		}
-		f.end(f.last(f.next), OK, RoleReplica, f.now)
+		f.endAttempt(f.lastAttempt(f.lastID), OK, RoleReplica, f.now)
 	}
 	if id := submitWith(800 * ms); f.attempts[id] != 1 {
 		t.Error("a first request was taken for a late retry and rejected")
@@ -145,17 +145,17 @@
 		f.learnPosition(3)
 		for range 10 {
 			for range 4 { // one request in five fails
-				f.end(f.last(f.submit(writeClass)), OK, RolePrimary, 0)
+				f.endAttempt(f.lastAttempt(f.submit(writeClass)), OK, RolePrimary, 0)
 			}
 			id := f.submit(sessionReadClass)
-			s := f.last(id)
+			s := f.lastAttempt(id)
 			f.now += latency
-			f.end(s, Error, RoleReplica, f.now)
+			f.endAttempt(s, Error, RoleReplica, f.now)
 			n += f.attempts[id] - 1
 			if f.attempts[id] > 1 {
-				f.end(f.last(id), OK, RoleReplica, f.now)
+				f.endAttempt(f.lastAttempt(id), OK, RoleReplica, f.now)
 			}
-			f.wait(5 * time.Second) // longer than any backoff
+			f.advance(5 * time.Second) // longer than any backoff
 		}
 		return n
 	}
@@ -178,16 +178,16 @@
 			ms[j].StartedAt = time.Hour / 2 // three fifths of their capacity
 		}
 		f := newSeededFixture(t, config, ms, uint64(i+1))
-		f.wait(time.Duration(i) * time.Second / 10)
+		f.advance(time.Duration(i) * time.Second / 10)
 		for range 20 {
 			requests++
 			id := f.submit(writeClass) // one in 8 s per router, ten a second in total
-			f.wait(latency)
+			f.advance(latency)
 			if f.attempts[id] > 0 {
 				served++
-				f.end(f.last(id), OK, RolePrimary, 0)
+				f.endAttempt(f.lastAttempt(id), OK, RolePrimary, 0)
 			}
-			f.wait(8*time.Second - latency)
+			f.advance(8*time.Second - latency)
 		}
 	}
 	if served < requests*4/5 {
@@ -204,30 +204,30 @@
 		f := newFixture(t, checkingConfig(80), endpoints) // 3 and 4 are local replicas
 		f.learnPosition(3)
 		f.learnPosition(4)
-		local := f.last(f.submit(boundedReadClass))
-		f.wait(150 * ms)
+		local := f.lastAttempt(f.submit(boundedReadClass))
+		f.advance(150 * ms)
 		f.router.AttemptEnded(f.now, AttemptResult{Request: local.request, Endpoint: local.endpoint, Attempt: local.attempt, Outcome: outcome, Latency: 150 * ms})
 		before := len(f.sends)
 		for range 4 {
-			f.wait(time.Second)
-			if s := f.last(f.submit(boundedReadClass)); s.endpoint == local.endpoint {
+			f.advance(time.Second)
+			if s := f.lastAttempt(f.submit(boundedReadClass)); s.endpoint == local.endpoint {
 				t.Errorf("outcome %d: a read was sent to the silent endpoint", outcome)
 			} else {
-				f.end(s, OK, RoleReplica, f.now)
+				f.endAttempt(s, OK, RoleReplica, f.now)
 			}
 		}
 		if len(f.sends) == before {
 			t.Fatal("no read was sent")
 		}
 		// A late answer shows that the endpoint runs: it is used again well before
-		// silentDuration has passed.
+		// silentBusyDuration has passed.
 		f.router.AttemptEnded(f.now, AttemptResult{Request: 1 << 40, Endpoint: local.endpoint, Outcome: OK})
-		f.wait(2 * time.Second)
+		f.advance(2 * time.Second)
 		usedAgain := false
 		for range 20 {
-			s := f.last(f.submit(boundedReadClass))
+			s := f.lastAttempt(f.submit(boundedReadClass))
 			usedAgain = usedAgain || s.endpoint == local.endpoint
-			f.end(s, OK, RoleReplica, f.now)
+			f.endAttempt(s, OK, RoleReplica, f.now)
 		}
 		if !usedAgain {
 			t.Errorf("outcome %d: the endpoint is not used after it has answered again", outcome)
@@ -255,10 +255,10 @@
 	lastAttempt, longest := f.now, time.Duration(0)
 	for n := range int(10 * time.Second / interval) {
 		answered := len(f.sends)
-		f.next++
-		f.router.RequestArrived(f.now, Request{ID: f.next, Class: n % len(config.Classes), Group: n / len(config.Classes) % groupCount,
+		f.lastID++
+		f.router.RequestArrived(f.now, Request{ID: f.lastID, Class: n % len(config.Classes), Group: n / len(config.Classes) % groupCount,
 			Session: uint64(n), TimeLeft: 2 * time.Second})
-		f.wait(latency)
+		f.advance(latency)
 		for ; answered < len(f.sends); answered++ { // includes attempts that an answer causes
 			s := f.sends[answered]
 			lastAttempt = f.now
@@ -268,9 +268,9 @@
 			} else if class := config.Classes[(s.request-1)%uint64(len(config.Classes))]; class.Consistency == Write {
 				outcome = Ineligible
 			}
-			f.end(s, outcome, role, f.now)
+			f.endAttempt(s, outcome, role, f.now)
 		}
-		f.wait(interval - latency)
+		f.advance(interval - latency)
 		longest = max(longest, f.now-lastAttempt)
 	}
 	return longest
--- a/decide/outcome.go
+++ b/decide/outcome.go
@@ -3,22 +3,22 @@
 import "time"
 
 const (
-	// busyLatencies is how long an endpoint counts as busy after a failure, as a
+	// busyLatencyMultiple is how long an endpoint counts as busy after a failure, as a
 	// multiple of its latency. In that time its queue turns over.
-	busyLatencies = 10
-	// silentDuration is how long an endpoint that gave no answer counts as busy,
+	busyLatencyMultiple = 10
+	// silentBusyDuration is how long an endpoint that gave no answer counts as busy,
 	// unless it answers earlier. It is long because a router that rarely sends to
 	// the endpoint finds out late whether it answers again.
-	silentDuration = 10 * time.Second
+	silentBusyDuration = 10 * time.Second
 	// maxBackoffDoublings is how often the backoff doubles at most.
 	maxBackoffDoublings = 6
-	// connectionsScarceDuration is how long idle connections to an endpoint are
+	// closeIdleDuration is how long idle connections to an endpoint are
 	// closed after it has refused a connection.
-	connectionsScarceDuration = 10 * time.Second
-	// refusalDivisor divides an endpoint's latency to give the time within which
+	closeIdleDuration = 10 * time.Second
+	// refusalLatencyDivisor divides an endpoint's latency to give the time within which
 	// a failed connection attempt was refused. A later failure means that the
 	// endpoint did not respond.
-	refusalDivisor = 4
+	refusalLatencyDivisor = 4
 	// minServiceTime is the shortest latency recorded for a served attempt, so
 	// that a recorded latency is never 0.
 	minServiceTime = time.Microsecond
@@ -68,7 +68,7 @@
 	r.rememberCommit(request, -1, 0)
 	request.inFlight--
 	endpoint.attemptEnded(ended.sentAt)
-	if endpoint.inFlight == 0 && now < endpoint.connectionsScarceUntil {
+	if endpoint.inFlight == 0 && now < endpoint.closeIdleUntil {
 		r.actions.CloseIdle(endpoint.ID)
 	}
 	if request.answered {
@@ -163,19 +163,19 @@
 	endpoint, outcome := ended.endpoint, result.Outcome
 	latency := r.latencyOf(endpoint)
 	endpoint.unreachable = outcome == ConnectFailed
-	refused := outcome == ConnectFailed && result.Latency < latency/refusalDivisor
+	refused := outcome == ConnectFailed && result.Latency < latency/refusalLatencyDivisor
 	if refused {
-		endpoint.connectionsScarceUntil = now + connectionsScarceDuration
+		endpoint.closeIdleUntil = now + closeIdleDuration
 	}
 	if outcome != TimedOut {
 		backoff := latency << min(endpoint.consecutiveFailures, maxBackoffDoublings)
 		endpoint.backoffUntil = now + min(backoff, maxTrialBackoff)
 		endpoint.consecutiveFailures++
 	}
-	endpoint.busyUntil = now + busyLatencies*latency
+	endpoint.busyUntil = now + busyLatencyMultiple*latency
 	silent := (outcome == TimedOut || outcome == ConnectFailed) && !refused
 	if silent && ended.sentAt >= endpoint.lastAnswerAt {
-		endpoint.busyUntil = now + silentDuration
+		endpoint.busyUntil = now + silentBusyDuration
 	}
 	if outcome == Overloaded {
 		r.admission.overloaded()
--- a/decide/primary.go
+++ b/decide/primary.go
@@ -74,24 +74,24 @@
 func (r *Router) discoveryCandidate(group *replicaGroup, now time.Duration) *trackedEndpoint {
 	var best *trackedEndpoint
 	for _, endpoint := range group.endpoints {
-		if r.discoverable(endpoint, now) && (best == nil || r.triedBefore(endpoint, best, now)) {
+		if r.discoveryAllowed(endpoint, now) && (best == nil || r.discoveryPrefers(endpoint, best, now)) {
 			best = endpoint
 		}
 	}
 	return best
 }
 
-// discoverable reports whether primary discovery may try the endpoint.
-func (r *Router) discoverable(endpoint *trackedEndpoint, now time.Duration) bool {
+// discoveryAllowed reports whether primary discovery may try the endpoint.
+func (r *Router) discoveryAllowed(endpoint *trackedEndpoint, now time.Duration) bool {
 	waiting := endpoint.breaker.open && !endpoint.breaker.overdue(now)
 	return endpoint.State == Ready && !waiting && now >= endpoint.backoffUntil &&
 		r.hasCapacity(endpoint, 1, now)
 }
 
-// triedBefore reports whether primary discovery prefers an endpoint to the best
+// discoveryPrefers reports whether primary discovery prefers an endpoint to the best
 // one so far: an endpoint suggested by the fleet, then the one whose last try is
 // longer ago, then the one with the greater position.
-func (r *Router) triedBefore(endpoint, best *trackedEndpoint, now time.Duration) bool {
+func (r *Router) discoveryPrefers(endpoint, best *trackedEndpoint, now time.Duration) bool {
 	if r.fleet.SuggestedPrimary(endpoint.ID, now) {
 		return true
 	}
@@ -113,11 +113,12 @@
 	group *replicaGroup, endpoint *trackedEndpoint, now time.Duration,
 ) *trackedRequest {
 	readsDueAt := max(group.primaryKnownAt, group.nextDiscoveryAt) + readDiscoveryDelay
-	readsMayLook := r.cfg.StaleReadPolicy != ServeStale && now >= readsDueAt
+	readsMayDiscover := r.cfg.StaleReadPolicy != ServeStale && now >= readsDueAt
 	maxAttempts := max(r.cfg.MaxAttempts-reservedAttempts, 1)
 	index := slices.IndexFunc(group.queue, func(request *trackedRequest) bool {
-		mayLook := request.class.Consistency == Write || readsMayLook && request.class.Consistency == Fresh
-		return request.queued && mayLook && len(request.attempts) < maxAttempts &&
+		mayDiscover := request.class.Consistency == Write ||
+			readsMayDiscover && request.class.Consistency == Fresh
+		return request.queued && mayDiscover && len(request.attempts) < maxAttempts &&
 			r.attemptAllowed(request, endpoint, now)
 	})
 	if index < 0 {
--- a/decide/primary_test.go
+++ b/decide/primary_test.go
@@ -16,7 +16,7 @@
 		found := false
 		for range 10 {
 			id := f.submit(writeClass)
-			f.wait(200 * ms)
+			f.advance(200 * ms)
 			if n := len(f.sends); n > 0 && f.sends[n-1].request == id {
 				s := f.sends[n-1]
 				found = true
--- a/decide/request.go
+++ b/decide/request.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// tokenRounding is added to the position of a session token, as the age that it
+// tokenAgeRounding is added to the position of a session token, as the age that it
 // is computed from is rounded.
-const tokenRounding = time.Millisecond
+const tokenAgeRounding = time.Millisecond
 
 // attempt is one attempt to execute a request at an endpoint.
 type attempt struct {
@@ -25,7 +25,7 @@
 
 	expiresAt       time.Duration // the client's deadline
 	objectiveAt     time.Duration // when the latency objective ends
-	queuedUntil     time.Duration // the request is shed at this time if no attempt was sent
+	queueDeadline   time.Duration // the request is shed at this time if no attempt was sent
 	tokenPosition   time.Duration // position of the session token, 0 if none
 	admissionDraw   float64       // random in [0, 1), compared with the admission fractions
 	clientMayRetry  bool          // false if the request is itself taken for a client's retry
@@ -72,7 +72,7 @@
 		class:          class,
 		group:          r.group(arrived.Group),
 		expiresAt:      now + timeLeft,
-		queuedUntil:    now + time.Duration(maxQueuedFraction*float64(timeLeft)) - queueAnswerMargin,
+		queueDeadline:  now + time.Duration(maxQueuedFraction*float64(timeLeft)) - queueAnswerMargin,
 		admissionDraw:  r.rng.Float64(),
 		clientMayRetry: true,
 	}
@@ -85,7 +85,7 @@
 	}
 	request.objectiveAt = min(objectiveAt, request.expiresAt)
 	if r.cfg.SessionTokens && arrived.SinceCommit > 0 {
-		request.tokenPosition = now - arrived.SinceCommit + tokenRounding
+		request.tokenPosition = now - arrived.SinceCommit + tokenAgeRounding
 	}
 	r.requests[arrived.ID] = request
 	r.active.pushBack(request)
--- a/decide/retrybudget.go
+++ b/decide/retrybudget.go
@@ -8,11 +8,11 @@
 	// maxRetryTokens is the size of the budget, and of the greatest overdraft. It
 	// is small because many routers may spend their budgets at the same time.
 	maxRetryTokens = 1.0
-	// repeatedWorkCost is the cost, in tokens, of a retry that repeats work.
-	repeatedWorkCost = 1.0
-	// brokenRetryCost is the cost, in tokens, of a retry after an early error, a
+	// fullRetryCost is the cost, in tokens, of a retry that repeats work.
+	fullRetryCost = 1.0
+	// reducedRetryCost is the cost, in tokens, of a retry after an early error, a
 	// single reset connection or a malformed answer.
-	brokenRetryCost = 0.2
+	reducedRetryCost = 0.2
 )
 
 // retryBudget limits retries to a fraction of the client requests (a token
--- a/decide/routing.go
+++ b/decide/routing.go
@@ -5,9 +5,9 @@
 // minAttemptTimeout is the shortest timeout of an attempt.
 const minAttemptTimeout = tickInterval
 
-// earlyErrorDivisor divides an endpoint's latency to give the time within which
+// earlyErrorLatencyDivisor divides an endpoint's latency to give the time within which
 // an error answer is early: it took the endpoint little work.
-const earlyErrorDivisor = 4
+const earlyErrorLatencyDivisor = 4
 
 // route sends the request to an endpoint that can take it now, or queues it in
 // its group.
@@ -140,12 +140,12 @@
 // cost depends on how much work of the endpoint was wasted.
 func (r *Router) retryCost(endpoint *trackedEndpoint, outcome Outcome, elapsed time.Duration) float64 {
 	singleReset := outcome == Reset && endpoint.consecutiveFailures == 1
-	earlyError := outcome == Error && elapsed < r.latencyOf(endpoint)/earlyErrorDivisor
+	earlyError := outcome == Error && elapsed < r.latencyOf(endpoint)/earlyErrorLatencyDivisor
 	switch {
 	case outcome.NotExecuted():
 		return 0
 	case outcome == Malformed, singleReset, earlyError:
-		return brokenRetryCost
+		return reducedRetryCost
 	}
-	return repeatedWorkCost
+	return fullRetryCost
 }
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// retrySameEndpointLatencies is how long a request avoids an endpoint after its
+// sameEndpointLatencyMultiple is how long a request avoids an endpoint after its
 // attempt there has ended, as a multiple of the endpoint's latency.
-const retrySameEndpointLatencies = 2
+const sameEndpointLatencyMultiple = 2
 
 // tier is the preference of a replica for reads: a replica of a lower tier is
 // always preferred to one of a higher tier.
@@ -49,7 +49,7 @@
 	if healthCheckPending && r.cfg.StaleReadPolicy == ServeStale {
 		return nil // the result may show that a replica is fresh enough
 	}
-	return r.selectPrimary(request, replicaReadFraction, now)
+	return r.selectPrimary(request, primaryReadLimitFraction, now)
 }
 
 // selectPrimary returns the primary of the request's group if it can take the
@@ -61,7 +61,7 @@
 	if primary == nil || !r.usable(request, primary, now) || !r.hasCapacity(primary, limitFraction, now) {
 		return nil
 	}
-	if request.class.Consistency == Fresh && primary.awaitsHealthCheck && r.healthCheckBeforeUse() {
+	if request.class.Consistency == Fresh && primary.healthCheckWanted && r.healthCheckBeforeUse() {
 		return nil
 	}
 	return primary
@@ -165,7 +165,7 @@
 	if endpoint.breaker.open && !r.mayBeTrial(request, endpoint, now) {
 		return false
 	}
-	avoidFor := retrySameEndpointLatencies * r.latencyOf(endpoint)
+	avoidFor := sameEndpointLatencyMultiple * r.latencyOf(endpoint)
 	return !slices.ContainsFunc(request.attempts, func(a attempt) bool {
 		return a.endpoint == endpoint && (a.endedAt == 0 || now-a.endedAt < avoidFor)
 	})
--- a/decide/sessions.go
+++ b/decide/sessions.go
@@ -41,12 +41,12 @@
 		inFlight: commit.inFlight + inFlight,
 	}
 	if len(s.commits) > maxSessions {
-		s.forget()
+		s.dropIdle()
 	}
 }
 
-// forget drops the sessions without a write in flight and raises the floor.
-func (s *sessionCommits) forget() {
+// dropIdle drops the sessions without a write in flight and raises the floor.
+func (s *sessionCommits) dropIdle() {
 	maps.DeleteFunc(s.commits, func(_ uint64, commit sessionCommit) bool {
 		s.floor = max(s.floor, commit.position)
 		return commit.inFlight == 0
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -65,8 +65,8 @@
 // all routers add up to less than the permitted rate.
 func (r *Router) slowStartRate(endpoint *trackedEndpoint, fraction float64, now time.Duration) float64 {
 	routers := max(r.cfg.Routers, r.fleet.Routers(), 1)
-	oneAtATime := 1 / float64(routers) / r.latency.Seconds()
-	own := max(r.answers.peak, oneAtATime)
-	rate := r.fleet.SlowStartRate(endpoint.ID, own, oneAtATime, now)
+	singleRequestRate := 1 / float64(routers) / r.latency.Seconds()
+	ownRate := max(r.answers.peak, singleRequestRate)
+	rate := r.fleet.SlowStartRate(endpoint.ID, ownRate, singleRequestRate, now)
 	return rate * fraction * r.cfg.OverloadFactor * slowStartRateFraction
 }
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -15,7 +15,7 @@
 	for range 50 {
 		f.submit(sessionReadClass)
 	}
-	f.wait(100 * ms)
+	f.advance(100 * ms)
 	n := 0
 	for _, s := range f.sends[before:] {
 		if s.endpoint == 2 {
@@ -38,7 +38,7 @@
 	for range 30 {
 		f.submit(sessionReadClass)
 		f.submit(writeClass)
-		f.wait(100 * ms)
+		f.advance(100 * ms)
 	}
 	if len(f.sends) == before {
 		t.Error("no attempt was sent within three seconds")
@@ -55,12 +55,12 @@
 		if f.attempts[id] == 0 {
 			continue
 		}
-		s := f.last(id)
+		s := f.lastAttempt(id)
 		if s.endpoint == 2 {
 			n++
 		}
-		f.wait(20 * ms)
-		f.end(s, OK, RoleReplica, f.now)
+		f.advance(20 * ms)
+		f.endAttempt(s, OK, RoleReplica, f.now)
 	}
 	// An answer in 20 ms shows a capacity of at least 50 requests a second; the permitted
 	// rate is twice a fifth of that.
@@ -99,12 +99,12 @@
 	rng := rand.New(rand.NewPCG(3, 4))
 	var sends []time.Duration // times of the attempts at endpoint 2 since its restart
 	var started time.Duration
-	due := make([][]sent, routers)                                           // attempts in flight, with the step of their answers as timeout
+	due := make([][]sentAttempt, routers)                                    // attempts in flight, with the step of their answers as timeout
 	share := 2 * load * warmRate / float64(routers) * tickInterval.Seconds() // requests per router and tick
 	for step := range 1000 {
 		for i, f := range fixtures {
 			for len(due[i]) > 0 && due[i][0].timeout <= time.Duration(step) {
-				f.end(due[i][0], OK, RoleUnknown, 0)
+				f.endAttempt(due[i][0], OK, RoleUnknown, 0)
 				due[i] = due[i][1:]
 			}
 			if step == 500 { // endpoint 2 restarts
@@ -120,12 +120,12 @@
 					}
 				}
 				if f.attempts[id] > 0 { // an answer takes longer than 1 / warmRate
-					s := f.last(id)
+					s := f.lastAttempt(id)
 					s.timeout = time.Duration(step + 2)
 					due[i] = append(due[i], s)
 				}
 			}
-			f.wait(tickInterval)
+			f.advance(tickInterval)
 		}
 	}
 	for i, from := range sends {
@@ -180,7 +180,7 @@
 // without a recent start time must not go through slow start.
 func TestEndpointListedLateIsWarm(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup()[:1])
-	f.wait(10 * time.Second)
+	f.advance(10 * time.Second)
 	f.router.EndpointsUpdated(f.now, UpdateDelta, []Endpoint{{ID: 2, State: Ready}, {ID: 4, State: Ready, StartedAt: f.now - ms}})
 	if f.router.endpoints[2].slowStart.active {
 		t.Error("an endpoint without a start time is in slow start")
--- a/decide/state_test.go
+++ b/decide/state_test.go
@@ -42,8 +42,8 @@
 		"answer between the thresholds":      {0.3, 4, 0, 4},
 		"slow answer":                        {0.5, 4, time.Second, 2.8},
 		"slow answer sent before a decrease": {0.5, 4, time.Second - 1, 4},
-		"at the threshold of the increase":   {increaseBelow, 4, 0, 4.25},
-		"at the threshold of the decrease":   {decreaseAbove, 4, time.Second, 4},
+		"at the threshold of the increase":   {concurrencyIncreaseBelow, 4, 0, 4.25},
+		"at the threshold of the decrease":   {concurrencyDecreaseAbove, 4, time.Second, 4},
 	} {
 		limit := concurrencyLimit{value: 4, reducedAt: time.Second}
 		limit.observe(c.used, c.inFlight, c.sentAt, 2*time.Second)
@@ -65,8 +65,8 @@
 	if budget.tokens != maxRetryTokens {
 		t.Errorf("full budget has %g tokens, want %g", budget.tokens, maxRetryTokens)
 	}
-	budget.spend(repeatedWorkCost)
-	if budget.covers(brokenRetryCost) {
+	budget.spend(fullRetryCost)
+	if budget.covers(reducedRetryCost) {
 		t.Error("an empty budget covers a retry")
 	}
 	for range 100 {
