--- a/decide/admission.go
+++ b/decide/admission.go
@@ -13,9 +13,9 @@
 	// queueAnswerMargin is subtracted from that time, for the transmission of the
 	// answer.
 	queueAnswerMargin = 2 * tickInterval
-	// maxLatencyEstimateDivisor divides a latency objective to give the upper bound of the
-	// latency estimate of a request, so that a wrong estimate cannot reject all
-	// requests.
+	// maxLatencyEstimateDivisor divides a latency objective to give the upper
+	// bound of the latency estimate of a request, so that a wrong estimate cannot
+	// reject all requests.
 	maxLatencyEstimateDivisor = 4
 	// primaryReadLimitFraction is the fraction of a primary's concurrency limit that
 	// reads may use which a replica could serve.
--- a/decide/characterization_test.go
+++ b/decide/characterization_test.go
@@ -68,27 +68,27 @@
 		PollInterval: 4 * time.Second, SlowStartCapacity: 0.2, SlowStartDuration: 3 * time.Second, OverloadFactor: 2,
 		OverloadDuration: time.Second, RemovalEnforced: true,
 	}
-	unchecked := base
-	unchecked.StaleReadPolicy, unchecked.SessionTokens, unchecked.PollOnly = decide.ServeStale, true, true
-	waiting := base
-	waiting.StaleReadPolicy, waiting.StaleReadWait, waiting.AnswersCarryPosition = decide.WaitThenReject, 80*time.Millisecond, false
-	waiting.ParallelAttempts, waiting.CancelAttempts, waiting.RemovalEnforced = false, false, false
-	frugal := base
-	frugal.HealthChecks, frugal.HealthChecksReportRole, frugal.MaxAttempts = false, false, 2
-	endless := unchecked
-	endless.SessionTokens, endless.MaxAttempts, endless.AnswersCarryPosition, endless.PollOnly = false, 0, false, false
+	serveStale := base
+	serveStale.StaleReadPolicy, serveStale.SessionTokens, serveStale.PollOnly = decide.ServeStale, true, true
+	waitThenReject := base
+	waitThenReject.StaleReadPolicy, waitThenReject.StaleReadWait, waitThenReject.AnswersCarryPosition = decide.WaitThenReject, 80*time.Millisecond, false
+	waitThenReject.ParallelAttempts, waitThenReject.CancelAttempts, waitThenReject.RemovalEnforced = false, false, false
+	twoAttempts := base
+	twoAttempts.HealthChecks, twoAttempts.HealthChecksReportRole, twoAttempts.MaxAttempts = false, false, 2
+	unlimited := serveStale
+	unlimited.SessionTokens, unlimited.MaxAttempts, unlimited.AnswersCarryPosition, unlimited.PollOnly = false, 0, false, false
 	minute := time.Minute
 	return []scenario{
 		{"checking", 1, 4, 200, 20, minute, false, base},
 		{"checking, another seed", 2, 2, 300, 40, minute, false, base},
-		{"unchecked, tokens carried, polled", 3, 3, 150, 20, minute, false, unchecked},
-		{"waiting, one attempt at a time, no cancels", 4, 3, 150, 20, minute, false, waiting},
-		{"two attempts, no probes", 5, 3, 150, 20, minute, false, frugal},
-		{"unchecked, tokens remembered, any number of attempts", 6, 3, 150, 20, minute, false, endless},
+		{"unchecked, tokens carried, polled", 3, 3, 150, 20, minute, false, serveStale},
+		{"waiting, one attempt at a time, no cancels", 4, 3, 150, 20, minute, false, waitThenReject},
+		{"two attempts, no probes", 5, 3, 150, 20, minute, false, twoAttempts},
+		{"unchecked, tokens remembered, any number of attempts", 6, 3, 150, 20, minute, false, unlimited},
 		{"overload", 7, 1, 1200, 20, 20 * time.Second, false, base},
 		{"with a fleet", 8, 4, 200, 20, minute, true, base},
-		{"with a fleet, unchecked", 9, 3, 200, 20, minute, true, unchecked},
-		{"more sessions than are remembered", 10, 1, 2000, 1 << 20, 45 * time.Second, false, endless},
+		{"with a fleet, unchecked", 9, 3, 200, 20, minute, true, serveStale},
+		{"more sessions than are remembered", 10, 1, 2000, 1 << 20, 45 * time.Second, false, unlimited},
 	}
 }
 
@@ -99,7 +99,7 @@
 	path := filepath.Join("testdata", "characterization.txt")
 	got := map[string]string{}
 	for _, s := range scenarios() {
-		digest, counts := play(t, s)
+		digest, counts := simulate(t, s)
 		got[s.name] = digest
 		t.Logf("%s: actions by kind %v", s.name, counts)
 	}
@@ -161,7 +161,7 @@
 	refusing
 	failing
 	slow
-	conditions
+	conditionCount
 )
 
 // host is a simulated database host.
@@ -190,8 +190,8 @@
 	counts   [9]int // of recorded actions, by kind
 }
 
-// play simulates a scenario and returns the digest and the counts of its actions.
-func play(t *testing.T, s scenario) (digest string, counts [9]int) {
+// simulate plays a scenario and returns the digest and the counts of its actions.
+func simulate(t *testing.T, s scenario) (digest string, counts [9]int) {
 	t.Helper()
 	sim := &simulation{
 		scenario: s, rng: rand.New(rand.NewPCG(s.seed, 77)), now: time.Hour,
@@ -211,7 +211,7 @@
 	router.Start(sim.now)
 	router.EndpointsUpdated(sim.now, decide.UpdateCachedSnapshot, sim.list())
 	sim.after(0, sim.arrive)
-	sim.after(200*time.Millisecond, sim.disturb)
+	sim.after(200*time.Millisecond, sim.injectFault)
 	sim.after(time.Second, sim.observe)
 	for len(sim.events) > 0 && sim.now < end {
 		next := heap.Pop(&sim.events).(event)
@@ -253,8 +253,8 @@
 // chance returns true with probability p.
 func (s *simulation) chance(p float64) bool { return s.rng.Float64() < p }
 
-// spread returns a random duration of at least d/2 with the mean d.
-func (s *simulation) spread(d time.Duration) time.Duration {
+// randomDuration returns a random duration of at least d/2 with the mean d.
+func (s *simulation) randomDuration(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.5 + s.rng.ExpFloat64()/2))
 }
 
@@ -272,7 +272,7 @@
 		s.router.RequestArrived(s.now, decide.Request{ID: s.nextID, Class: len(s.config.Classes)})
 	case s.chance(0.005):
 		id := s.nextID - uint64(s.rng.IntN(20))
-		s.after(s.spread(30*time.Millisecond), func() { s.router.ClientCancelled(s.now, id) })
+		s.after(s.randomDuration(30*time.Millisecond), func() { s.router.ClientCancelled(s.now, id) })
 	}
 }
 
@@ -282,25 +282,25 @@
 	request := decide.Request{ID: s.nextID, Group: s.rng.IntN(s.groups), Class: class,
 		Session: uint64(s.rng.IntN(s.sessions)), TimeLeft: timeLeft}
 	if s.chance(0.5) {
-		request.SinceCommit = s.spread(200 * time.Millisecond)
+		request.SinceCommit = s.randomDuration(200 * time.Millisecond)
 	}
 	s.class[request.ID], s.deadline[request.ID] = class, s.now+timeLeft
 	s.router.RequestArrived(s.now, request)
 }
 
-// disturb injects or ends a fault and schedules the next call.
-func (s *simulation) disturb() {
-	s.after(s.spread(250*time.Millisecond), s.disturb)
+// injectFault injects or ends a fault and schedules the next call.
+func (s *simulation) injectFault() {
+	s.after(s.randomDuration(250*time.Millisecond), s.injectFault)
 	h := s.hosts[s.rng.IntN(len(s.hosts))]
 	switch s.rng.IntN(12) {
 	case 0, 1, 2, 3, 4:
 		h.condition = healthy
 	case 5, 6:
-		h.condition = condition(s.rng.IntN(int(conditions)))
+		h.condition = condition(s.rng.IntN(int(conditionCount)))
 	case 7:
-		h.lag = s.spread(300 * time.Millisecond)
+		h.lag = s.randomDuration(300 * time.Millisecond)
 	case 8:
-		s.moveState(h)
+		s.advanceState(h)
 	case 9:
 		s.failOver(h)
 	case 10:
@@ -311,8 +311,8 @@
 	}
 }
 
-// moveState drains a ready host, removes a draining one, or restarts a removed one.
-func (s *simulation) moveState(h *host) {
+// advanceState drains a ready host, removes a draining one, or restarts a removed one.
+func (s *simulation) advanceState(h *host) {
 	switch h.entry.State {
 	case decide.Ready:
 		h.entry.State = decide.Draining
@@ -333,7 +333,7 @@
 			changed = append(changed, other)
 		}
 	}
-	s.after(s.spread(400*time.Millisecond), func() {
+	s.after(s.randomDuration(400*time.Millisecond), func() {
 		var entries []decide.Endpoint
 		for _, other := range changed {
 			other.entry.Primary = other.primary
@@ -390,7 +390,7 @@
 	s.attempts[request] = append(s.attempts[request], false)
 	h := s.host(endpoint)
 	if s.chance(0.1) { // the attempt waits for a connection, after which it may no longer be allowed
-		s.after(s.spread(20*time.Millisecond), func() {
+		s.after(s.randomDuration(20*time.Millisecond), func() {
 			if s.attempts[request][attempt] {
 				return
 			}
@@ -409,34 +409,34 @@
 
 // serve schedules the end of an attempt at h.
 func (s *simulation) serve(request uint64, attempt int, h *host, timeout time.Duration) {
-	took, outcome := s.spread(h.latency), decide.OK
+	elapsed, outcome := s.randomDuration(h.latency), decide.OK
 	class := s.config.Classes[s.class[request]]
 	switch h.condition {
 	case hung:
-		outcome, took = decide.TimedOut, s.spread(3*time.Second)
+		outcome, elapsed = decide.TimedOut, s.randomDuration(3*time.Second)
 		if timeout > 0 {
-			took = timeout
+			elapsed = timeout
 		}
 		if s.chance(0.1) { // the outcome is lost
 			return
 		}
 	case refusing:
-		outcome, took = decide.ConnectFailed, time.Millisecond
+		outcome, elapsed = decide.ConnectFailed, time.Millisecond
 	case failing:
 		outcome = []decide.Outcome{decide.Error, decide.Overloaded, decide.Reset, decide.Malformed}[s.rng.IntN(4)]
 	case slow:
-		took *= 6
+		elapsed *= 6
 	default:
 		outcome = s.outcome(h, class)
 	}
 	if outcome == decide.OK && s.chance(0.05) {
-		s.after(took/2, func() {
+		s.after(elapsed/2, func() {
 			if !s.attempts[request][attempt] {
 				s.router.AnswerStarted(s.now, request, attempt)
 			}
 		})
 	}
-	s.after(took, func() { s.end(request, attempt, h, outcome, took) })
+	s.after(elapsed, func() { s.end(request, attempt, h, outcome, elapsed) })
 }
 
 // outcome returns the outcome of an attempt at a healthy host.
@@ -455,13 +455,13 @@
 }
 
 // end reports the end of an attempt to the router, unless it was already reported.
-func (s *simulation) end(request uint64, attempt int, h *host, outcome decide.Outcome, took time.Duration) {
+func (s *simulation) end(request uint64, attempt int, h *host, outcome decide.Outcome, elapsed time.Duration) {
 	if s.attempts[request][attempt] {
 		return
 	}
 	s.attempts[request][attempt] = true
 	s.router.AttemptEnded(s.now, decide.AttemptResult{Request: request, Attempt: attempt, Endpoint: h.entry.ID, Outcome: outcome,
-		Latency: took, ClientAnswered: outcome == decide.OK, Status: s.status(h)})
+		Latency: elapsed, ClientAnswered: outcome == decide.OK, Status: s.status(h)})
 }
 
 // status returns the status that h reports in an answer or a health check.
@@ -482,7 +482,7 @@
 func (s *simulation) Cancel(request uint64, attempt int) {
 	s.record(1, request, uint64(attempt))
 	h := s.hosts[int(request)%len(s.hosts)]
-	s.after(s.spread(4*time.Millisecond), func() { s.end(request, attempt, h, decide.Cancelled, 0) })
+	s.after(s.randomDuration(4*time.Millisecond), func() { s.end(request, attempt, h, decide.Cancelled, 0) })
 }
 
 func (s *simulation) Reject(request uint64, retryAfter time.Duration) {
@@ -499,7 +499,7 @@
 func (s *simulation) CheckHealth(endpoint uint32) {
 	s.record(4, uint64(endpoint))
 	h := s.host(endpoint)
-	s.after(s.spread(8*time.Millisecond), func() {
+	s.after(s.randomDuration(8*time.Millisecond), func() {
 		result := decide.HealthCheckResult{Endpoint: endpoint, Outcome: decide.OK, Status: s.status(h)}
 		switch h.condition {
 		case hung:
@@ -520,7 +520,7 @@
 
 func (s *simulation) WatchEndpoints() {
 	s.record(5, 0)
-	s.after(s.spread(30*time.Millisecond), func() {
+	s.after(s.randomDuration(30*time.Millisecond), func() {
 		if s.chance(0.4) {
 			s.notify(decide.WatchFailed, nil)
 		} else {
--- a/decide/concurrency.go
+++ b/decide/concurrency.go
@@ -7,12 +7,12 @@
 	initialConcurrency = 4.0
 	// recoveryConcurrency is the greatest limit after a circuit breaker has closed.
 	recoveryConcurrency = 2.0
-	// concurrencyIncreaseBelow is the fraction of a latency objective up to which the latency
-	// of an answer raises the limit.
+	// concurrencyIncreaseBelow is the fraction of a latency objective up to which
+	// the latency of an answer raises the limit.
 	concurrencyIncreaseBelow = 0.25
-	// concurrencyDecreaseAbove is the fraction of a latency objective above which the latency
-	// of an answer lowers the limit: requests must leave an endpoint's queue well
-	// before their objectives end.
+	// concurrencyDecreaseAbove is the fraction of a latency objective above which
+	// the latency of an answer lowers the limit: requests must leave an
+	// endpoint's queue well before their objectives end.
 	concurrencyDecreaseAbove = 0.35
 	// concurrencyDecreaseFactor is the factor of one decrease. It is small enough for
 	// the failure of a zone, which moves all its load at once.
--- a/decide/config.go
+++ b/decide/config.go
@@ -65,7 +65,8 @@
 
 // Error implements error.
 func (e *ClassError) Error() string {
-	return fmt.Sprintf("decide: class %d (%q): latency objective not positive, or priority weight invalid",
+	return fmt.Sprintf(
+		"decide: class %d (%q): latency objective not positive, or priority weight negative or NaN",
 		e.Index, e.Name)
 }
 
--- a/decide/deadline.go
+++ b/decide/deadline.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// stuckLatencyMultiple is the time after which an attempt may be stuck, as a multiple of
-// the expected latency. A healthy attempt rarely takes this long.
+// stuckLatencyMultiple is the time after which an attempt may be stuck, as a
+// multiple of the expected latency. A healthy attempt rarely takes this long.
 const stuckLatencyMultiple = 8.0
 
 // expiryMargin is how long before its deadline a request without an attempt in
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -221,9 +221,9 @@
 // replicas reject stale reads. Where replicas serve stale reads, a fresh read sent
 // to a replica would be answered with old data.
 func TestFreshReadDiscoversThePrimaryWhereReplicasRejectStaleReads(t *testing.T) {
-	for _, check := range []StaleReadPolicy{RejectStale, ServeStale} {
+	for _, policy := range []StaleReadPolicy{RejectStale, ServeStale} {
 		config := testConfig()
-		config.StaleReadPolicy = check
+		config.StaleReadPolicy = policy
 		f := newFixture(t, config, oneGroup())
 		done, before := 0, 0
 		for n := range 100 { // endpoint 1 has failed, and 3 is the new primary
@@ -243,15 +243,15 @@
 				}
 			}
 		}
-		asked := map[uint32]int{}
+		attemptsByEndpoint := map[uint32]int{}
 		for _, s := range f.sends[before:] {
-			asked[s.endpoint]++
+			attemptsByEndpoint[s.endpoint]++
 		}
-		if check == ServeStale && asked[2]+asked[3] > 0 {
-			t.Errorf("fresh reads were sent to replicas that serve stale reads; attempts by endpoint: %v", asked)
+		if policy == ServeStale && attemptsByEndpoint[2]+attemptsByEndpoint[3] > 0 {
+			t.Errorf("fresh reads were sent to replicas that serve stale reads; attempts by endpoint: %v", attemptsByEndpoint)
 		}
-		if check == RejectStale && asked[3] < 20 {
-			t.Errorf("fewer than 20 fresh reads were sent to new primary 3; attempts by endpoint: %v", asked)
+		if policy == RejectStale && attemptsByEndpoint[3] < 20 {
+			t.Errorf("fewer than 20 fresh reads were sent to new primary 3; attempts by endpoint: %v", attemptsByEndpoint)
 		}
 	}
 }
--- a/decide/healthcheck.go
+++ b/decide/healthcheck.go
@@ -18,15 +18,16 @@
 	// reconnectInterval is the time between health checks of an endpoint to which
 	// no connection could be made.
 	reconnectInterval = 500 * time.Millisecond
-	// maxReportAge is the greatest age of a role or position reported by a health
-	// check that is still used.
+	// maxReportAge is the greatest age of a health check's report from which the
+	// role is used, and the age of a position after which a replica that serves
+	// stale reads is checked again.
 	maxReportAge = 500 * time.Millisecond
-	// silenceLatencyMultiple is the time without an answer that opens a circuit breaker,
-	// as a multiple of the latency and divided by the number of unanswered
-	// attempts.
+	// silenceLatencyMultiple is the time without an answer that opens a circuit
+	// breaker, as a multiple of the latency. It is divided by the number of
+	// unanswered attempts.
 	silenceLatencyMultiple = 6.0
-	// minSilenceLatencyMultiple is the lower bound of that multiple. A healthy endpoint
-	// rarely takes this long.
+	// minSilenceLatencyMultiple is the lower bound of the quotient. A healthy
+	// endpoint rarely takes this long.
 	minSilenceLatencyMultiple = 2.5
 )
 
--- a/decide/outcome.go
+++ b/decide/outcome.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// busyLatencyMultiple is how long an endpoint counts as busy after a failure, as a
-	// multiple of its latency. In that time its queue turns over.
+	// busyLatencyMultiple is how long an endpoint counts as busy after a failure,
+	// as a multiple of its latency. In that time its queue turns over.
 	busyLatencyMultiple = 10
 	// silentBusyDuration is how long an endpoint that gave no answer counts as busy,
 	// unless it answers earlier. It is long because a router that rarely sends to
@@ -12,12 +12,12 @@
 	silentBusyDuration = 10 * time.Second
 	// maxBackoffDoublings is how often the backoff doubles at most.
 	maxBackoffDoublings = 6
-	// closeIdleDuration is how long idle connections to an endpoint are
-	// closed after it has refused a connection.
+	// closeIdleDuration is how long idle connections to an endpoint are closed
+	// after it has refused a connection.
 	closeIdleDuration = 10 * time.Second
-	// refusalLatencyDivisor divides an endpoint's latency to give the time within which
-	// a failed connection attempt was refused. A later failure means that the
-	// endpoint did not respond.
+	// refusalLatencyDivisor divides an endpoint's latency to give the time within
+	// which a failed connection attempt was refused. A later failure means that
+	// the endpoint did not respond.
 	refusalLatencyDivisor = 4
 	// minServiceTime is the shortest latency recorded for a served attempt, so
 	// that a recorded latency is never 0.
@@ -148,7 +148,7 @@
 }
 
 // assumeLag raises the lag of a replica that rejected a read as too far behind
-// without reporting its position, to the least lag that explains the rejection.
+// without reporting its position, to the lag that follows from the rejection.
 func (r *Router) assumeLag(request *trackedRequest, endpoint *trackedEndpoint, now time.Duration) {
 	behind := now - r.requiredPosition(request, now) + r.cfg.StaleReadWait
 	endpoint.lag = max(endpoint.lag, behind)
--- a/decide/primary.go
+++ b/decide/primary.go
@@ -88,9 +88,9 @@
 		r.hasCapacity(endpoint, 1, now)
 }
 
-// discoveryPrefers reports whether primary discovery prefers an endpoint to the best
-// one so far: an endpoint suggested by the fleet, then the one whose last try is
-// longer ago, then the one with the greater position.
+// discoveryPrefers reports whether primary discovery prefers an endpoint to the
+// best one so far: an endpoint suggested by the fleet, then the one whose last try
+// is longer ago, then the one with the greater position.
 func (r *Router) discoveryPrefers(endpoint, best *trackedEndpoint, now time.Duration) bool {
 	if r.fleet.SuggestedPrimary(endpoint.ID, now) {
 		return true
--- a/decide/routing.go
+++ b/decide/routing.go
@@ -5,8 +5,8 @@
 // minAttemptTimeout is the shortest timeout of an attempt.
 const minAttemptTimeout = tickInterval
 
-// earlyErrorLatencyDivisor divides an endpoint's latency to give the time within which
-// an error answer is early: it took the endpoint little work.
+// earlyErrorLatencyDivisor divides an endpoint's latency to give the time within
+// which an error answer is early: it took the endpoint little work.
 const earlyErrorLatencyDivisor = 4
 
 // route sends the request to an endpoint that can take it now, or queues it in
