--- a/decide/request.go
+++ b/decide/request.go
@@ -79,7 +79,7 @@
 	objectiveAt := now + class.LatencyObjective
 	if r.clientRetries.isRetry(arrived.Class, arrived.TimeLeft) {
 		// The latency objective counts from the client's first request, so that
-		// a retry storm sheds the latest requests first.
+		// in a retry storm the retries whose objective has passed are shed first.
 		objectiveAt -= max(class.Deadline-arrived.TimeLeft, 0)
 		request.clientMayRetry = false
 	}
@@ -171,7 +171,7 @@
 	l.sentinel.previous = request
 }
 
-// remove unlinks a request of the list.
+// remove removes a request from the list.
 func (l *requestList) remove(request *trackedRequest) {
 	request.previous.next = request.next
 	request.next.previous = request.previous
