--- a/internal/edge/coap/characterization_test.go
+++ b/internal/edge/coap/characterization_test.go
@@ -36,7 +36,7 @@
 			got[fmt.Sprintf("%s-%02d", name, i)] = event
 		}
 		s := e.server.Stats()
-		got[name+"-counts"] = fmt.Sprint(s.Datagrams, s.Malformed, s.Duplicates, s.Challenges, s.Evicted, s.Stalled, s.Separate)
+		got[name+"-counts"] = fmt.Sprint(s.Datagrams, s.Malformed, s.Duplicates, s.Challenges, s.Evicted, s.Stalled, s.SeparateResponses)
 	}
 	compareExpected(t, got)
 }
@@ -159,7 +159,7 @@
 	return b[:n]
 }
 
-func (e *endpoint) datagram(from netip.AddrPort, b []byte) { e.server.Datagram(e.now, from, b) }
+func (e *endpoint) datagram(from netip.AddrPort, b []byte) { e.server.Receive(e.now, from, b) }
 
 // proof returns the option that proves an address, which it requests first.
 func (e *endpoint) proof(from netip.AddrPort) message.Option {
--- a/internal/edge/coap/coap.go
+++ b/internal/edge/coap/coap.go
@@ -55,9 +55,9 @@
 	successClass    = 2
 )
 
-// Out carries out what a Server decides. Its methods must not call back into
+// Actions carries out what a Server decides. Its methods must not call back into
 // it.
-type Out interface {
+type Actions interface {
 	Send(to netip.AddrPort, datagram []byte)
 	// Deliver takes a whole message that was sent after notBefore. It is
 	// answered by Server.Answer with the token.
@@ -77,7 +77,7 @@
 // Server is a CoAP server's state.
 type Server struct {
 	limits  Limits
-	out     Out
+	out     Actions
 	rand    *rand.Rand
 	echoKey [32]byte
 	timers  timers.Heap
@@ -98,18 +98,18 @@
 
 // Stats counts events since the start.
 type Stats struct {
-	Datagrams  uint64
-	Malformed  uint64
-	Duplicates uint64
-	Challenges uint64 // requests without a valid Echo value
-	Evicted    uint64 // exchanges removed before their time
-	Stalled    uint64 // transfers
-	Separate   uint64 // empty acknowledgements, each followed by a separate response
+	Datagrams         uint64
+	Malformed         uint64
+	Duplicates        uint64
+	Challenges        uint64 // requests without a valid Echo value
+	Evicted           uint64 // exchanges removed before their time
+	Stalled           uint64 // transfers
+	SeparateResponses uint64 // empty acknowledgements, each followed by a separate response
 }
 
 // New returns a server. echoKey authenticates its Echo values and must be random
 // and new at every start.
-func New(limits Limits, echoKey [32]byte, seed uint64, out Out) *Server {
+func New(limits Limits, echoKey [32]byte, seed uint64, out Actions) *Server {
 	random := rand.New(rand.NewPCG(seed, seedStream))
 	return &Server{
 		limits:          limits,
@@ -148,8 +148,8 @@
 	}
 }
 
-// Datagram handles one datagram, which may be reused after the call.
-func (s *Server) Datagram(now float64, from netip.AddrPort, b []byte) {
+// Receive handles one datagram, which may be reused after the call.
+func (s *Server) Receive(now float64, from netip.AddrPort, b []byte) {
 	s.stats.Datagrams++
 	received, err := decode(b)
 	if err != nil {
--- a/internal/edge/coap/coap_test.go
+++ b/internal/edge/coap/coap_test.go
@@ -14,14 +14,14 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		client := newTestClient(t)
 		echo := client.withEcho(home)
-		client.server.Datagram(client.now, home, b)
+		client.server.Receive(client.now, home, b)
 		m := &message.Message{Options: make(message.Options, 0, maxOptions)}
 		_, err := coder.DefaultCoder.Decode(b, m)
 		if err == nil && len(m.Options) < maxOptions-1 && message.ValidateType(m.Type) {
 			m.Options = m.Options.Remove(message.Echo).Add(echo)
 			out := make([]byte, len(b)+64)
 			if n, err := coder.DefaultCoder.Encode(*m, out); err == nil {
-				client.server.Datagram(client.now, home, out[:n])
+				client.server.Receive(client.now, home, out[:n])
 			}
 		}
 		client.advance(300000)
--- a/internal/edge/coap/exchange.go
+++ b/internal/edge/coap/exchange.go
@@ -23,7 +23,7 @@
 // exchange is one request and its response.
 type requestExchange struct {
 	id           exchangeID
-	token        uint64 // of Out, 0 if nothing was delivered
+	token        uint64 // of Actions, 0 if nothing was delivered
 	clientToken  []byte
 	confirmable  bool
 	acknowledged bool // by an empty message
@@ -108,7 +108,7 @@
 	}
 	exchange.timer = s.timers.At(now+emptyAckDelay, func(float64) {
 		exchange.acknowledged = true
-		s.stats.Separate++
+		s.stats.SeparateResponses++
 		s.sendEmpty(exchange.id.peer, message.Acknowledgement, exchange.id.messageID)
 	})
 }
--- a/internal/edge/coap/exchange_test.go
+++ b/internal/edge/coap/exchange_test.go
@@ -12,8 +12,8 @@
 	b := client.post(message.Confirmable, "batch", client.withEcho(home))
 	minted := client.now
 	client.advance(100)
-	client.server.Datagram(client.now, home, b)
-	client.server.Datagram(client.now, home, b)
+	client.server.Receive(client.now, home, b)
+	client.server.Receive(client.now, home, b)
 	if len(client.delivered) != 1 || client.delivered[0].payload != "batch" || client.delivered[0].notBefore != minted {
 		t.Fatalf("%+v", client.delivered)
 	}
@@ -23,7 +23,7 @@
 	if !isAck || m.Code != codes.Changed || string(m.Payload) != "ok" {
 		t.Errorf("%v", m)
 	}
-	client.server.Datagram(client.now, home, b)
+	client.server.Receive(client.now, home, b)
 	if m := client.last(); m.Code != codes.Changed || len(client.delivered) != 1 {
 		t.Errorf("%v, %d delivered", m, len(client.delivered))
 	}
@@ -36,7 +36,7 @@
 func TestLimitOfExchanges(t *testing.T) {
 	client := newTestClient(t)
 	for range 1000 {
-		client.server.Datagram(client.now, home, client.post(message.Confirmable, "x", client.withEcho(home)))
+		client.server.Receive(client.now, home, client.post(message.Confirmable, "x", client.withEcho(home)))
 	}
 	server := client.server
 	if len(server.exchanges) > 8 || len(server.byAge) > 32 || len(server.pending) > 8 || server.timers.Len() > 40 {
--- a/internal/edge/coap/fixture_test.go
+++ b/internal/edge/coap/fixture_test.go
@@ -110,12 +110,12 @@
 // send posts a confirmable message from a proven address.
 func (client *testClient) send(from netip.AddrPort, payload string, more ...message.Option) {
 	more = append(more, client.withEcho(from))
-	client.server.Datagram(client.now, from, client.post(message.Confirmable, payload, more...))
+	client.server.Receive(client.now, from, client.post(message.Confirmable, payload, more...))
 }
 
 func (client *testClient) withEcho(from netip.AddrPort) message.Option {
 	if client.echo[from] == nil {
-		client.server.Datagram(client.now, from, client.post(message.Confirmable, strings.Repeat("x", 20)))
+		client.server.Receive(client.now, from, client.post(message.Confirmable, strings.Repeat("x", 20)))
 		if m := client.last(); m.Code != codes.Unauthorized {
 			client.t.Fatalf("%v without an Echo", m)
 		}
--- a/internal/edge/coap/request_test.go
+++ b/internal/edge/coap/request_test.go
@@ -28,13 +28,13 @@
 		"too long":        {client.post(message.Confirmable, long, echo), message.Acknowledgement, codes.RequestEntityTooLarge},
 		"a bad block":     {client.post(message.Confirmable, "x", echo, firstBlock), message.Acknowledgement, codes.BadRequest},
 	} {
-		client.server.Datagram(client.now, home, c.b)
+		client.server.Receive(client.now, home, c.b)
 		if m := client.last(); m.Type != c.kind || m.Code != c.code || len(client.delivered) > 0 {
 			t.Errorf("%s: %v", name, m)
 		}
 	}
-	client.server.Datagram(client.now, home, []byte{1<<6 | 1<<4 | 9, 2, 0, 1}) // not confirmable: ignored
-	client.server.Datagram(client.now, home, nil)
+	client.server.Receive(client.now, home, []byte{1<<6 | 1<<4 | 9, 2, 0, 1}) // not confirmable: ignored
+	client.server.Receive(client.now, home, nil)
 	if len(client.sent) != 0 {
 		t.Errorf("%v", client.sent)
 	}
--- a/internal/edge/coap/response_test.go
+++ b/internal/edge/coap/response_test.go
@@ -11,12 +11,12 @@
 func TestSeparateResponseIsRetransmittedUntilAcknowledged(t *testing.T) {
 	client := newTestClient(t)
 	b := client.post(message.Confirmable, "batch", client.withEcho(home))
-	client.server.Datagram(client.now, home, b)
+	client.server.Receive(client.now, home, b)
 	client.advance(emptyAckDelay)
 	if m := client.last(); m.Type != message.Acknowledgement || m.Code != codes.Empty {
 		t.Fatalf("%v", m)
 	}
-	client.server.Datagram(client.now, home, b) // a duplicate meanwhile
+	client.server.Receive(client.now, home, b) // a duplicate meanwhile
 	if m := client.last(); m.Type != message.Acknowledgement || m.Code != codes.Empty {
 		t.Fatalf("%v", m)
 	}
@@ -30,13 +30,13 @@
 		t.Errorf("%v is no retransmission of %v", m, first)
 	}
 	ack := []byte{1<<6 | byte(message.Acknowledgement)<<4, 0, byte(first.MessageID >> 8), byte(first.MessageID)}
-	client.server.Datagram(client.now, home, ack)
+	client.server.Receive(client.now, home, ack)
 	client.advance(60000)
 	if len(client.sent) != 0 || len(client.server.unacknowledged) != 0 {
 		t.Errorf("%d messages after the acknowledgement", len(client.sent))
 	}
 	// One that is not acknowledged ends by itself.
-	client.server.Datagram(client.now, home, client.post(message.Confirmable, "batch", client.withEcho(home)))
+	client.server.Receive(client.now, home, client.post(message.Confirmable, "batch", client.withEcho(home)))
 	client.advance(emptyAckDelay)
 	client.server.Answer(client.now, client.delivered[1].token, codes.Changed, nil, 0)
 	client.sent = nil
--- a/internal/edge/connection.go
+++ b/internal/edge/connection.go
@@ -61,9 +61,9 @@
 		now := e.loop.Now()
 		conn.closeTimer = e.loop.At(now+e.options.FirstMessageMs, conn.socket.Close)
 		if proto == protocolMQTT {
-			e.mqtt.Open(now, conn.handle.ID())
+			e.mqtt.AddConnection(now, conn.handle.ID())
 		} else {
-			e.frames.Open(now, conn.handle.ID())
+			e.frames.AddConnection(now, conn.handle.ID())
 		}
 	})
 	return conn
@@ -142,9 +142,9 @@
 		e.openConnections--
 		e.budget.ReleaseClient()
 		if conn.protocol == protocolMQTT {
-			e.mqtt.Closed(e.loop.Now(), id)
+			e.mqtt.RemoveConnection(e.loop.Now(), id)
 		} else {
-			e.frames.Closed(id)
+			e.frames.RemoveConnection(id)
 		}
 		e.loop.Post(e.arm)
 	})
--- a/internal/edge/datagrams.go
+++ b/internal/edge/datagrams.go
@@ -77,7 +77,7 @@
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		e.loop.Do(func() {
-			e.coap.Datagram(e.loop.Now(), from, buffer[:n])
+			e.coap.Receive(e.loop.Now(), from, buffer[:n])
 			e.loop.Post(e.arm)
 		})
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -29,9 +29,9 @@
 	"lotusbend/internal/slotmap"
 )
 
-// Requests is the router to which statements are submitted, inside the loop's
+// RequestRouter is the router to which statements are submitted, inside the loop's
 // Do.
-type Requests interface {
+type RequestRouter interface {
 	Class(name []byte) (router.Class, bool)
 	Submit(r router.Request, from router.Client, client slotmap.Handle) slotmap.Handle
 }
@@ -42,7 +42,7 @@
 	log      *slog.Logger
 	options  *operatorconfig.Edge
 	budget   *netio.DescriptorBudget
-	requests Requests
+	requests RequestRouter
 	codec    *batch.Codec
 
 	routes       []boundRoute
@@ -80,7 +80,7 @@
 // is a single line.
 func New(
 	options *operatorconfig.Edge, loop *clock.Loop, log *slog.Logger,
-	budget *netio.DescriptorBudget, requests Requests, seed uint64,
+	budget *netio.DescriptorBudget, requests RequestRouter, seed uint64,
 ) (*Edge, error) {
 	e := &Edge{
 		loop:         loop,
@@ -129,15 +129,15 @@
 	}
 	e.unfinished = progress.New(limits)
 	e.mqtt = mqtt.New(mqtt.Limits{
-		Sessions:     e.options.MaxSessions,
-		SessionMs:    e.options.SessionExpiryMs,
-		KeepAliveMs:  e.options.IdleTimeoutMs,
-		ReceiveMax:   min(e.options.Intake.MaxPerDevice, maxReceiveMaximum),
-		MessageBytes: e.options.MaxMessageBytes,
+		Sessions:           e.options.MaxSessions,
+		MaxSessionExpiryMs: e.options.SessionExpiryMs,
+		MaxKeepAliveMs:     e.options.IdleTimeoutMs,
+		ReceiveMax:         min(e.options.Intake.MaxPerDevice, maxReceiveMaximum),
+		MessageBytes:       e.options.MaxMessageBytes,
 	}, e.codec, (*mqttOut)(e))
 	e.frames = frames.New(frames.Limits{
-		Window: e.options.Intake.MaxPerDevice,
-		IdleMs: e.options.IdleTimeoutMs,
+		Window:    e.options.Intake.MaxPerDevice,
+		MaxIdleMs: e.options.IdleTimeoutMs,
 	}, e.codec, (*framesOut)(e))
 	var echoKey [32]byte
 	_, _ = rand.Read(echoKey[:]) // never fails
@@ -150,7 +150,7 @@
 
 // Check reports whether an edge with these options could start, except for its
 // sockets and its store.
-func Check(options *operatorconfig.Edge, requests Requests) error {
+func Check(options *operatorconfig.Edge, requests RequestRouter) error {
 	e := &Edge{options: options, requests: requests}
 	readingRoutes, err := e.bindRoutes()
 	if err == nil {
--- a/internal/edge/frames/characterization_test.go
+++ b/internal/edge/frames/characterization_test.go
@@ -117,8 +117,8 @@
 
 func newConnection() *connection {
 	c := &connection{codec: batch.NewCodec(), now: 1.7e12}
-	c.server = frames.New(frames.Limits{Window: 3, IdleMs: 5000}, c.codec, c)
-	c.server.Open(c.now, 1)
+	c.server = frames.New(frames.Limits{Window: 3, MaxIdleMs: 5000}, c.codec, c)
+	c.server.AddConnection(c.now, 1)
 	return c
 }
 
@@ -155,7 +155,9 @@
 	return []uint64{1, 2, 3, 7, 9, 10}
 }
 
-func (c *connection) send(frame any) { c.server.Packet(c.now, 1, frames.Append(nil, c.codec, frame)) }
+func (c *connection) send(frame any) {
+	c.server.Receive(c.now, 1, frames.Append(nil, c.codec, frame))
+}
 
 func (c *connection) hello() {
 	c.send(frames.Hello{Kind: frames.KindHello, Version: frames.Version, Name: "gateway"})
@@ -218,8 +220,8 @@
 	"gone": func(c *connection) {
 		c.hello()
 		c.send(someReadings(1, 0))
-		c.server.Closed(1)
-		c.server.Closed(1)
+		c.server.RemoveConnection(1)
+		c.server.RemoveConnection(1)
 		c.server.Answer(c.now, c.tokens[0], []batch.Result{{Seq: 1}})
 		c.send(frames.Signal{Kind: frames.KindPing})
 	},
@@ -230,7 +232,7 @@
 	"number-for-frame":  func(c *connection) { c.send(7) },
 	"empty-frame":       func(c *connection) { c.send([]int{}) },
 	"kind-too-large":    func(c *connection) { c.send([]int{300}) },
-	"no-body":           func(c *connection) { c.server.Packet(c.now, 1, []byte{0, 0, 0, 0}) },
+	"no-body":           func(c *connection) { c.server.Receive(c.now, 1, []byte{0, 0, 0, 0}) },
 	"mark-of-another":   func(c *connection) { c.hello(); c.send(someReadings(1, c.now-5000)) },
 	"mark-to-come":      func(c *connection) { c.hello(); c.send(someReadings(1, c.now+1)) },
 	"mark-of-no-number": func(c *connection) { c.hello(); c.send(someReadings(1, math.NaN())) },
--- a/internal/edge/frames/codec.go
+++ b/internal/edge/frames/codec.go
@@ -10,8 +10,8 @@
 // Version is the supported version of the protocol.
 const Version = 1
 
-// MaxHello is the longest first frame of a connection, in bytes.
-const MaxHello = 256
+// MaxHelloBytes is the longest first frame of a connection, in bytes.
+const MaxHelloBytes = 256
 
 // HeaderLen is the length of a frame's header, in bytes.
 const HeaderLen = 4
--- a/internal/edge/frames/frames.go
+++ b/internal/edge/frames/frames.go
@@ -16,9 +16,9 @@
 	"lotusbend/internal/edge/timers"
 )
 
-// Out carries out what a Server decides. Its methods must not call back into
+// Actions carries out what a Server decides. Its methods must not call back into
 // it.
-type Out interface {
+type Actions interface {
 	Send(conn uint64, frame []byte)
 	// Close closes a connection once the frames sent to it are written.
 	Close(conn uint64)
@@ -34,8 +34,8 @@
 
 // Limits bound a connection.
 type Limits struct {
-	Window int     // frames without their answer
-	IdleMs float64 // without a frame
+	Window    int     // frames without their answer
+	MaxIdleMs float64 // without a frame
 }
 
 // The reasons in Bye that follow no frame.
@@ -47,7 +47,7 @@
 // Server is the state of all connections.
 type Server struct {
 	limits      Limits
-	out         Out
+	out         Actions
 	codec       *batch.Codec
 	timers      timers.Heap
 	connections map[uint64]*connection
@@ -71,7 +71,7 @@
 }
 
 // New returns a server without connections.
-func New(limits Limits, codec *batch.Codec, out Out) *Server {
+func New(limits Limits, codec *batch.Codec, out Actions) *Server {
 	return &Server{
 		limits:      limits,
 		out:         out,
@@ -87,13 +87,13 @@
 // Tick runs the timers that are due.
 func (s *Server) Tick(now float64) { s.timers.Tick(now) }
 
-// Open registers a new connection.
-func (s *Server) Open(now float64, id uint64) {
+// AddConnection registers a new connection.
+func (s *Server) AddConnection(now float64, id uint64) {
 	s.connections[id] = &connection{id: id, lastFrameAt: now}
 }
 
-// Closed unregisters a connection that has ended.
-func (s *Server) Closed(id uint64) {
+// RemoveConnection unregisters a connection that has ended.
+func (s *Server) RemoveConnection(id uint64) {
 	if conn := s.connections[id]; conn != nil {
 		delete(s.connections, id)
 		s.timers.Cancel(conn.idleTimer)
@@ -109,9 +109,9 @@
 	}
 }
 
-// Packet handles one whole frame with its header, which may be reused after the
+// Receive handles one whole frame with its header, which may be reused after the
 // call.
-func (s *Server) Packet(now float64, id uint64, b []byte) {
+func (s *Server) Receive(now float64, id uint64, b []byte) {
 	conn := s.connections[id]
 	if conn == nil || len(b) <= HeaderLen {
 		return
@@ -138,8 +138,8 @@
 // armIdle disconnects a gateway after the idle time without a frame. The timer
 // checks when the last frame came, so that a frame need not reset it.
 func (s *Server) armIdle(now float64, conn *connection) {
-	conn.idleTimer = s.timers.At(max(conn.lastFrameAt+s.limits.IdleMs, now), func(now float64) {
-		if now < conn.lastFrameAt+s.limits.IdleMs {
+	conn.idleTimer = s.timers.At(max(conn.lastFrameAt+s.limits.MaxIdleMs, now), func(now float64) {
+		if now < conn.lastFrameAt+s.limits.MaxIdleMs {
 			s.armIdle(now, conn)
 			return
 		}
--- a/internal/edge/frames/frames_test.go
+++ b/internal/edge/frames/frames_test.go
@@ -24,8 +24,8 @@
 
 func newTestGateway(t *testing.T) *testGateway {
 	gateway := &testGateway{t: t, codec: batch.NewCodec(), now: 1e6}
-	gateway.server = New(Limits{Window: 3, IdleMs: 5000}, gateway.codec, gateway)
-	gateway.server.Open(gateway.now, 1)
+	gateway.server = New(Limits{Window: 3, MaxIdleMs: 5000}, gateway.codec, gateway)
+	gateway.server.AddConnection(gateway.now, 1)
 	return gateway
 }
 
@@ -40,9 +40,11 @@
 func (gateway *testGateway) Read(token, _ uint64, _, _ string) {
 	gateway.tokens = append(gateway.tokens, token)
 }
-func (gateway *testGateway) Known(string, uint64) []uint64 { return []uint64{1, 2, 3, 7, 9, 10} }
+func (gateway *testGateway) Known(string, uint64) []uint64 {
+	return []uint64{1, 2, 3, 7, 9, 10}
+}
 func (gateway *testGateway) send(frame any) {
-	gateway.server.Packet(gateway.now, 1, Append(nil, gateway.codec, frame))
+	gateway.server.Receive(gateway.now, 1, Append(nil, gateway.codec, frame))
 }
 func (gateway *testGateway) hello() {
 	gateway.send(Hello{Kind: KindHello, Version: Version, Name: "g"})
@@ -165,7 +167,7 @@
 	if !gateway.closed {
 		t.Error("it stays after its answer")
 	}
-	gateway.server.Closed(1)
+	gateway.server.RemoveConnection(1)
 	if len(gateway.server.connections)+len(gateway.server.pending)+gateway.server.timers.Len() != 0 {
 		t.Error("something is left")
 	}
@@ -191,7 +193,7 @@
 	f.Fuzz(func(t *testing.T, a, b []byte) {
 		gateway := newTestGateway(t)
 		for _, body := range [][]byte{a, b} {
-			gateway.server.Packet(gateway.now, 1, append([]byte{0, 0, 0, 0}, body...))
+			gateway.server.Receive(gateway.now, 1, append([]byte{0, 0, 0, 0}, body...))
 		}
 		for _, token := range gateway.tokens {
 			gateway.server.Answer(gateway.now, token, []batch.Result{{Seq: 1}})
--- a/internal/edge/input.go
+++ b/internal/edge/input.go
@@ -146,9 +146,9 @@
 		e.loop.Cancel(conn.closeTimer)
 		conn.receivedMessage = true
 		if conn.protocol == protocolMQTT {
-			e.mqtt.Packet(now, id, data[:length])
+			e.mqtt.Receive(now, id, data[:length])
 		} else {
-			e.frames.Packet(now, id, data[:length])
+			e.frames.Receive(now, id, data[:length])
 		}
 		data = data[length:]
 	}
@@ -175,13 +175,13 @@
 func (conn *connection) messageLength(b []byte) (int, error) {
 	limit := conn.edge.options.MaxMessageBytes
 	if conn.protocol == protocolMQTT {
-		if !conn.receivedMessage && !mqtt.MayBegin(b[0]) {
+		if !conn.receivedMessage && !mqtt.IsConnectHeader(b[0]) {
 			return 0, errUnknownProtocol
 		}
 		return mqtt.PacketLength(b, limit)
 	}
 	if !conn.receivedMessage {
-		limit = min(limit, frames.MaxHello)
+		limit = min(limit, frames.MaxHelloBytes)
 	}
 	return frames.FrameLength(b, limit)
 }
--- a/internal/edge/mqtt/characterization_test.go
+++ b/internal/edge/mqtt/characterization_test.go
@@ -97,7 +97,7 @@
 
 func newEndpoint(version byte) *endpoint {
 	e := &endpoint{version: version, now: 1.7e12}
-	limits := mqtt.Limits{Sessions: 3, SessionMs: 60000, KeepAliveMs: 30000, ReceiveMax: 4, MessageBytes: 1000}
+	limits := mqtt.Limits{Sessions: 3, MaxSessionExpiryMs: 60000, MaxKeepAliveMs: 30000, ReceiveMax: 4, MessageBytes: 1000}
 	e.server = mqtt.New(limits, batch.NewCodec(), e)
 	return e
 }
@@ -133,7 +133,7 @@
 	if pk.ProtocolVersion == 0 {
 		pk.ProtocolVersion = e.version
 	}
-	e.server.Packet(e.now, conn, mqtt.Encode(&pk))
+	e.server.Receive(e.now, conn, mqtt.Encode(&pk))
 }
 
 // connectPacket begins a connection. keep is its keep-alive time in seconds, and
@@ -148,7 +148,7 @@
 }
 
 func (e *endpoint) connect(conn uint64, id string, keep uint16, kept uint32, change ...func(*packets.Packet)) {
-	e.server.Open(e.now, conn)
+	e.server.AddConnection(e.now, conn)
 	pk := connectPacket(e.version, id, keep, kept)
 	for _, f := range change {
 		f(&pk)
@@ -193,7 +193,7 @@
 	if err := pk.UnsubscribeEncode(&b); err != nil { // which Encode does not write
 		panic(err)
 	}
-	e.server.Packet(e.now, conn, b.Bytes())
+	e.server.Receive(e.now, conn, b.Bytes())
 }
 
 // answer ends the latest message, with one reading of each status.
@@ -209,7 +209,9 @@
 func retain(pk *packets.Packet) { pk.FixedHeader.Retain = true }
 
 // raw passes bytes that are no packet, or one that no client would send.
-func (e *endpoint) raw(conn uint64, packet string) { e.server.Packet(e.now, conn, []byte(packet)) }
+func (e *endpoint) raw(conn uint64, packet string) {
+	e.server.Receive(e.now, conn, []byte(packet))
+}
 
 var sessions = map[string]func(*endpoint){
 	"greetings": func(e *endpoint) {
@@ -220,22 +222,22 @@
 	},
 	"keepers": func(e *endpoint) {
 		e.connect(1, "a", 20, 30)
-		e.server.Closed(e.now, 1)
+		e.server.RemoveConnection(e.now, 1)
 		e.pass(29999)
 		e.connect(2, "a", 20, 100000)
-		e.server.Closed(e.now, 2)
+		e.server.RemoveConnection(e.now, 2)
 		e.pass(30001)
 		e.connect(3, "a", 20, 30)
-		e.server.Closed(e.now, 3)
+		e.server.RemoveConnection(e.now, 3)
 		e.pass(60001)
 		e.connect(4, "a", 20, 30)
-		e.server.Closed(e.now, 4)
+		e.server.RemoveConnection(e.now, 4)
 		e.connect(5, "a", 20, 0)
 	},
 	"evicted": func(e *endpoint) {
 		for n, id := range []string{"a", "b", "c", "d", "a"} {
 			e.connect(uint64(n), id, 20, 50)
-			e.server.Closed(e.now, uint64(n))
+			e.server.RemoveConnection(e.now, uint64(n))
 			e.pass(10)
 		}
 	},
@@ -245,7 +247,7 @@
 		e.connect(2, "a", 20, 30)
 		e.answer(intake.Recorded)
 		e.publish(1, 1, 6, "batch")
-		e.server.Closed(e.now, 1)
+		e.server.RemoveConnection(e.now, 1)
 		e.connect(3, "a", 20, 0)
 	},
 	"refused": func(e *endpoint) {
@@ -253,11 +255,11 @@
 		e.connect(2, strings.Repeat("x", 129), 20, 0)
 		e.connect(3, "c", 20, 0, func(pk *packets.Packet) { pk.ProtocolVersion = 3; pk.Connect.ProtocolName = []byte("MQIsdp") })
 		e.connect(4, "d", 20, 0, func(pk *packets.Packet) { pk.Connect.PasswordFlag = true })
-		e.server.Open(e.now, 5)
+		e.server.AddConnection(e.now, 5)
 		e.control(5, packets.Pingreq, 0)
 		e.connect(6, "f", 20, 0)
 		e.send(6, connectPacket(e.version, "f", 20, 0)) // a second one
-		e.server.Closed(e.now, 99)
+		e.server.RemoveConnection(e.now, 99)
 	},
 	"quality-0": func(e *endpoint) {
 		e.connect(1, "a", 20, 0)
@@ -283,7 +285,7 @@
 		e.control(1, packets.Pubrel, 5)
 		e.control(1, packets.Pubrel, 5)
 		e.publish(1, 2, 6, "batch")
-		e.server.Closed(e.now, 1)
+		e.server.RemoveConnection(e.now, 1)
 		e.answer(intake.Recorded)
 		e.connect(2, "a", 20, 30)
 		e.publish(2, 2, 6, "batch", again)
@@ -294,7 +296,7 @@
 	},
 	"statuses": func(e *endpoint) {
 		e.connect(1, "a", 20, 0)
-		e.subscribe(1, packets.Subscribe, 1, mqtt.AnswersTopic+"a")
+		e.subscribe(1, packets.Subscribe, 1, mqtt.AnswersTopicPrefix+"a")
 		for number, statuses := range [][]intake.Status{
 			{}, {intake.Recorded}, {intake.Stored}, {intake.Conflict}, {intake.Rejected}, {intake.Unknown},
 			{intake.Invalid}, {intake.Rejected, intake.Conflict, intake.Recorded}, {intake.Invalid, intake.Rejected},
@@ -315,10 +317,10 @@
 	},
 	"subscriptions": func(e *endpoint) {
 		e.connect(1, "a", 20, 30)
-		e.subscribe(1, packets.Subscribe, 1, mqtt.AnswersTopic+"a", mqtt.AnswersTopic+"b", "#")
+		e.subscribe(1, packets.Subscribe, 1, mqtt.AnswersTopicPrefix+"a", mqtt.AnswersTopicPrefix+"b", "#")
 		e.publish(1, 0, 0, "batch")
 		e.answer(intake.Recorded, intake.Rejected)
-		e.subscribe(1, packets.Unsubscribe, 2, mqtt.AnswersTopic+"a", mqtt.AnswersTopic+"a", "#")
+		e.subscribe(1, packets.Unsubscribe, 2, mqtt.AnswersTopicPrefix+"a", mqtt.AnswersTopicPrefix+"a", "#")
 		e.publish(1, 0, 0, "batch")
 		e.answer(intake.Recorded)
 		e.control(1, packets.Pingreq, 0)
@@ -332,7 +334,7 @@
 		e.connect(3, "c", 20, 30)
 		e.send(3, packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Disconnect},
 			Properties: packets.Properties{SessionExpiryInterval: 9, SessionExpiryIntervalFlag: true}})
-		e.server.Closed(e.now, 3)
+		e.server.RemoveConnection(e.now, 3)
 		e.pass(9001)
 		e.connect(4, "c", 20, 30)
 	},
@@ -351,7 +353,7 @@
 		} {
 			e.connect(uint64(n), "a", 10, 0)
 			e.raw(uint64(n), packet)
-			e.server.Closed(e.now, uint64(n))
+			e.server.RemoveConnection(e.now, uint64(n))
 		}
 		e.raw(99, "\xc0\x00")
 	},
@@ -376,7 +378,7 @@
 			} else {
 				e.send(uint64(n), pk)
 			}
-			e.server.Closed(e.now, uint64(n))
+			e.server.RemoveConnection(e.now, uint64(n))
 		}
 	},
 	"number-in-use": func(e *endpoint) {
@@ -414,7 +416,7 @@
 		text += fmt.Sprintf("%d:%d ", n, failed)
 	}
 	for b := range 256 {
-		if mqtt.MayBegin(byte(b)) {
+		if mqtt.IsConnectHeader(byte(b)) {
 			text += fmt.Sprint(b)
 		}
 	}
--- a/internal/edge/mqtt/codec_test.go
+++ b/internal/edge/mqtt/codec_test.go
@@ -16,15 +16,15 @@
 		"publish first": "\x30\x03\x00\x01a",
 	} {
 		clients := newTestClients(t, nil)
-		clients.server.Open(clients.now, 1)
-		clients.server.Packet(clients.now, 1, []byte(b))
+		clients.server.AddConnection(clients.now, 1)
+		clients.server.Receive(clients.now, 1, []byte(b))
 		if said := clients.events[1]; len(said) == 0 || said[len(said)-1] != "close" || len(clients.published) > 0 {
 			t.Errorf("%s: %q", name, said)
 		}
 	}
 	clients := newTestClients(t, nil)
 	clients.connect(1, version5, "m", true, 10)
-	clients.server.Packet(clients.now, 1, []byte("\x10\x0d\x00\x04MQTT\x04\x02\x00\x3c\x00\x01z"))
+	clients.server.Receive(clients.now, 1, []byte("\x10\x0d\x00\x04MQTT\x04\x02\x00\x3c\x00\x01z"))
 	if said := clients.events[1]; said[len(said)-1] != "close" {
 		t.Errorf("a second CONNECT: %q", said)
 	}
@@ -51,11 +51,11 @@
 		if connected {
 			clients.connect(1, version5, "m", true, 10)
 		} else {
-			clients.server.Open(clients.now, 1)
+			clients.server.AddConnection(clients.now, 1)
 		}
 		clients.versions[1] = version5
 		if n, err := PacketLength(b, 1000); err == nil && n > 0 && n <= len(b) {
-			clients.server.Packet(clients.now, 1, append([]byte(nil), b[:n]...))
+			clients.server.Receive(clients.now, 1, append([]byte(nil), b[:n]...))
 		}
 		clients.advance(100000)
 	})
--- a/internal/edge/mqtt/connect.go
+++ b/internal/edge/mqtt/connect.go
@@ -22,9 +22,9 @@
 	returnServerUnavailable   = 3
 )
 
-// MayBegin reports whether a connection may begin with this byte: only CONNECT
+// IsConnectHeader reports whether a connection may begin with this byte: only CONNECT
 // does, so that another protocol is recognized at once.
-func MayBegin(b byte) bool { return b == packets.Connect<<4 }
+func IsConnectHeader(b byte) bool { return b == packets.Connect<<4 }
 
 // connect handles CONNECT [MQTT 3.1].
 func (s *Server) connect(now float64, conn *connection, packet *packets.Packet) {
@@ -84,7 +84,7 @@
 		conn.session.expiryMs = s.sessionExpiry(properties.SessionExpiryInterval)
 		conn.omitsReasons = properties.RequestProblemInfoFlag && properties.RequestProblemInfo == 0
 	case !packet.Connect.Clean:
-		conn.session.expiryMs = s.limits.SessionMs
+		conn.session.expiryMs = s.limits.MaxSessionExpiryMs
 	}
 }
 
@@ -97,8 +97,8 @@
 	if conn.version == version5 {
 		s.setConnackProperties(&ack.Properties, conn.session)
 	}
-	if keepAliveMs == 0 || keepAliveMs > s.limits.KeepAliveMs {
-		keepAliveMs = s.limits.KeepAliveMs
+	if keepAliveMs == 0 || keepAliveMs > s.limits.MaxKeepAliveMs {
+		keepAliveMs = s.limits.MaxKeepAliveMs
 		if conn.version == version5 {
 			ack.Properties.ServerKeepAlive = uint16(min(keepAliveMs/1000, math.MaxUint16))
 			ack.Properties.ServerKeepAliveFlag = true
--- a/internal/edge/mqtt/fixture_test.go
+++ b/internal/edge/mqtt/fixture_test.go
@@ -28,7 +28,7 @@
 }
 
 func newTestClients(t *testing.T, change func(*Limits)) *testClients {
-	limits := Limits{Sessions: 3, SessionMs: 60000, KeepAliveMs: 30000, ReceiveMax: 4, MessageBytes: 1000}
+	limits := Limits{Sessions: 3, MaxSessionExpiryMs: 60000, MaxKeepAliveMs: 30000, ReceiveMax: 4, MessageBytes: 1000}
 	if change != nil {
 		change(&limits)
 	}
@@ -114,7 +114,7 @@
 
 func (clients *testClients) connect(conn uint64, version byte, id string, clean bool, keep uint16) {
 	clients.versions[conn] = version
-	clients.server.Open(clients.now, conn)
+	clients.server.AddConnection(clients.now, conn)
 	pk := packets.Packet{
 		FixedHeader:     packets.FixedHeader{Type: packets.Connect},
 		ProtocolVersion: version,
@@ -128,7 +128,7 @@
 	if !clean && version == version5 {
 		pk.Properties.SessionExpiryInterval, pk.Properties.SessionExpiryIntervalFlag = 3600, true
 	}
-	clients.server.Packet(clients.now, conn, Encode(&pk))
+	clients.server.Receive(clients.now, conn, Encode(&pk))
 }
 
 func (clients *testClients) publish(conn uint64, qos byte, id uint16, body string, dup bool) {
@@ -139,7 +139,7 @@
 		PacketID:        id,
 		Payload:         []byte(body),
 	}
-	clients.server.Packet(clients.now, conn, Encode(&pk))
+	clients.server.Receive(clients.now, conn, Encode(&pk))
 }
 
 func (clients *testClients) packet(conn uint64, kind byte, id uint16) {
@@ -147,7 +147,7 @@
 	if kind == packets.Pubrel {
 		pk.FixedHeader.Qos = 1
 	}
-	clients.server.Packet(clients.now, conn, Encode(&pk))
+	clients.server.Receive(clients.now, conn, Encode(&pk))
 }
 
 func (clients *testClients) answer(i int, statuses ...intake.Status) {
--- a/internal/edge/mqtt/mqtt.go
+++ b/internal/edge/mqtt/mqtt.go
@@ -17,8 +17,8 @@
 	"lotusbend/internal/edge/timers"
 )
 
-// AnswersTopic is followed by the client's identifier.
-const AnswersTopic = "answers/"
+// AnswersTopicPrefix is followed by the client's identifier.
+const AnswersTopicPrefix = "answers/"
 
 // The protocol levels of CONNECT.
 const (
@@ -29,9 +29,9 @@
 // firstErrorCode is the first reason code of an error [MQTT 2.4].
 const firstErrorCode = 0x80
 
-// Out carries out what a Server decides. Its methods must not call back into
+// Actions carries out what a Server decides. Its methods must not call back into
 // it.
-type Out interface {
+type Actions interface {
 	Send(conn uint64, packet []byte)
 	// Close closes a connection once the packets sent to it are written.
 	Close(conn uint64)
@@ -43,11 +43,11 @@
 
 // Limits bound a Server's state.
 type Limits struct {
-	Sessions     int     // with and without a connection
-	SessionMs    float64 // for which one is kept without a connection, at most
-	KeepAliveMs  float64 // the longest that a client may choose
-	ReceiveMax   int     // messages of one client without their answer
-	MessageBytes int     // of one packet
+	Sessions           int     // with and without a connection
+	MaxSessionExpiryMs float64 // for which one is kept without a connection, at most
+	MaxKeepAliveMs     float64 // the longest that a client may choose
+	ReceiveMax         int     // messages of one client without their answer
+	MessageBytes       int     // of one packet
 }
 
 // Stats counts events since the start.
@@ -63,7 +63,7 @@
 // Server is the state of all connections and sessions.
 type Server struct {
 	limits       Limits
-	out          Out
+	out          Actions
 	codec        *batch.Codec
 	timers       timers.Heap
 	stats        Stats
@@ -99,7 +99,7 @@
 }
 
 // New returns a server without connections.
-func New(limits Limits, codec *batch.Codec, out Out) *Server {
+func New(limits Limits, codec *batch.Codec, out Actions) *Server {
 	return &Server{
 		limits:      limits,
 		out:         out,
@@ -119,14 +119,14 @@
 // Tick runs the timers that are due.
 func (s *Server) Tick(now float64) { s.timers.Tick(now) }
 
-// Open registers a new connection.
-func (s *Server) Open(now float64, id uint64) {
+// AddConnection registers a new connection.
+func (s *Server) AddConnection(now float64, id uint64) {
 	s.connections[id] = &connection{id: id, lastPacketAt: now}
 }
 
-// Closed unregisters a connection that has ended. Its session may be kept, and
+// RemoveConnection unregisters a connection that has ended. Its session may be kept, and
 // its messages are processed nevertheless.
-func (s *Server) Closed(now float64, id uint64) {
+func (s *Server) RemoveConnection(now float64, id uint64) {
 	conn := s.connections[id]
 	if conn == nil {
 		return
@@ -149,8 +149,8 @@
 	}
 }
 
-// Packet handles one whole packet, which may be reused after the call.
-func (s *Server) Packet(now float64, id uint64, b []byte) {
+// Receive handles one whole packet, which may be reused after the call.
+func (s *Server) Receive(now float64, id uint64, b []byte) {
 	conn := s.connections[id]
 	if conn == nil {
 		return
--- a/internal/edge/mqtt/publish_test.go
+++ b/internal/edge/mqtt/publish_test.go
@@ -40,7 +40,7 @@
 	clients.publish(1, 2, 6, "body", false)
 	clients.answer(0, intake.Recorded)
 	clients.want(1, "connack pubrec6")
-	clients.server.Closed(clients.now, 1)
+	clients.server.RemoveConnection(clients.now, 1)
 	clients.connect(2, version311, "m", false, 10)
 	clients.publish(2, 2, 6, "body", true)
 	clients.want(2, "connack+ pubrec6")
@@ -57,7 +57,7 @@
 	clients.want(2, "pubrec6 pubcomp6")
 	// Its answer came while the client was disconnected.
 	clients.publish(2, 2, 7, "late", false)
-	clients.server.Closed(clients.now, 2)
+	clients.server.RemoveConnection(clients.now, 2)
 	clients.answer(2, intake.Recorded)
 	clients.connect(3, version311, "m", false, 10)
 	clients.publish(3, 2, 7, "late", true)
@@ -87,9 +87,9 @@
 		FixedHeader:     packets.FixedHeader{Type: packets.Subscribe, Qos: 1},
 		ProtocolVersion: version311,
 		PacketID:        9,
-		Filters:         packets.Subscriptions{{Filter: AnswersTopic + "o"}, {Filter: "#"}},
+		Filters:         packets.Subscriptions{{Filter: AnswersTopicPrefix + "o"}, {Filter: "#"}},
 	}
-	clients.server.Packet(clients.now, 3, Encode(&subscribe))
+	clients.server.Receive(clients.now, 3, Encode(&subscribe))
 	clients.publish(3, 1, 1, "a", false)
 	clients.answer(4, intake.Conflict)
 	clients.want(3, "connack suback9 publish puback1")
--- a/internal/edge/mqtt/session.go
+++ b/internal/edge/mqtt/session.go
@@ -22,7 +22,7 @@
 
 // sessionExpiry returns the expiry of a session in milliseconds.
 func (s *Server) sessionExpiry(seconds uint32) float64 {
-	return min(float64(seconds)*1000, s.limits.SessionMs)
+	return min(float64(seconds)*1000, s.limits.MaxSessionExpiryMs)
 }
 
 // openSession returns the client's session, whose other connection is closed,
--- a/internal/edge/mqtt/session_test.go
+++ b/internal/edge/mqtt/session_test.go
@@ -8,25 +8,25 @@
 func TestSessionExpiryTakeoverAndLimit(t *testing.T) {
 	clients := newTestClients(t, nil)
 	clients.connect(1, version5, "kept", false, 10)
-	clients.server.Closed(clients.now, 1)
+	clients.server.RemoveConnection(clients.now, 1)
 	clients.advance(59000)
 	clients.connect(2, version5, "kept", false, 10)
 	clients.want(2, "connack+")
-	clients.server.Closed(clients.now, 2)
+	clients.server.RemoveConnection(clients.now, 2)
 	clients.advance(61000)
 	clients.connect(3, version5, "kept", false, 10)
 	clients.want(3, "connack")
 	clients.connect(4, version5, "kept", true, 10) // takes over, with a clean start
 	clients.want(3, "disconnect!8e close")
 	clients.want(4, "connack")
-	clients.server.Closed(clients.now, 3)
-	clients.server.Closed(clients.now, 4)
+	clients.server.RemoveConnection(clients.now, 3)
+	clients.server.RemoveConnection(clients.now, 4)
 	if len(clients.server.sessions) != 0 || clients.server.disconnected.Len() != 0 {
 		t.Fatalf("%d sessions are left", len(clients.server.sessions))
 	}
 	for n := uint64(10); n < 30; n++ {
 		clients.connect(n, version5, fmt.Sprint("d", n), false, 10)
-		clients.server.Closed(clients.now, n)
+		clients.server.RemoveConnection(clients.now, n)
 	}
 	if len(clients.server.sessions) > 3 || clients.server.timers.Len() > 3 {
 		t.Errorf("%d sessions, %d timers", len(clients.server.sessions), clients.server.timers.Len())
--- a/internal/edge/mqtt/subscribe.go
+++ b/internal/edge/mqtt/subscribe.go
@@ -47,4 +47,4 @@
 	s.send(conn, ack)
 }
 
-func (kept *session) answersTopic() string { return AnswersTopic + kept.clientID }
+func (kept *session) answersTopic() string { return AnswersTopicPrefix + kept.clientID }
--- a/internal/edge/protocols.go
+++ b/internal/edge/protocols.go
@@ -16,16 +16,16 @@
 	protocolFrames
 )
 
-// mqttOut implements mqtt.Out for an Edge.
+// mqttOut implements mqtt.Actions for an Edge.
 type mqttOut Edge
 
-// Send implements mqtt.Out.
+// Send implements mqtt.Actions.
 func (o *mqttOut) Send(id uint64, packet []byte) { (*Edge)(o).send(id, packet) }
 
-// Close implements mqtt.Out.
+// Close implements mqtt.Actions.
 func (o *mqttOut) Close(id uint64) { (*Edge)(o).closeAfterSending(id) }
 
-// Deliver implements mqtt.Out.
+// Deliver implements mqtt.Actions.
 func (o *mqttOut) Deliver(
 	token, id uint64, topic string, payload []byte, connectedAt float64, retransmitted bool,
 ) {
@@ -51,16 +51,16 @@
 	})
 }
 
-// framesOut implements frames.Out for an Edge.
+// framesOut implements frames.Actions for an Edge.
 type framesOut Edge
 
-// Send implements frames.Out.
+// Send implements frames.Actions.
 func (o *framesOut) Send(id uint64, frame []byte) { (*Edge)(o).send(id, frame) }
 
-// Close implements frames.Out.
+// Close implements frames.Actions.
 func (o *framesOut) Close(id uint64) { (*Edge)(o).closeAfterSending(id) }
 
-// Deliver implements frames.Out.
+// Deliver implements frames.Actions.
 func (o *framesOut) Deliver(token, id uint64, match string, decoded *batch.Batch, notBefore float64) {
 	e := (*Edge)(o)
 	var peer netip.Addr
@@ -77,23 +77,23 @@
 	})
 }
 
-// Read implements frames.Out.
+// Read implements frames.Actions.
 func (o *framesOut) Read(token, _ uint64, match, row string) {
 	(*Edge)(o).startRead(protocolFrames, token, match, row)
 }
 
-// Known implements frames.Out.
+// Known implements frames.Actions.
 func (o *framesOut) Known(device string, epoch uint64) []uint64 {
 	return o.intake.Known(device, epoch)
 }
 
-// coapOut implements coap.Out for an Edge.
+// coapOut implements coap.Actions for an Edge.
 type coapOut Edge
 
-// Send implements coap.Out.
+// Send implements coap.Actions.
 func (o *coapOut) Send(to netip.AddrPort, payload []byte) { o.udp.send(to, payload) }
 
-// Deliver implements coap.Out.
+// Deliver implements coap.Actions.
 func (o *coapOut) Deliver(token uint64, from netip.AddrPort, path string, payload []byte, notBefore float64) {
 	e := (*Edge)(o)
 	decoded, err := e.codec.DecodeBatch(payload)
@@ -111,7 +111,7 @@
 	})
 }
 
-// Read implements coap.Out.
+// Read implements coap.Actions.
 func (o *coapOut) Read(token uint64, _ netip.AddrPort, path, row string) {
 	(*Edge)(o).startRead(protocolCoAP, token, path, row)
 }
--- a/internal/edge/routes.go
+++ b/internal/edge/routes.go
@@ -62,7 +62,7 @@
 )
 
 // bindRoute finds a route's classes and checks that each fits its role.
-func bindRoute(configured operatorconfig.Route, requests Requests) (bound boundRoute, err error) {
+func bindRoute(configured operatorconfig.Route, requests RequestRouter) (bound boundRoute, err error) {
 	bound.Route = configured
 	if configured.Write != "" {
 		if bound.write, err = writeRole.find(requests, configured.Write); err != nil {
@@ -78,7 +78,7 @@
 	return bound, err
 }
 
-func (role classRole) find(requests Requests, name string) (router.Class, error) {
+func (role classRole) find(requests RequestRouter, name string) (router.Class, error) {
 	class, ok := requests.Class([]byte(name))
 	if !ok {
 		return class, fmt.Errorf("%s: there is no class %q", role.key, name)
