--- a/internal/edge/actions.go
+++ b/internal/edge/actions.go
@@ -11,10 +11,10 @@
 
 // actions implements intake.Actions for an Edge. Its methods run inside Do and
 // never call back into intake: an immediate answer is posted.
-type actions Edge
+type intakeActions Edge
 
 // Answer implements intake.Actions.
-func (a *actions) Answer(to intake.Origin, answer intake.Answer) {
+func (a *intakeActions) Answer(to intake.Origin, answer intake.Answer) {
 	e := (*Edge)(a)
 	handle := slotmap.FromID(to.Peer)
 	message := e.messages.Get(handle)
@@ -26,12 +26,12 @@
 	result.Wait = uint32(math.Ceil(answer.RetryAfter))
 	message.unanswered--
 	if message.unanswered == 0 {
-		e.loop.Post(func() { e.finish(handle) })
+		e.loop.Post(func() { e.answerMessage(handle) })
 	}
 }
 
 // Persist implements intake.Actions.
-func (a *actions) Persist(r *intake.Reading) {
+func (a *intakeActions) Persist(r *intake.Reading) {
 	e := (*Edge)(a)
 	id := r.ID
 	e.store.Put(r, func(err error) {
@@ -40,34 +40,34 @@
 		}
 		e.loop.Do(func() {
 			e.intake.Persisted(e.loop.Now(), id, err == nil)
-			e.arm()
+			e.armTimer()
 		})
 	})
 }
 
 // Delete implements intake.Actions.
-func (a *actions) Delete(id intake.ID) { a.store.Delete(id) }
+func (a *intakeActions) Delete(id intake.ID) { a.store.Delete(id) }
 
 // Quarantine implements intake.Actions.
-func (a *actions) Quarantine(r *intake.Reading) {
+func (a *intakeActions) Quarantine(r *intake.Reading) {
 	a.log.Error("conflicting reading quarantined", "device", r.Device, "epoch", r.Epoch, "seq", r.Seq)
 	a.store.Quarantine(r)
 }
 
 // Submit implements intake.Actions.
-func (a *actions) Submit(
+func (a *intakeActions) Submit(
 	id intake.ID, submission uint64, operation intake.Operation,
-	reading *intake.Reading, group int, timeout float64,
+	reading *intake.Reading, group int, timeoutMs float64,
 ) {
 	e := (*Edge)(a)
-	route := e.routeOf(reading.Route)
+	route := e.routeByIntakeIndex(reading.Route)
 	statement := &pendingStatement{submission: submission}
 	if operation == intake.Write {
 		text := insertText(route.Table, id.Row(), reading.Value)
-		e.submit(statement, route.write, route.Write, text, id.Key(), group, timeout)
+		e.submit(statement, route.write, route.Write, text, id.Key(), group, timeoutMs)
 		return
 	}
-	e.submit(statement, route.check, route.Check, checkText(route.Table, id.Row()), "", group, timeout)
+	e.submit(statement, route.check, route.Check, checkText(route.Table, id.Row()), "", group, timeoutMs)
 }
 
 // insertText returns the statement that records a reading. It returns what is
@@ -85,13 +85,13 @@
 }
 
 // answerStatement reports the end of a statement to intake.
-func (e *Edge) answerStatement(submission uint64, outcome outcome) {
+func (e *Edge) finishSubmission(submission uint64, outcome outcome) {
 	now := e.loop.Now()
 	switch outcome.verdict {
 	case router.Served:
 		e.intake.Served(now, submission, outcome.value)
 	case router.Rejected:
-		e.intake.Rejected(now, submission, outcome.retryAfter)
+		e.intake.Rejected(now, submission, outcome.retryAfterMs)
 	default:
 		e.intake.Failed(now, submission)
 	}
--- a/internal/edge/coap/block.go
+++ b/internal/edge/coap/block.go
@@ -18,7 +18,7 @@
 
 // minGlobalTag is the length in bytes from which a Request-Tag names a transfer
 // under any address: eight random bytes cannot be guessed.
-const minGlobalTag = 8
+const minGlobalTagBytes = 8
 
 // transfer is a message that comes in blocks (RFC 7959).
 type blockTransfer struct {
@@ -69,13 +69,13 @@
 		s.endTransfer(transfer)
 		return transfer.received, noError
 	}
-	return nil, s.accountFor(now, transfer, len(received.Payload))
+	return nil, s.addTransferBytes(now, transfer, len(received.Payload))
 }
 
 func transferKey(id exchangeID, path string, received *message.Message) string {
 	tag, _ := received.Options.GetBytes(message.RequestTag) // an absent one is empty
 	key := path + "\x00" + string(tag)
-	if len(tag) < minGlobalTag {
+	if len(tag) < minGlobalTagBytes {
 		key += "\x00" + id.peer.String() + "\x00" + strconv.Itoa(len(tag))
 	}
 	return key
@@ -97,7 +97,7 @@
 
 // accountFor adds a block's bytes to those of all transfers, which may end the
 // slowest. It returns the code to respond with.
-func (s *Server) accountFor(now float64, transfer *blockTransfer, blockBytes int) codes.Code {
+func (s *Server) addTransferBytes(now float64, transfer *blockTransfer, blockBytes int) codes.Code {
 	for _, owner := range s.unfinished.Grow(now, transfer.owner, blockBytes) {
 		s.stats.Stalled++
 		s.endTransfer(s.transferByOwner[owner])
--- a/internal/edge/coap/characterization_test.go
+++ b/internal/edge/coap/characterization_test.go
@@ -82,13 +82,13 @@
 
 // endpoint is a server's clients, and all its actions, as numbers and bytes.
 type endpoint struct {
-	t      *testing.T
-	server *coap.Server
-	now    float64
-	tokens []uint64
-	events []string
-	echo   map[netip.AddrPort][]byte // the latest value that an address was sent
-	next   int32                     // message number
+	t             *testing.T
+	server        *coap.Server
+	now           float64
+	tokens        []uint64
+	events        []string
+	echo          map[netip.AddrPort][]byte // the latest value that an address was sent
+	lastMessageID int32                     // message number
 }
 
 func newEndpoint(t *testing.T) *endpoint {
@@ -103,12 +103,12 @@
 	return e
 }
 
-func (e *endpoint) note(format string, values ...any) {
+func (e *endpoint) record(format string, values ...any) {
 	e.events = append(e.events, fmt.Sprintf(format, values...))
 }
 
 func (e *endpoint) Send(to netip.AddrPort, datagram []byte) {
-	e.note("1 %x %x", to.Addr().AsSlice(), datagram)
+	e.record("1 %x %x", to.Addr().AsSlice(), datagram)
 	m := message.Message{Options: make(message.Options, 0, 16)}
 	if _, err := coder.DefaultCoder.Decode(datagram, &m); err != nil {
 		e.t.Errorf("%x was sent: %v", datagram, err)
@@ -120,16 +120,16 @@
 
 func (e *endpoint) Deliver(token uint64, from netip.AddrPort, path string, payload []byte, notBefore float64) {
 	e.tokens = append(e.tokens, token)
-	e.note("2 %d %x %x %x %.3f", token, from.Addr().AsSlice(), path, payload, notBefore)
+	e.record("2 %d %x %x %x %.3f", token, from.Addr().AsSlice(), path, payload, notBefore)
 }
 
-func (e *endpoint) Read(token uint64, from netip.AddrPort, path, arg string) {
+func (e *endpoint) Read(token uint64, from netip.AddrPort, path, row string) {
 	e.tokens = append(e.tokens, token)
-	e.note("3 %d %x %x %x", token, from.Addr().AsSlice(), path, arg)
+	e.record("3 %d %x %x %x", token, from.Addr().AsSlice(), path, row)
 }
 
 // pass lets time pass and runs the timers due meanwhile.
-func (e *endpoint) pass(ms float64) {
+func (e *endpoint) advance(ms float64) {
 	end := e.now + ms
 	for due, ok := e.server.Next(); ok && due <= end; due, ok = e.server.Next() {
 		e.now = max(e.now, due)
@@ -141,8 +141,8 @@
 // request encodes a request to a path, without what proves the address.
 func (e *endpoint) request(kind message.Type, method codes.Code, path, payload string, options ...message.Option) []byte {
 	e.t.Helper()
-	e.next++
-	m := message.Message{Type: kind, Code: method, MessageID: e.next, Token: []byte{7, 8}, Payload: []byte(payload)}
+	e.lastMessageID++
+	m := message.Message{Type: kind, Code: method, MessageID: e.lastMessageID, Token: []byte{7, 8}, Payload: []byte(payload)}
 	for segment := range strings.SplitSeq(path, "/") {
 		if path != "" {
 			m.Options = append(m.Options, message.Option{ID: message.URIPath, Value: []byte(segment)})
@@ -162,7 +162,7 @@
 func (e *endpoint) datagram(from netip.AddrPort, b []byte) { e.server.Receive(e.now, from, b) }
 
 // proof returns the option that proves an address, which it requests first.
-func (e *endpoint) proof(from netip.AddrPort) message.Option {
+func (e *endpoint) echoOption(from netip.AddrPort) message.Option {
 	e.t.Helper()
 	if e.echo[from] == nil {
 		e.datagram(from, e.request(message.Confirmable, codes.POST, "readings", strings.Repeat("x", 20)))
@@ -173,7 +173,7 @@
 // post sends a whole message from a proven address.
 func (e *endpoint) post(kind message.Type, payload string, options ...message.Option) (sent []byte) {
 	e.t.Helper()
-	sent = e.request(kind, codes.POST, "readings", payload, append(options, e.proof(home))...)
+	sent = e.request(kind, codes.POST, "readings", payload, append(options, e.echoOption(home))...)
 	e.datagram(home, sent)
 	return sent
 }
@@ -196,49 +196,49 @@
 }
 
 // part is a block's payload.
-const part = "0123456789abcdef"
+const blockPayload = "0123456789abcdef"
 
 var exchanges = map[string]func(*endpoint){
 	"challenge": func(e *endpoint) {
-		e.datagram(home, e.request(message.Confirmable, codes.POST, "readings", part))
-		e.datagram(home, e.request(message.NonConfirmable, codes.POST, "readings", part))
+		e.datagram(home, e.request(message.Confirmable, codes.POST, "readings", blockPayload))
+		e.datagram(home, e.request(message.NonConfirmable, codes.POST, "readings", blockPayload))
 		e.datagram(away, e.request(message.Confirmable, codes.GET, "limits/x", ""))
 		e.datagram(away, []byte{1<<6 | 1, 2, 0, 9, 7, 0xb1, 'r'}) // too short to be answered
-		e.datagram(away, e.request(message.Confirmable, codes.POST, "readings", part, e.proof(home)))
-		stale := e.proof(home)
-		e.pass(120001)
-		e.datagram(home, e.request(message.Confirmable, codes.POST, "readings", part, stale))
+		e.datagram(away, e.request(message.Confirmable, codes.POST, "readings", blockPayload, e.echoOption(home)))
+		stale := e.echoOption(home)
+		e.advance(120001)
+		e.datagram(home, e.request(message.Confirmable, codes.POST, "readings", blockPayload, stale))
 		forged := message.Option{ID: message.Echo, Value: []byte("0123456789abcdef")}
-		e.datagram(home, e.request(message.Confirmable, codes.POST, "readings", part, forged))
+		e.datagram(home, e.request(message.Confirmable, codes.POST, "readings", blockPayload, forged))
 	},
 	"piggybacked": func(e *endpoint) {
 		sent := e.post(message.Confirmable, "batch")
 		e.datagram(home, sent) // a duplicate before the answer
-		e.pass(300)
+		e.advance(300)
 		e.server.Answer(e.now, e.tokens[0], codes.Changed, []byte{0xa1, 1, 0x80}, 0)
 		e.datagram(home, sent)
 		e.server.Answer(e.now, e.tokens[0], codes.Changed, nil, 0) // once only
-		e.pass(250000)
+		e.advance(250000)
 		e.datagram(home, sent) // expired, and so is its proof
 	},
 	"not-confirmable": func(e *endpoint) {
 		sent := e.post(message.NonConfirmable, "batch")
-		e.pass(1500)
+		e.advance(1500)
 		e.server.Answer(e.now, e.tokens[0], codes.Changed, []byte("reply"), 0)
 		e.datagram(home, sent)
 	},
 	"separate": func(e *endpoint) {
 		sent := e.post(message.Confirmable, "batch")
-		e.pass(1000)
+		e.advance(1000)
 		e.datagram(home, sent)
 		e.server.Answer(e.now, e.tokens[0], codes.Changed, []byte("reply"), 0)
 		e.datagram(home, sent)
-		e.pass(100000) // retransmitted until the last attempt
+		e.advance(100000) // retransmitted until the last attempt
 	},
 	"separate-and-acknowledged": func(e *endpoint) {
 		for kind := message.Acknowledgement; kind <= message.Reset; kind++ {
 			e.post(message.Confirmable, "batch")
-			e.pass(1000)
+			e.advance(1000)
 			e.server.Answer(e.now, e.tokens[len(e.tokens)-1], codes.Changed, []byte("reply"), 0)
 			var address, number string
 			last := e.events[len(e.events)-1]
@@ -250,7 +250,7 @@
 				e.t.Fatal(err)
 			}
 			e.datagram(home, []byte{1<<6 | byte(kind)<<4, 0, byte(id >> 8), byte(id)})
-			e.pass(60000)
+			e.advance(60000)
 		}
 	},
 	"answers": func(e *endpoint) {
@@ -268,13 +268,13 @@
 		}
 	},
 	"reads": func(e *endpoint) {
-		e.datagram(home, e.request(message.Confirmable, codes.GET, "limits/north/meter-1", "", e.proof(home)))
+		e.datagram(home, e.request(message.Confirmable, codes.GET, "limits/north/meter-1", "", e.echoOption(home)))
 		e.server.Answer(e.now, e.tokens[0], codes.Content, []byte("value"), 1500)
-		e.datagram(home, e.request(message.Confirmable, codes.GET, "limits", "", e.proof(home)))
-		e.datagram(home, e.request(message.Confirmable, codes.PUT, "readings", "batch", e.proof(home)))
+		e.datagram(home, e.request(message.Confirmable, codes.GET, "limits", "", e.echoOption(home)))
+		e.datagram(home, e.request(message.Confirmable, codes.PUT, "readings", "batch", e.echoOption(home)))
 	},
 	"not-understood": func(e *endpoint) {
-		e.proof(home)
+		e.echoOption(home)
 		e.datagram(home, []byte{1<<6 | 9, 2, 9, 1})
 		e.datagram(home, []byte{1<<6 | 1<<4 | 9, 2, 9, 1})
 		e.datagram(home, []byte{1 << 6, 0, 9, 2})
@@ -296,65 +296,65 @@
 	},
 	"blocks": func(e *endpoint) {
 		e.post(message.Confirmable, "whole", block(0, false))
-		e.post(message.Confirmable, part, block(0, true), tag("12345678"))
+		e.post(message.Confirmable, blockPayload, block(0, true), tag("12345678"))
 		e.post(message.Confirmable, "end", block(2, false), tag("12345678"))
-		e.post(message.Confirmable, part, block(0, true), tag("12345678"))
-		elsewhere := []message.Option{block(1, true), tag("12345678"), e.proof(away)}
-		e.datagram(away, e.request(message.Confirmable, codes.POST, "readings", part, elsewhere...))
-		e.post(message.Confirmable, part, block(1, true), tag("12345678"))
+		e.post(message.Confirmable, blockPayload, block(0, true), tag("12345678"))
+		elsewhere := []message.Option{block(1, true), tag("12345678"), e.echoOption(away)}
+		e.datagram(away, e.request(message.Confirmable, codes.POST, "readings", blockPayload, elsewhere...))
+		e.post(message.Confirmable, blockPayload, block(1, true), tag("12345678"))
 		e.post(message.Confirmable, "end", block(2, false), tag("12345678"))
 		e.server.Answer(e.now, e.tokens[len(e.tokens)-1], codes.Changed, []byte("reply"), 0)
 	},
 	"blocks-of-two-clients": func(e *endpoint) {
 		for n := range 2 {
 			for _, from := range []netip.AddrPort{home, away} {
-				options := []message.Option{block(n, n == 0), tag("short"), e.proof(from)}
-				e.datagram(from, e.request(message.Confirmable, codes.POST, "readings", part, options...))
+				options := []message.Option{block(n, n == 0), tag("short"), e.echoOption(from)}
+				e.datagram(from, e.request(message.Confirmable, codes.POST, "readings", blockPayload, options...))
 			}
 		}
 	},
 	"blocks-begun-anew": func(e *endpoint) {
 		for _, n := range []int{0, 1, 0, 1} {
-			e.post(message.Confirmable, part, block(n, true))
+			e.post(message.Confirmable, blockPayload, block(n, true))
 		}
 		e.post(message.Confirmable, "end", block(2, false))
 	},
 	"blocks-refused": func(e *endpoint) {
 		e.post(message.Confirmable, "short", block(0, true))
-		e.post(message.Confirmable, part+part, block(0, false))
-		e.post(message.Confirmable, part, block(0, true, 7))
-		e.post(message.Confirmable, part, block(3, true))
-		e.post(message.Confirmable, part, block(0, true))
-		e.post(message.Confirmable, part+part, block(1, true, 1))
+		e.post(message.Confirmable, blockPayload+blockPayload, block(0, false))
+		e.post(message.Confirmable, blockPayload, block(0, true, 7))
+		e.post(message.Confirmable, blockPayload, block(3, true))
+		e.post(message.Confirmable, blockPayload, block(0, true))
+		e.post(message.Confirmable, blockPayload+blockPayload, block(1, true, 1))
 	},
 	"blocks-too-long": func(e *endpoint) {
 		for n := range 14 {
-			e.post(message.Confirmable, part, block(n, true))
+			e.post(message.Confirmable, blockPayload, block(n, true))
 		}
 	},
 	"blocks-that-stall": func(e *endpoint) {
-		e.post(message.Confirmable, part, block(0, true))
-		e.pass(21000)
-		e.post(message.Confirmable, part, block(1, true))
+		e.post(message.Confirmable, blockPayload, block(0, true))
+		e.advance(21000)
+		e.post(message.Confirmable, blockPayload, block(1, true))
 	},
 	"blocks-of-many": func(e *endpoint) {
 		for n := range 12 {
-			e.post(message.Confirmable, part, block(0, true), tag(fmt.Sprintf("%08d", n)))
-			e.pass(100)
+			e.post(message.Confirmable, blockPayload, block(0, true), tag(fmt.Sprintf("%08d", n)))
+			e.advance(100)
 		}
 	},
 	"blocks-of-the-slowest": func(e *endpoint) {
 		for n := range 14 { // each of seven clients has sent two blocks when another begins
-			e.post(message.Confirmable, part, block(n%2, true), tag(fmt.Sprintf("%08d", n/2)))
+			e.post(message.Confirmable, blockPayload, block(n%2, true), tag(fmt.Sprintf("%08d", n/2)))
 		}
-		e.post(message.Confirmable, part, block(0, true), tag("the last"))
+		e.post(message.Confirmable, blockPayload, block(0, true), tag("the last"))
 	},
 	"forgotten-out-of-order": func(e *endpoint) {
 		for n := range 5 {
 			e.post([]message.Type{message.Confirmable, message.NonConfirmable}[min(n, 1)], "batch")
 		}
-		e.pass(145001)
+		e.advance(145001)
 		e.post(message.Confirmable, "batch")
-		e.pass(250000)
+		e.advance(250000)
 	},
 }
--- a/internal/edge/coap/coap.go
+++ b/internal/edge/coap/coap.go
@@ -23,11 +23,11 @@
 
 // Times of RFC 7252, section 4.8, in milliseconds, and numbers.
 const (
-	exchangeLifetime = 247000
-	nonLifetime      = 145000 // of an exchange whose request is not confirmable
-	ackTimeout       = 2000
-	ackRandomFactor  = 1.5
-	maxRetransmit    = 4
+	exchangeLifetimeMs = 247000
+	nonLifetimeMs      = 145000 // of an exchange whose request is not confirmable
+	ackTimeoutMs       = 2000
+	ackRandomFactor    = 1.5
+	maxRetransmit      = 4
 )
 
 const (
@@ -35,16 +35,16 @@
 	maxOptions = 32
 	// maxDatagram is the longest that is accepted, in bytes. Longer messages
 	// come in blocks.
-	maxDatagram = 1472
+	maxDatagramBytes = 1472
 	// maxSegment is the longest segment of a path, in bytes.
-	maxSegment = 64
+	maxSegmentBytes = 64
 	// seedStream is the second half of the random generator's seed.
 	seedStream = 0xc0a9
 )
 
 // The header of a message (RFC 7252, 3).
 const (
-	headerSize      = 4
+	headerBytes     = 4
 	version         = 1
 	versionShift    = 6
 	typeShift       = 4
@@ -64,7 +64,7 @@
 	Deliver(token uint64, from netip.AddrPort, path string, payload []byte, notBefore float64)
 	// Read requests the value named by a path and its last segment. It is
 	// answered by Server.Answer with the token.
-	Read(token uint64, from netip.AddrPort, path, arg string)
+	Read(token uint64, from netip.AddrPort, path, row string)
 }
 
 // Limits bound a Server's state.
@@ -77,14 +77,14 @@
 // Server is a CoAP server's state.
 type Server struct {
 	limits  Limits
-	out     Actions
+	actions Actions
 	rand    *rand.Rand
 	echoKey [32]byte
 	timers  timers.Heap
 	stats   Stats
 
 	exchanges      map[exchangeID]*requestExchange
-	byAge          []*requestExchange              // the oldest first, with removed ones
+	exchangesByAge []*requestExchange              // the oldest first, with removed ones
 	removed        int                             // in byAge
 	pending        map[uint64]*requestExchange     // without their answer, by token
 	unacknowledged map[exchangeID]*requestExchange // with a separate response
@@ -109,11 +109,11 @@
 
 // New returns a server. echoKey authenticates its Echo values and must be random
 // and new at every start.
-func New(limits Limits, echoKey [32]byte, seed uint64, out Actions) *Server {
+func New(limits Limits, echoKey [32]byte, seed uint64, actions Actions) *Server {
 	random := rand.New(rand.NewPCG(seed, seedStream))
 	return &Server{
 		limits:          limits,
-		out:             out,
+		actions:         actions,
 		echoKey:         echoKey,
 		rand:            random,
 		exchanges:       map[exchangeID]*requestExchange{},
@@ -167,7 +167,7 @@
 	case received.Type == message.Acknowledgement || received.Type == message.Reset:
 		// The client has the separate response, or wants none.
 		if exchange := s.unacknowledged[id]; exchange != nil {
-			s.endRetransmission(exchange)
+			s.stopRetransmission(exchange)
 		}
 	case isRequest:
 		s.handleRequest(now, id, received, len(b))
@@ -179,7 +179,7 @@
 // isConfirmable reports whether a datagram's header is that of a confirmable
 // message, whatever follows it.
 func isConfirmable(b []byte) bool {
-	if len(b) < headerSize || b[0]>>versionShift != version {
+	if len(b) < headerBytes || b[0]>>versionShift != version {
 		return false
 	}
 	return message.Type(b[0]>>typeShift&typeMask) == message.Confirmable
@@ -188,7 +188,7 @@
 var errNotEmpty = errors.New("coap: an empty message that is not empty")
 
 func decode(b []byte) (*message.Message, error) {
-	if len(b) > maxDatagram {
+	if len(b) > maxDatagramBytes {
 		return nil, fmt.Errorf("coap: %d bytes", len(b))
 	}
 	received := &message.Message{Options: make(message.Options, 0, maxOptions)}
@@ -203,9 +203,9 @@
 }
 
 // sendEmpty sends an acknowledgement or a Reset.
-func (s *Server) sendEmpty(to netip.AddrPort, kind message.Type, messageID uint16) {
-	b := make([]byte, headerSize)
-	b[0] = version<<versionShift | byte(kind)<<typeShift
+func (s *Server) sendEmpty(to netip.AddrPort, messageType message.Type, messageID uint16) {
+	b := make([]byte, headerBytes)
+	b[0] = version<<versionShift | byte(messageType)<<typeShift
 	binary.BigEndian.PutUint16(b[messageIDOffset:], messageID)
-	s.out.Send(to, b)
+	s.actions.Send(to, b)
 }
--- a/internal/edge/coap/coap_test.go
+++ b/internal/edge/coap/coap_test.go
@@ -13,7 +13,7 @@
 	f.Add([]byte{1 << 6, 0, 0, 2})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		client := newTestClient(t)
-		echo := client.withEcho(home)
+		echo := client.echoOption(home)
 		client.server.Receive(client.now, home, b)
 		m := &message.Message{Options: make(message.Options, 0, maxOptions)}
 		_, err := coder.DefaultCoder.Decode(b, m)
--- a/internal/edge/coap/echo_test.go
+++ b/internal/edge/coap/echo_test.go
@@ -11,7 +11,7 @@
 // an Echo value of another address, or an expired one, proves nothing.
 func TestEchoValueProvesAddress(t *testing.T) {
 	client := newTestClient(t)
-	stolen := client.withEcho(home)
+	stolen := client.echoOption(home)
 	for _, o := range [][]message.Option{nil, {stolen}, {{ID: message.Echo, Value: []byte("0123456789abcdef")}}} {
 		b := client.post(message.NonConfirmable, "batch", o...)
 		client.server.Receive(client.now, away, b)
@@ -19,7 +19,7 @@
 			t.Errorf("%v", m)
 		}
 	}
-	client.advance(echoLifetime + 1)
+	client.advance(echoLifetimeMs + 1)
 	client.server.Receive(client.now, home, client.post(message.Confirmable, "batch", stolen))
 	if m := client.last(); m.Code != codes.Unauthorized || len(client.delivered) != 0 || len(client.server.exchanges) != 0 {
 		t.Errorf("%v, %d delivered, %d exchanges", m, len(client.delivered), len(client.server.exchanges))
--- a/internal/edge/coap/exchange.go
+++ b/internal/edge/coap/exchange.go
@@ -10,7 +10,7 @@
 
 // emptyAckDelay is how long a confirmable request waits for a piggybacked
 // response, in milliseconds: well before its client's first retransmission.
-const emptyAckDelay = 1000
+const emptyAckDelayMs = 1000
 
 // noBlock is the block1 of an exchange without blocks.
 const noBlock = -1
@@ -38,32 +38,32 @@
 }
 
 // register remembers an exchange, so that duplicates of it are recognized.
-func (s *Server) register(now float64, exchange *requestExchange) {
+func (s *Server) registerExchange(now float64, exchange *requestExchange) {
 	for len(s.exchanges) >= s.limits.Exchanges {
-		s.evict()
+		s.evictOldestExchange()
 	}
 	s.exchanges[exchange.id] = exchange
-	s.byAge = append(s.byAge, exchange)
-	lifetime := float64(nonLifetime)
+	s.exchangesByAge = append(s.exchangesByAge, exchange)
+	lifetimeMs := float64(nonLifetimeMs)
 	if exchange.confirmable {
-		lifetime = exchangeLifetime
+		lifetimeMs = exchangeLifetimeMs
 	}
-	exchange.expiryTimer = s.timers.At(now+lifetime, func(float64) { s.remove(exchange) })
+	exchange.expiryTimer = s.timers.At(now+lifetimeMs, func(float64) { s.removeExchange(exchange) })
 }
 
 // evict removes the oldest exchange. That is safe: a duplicate is then a new
 // request, and the readings in it are recognized by their IDs.
-func (s *Server) evict() {
+func (s *Server) evictOldestExchange() {
 	s.stats.Evicted++
-	for _, exchange := range s.byAge {
+	for _, exchange := range s.exchangesByAge {
 		if !exchange.removed {
-			s.remove(exchange)
+			s.removeExchange(exchange)
 			return
 		}
 	}
 }
 
-func (s *Server) remove(exchange *requestExchange) {
+func (s *Server) removeExchange(exchange *requestExchange) {
 	exchange.removed = true
 	s.timers.Cancel(exchange.timer)
 	s.timers.Cancel(exchange.expiryTimer)
@@ -73,40 +73,40 @@
 		delete(s.unacknowledged, exchangeID{peer: exchange.id.peer, messageID: exchange.separateID})
 	}
 	s.removed++
-	s.compact()
+	s.compactExchangesByAge()
 }
 
 // compact takes removed exchanges out of byAge: those at its head, and all once
 // they are more than half of it.
-func (s *Server) compact() {
-	for len(s.byAge) > 0 && s.byAge[0].removed {
-		s.byAge[0] = nil // for the garbage collector
-		s.byAge = s.byAge[1:]
+func (s *Server) compactExchangesByAge() {
+	for len(s.exchangesByAge) > 0 && s.exchangesByAge[0].removed {
+		s.exchangesByAge[0] = nil // for the garbage collector
+		s.exchangesByAge = s.exchangesByAge[1:]
 		s.removed--
 	}
-	if s.removed <= len(s.byAge)/2 {
+	if s.removed <= len(s.exchangesByAge)/2 {
 		return
 	}
 	kept := make([]*requestExchange, 0, len(s.exchanges))
-	for _, exchange := range s.byAge {
+	for _, exchange := range s.exchangesByAge {
 		if !exchange.removed {
 			kept = append(kept, exchange)
 		}
 	}
-	s.byAge = kept
+	s.exchangesByAge = kept
 	s.removed = 0
 }
 
 // awaitAnswer gives an exchange a token for its answer. A confirmable request that waits
 // for long is acknowledged meanwhile.
-func (s *Server) awaitAnswer(now float64, exchange *requestExchange) {
+func (s *Server) registerPending(now float64, exchange *requestExchange) {
 	s.lastToken++
 	exchange.token = s.lastToken
 	s.pending[exchange.token] = exchange
 	if !exchange.confirmable {
 		return
 	}
-	exchange.timer = s.timers.At(now+emptyAckDelay, func(float64) {
+	exchange.timer = s.timers.At(now+emptyAckDelayMs, func(float64) {
 		exchange.acknowledged = true
 		s.stats.SeparateResponses++
 		s.sendEmpty(exchange.id.peer, message.Acknowledgement, exchange.id.messageID)
--- a/internal/edge/coap/exchange_test.go
+++ b/internal/edge/coap/exchange_test.go
@@ -9,7 +9,7 @@
 
 func TestDuplicateIsDeliveredOnceAndAnsweredAgain(t *testing.T) {
 	client := newTestClient(t)
-	b := client.post(message.Confirmable, "batch", client.withEcho(home))
+	b := client.post(message.Confirmable, "batch", client.echoOption(home))
 	minted := client.now
 	client.advance(100)
 	client.server.Receive(client.now, home, b)
@@ -27,8 +27,8 @@
 	if m := client.last(); m.Code != codes.Changed || len(client.delivered) != 1 {
 		t.Errorf("%v, %d delivered", m, len(client.delivered))
 	}
-	client.advance(exchangeLifetime + 1)
-	if len(client.server.exchanges)+len(client.server.byAge)+client.server.timers.Len() != 0 {
+	client.advance(exchangeLifetimeMs + 1)
+	if len(client.server.exchanges)+len(client.server.exchangesByAge)+client.server.timers.Len() != 0 {
 		t.Error("exchanges outlive their lifetime")
 	}
 }
@@ -36,11 +36,11 @@
 func TestLimitOfExchanges(t *testing.T) {
 	client := newTestClient(t)
 	for range 1000 {
-		client.server.Receive(client.now, home, client.post(message.Confirmable, "x", client.withEcho(home)))
+		client.server.Receive(client.now, home, client.post(message.Confirmable, "x", client.echoOption(home)))
 	}
 	server := client.server
-	if len(server.exchanges) > 8 || len(server.byAge) > 32 || len(server.pending) > 8 || server.timers.Len() > 40 {
+	if len(server.exchanges) > 8 || len(server.exchangesByAge) > 32 || len(server.pending) > 8 || server.timers.Len() > 40 {
 		t.Errorf("%d exchanges, %d by age, %d tokens, %d timers", len(client.server.exchanges),
-			len(client.server.byAge), len(client.server.pending), client.server.timers.Len())
+			len(client.server.exchangesByAge), len(client.server.pending), client.server.timers.Len())
 	}
 }
--- a/internal/edge/coap/fixture_test.go
+++ b/internal/edge/coap/fixture_test.go
@@ -109,11 +109,11 @@
 
 // send posts a confirmable message from a proven address.
 func (client *testClient) send(from netip.AddrPort, payload string, more ...message.Option) {
-	more = append(more, client.withEcho(from))
+	more = append(more, client.echoOption(from))
 	client.server.Receive(client.now, from, client.post(message.Confirmable, payload, more...))
 }
 
-func (client *testClient) withEcho(from netip.AddrPort) message.Option {
+func (client *testClient) echoOption(from netip.AddrPort) message.Option {
 	if client.echo[from] == nil {
 		client.server.Receive(client.now, from, client.post(message.Confirmable, strings.Repeat("x", 20)))
 		if m := client.last(); m.Code != codes.Unauthorized {
--- a/internal/edge/coap/request.go
+++ b/internal/edge/coap/request.go
@@ -24,7 +24,7 @@
 	}
 	path, code := validate(received)
 	if code != noError {
-		s.register(now, exchange)
+		s.registerExchange(now, exchange)
 		s.respond(now, exchange, code, nil, 0)
 		return
 	}
@@ -33,10 +33,10 @@
 	// The same value bounds the request's age. It takes no memory of the server.
 	sentAfter, ok := s.verifyEcho(now, id.peer, received)
 	if !ok {
-		s.challenge(now, exchange, size)
+		s.sendChallenge(now, exchange, size)
 		return
 	}
-	s.register(now, exchange)
+	s.registerExchange(now, exchange)
 	if received.Code == codes.GET {
 		s.handleRead(now, exchange, path)
 		return
@@ -46,8 +46,8 @@
 		s.respond(now, exchange, code, nil, 0)
 		return
 	}
-	s.awaitAnswer(now, exchange)
-	s.out.Deliver(exchange.token, id.peer, path, append([]byte(nil), payload...), sentAfter)
+	s.registerPending(now, exchange)
+	s.actions.Deliver(exchange.token, id.peer, path, append([]byte(nil), payload...), sentAfter)
 }
 
 // handleDuplicate sends what the first copy got. The request is not processed
@@ -58,18 +58,18 @@
 	case exchange.acknowledged && (exchange.response == nil || exchange.separateID != 0):
 		s.sendEmpty(exchange.id.peer, message.Acknowledgement, exchange.id.messageID)
 	case exchange.response != nil:
-		s.out.Send(exchange.id.peer, exchange.response)
+		s.actions.Send(exchange.id.peer, exchange.response)
 	}
 }
 
 // challenge sends an Echo value for the request's repetition, unless that would
 // amplify a forged request of size bytes.
-func (s *Server) challenge(now float64, exchange *requestExchange, size int) {
+func (s *Server) sendChallenge(now float64, exchange *requestExchange, size int) {
 	s.stats.Challenges++
-	kind := exchange.responseType()
-	response := s.encodeResponse(now, exchange, codes.Unauthorized, nil, 0, kind, exchange.id.messageID)
+	messageType := exchange.responseType()
+	response := s.encodeResponse(now, exchange, codes.Unauthorized, nil, 0, messageType, exchange.id.messageID)
 	if len(response) <= maxAmplification*size {
-		s.out.Send(exchange.id.peer, response)
+		s.actions.Send(exchange.id.peer, response)
 	}
 }
 
@@ -80,8 +80,8 @@
 		s.respond(now, exchange, codes.NotFound, nil, 0)
 		return
 	}
-	s.awaitAnswer(now, exchange)
-	s.out.Read(exchange.token, exchange.id.peer, path[:slash], path[slash+1:])
+	s.registerPending(now, exchange)
+	s.actions.Read(exchange.token, exchange.id.peer, path[:slash], path[slash+1:])
 }
 
 // payload returns the request's whole payload, or the code to respond with.
@@ -108,7 +108,7 @@
 	for _, option := range received.Options {
 		switch option.ID {
 		case message.URIPath:
-			if len(option.Value) == 0 || len(option.Value) > maxSegment {
+			if len(option.Value) == 0 || len(option.Value) > maxSegmentBytes {
 				return "", codes.BadRequest
 			}
 			segments = append(segments, string(option.Value))
--- a/internal/edge/coap/request_test.go
+++ b/internal/edge/coap/request_test.go
@@ -10,7 +10,7 @@
 
 func TestMalformedAndUnsupportedRequests(t *testing.T) {
 	client := newTestClient(t)
-	echo := client.withEcho(home)
+	echo := client.echoOption(home)
 	firstBlock := block(0, true)
 	critical := message.Option{ID: 9, Value: []byte{1}}
 	long := strings.Repeat("x", 201)
--- a/internal/edge/coap/response_test.go
+++ b/internal/edge/coap/response_test.go
@@ -10,9 +10,9 @@
 
 func TestSeparateResponseIsRetransmittedUntilAcknowledged(t *testing.T) {
 	client := newTestClient(t)
-	b := client.post(message.Confirmable, "batch", client.withEcho(home))
+	b := client.post(message.Confirmable, "batch", client.echoOption(home))
 	client.server.Receive(client.now, home, b)
-	client.advance(emptyAckDelay)
+	client.advance(emptyAckDelayMs)
 	if m := client.last(); m.Type != message.Acknowledgement || m.Code != codes.Empty {
 		t.Fatalf("%v", m)
 	}
@@ -36,8 +36,8 @@
 		t.Errorf("%d messages after the acknowledgement", len(client.sent))
 	}
 	// One that is not acknowledged ends by itself.
-	client.server.Receive(client.now, home, client.post(message.Confirmable, "batch", client.withEcho(home)))
-	client.advance(emptyAckDelay)
+	client.server.Receive(client.now, home, client.post(message.Confirmable, "batch", client.echoOption(home)))
+	client.advance(emptyAckDelayMs)
 	client.server.Answer(client.now, client.delivered[1].token, codes.Changed, nil, 0)
 	client.sent = nil
 	client.advance(100000)
--- a/internal/edge/connection.go
+++ b/internal/edge/connection.go
@@ -128,7 +128,7 @@
 }
 
 // end closes the socket and unregisters the connection.
-func (conn *connection) end() {
+func (conn *connection) close() {
 	conn.socket.Close()
 	e := conn.edge
 	e.loop.Do(func() {
@@ -146,6 +146,6 @@
 		} else {
 			e.frames.RemoveConnection(id)
 		}
-		e.loop.Post(e.arm)
+		e.loop.Post(e.armTimer)
 	})
 }
--- a/internal/edge/datagrams.go
+++ b/internal/edge/datagrams.go
@@ -11,11 +11,11 @@
 	// maxQueuedDatagrams bounds the datagrams that wait for the socket.
 	maxQueuedDatagrams = 1024
 	// maxDatagram is the size of the read buffer, in bytes.
-	maxDatagram = 1 << 16
+	maxDatagramBytes = 1 << 16
 )
 
 // datagrams is the UDP socket. One goroutine reads and one writes, until close.
-type datagrams struct {
+type datagramSocket struct {
 	socket *net.UDPConn
 	queue  chan datagram
 	closed chan struct{}
@@ -27,8 +27,8 @@
 	payload []byte
 }
 
-func newDatagrams(socket *net.UDPConn) *datagrams {
-	return &datagrams{
+func newDatagramSocket(socket *net.UDPConn) *datagramSocket {
+	return &datagramSocket{
 		socket: socket,
 		queue:  make(chan datagram, maxQueuedDatagrams),
 		closed: make(chan struct{}),
@@ -36,7 +36,7 @@
 }
 
 // send queues a datagram. It is lost if the queue is full: CoAP retransmits.
-func (d *datagrams) send(to netip.AddrPort, payload []byte) {
+func (d *datagramSocket) send(to netip.AddrPort, payload []byte) {
 	select {
 	case d.queue <- datagram{to: to, payload: payload}:
 	default:
@@ -44,7 +44,7 @@
 }
 
 // close ends both goroutines.
-func (d *datagrams) close() (err error) {
+func (d *datagramSocket) close() (err error) {
 	d.once.Do(func() {
 		err = d.socket.Close()
 		close(d.closed)
@@ -53,7 +53,7 @@
 }
 
 // write sends the queued datagrams until close.
-func (d *datagrams) write() {
+func (d *datagramSocket) writeQueued() {
 	for {
 		select {
 		case next := <-d.queue:
@@ -66,7 +66,7 @@
 
 // readDatagrams delivers datagrams to the rules until the socket is closed.
 func (e *Edge) readDatagrams() {
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := e.udp.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -78,7 +78,7 @@
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		e.loop.Do(func() {
 			e.coap.Receive(e.loop.Now(), from, buffer[:n])
-			e.loop.Post(e.arm)
+			e.loop.Post(e.armTimer)
 		})
 	}
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -38,12 +38,12 @@
 
 // Edge is the edge of one router.
 type Edge struct {
-	loop     *clock.Loop
-	log      *slog.Logger
-	options  *operatorconfig.Edge
-	budget   *netio.DescriptorBudget
-	requests RequestRouter
-	codec    *batch.Codec
+	loop          *clock.Loop
+	log           *slog.Logger
+	options       *operatorconfig.Edge
+	budget        *netio.DescriptorBudget
+	requestRouter RequestRouter
+	codec         *batch.Codec
 
 	routes       []boundRoute
 	routeByMatch map[string]int // index in routes
@@ -55,9 +55,9 @@
 	coap       *coap.Server
 	unfinished *progress.Ledger // messages over TCP
 
-	udp             *datagrams // nil if there is no CoAP address
+	udp             *datagramSocket // nil if there is no CoAP address
 	listeners       []*listener
-	incoming        chan input
+	inputs          chan input
 	spareBuffers    chan *[]byte // for the next connection that reads
 	connections     slotmap.Table[connection]
 	openConnections int
@@ -80,24 +80,24 @@
 // is a single line.
 func New(
 	options *operatorconfig.Edge, loop *clock.Loop, log *slog.Logger,
-	budget *netio.DescriptorBudget, requests RequestRouter, seed uint64,
+	budget *netio.DescriptorBudget, requestRouter RequestRouter, seed uint64,
 ) (*Edge, error) {
 	e := &Edge{
-		loop:         loop,
-		log:          log.With("component", "edge"),
-		options:      options,
-		budget:       budget,
-		requests:     requests,
-		codec:        batch.NewCodec(),
-		incoming:     make(chan input),
-		spareBuffers: make(chan *[]byte, maxSpareBuffers),
-		bootID:       newBootID(),
+		loop:          loop,
+		log:           log.With("component", "edge"),
+		options:       options,
+		budget:        budget,
+		requestRouter: requestRouter,
+		codec:         batch.NewCodec(),
+		inputs:        make(chan input),
+		spareBuffers:  make(chan *[]byte, maxSpareBuffers),
+		bootID:        newBootID(),
 	}
 	readingRoutes, err := e.bindRoutes()
 	if err != nil {
 		return nil, err
 	}
-	e.intake, err = intake.New(options.Intake, readingRoutes, seed, (*actions)(e))
+	e.intake, err = intake.New(options.Intake, readingRoutes, seed, (*intakeActions)(e))
 	if err != nil {
 		return nil, fmt.Errorf("edge: %w", err)
 	}
@@ -134,27 +134,27 @@
 		MaxKeepAliveMs:     e.options.IdleTimeoutMs,
 		ReceiveMax:         min(e.options.Intake.MaxPerDevice, maxReceiveMaximum),
 		MessageBytes:       e.options.MaxMessageBytes,
-	}, e.codec, (*mqttOut)(e))
+	}, e.codec, (*mqttActions)(e))
 	e.frames = frames.New(frames.Limits{
 		Window:    e.options.Intake.MaxPerDevice,
 		MaxIdleMs: e.options.IdleTimeoutMs,
-	}, e.codec, (*framesOut)(e))
+	}, e.codec, (*framesActions)(e))
 	var echoKey [32]byte
 	_, _ = rand.Read(echoKey[:]) // never fails
 	e.coap = coap.New(coap.Limits{
 		Exchanges:    e.options.MaxExchanges,
 		MessageBytes: e.options.MaxMessageBytes,
 		Progress:     limits,
-	}, echoKey, seed, (*coapOut)(e))
+	}, echoKey, seed, (*coapActions)(e))
 }
 
 // Check reports whether an edge with these options could start, except for its
 // sockets and its store.
-func Check(options *operatorconfig.Edge, requests RequestRouter) error {
-	e := &Edge{options: options, requests: requests}
+func Check(options *operatorconfig.Edge, requestRouter RequestRouter) error {
+	e := &Edge{options: options, requestRouter: requestRouter}
 	readingRoutes, err := e.bindRoutes()
 	if err == nil {
-		_, err = intake.New(options.Intake, readingRoutes, 0, (*actions)(e))
+		_, err = intake.New(options.Intake, readingRoutes, 0, (*intakeActions)(e))
 	}
 	if err != nil {
 		return fmt.Errorf("edge: %w", err)
@@ -176,21 +176,21 @@
 			}
 			e.loop.Post(func() { e.intake.Recover(e.loop.Now(), reading) })
 		}
-		e.loop.Post(e.arm)
+		e.loop.Post(e.armTimer)
 	})
 	e.log.Info("store opened", "file", e.options.Store, "readings", len(readings))
 	return nil
 }
 
 // arm sets one timer for the earliest of all rules. It runs inside Do.
-func (e *Edge) arm() {
+func (e *Edge) armTimer() {
 	next, due := e.nextTimer()
 	if !due || e.timer != nil && e.timerAt <= next {
 		return
 	}
 	e.loop.Cancel(e.timer)
 	e.timerAt = next
-	e.timer = e.loop.At(next, e.tick)
+	e.timer = e.loop.At(next, e.runTimers)
 }
 
 // nextTimer returns the earliest timer of all rules, in Unix milliseconds.
@@ -206,7 +206,7 @@
 	return next, due
 }
 
-func (e *Edge) tick() {
+func (e *Edge) runTimers() {
 	e.timer = nil
 	now := e.loop.Now()
 	e.intake.Tick(now)
@@ -216,15 +216,15 @@
 	for _, owner := range e.unfinished.Tick(now) {
 		e.closeStalled(owner)
 	}
-	e.arm()
+	e.armTimer()
 }
 
 // statisticsInterval is how often the counters are logged, in milliseconds.
-const statisticsInterval = 60000
+const statisticsIntervalMs = 60000
 
 // logStatistics logs the counters at every interval in which they change.
 func (e *Edge) logStatistics(last intake.Stats) {
-	e.loop.At(e.loop.Now()+statisticsInterval, func() {
+	e.loop.At(e.loop.Now()+statisticsIntervalMs, func() {
 		current := e.intake.Stats()
 		if current != last {
 			e.log.Info("statistics", "connections", e.openConnections,
--- a/internal/edge/frames/characterization_test.go
+++ b/internal/edge/frames/characterization_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-func someReadings(id uint32, mark float64) frames.Readings {
+func exampleReadings(id uint32, mark float64) frames.Readings {
 	elapsed := 100.0
 	readings := []batch.Reading{{Seq: 1, Value: []byte("v")}, {Seq: 2, Sent: 1, Urgent: true, Value: []byte("w")}}
 	return frames.Readings{Kind: frames.KindReadings, ID: id, Route: "power", Mark: mark,
@@ -91,7 +91,7 @@
 	return map[string]any{
 		"hello":        frames.Hello{Kind: frames.KindHello, Version: frames.Version, Name: "gateway"},
 		"welcome":      frames.Welcome{Kind: frames.KindWelcome, Mark: 1.7e12 + 0.25, Window: 64},
-		"readings":     someReadings(7, 1.7e12),
+		"readings":     exampleReadings(7, 1.7e12),
 		"answer":       frames.Answer{Kind: frames.KindAnswer, ID: 7, Mark: 1.7e12, Ranges: twoRanges},
 		"answer-empty": frames.Answer{Kind: frames.KindAnswer},
 		"query":        frames.Query{Kind: frames.KindQuery, ID: 8, Device: "meter-1", Epoch: 2},
@@ -122,7 +122,7 @@
 	return c
 }
 
-func (c *connection) note(format string, values ...any) {
+func (c *connection) record(format string, values ...any) {
 	c.events = append(c.events, fmt.Sprintf(format, values...))
 }
 
@@ -131,27 +131,27 @@
 	if err := c.codec.Decode(frame[frames.HeaderLen:], &bye); err == nil {
 		// What the codec says of a broken frame names types of the program.
 		if reason, _, cut := strings.Cut(bye.Reason, "cbor: "); cut {
-			c.note("1 %d %d %x", conn, bye.Kind, reason)
+			c.record("1 %d %d %x", conn, bye.Kind, reason)
 			return
 		}
 	}
-	c.note("1 %d %x", conn, frame)
+	c.record("1 %d %x", conn, frame)
 }
 
-func (c *connection) Close(conn uint64) { c.note("2 %d", conn) }
+func (c *connection) Close(conn uint64) { c.record("2 %d", conn) }
 
 func (c *connection) Deliver(token, conn uint64, route string, b *batch.Batch, notBefore float64) {
 	c.tokens = append(c.tokens, token)
-	c.note("3 %d %d %x %.3f %x", token, conn, route, notBefore, c.codec.Encode(b))
+	c.record("3 %d %d %x %.3f %x", token, conn, route, notBefore, c.codec.Encode(b))
 }
 
 func (c *connection) Read(token, conn uint64, route, arg string) {
 	c.tokens = append(c.tokens, token)
-	c.note("4 %d %d =%x =%x", token, conn, route, arg)
+	c.record("4 %d %d =%x =%x", token, conn, route, arg)
 }
 
 func (c *connection) Known(device string, epoch uint64) []uint64 {
-	c.note("5 %x %d", device, epoch)
+	c.record("5 %x %d", device, epoch)
 	return []uint64{1, 2, 3, 7, 9, 10}
 }
 
@@ -164,7 +164,7 @@
 }
 
 // pass lets time pass and runs the timers due meanwhile.
-func (c *connection) pass(ms float64) {
+func (c *connection) advance(ms float64) {
 	end := c.now + ms
 	for due, ok := c.server.Next(); ok && due <= end; due, ok = c.server.Next() {
 		c.now = max(c.now, due)
@@ -177,9 +177,9 @@
 var connections = map[string]func(*connection){
 	"answers": func(c *connection) {
 		c.hello()
-		c.pass(250.5)
-		c.send(someReadings(1, 1.7e12))
-		c.send(someReadings(2, 0))
+		c.advance(250.5)
+		c.send(exampleReadings(1, 1.7e12))
+		c.send(exampleReadings(2, 0))
 		c.server.Answer(c.now, c.tokens[1], []batch.Result{
 			{Seq: 4}, {Seq: 5}, {Seq: 6, Status: 3, Wait: 9}, {Seq: 7, Status: 3, Wait: 9},
 			{Seq: 8, Status: 3}, {Seq: 8}, {Seq: math.MaxUint64}, {Seq: 0},
@@ -187,7 +187,7 @@
 		c.server.Answer(c.now, c.tokens[0], nil)
 		c.server.Answer(c.now, c.tokens[0], nil) // once only
 		c.server.Answer(c.now, 99, nil)
-		without := someReadings(1, 1.7e12)
+		without := exampleReadings(1, 1.7e12)
 		without.Batch.Elapsed = nil
 		c.send(without)
 	},
@@ -202,15 +202,15 @@
 		c.send(frames.Signal{Kind: frames.KindPing})
 	},
 	"silence": func(c *connection) {
-		c.pass(4000)
+		c.advance(4000)
 		c.hello()
-		c.pass(4000)
+		c.advance(4000)
 		c.send(frames.Signal{Kind: frames.KindPing})
-		c.pass(10000)
+		c.advance(10000)
 	},
 	"stopping": func(c *connection) {
 		c.hello()
-		c.send(someReadings(1, 0))
+		c.send(exampleReadings(1, 0))
 		c.send(frames.Read{Kind: frames.KindRead, ID: 2, Route: "limits", Arg: "x"})
 		c.server.Drain()
 		c.server.Value(c.tokens[1], intake.Rejected, 5, nil)
@@ -219,13 +219,13 @@
 	"stopping-idle": func(c *connection) { c.hello(); c.server.Drain() },
 	"gone": func(c *connection) {
 		c.hello()
-		c.send(someReadings(1, 0))
+		c.send(exampleReadings(1, 0))
 		c.server.RemoveConnection(1)
 		c.server.RemoveConnection(1)
 		c.server.Answer(c.now, c.tokens[0], []batch.Result{{Seq: 1}})
 		c.send(frames.Signal{Kind: frames.KindPing})
 	},
-	"readings-first":    func(c *connection) { c.send(someReadings(1, 0)) },
+	"readings-first":    func(c *connection) { c.send(exampleReadings(1, 0)) },
 	"two-hellos":        func(c *connection) { c.hello(); c.hello() },
 	"another-version":   func(c *connection) { c.send(frames.Hello{Kind: frames.KindHello, Version: 9}) },
 	"unknown-kind":      func(c *connection) { c.hello(); c.send(frames.Signal{Kind: 33}) },
@@ -233,10 +233,10 @@
 	"empty-frame":       func(c *connection) { c.send([]int{}) },
 	"kind-too-large":    func(c *connection) { c.send([]int{300}) },
 	"no-body":           func(c *connection) { c.server.Receive(c.now, 1, []byte{0, 0, 0, 0}) },
-	"mark-of-another":   func(c *connection) { c.hello(); c.send(someReadings(1, c.now-5000)) },
-	"mark-to-come":      func(c *connection) { c.hello(); c.send(someReadings(1, c.now+1)) },
-	"mark-of-no-number": func(c *connection) { c.hello(); c.send(someReadings(1, math.NaN())) },
-	"number-twice":      func(c *connection) { c.hello(); c.send(someReadings(1, 0)); c.send(someReadings(1, 0)) },
+	"mark-of-another":   func(c *connection) { c.hello(); c.send(exampleReadings(1, c.now-5000)) },
+	"mark-to-come":      func(c *connection) { c.hello(); c.send(exampleReadings(1, c.now+1)) },
+	"mark-of-no-number": func(c *connection) { c.hello(); c.send(exampleReadings(1, math.NaN())) },
+	"number-twice":      func(c *connection) { c.hello(); c.send(exampleReadings(1, 0)); c.send(exampleReadings(1, 0)) },
 	"past-the-window": func(c *connection) {
 		c.hello()
 		for id := range uint32(4) {
@@ -245,7 +245,7 @@
 	},
 	"batch-without-device": func(c *connection) {
 		c.hello()
-		r := someReadings(1, 0)
+		r := exampleReadings(1, 0)
 		r.Batch.Device = ""
 		c.send(r)
 	},
--- a/internal/edge/frames/frames.go
+++ b/internal/edge/frames/frames.go
@@ -47,7 +47,7 @@
 // Server is the state of all connections.
 type Server struct {
 	limits      Limits
-	out         Actions
+	actions     Actions
 	codec       *batch.Codec
 	timers      timers.Heap
 	connections map[uint64]*connection
@@ -71,10 +71,10 @@
 }
 
 // New returns a server without connections.
-func New(limits Limits, codec *batch.Codec, out Actions) *Server {
+func New(limits Limits, codec *batch.Codec, actions Actions) *Server {
 	return &Server{
 		limits:      limits,
-		out:         out,
+		actions:     actions,
 		codec:       codec,
 		connections: map[uint64]*connection{},
 		pending:     map[uint64]pendingFrame{},
@@ -117,14 +117,14 @@
 		return
 	}
 	conn.lastFrameAt = now
-	if err := s.handle(now, conn, b[HeaderLen:]); err != nil {
+	if err := s.dispatch(now, conn, b[HeaderLen:]); err != nil {
 		s.disconnect(conn, err.Error())
 	}
 }
 
 func (s *Server) disconnect(conn *connection, reason string) {
 	s.send(conn, Bye{Kind: KindBye, Reason: reason})
-	s.out.Close(conn.id)
+	s.actions.Close(conn.id)
 }
 
 func (s *Server) disconnectIfDrained(conn *connection) {
@@ -133,14 +133,16 @@
 	}
 }
 
-func (s *Server) send(conn *connection, frame any) { s.out.Send(conn.id, Append(nil, s.codec, frame)) }
+func (s *Server) send(conn *connection, frame any) {
+	s.actions.Send(conn.id, Append(nil, s.codec, frame))
+}
 
 // armIdle disconnects a gateway after the idle time without a frame. The timer
 // checks when the last frame came, so that a frame need not reset it.
-func (s *Server) armIdle(now float64, conn *connection) {
+func (s *Server) armIdleTimer(now float64, conn *connection) {
 	conn.idleTimer = s.timers.At(max(conn.lastFrameAt+s.limits.MaxIdleMs, now), func(now float64) {
 		if now < conn.lastFrameAt+s.limits.MaxIdleMs {
-			s.armIdle(now, conn)
+			s.armIdleTimer(now, conn)
 			return
 		}
 		s.disconnect(conn, reasonIdle)
@@ -169,39 +171,39 @@
 	if conn == nil {
 		return
 	}
-	s.send(conn, Answer{Kind: KindAnswer, ID: id, Mark: now, Ranges: ranges(results)})
+	s.send(conn, Answer{Kind: KindAnswer, ID: id, Mark: now, Ranges: mergeResults(results)})
 	s.disconnectIfDrained(conn)
 }
 
 // Value ends a read. wait is in milliseconds.
-func (s *Server) Value(token uint64, status intake.Status, wait float64, value []byte) {
+func (s *Server) Value(token uint64, status intake.Status, waitMs float64, value []byte) {
 	conn, id := s.takePending(token)
 	if conn == nil {
 		return
 	}
-	s.send(conn, Value{Kind: KindValue, ID: id, Status: uint8(status), Wait: uint32(wait), Value: value})
+	s.send(conn, Value{Kind: KindValue, ID: id, Status: uint8(status), Wait: uint32(waitMs), Value: value})
 	s.disconnectIfDrained(conn)
 }
 
 // ranges joins adjacent results with one answer.
-func ranges(results []batch.Result) []Range {
-	joined := make([]Range, 0, 4)
+func mergeResults(results []batch.Result) []Range {
+	merged := make([]Range, 0, 4)
 	for _, result := range results {
-		if len(joined) > 0 && joined[len(joined)-1].extendedBy(result) {
-			joined[len(joined)-1].To = result.Seq
+		if len(merged) > 0 && merged[len(merged)-1].canExtendTo(result) {
+			merged[len(merged)-1].To = result.Seq
 			continue
 		}
-		joined = append(joined, Range{
+		merged = append(merged, Range{
 			From:   result.Seq,
 			To:     result.Seq,
 			Status: result.Status,
 			Wait:   result.Wait,
 		})
 	}
-	return joined
+	return merged
 }
 
-func (r *Range) extendedBy(result batch.Result) bool {
+func (r *Range) canExtendTo(result batch.Result) bool {
 	adjacent := r.To+1 == result.Seq && result.Seq != 0 // To may be the largest number
 	return adjacent && r.Status == result.Status && r.Wait == result.Wait
 }
@@ -212,5 +214,5 @@
 	for i, seq := range sequences {
 		results[i] = batch.Result{Seq: seq, Status: uint8(intake.Recorded)}
 	}
-	return ranges(results)
+	return mergeResults(results)
 }
--- a/internal/edge/frames/handle.go
+++ b/internal/edge/frames/handle.go
@@ -11,14 +11,14 @@
 )
 
 var (
-	errNoArray = errors.New("no frame: an array is expected")
-	errNoKind  = errors.New("no frame: its kind is no small number")
+	errNotArray    = errors.New("no frame: an array is expected")
+	errInvalidKind = errors.New("no frame: its kind is no small number")
 )
 
 // handle handles one frame's body. An error ends the connection and goes to the
 // gateway.
-func (s *Server) handle(now float64, conn *connection, body []byte) error {
-	kind, err := s.kindOf(body)
+func (s *Server) dispatch(now float64, conn *connection, body []byte) error {
+	kind, err := s.decodeKind(body)
 	if err != nil {
 		return err
 	}
@@ -43,13 +43,13 @@
 }
 
 // kindOf returns the first element of a frame.
-func (s *Server) kindOf(body []byte) (kind Kind, err error) {
+func (s *Server) decodeKind(body []byte) (kind Kind, err error) {
 	var elements []cbor.RawMessage
 	if err := s.codec.Decode(body, &elements); err != nil || len(elements) == 0 {
-		return 0, errNoArray
+		return 0, errNotArray
 	}
 	if err := s.codec.Decode(elements[0], &kind); err != nil {
-		return 0, errNoKind
+		return 0, errInvalidKind
 	}
 	return kind, nil
 }
@@ -72,7 +72,7 @@
 	}
 	conn.welcomedAt = now
 	s.send(conn, Welcome{Kind: KindWelcome, Mark: now, Window: uint32(s.limits.Window)})
-	s.armIdle(now, conn)
+	s.armIdleTimer(now, conn)
 	return nil
 }
 
@@ -88,7 +88,7 @@
 	if math.IsNaN(mark) || mark != 0 && mark < conn.welcomedAt || mark > now {
 		return fmt.Errorf("mark %v was not given on this connection", mark)
 	}
-	token, err := s.awaitAnswer(conn, readings.ID)
+	token, err := s.registerPending(conn, readings.ID)
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 			notBefore = intake.SentAfter(mark, *readings.Batch.Elapsed)
 		}
 	}
-	s.out.Deliver(token, conn.id, readings.Route, &readings.Batch, notBefore)
+	s.actions.Deliver(token, conn.id, readings.Route, &readings.Batch, notBefore)
 	return nil
 }
 
@@ -108,7 +108,7 @@
 	if err := s.decode(body, KindQuery, &query); err != nil {
 		return err
 	}
-	known := knownRanges(s.out.Known(query.Device, query.Epoch))
+	known := knownRanges(s.actions.Known(query.Device, query.Epoch))
 	s.send(conn, Known{Kind: KindKnown, ID: query.ID, Ranges: known})
 	return nil
 }
@@ -118,16 +118,16 @@
 	if err := s.decode(body, KindRead, &read); err != nil {
 		return err
 	}
-	token, err := s.awaitAnswer(conn, read.ID)
+	token, err := s.registerPending(conn, read.ID)
 	if err != nil {
 		return err
 	}
-	s.out.Read(token, conn.id, read.Route, read.Arg)
+	s.actions.Read(token, conn.id, read.Route, read.Arg)
 	return nil
 }
 
 // awaitAnswer returns a token for a frame that waits for its answer.
-func (s *Server) awaitAnswer(conn *connection, id uint32) (token uint64, err error) {
+func (s *Server) registerPending(conn *connection, id uint32) (token uint64, err error) {
 	switch {
 	case conn.unanswered[id]:
 		return 0, fmt.Errorf("frame %d waits for its answer already", id)
--- a/internal/edge/input.go
+++ b/internal/edge/input.go
@@ -11,7 +11,7 @@
 
 const (
 	// readBufferSize is the size of the buffers that connections read into.
-	readBufferSize = 4 << 10
+	readBufferBytes = 4 << 10
 	// maxSpareBuffers is how many of them are kept for reuse.
 	maxSpareBuffers = 64
 )
@@ -26,17 +26,17 @@
 }
 
 // borrowBuffer returns a buffer to read into. Idle connections have none.
-func (e *Edge) borrowBuffer() *[]byte {
+func (e *Edge) getBuffer() *[]byte {
 	select {
 	case buffer := <-e.spareBuffers:
 		return buffer
 	default:
-		buffer := make([]byte, readBufferSize)
+		buffer := make([]byte, readBufferBytes)
 		return &buffer
 	}
 }
 
-func (e *Edge) returnBuffer(buffer *[]byte) {
+func (e *Edge) putBuffer(buffer *[]byte) {
 	select {
 	case e.spareBuffers <- buffer:
 	default:
@@ -48,7 +48,7 @@
 // takeInput: the protocols need deep stacks, which ten thousand goroutines
 // would keep.
 func (conn *connection) read(tcp *net.TCPConn) {
-	defer conn.end()
+	defer conn.close()
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return
@@ -57,17 +57,17 @@
 	for {
 		var received input
 		err := raw.Read(func(descriptor uintptr) (done bool) {
-			received = input{from: conn, buffer: e.borrowBuffer()}
+			received = input{from: conn, buffer: e.getBuffer()}
 			received.length, done = readAvailable(int(descriptor), *received.buffer)
 			if !done || received.length <= 0 {
-				e.returnBuffer(received.buffer)
+				e.putBuffer(received.buffer)
 			}
 			return done
 		})
 		if err != nil || received.length <= 0 {
 			return
 		}
-		e.incoming <- received
+		e.inputs <- received
 		if !<-conn.keepReading {
 			return
 		}
@@ -93,20 +93,20 @@
 
 // takeInput handles the input of all connections in turn: all of it needs the
 // loop anyway.
-func (e *Edge) takeInput() {
-	for received := range e.incoming {
+func (e *Edge) processInputs() {
+	for received := range e.inputs {
 		keepReading := received.from.receive((*received.buffer)[:received.length])
-		e.returnBuffer(received.buffer)
+		e.putBuffer(received.buffer)
 		received.from.keepReading <- keepReading
 	}
 }
 
 // receive handles the whole messages of an input and keeps the beginning of an
 // unfinished one. It returns false after a violation of the protocol.
-func (conn *connection) receive(fresh []byte) (keepReading bool) {
-	data := fresh
+func (conn *connection) receive(newData []byte) (keepReading bool) {
+	data := newData
 	if len(conn.unfinished) > 0 {
-		conn.unfinished = append(conn.unfinished, fresh...)
+		conn.unfinished = append(conn.unfinished, newData...)
 		data = conn.unfinished
 	}
 	keepReading = true
@@ -123,9 +123,9 @@
 			e.unfinished.End(conn.handle.ID())
 			conn.unfinished = nil
 		} else {
-			conn.keepUnfinished(now, rest, len(data), len(fresh))
+			conn.keepUnfinished(now, rest, len(data), len(newData))
 		}
-		e.loop.Post(e.arm)
+		e.loop.Post(e.armTimer)
 	})
 	return keepReading
 }
@@ -157,11 +157,11 @@
 
 // keepUnfinished keeps the beginning of a message and accounts for its new
 // bytes: all fresh ones if the message began earlier, else all of the rest.
-func (conn *connection) keepUnfinished(now float64, rest []byte, dataBytes, freshBytes int) {
+func (conn *connection) keepUnfinished(now float64, rest []byte, dataBytes, newDataBytes int) {
 	e := conn.edge
-	newBytes := freshBytes
-	beginsHere := len(rest) < dataBytes || len(conn.unfinished) == 0
-	if beginsHere {
+	newBytes := newDataBytes
+	beginsInNewData := len(rest) < dataBytes || len(conn.unfinished) == 0
+	if beginsInNewData {
 		newBytes = len(rest)
 		conn.unfinished = append([]byte(nil), rest...)
 	}
--- a/internal/edge/listen.go
+++ b/internal/edge/listen.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return fmt.Errorf("listening for CoAP: %w", err)
 	}
-	e.udp = newDatagrams(socket)
+	e.udp = newDatagramSocket(socket)
 	return nil
 }
 
@@ -80,11 +80,11 @@
 	e.loop.Do(func() { e.logStatistics(intake.Stats{}) })
 	if e.udp != nil {
 		go e.readDatagrams()
-		go e.udp.write()
+		go e.udp.writeQueued()
 	}
 	if len(e.listeners) > 0 {
 		// It runs until the process ends: connections outlive their listener.
-		go e.takeInput()
+		go e.processInputs()
 	}
 	for _, l := range e.listeners {
 		go e.accept(l)
--- a/internal/edge/messages.go
+++ b/internal/edge/messages.go
@@ -52,7 +52,7 @@
 		origin := intake.Origin{Peer: handle.ID(), Index: uint16(i)}
 		if e.draining {
 			rejection := intake.Answer{Status: intake.Rejected, RetryAfter: e.options.Intake.MinRetryAfter}
-			(*actions)(e).Answer(origin, rejection)
+			(*intakeActions)(e).Answer(origin, rejection)
 			continue
 		}
 		offered := intake.Reading{
@@ -87,7 +87,7 @@
 }
 
 // finish gives a message's answers to its protocol.
-func (e *Edge) finish(handle slotmap.Handle) {
+func (e *Edge) answerMessage(handle slotmap.Handle) {
 	message := e.messages.Get(handle)
 	if message == nil || message.unanswered > 0 {
 		return
@@ -96,15 +96,15 @@
 	now := e.loop.Now()
 	switch message.protocol {
 	case protocolCoAP:
-		code, maxAge := responseCode(message.results)
+		code, maxAgeMs := responseCode(message.results)
 		reply := e.codec.Encode(batch.Reply{Results: message.results})
-		e.coap.Answer(now, message.token, code, reply, maxAge)
+		e.coap.Answer(now, message.token, code, reply, maxAgeMs)
 	case protocolMQTT:
 		e.mqtt.Answer(message.token, message.results, true)
 	case protocolFrames:
 		e.frames.Answer(now, message.token, message.results)
 	}
-	e.arm()
+	e.armTimer()
 }
 
 // answerInvalid answers a message that is not delivered to a route.
@@ -122,13 +122,13 @@
 	case protocolFrames:
 		e.frames.Answer(now, token, []batch.Result{{Status: uint8(intake.Invalid)}})
 	}
-	e.arm()
+	e.armTimer()
 }
 
 // responseCode returns a message's CoAP response code: 2.04 if any reading is
 // recorded or stored, else the code of the mildest status. maxAge, in
 // milliseconds, is set for 5.03.
-func responseCode(results []batch.Result) (code codes.Code, maxAge float64) {
+func responseCode(results []batch.Result) (code codes.Code, maxAgeMs float64) {
 	retry := false
 	conflict := false
 	for _, result := range results {
@@ -138,14 +138,14 @@
 			return codes.Changed, 0
 		case status == intake.Rejected, status == intake.Unknown:
 			retry = true
-			maxAge = max(maxAge, float64(result.Wait))
+			maxAgeMs = max(maxAgeMs, float64(result.Wait))
 		case status == intake.Conflict:
 			conflict = true
 		}
 	}
 	switch {
 	case retry:
-		return codes.ServiceUnavailable, maxAge
+		return codes.ServiceUnavailable, maxAgeMs
 	case conflict:
 		return codes.Conflict, 0
 	}
--- a/internal/edge/mqtt/characterization_test.go
+++ b/internal/edge/mqtt/characterization_test.go
@@ -102,24 +102,24 @@
 	return e
 }
 
-func (e *endpoint) note(format string, values ...any) {
+func (e *endpoint) record(format string, values ...any) {
 	e.events = append(e.events, fmt.Sprintf(format, values...))
 }
 
-func (e *endpoint) Send(conn uint64, packet []byte) { e.note("1 %d %x", conn, packet) }
-func (e *endpoint) Close(conn uint64)               { e.note("2 %d", conn) }
+func (e *endpoint) Send(conn uint64, packet []byte) { e.record("1 %d %x", conn, packet) }
+func (e *endpoint) Close(conn uint64)               { e.record("2 %d", conn) }
 
 func (e *endpoint) Deliver(token, conn uint64, topic string, payload []byte, connectedAt float64, retransmitted bool) {
 	e.tokens = append(e.tokens, token)
-	sentBefore := 0
+	dup := 0
 	if retransmitted {
-		sentBefore = 1
+		dup = 1
 	}
-	e.note("3 %d %d %x %x %.3f %d", token, conn, topic, payload, connectedAt, sentBefore)
+	e.record("3 %d %d %x %x %.3f %d", token, conn, topic, payload, connectedAt, dup)
 }
 
 // pass lets time pass and runs the timers due meanwhile.
-func (e *endpoint) pass(ms float64) {
+func (e *endpoint) advance(ms float64) {
 	end := e.now + ms
 	for due, ok := e.server.Next(); ok && due <= end; due, ok = e.server.Next() {
 		e.now = max(e.now, due)
@@ -138,29 +138,29 @@
 
 // connectPacket begins a connection. keep is its keep-alive time in seconds, and
 // kept for how many seconds its session is kept, 0 for a clean start.
-func connectPacket(version byte, id string, keep uint16, kept uint32) packets.Packet {
+func connectPacket(version byte, id string, keepAlive uint16, sessionExpiry uint32) packets.Packet {
 	pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Connect}, ProtocolVersion: version,
-		Connect: packets.ConnectParams{ProtocolName: []byte("MQTT"), Clean: kept == 0, ClientIdentifier: id, Keepalive: keep}}
-	if version == version5 && kept > 0 {
-		pk.Properties.SessionExpiryInterval, pk.Properties.SessionExpiryIntervalFlag = kept, true
+		Connect: packets.ConnectParams{ProtocolName: []byte("MQTT"), Clean: sessionExpiry == 0, ClientIdentifier: id, Keepalive: keepAlive}}
+	if version == version5 && sessionExpiry > 0 {
+		pk.Properties.SessionExpiryInterval, pk.Properties.SessionExpiryIntervalFlag = sessionExpiry, true
 	}
 	return pk
 }
 
-func (e *endpoint) connect(conn uint64, id string, keep uint16, kept uint32, change ...func(*packets.Packet)) {
+func (e *endpoint) connect(conn uint64, id string, keepAlive uint16, sessionExpiry uint32, change ...func(*packets.Packet)) {
 	e.server.AddConnection(e.now, conn)
-	pk := connectPacket(e.version, id, keep, kept)
+	pk := connectPacket(e.version, id, keepAlive, sessionExpiry)
 	for _, f := range change {
 		f(&pk)
 	}
 	e.send(conn, pk)
 }
 
-func (e *endpoint) publish(conn uint64, qos byte, number uint16, payload string, change ...func(*packets.Packet)) {
+func (e *endpoint) publish(conn uint64, qos byte, packetID uint16, payload string, change ...func(*packets.Packet)) {
 	pk := packets.Packet{
 		FixedHeader: packets.FixedHeader{Type: packets.Publish, Qos: qos},
 		TopicName:   "readings",
-		PacketID:    number,
+		PacketID:    packetID,
 		Payload:     []byte(payload),
 	}
 	for _, f := range change {
@@ -170,8 +170,8 @@
 }
 
 // control sends a packet that has a number at most.
-func (e *endpoint) control(conn uint64, kind byte, number uint16) {
-	pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: kind}, PacketID: number}
+func (e *endpoint) sendControl(conn uint64, kind byte, packetID uint16) {
+	pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: kind}, PacketID: packetID}
 	if kind == packets.Pubrel {
 		pk.FixedHeader.Qos = 1
 	}
@@ -179,8 +179,8 @@
 }
 
 // subscribe subscribes to topics, or unsubscribes.
-func (e *endpoint) subscribe(conn uint64, kind byte, number uint16, topics ...string) {
-	pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: kind, Qos: 1}, PacketID: number}
+func (e *endpoint) subscribe(conn uint64, kind byte, packetID uint16, topics ...string) {
+	pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: kind, Qos: 1}, PacketID: packetID}
 	for _, topic := range topics {
 		pk.Filters = append(pk.Filters, packets.Subscription{Filter: topic})
 	}
@@ -205,11 +205,11 @@
 	e.server.Answer(e.tokens[len(e.tokens)-1], results, true)
 }
 
-func again(pk *packets.Packet)  { pk.FixedHeader.Dup = true }
-func retain(pk *packets.Packet) { pk.FixedHeader.Retain = true }
+func setDup(pk *packets.Packet)    { pk.FixedHeader.Dup = true }
+func setRetain(pk *packets.Packet) { pk.FixedHeader.Retain = true }
 
 // raw passes bytes that are no packet, or one that no client would send.
-func (e *endpoint) raw(conn uint64, packet string) {
+func (e *endpoint) sendRaw(conn uint64, packet string) {
 	e.server.Receive(e.now, conn, []byte(packet))
 }
 
@@ -223,13 +223,13 @@
 	"keepers": func(e *endpoint) {
 		e.connect(1, "a", 20, 30)
 		e.server.RemoveConnection(e.now, 1)
-		e.pass(29999)
+		e.advance(29999)
 		e.connect(2, "a", 20, 100000)
 		e.server.RemoveConnection(e.now, 2)
-		e.pass(30001)
+		e.advance(30001)
 		e.connect(3, "a", 20, 30)
 		e.server.RemoveConnection(e.now, 3)
-		e.pass(60001)
+		e.advance(60001)
 		e.connect(4, "a", 20, 30)
 		e.server.RemoveConnection(e.now, 4)
 		e.connect(5, "a", 20, 0)
@@ -238,7 +238,7 @@
 		for n, id := range []string{"a", "b", "c", "d", "a"} {
 			e.connect(uint64(n), id, 20, 50)
 			e.server.RemoveConnection(e.now, uint64(n))
-			e.pass(10)
+			e.advance(10)
 		}
 	},
 	"taken-over": func(e *endpoint) {
@@ -256,7 +256,7 @@
 		e.connect(3, "c", 20, 0, func(pk *packets.Packet) { pk.ProtocolVersion = 3; pk.Connect.ProtocolName = []byte("MQIsdp") })
 		e.connect(4, "d", 20, 0, func(pk *packets.Packet) { pk.Connect.PasswordFlag = true })
 		e.server.AddConnection(e.now, 5)
-		e.control(5, packets.Pingreq, 0)
+		e.sendControl(5, packets.Pingreq, 0)
 		e.connect(6, "f", 20, 0)
 		e.send(6, connectPacket(e.version, "f", 20, 0)) // a second one
 		e.server.RemoveConnection(e.now, 99)
@@ -265,34 +265,34 @@
 		e.connect(1, "a", 20, 0)
 		e.publish(1, 0, 0, "batch")
 		e.answer(intake.Rejected)
-		e.publish(1, 0, 0, "batch", again)
+		e.publish(1, 0, 0, "batch", setDup)
 	},
 	"quality-1": func(e *endpoint) {
 		e.connect(1, "a", 20, 30)
 		e.publish(1, 1, 5, "batch")
-		e.publish(1, 1, 5, "batch", again) // its answer is on its way
+		e.publish(1, 1, 5, "batch", setDup) // its answer is on its way
 		e.answer(intake.Recorded, intake.Stored)
 		e.answer(intake.Recorded) // once only
-		e.publish(1, 1, 5, "batch", again)
+		e.publish(1, 1, 5, "batch", setDup)
 		e.answer(intake.Recorded, intake.Rejected, intake.Unknown)
-		e.control(1, packets.Puback, 9)
+		e.sendControl(1, packets.Puback, 9)
 	},
 	"quality-2": func(e *endpoint) {
 		e.connect(1, "a", 20, 30)
 		e.publish(1, 2, 5, "batch")
 		e.answer(intake.Recorded)
-		e.publish(1, 2, 5, "batch", again) // recorded already
-		e.control(1, packets.Pubrel, 5)
-		e.control(1, packets.Pubrel, 5)
+		e.publish(1, 2, 5, "batch", setDup) // recorded already
+		e.sendControl(1, packets.Pubrel, 5)
+		e.sendControl(1, packets.Pubrel, 5)
 		e.publish(1, 2, 6, "batch")
 		e.server.RemoveConnection(e.now, 1)
 		e.answer(intake.Recorded)
 		e.connect(2, "a", 20, 30)
-		e.publish(2, 2, 6, "batch", again)
+		e.publish(2, 2, 6, "batch", setDup)
 		e.publish(2, 2, 6, "another batch")
 		e.answer(intake.Conflict)
-		e.control(2, packets.Pubrec, 9)
-		e.control(2, packets.Pubcomp, 9)
+		e.sendControl(2, packets.Pubrec, 9)
+		e.sendControl(2, packets.Pubcomp, 9)
 	},
 	"statuses": func(e *endpoint) {
 		e.connect(1, "a", 20, 0)
@@ -303,7 +303,7 @@
 		} {
 			e.publish(1, byte(1+number%2), uint16(100+number), "batch")
 			e.answer(statuses...)
-			e.control(1, packets.Pubrel, uint16(100+number))
+			e.sendControl(1, packets.Pubrel, uint16(100+number))
 		}
 		e.publish(1, 1, 50, "no batch")
 		e.server.Answer(e.tokens[len(e.tokens)-1], nil, false)
@@ -323,11 +323,11 @@
 		e.subscribe(1, packets.Unsubscribe, 2, mqtt.AnswersTopicPrefix+"a", mqtt.AnswersTopicPrefix+"a", "#")
 		e.publish(1, 0, 0, "batch")
 		e.answer(intake.Recorded)
-		e.control(1, packets.Pingreq, 0)
+		e.sendControl(1, packets.Pingreq, 0)
 	},
 	"endings": func(e *endpoint) {
 		e.connect(1, "a", 20, 30)
-		e.control(1, packets.Disconnect, 0)
+		e.sendControl(1, packets.Disconnect, 0)
 		e.connect(2, "b", 20, 0)
 		e.send(2, packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Disconnect},
 			Properties: packets.Properties{SessionExpiryInterval: 9, SessionExpiryIntervalFlag: true}})
@@ -335,16 +335,16 @@
 		e.send(3, packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Disconnect},
 			Properties: packets.Properties{SessionExpiryInterval: 9, SessionExpiryIntervalFlag: true}})
 		e.server.RemoveConnection(e.now, 3)
-		e.pass(9001)
+		e.advance(9001)
 		e.connect(4, "c", 20, 30)
 	},
 	"silence": func(e *endpoint) {
 		e.connect(1, "a", 10, 0)
-		e.pass(14000)
-		e.control(1, packets.Pingreq, 0)
-		e.pass(14000)
+		e.advance(14000)
+		e.sendControl(1, packets.Pingreq, 0)
+		e.advance(14000)
 		e.publish(1, 0, 0, "batch")
-		e.pass(20000)
+		e.advance(20000)
 	},
 	"violations": func(e *endpoint) {
 		for n, packet := range []string{
@@ -352,14 +352,14 @@
 			"\x20\x02\x00\x00", "\x60\x02\x00\x01", "\x82\x02\x00\x01", "\xa2\x02\x00\x01",
 		} {
 			e.connect(uint64(n), "a", 10, 0)
-			e.raw(uint64(n), packet)
+			e.sendRaw(uint64(n), packet)
 			e.server.RemoveConnection(e.now, uint64(n))
 		}
-		e.raw(99, "\xc0\x00")
+		e.sendRaw(99, "\xc0\x00")
 	},
 	"broken-publications": func(e *endpoint) {
 		for n, change := range []func(*packets.Packet){
-			retain,
+			setRetain,
 			func(pk *packets.Packet) { pk.PacketID = 0 },
 			func(pk *packets.Packet) { pk.TopicName = "a/#" },
 			func(pk *packets.Packet) { pk.TopicName = "" },
@@ -374,7 +374,7 @@
 			}
 			change(&pk)
 			if pk.PacketID == 0 { // the library does not encode it
-				e.raw(uint64(n), "\x32\x06\x00\x01r\x00\x00\x00")
+				e.sendRaw(uint64(n), "\x32\x06\x00\x01r\x00\x00\x00")
 			} else {
 				e.send(uint64(n), pk)
 			}
--- a/internal/edge/mqtt/codec.go
+++ b/internal/edge/mqtt/codec.go
@@ -11,13 +11,13 @@
 // The remaining length in a fixed header [MQTT 1.5.5]: up to four bytes of
 // seven bits each, the lowest first.
 const (
-	maxLengthBytes = 4
-	lengthBits     = 7
-	lengthMask     = 0x7f
-	moreFlag       = 0x80
+	maxLengthBytes    = 4
+	lengthBitsPerByte = 7
+	lengthMask        = 0x7f
+	continuationBit   = 0x80
 )
 
-var errLength = errors.New("mqtt: a length of more than four bytes")
+var errLengthTooLong = errors.New("mqtt: a length of more than four bytes")
 
 // PacketLength returns the length of the packet at the beginning of b, 0 if
 // more of it must come first. limit is that of the remaining length, in bytes.
@@ -25,10 +25,10 @@
 	var remaining int
 	for i := 1; i < len(b); i++ {
 		if i > maxLengthBytes {
-			return 0, errLength
+			return 0, errLengthTooLong
 		}
-		remaining |= int(b[i]&lengthMask) << (lengthBits * (i - 1))
-		if b[i]&moreFlag != 0 {
+		remaining |= int(b[i]&lengthMask) << (lengthBitsPerByte * (i - 1))
+		if b[i]&continuationBit != 0 {
 			continue
 		}
 		if remaining > limit {
@@ -48,7 +48,7 @@
 		}
 	}()
 	lengthEnd := 1
-	for lengthEnd < len(b) && b[lengthEnd]&moreFlag != 0 {
+	for lengthEnd < len(b) && b[lengthEnd]&continuationBit != 0 {
 		lengthEnd++
 	}
 	if lengthEnd+1 > len(b) {
@@ -92,7 +92,7 @@
 
 // reasonOf returns the reason code of an error of decode. A code that the
 // library has wrapped is not looked for: such a packet is malformed.
-func reasonOf(err error) byte {
+func reasonCodeOf(err error) byte {
 	if code, ok := err.(packets.Code); ok && code.Code >= firstErrorCode {
 		return code.Code
 	}
--- a/internal/edge/mqtt/codec_test.go
+++ b/internal/edge/mqtt/codec_test.go
@@ -18,15 +18,15 @@
 		clients := newTestClients(t, nil)
 		clients.server.AddConnection(clients.now, 1)
 		clients.server.Receive(clients.now, 1, []byte(b))
-		if said := clients.events[1]; len(said) == 0 || said[len(said)-1] != "close" || len(clients.published) > 0 {
-			t.Errorf("%s: %q", name, said)
+		if got := clients.events[1]; len(got) == 0 || got[len(got)-1] != "close" || len(clients.published) > 0 {
+			t.Errorf("%s: %q", name, got)
 		}
 	}
 	clients := newTestClients(t, nil)
 	clients.connect(1, version5, "m", true, 10)
 	clients.server.Receive(clients.now, 1, []byte("\x10\x0d\x00\x04MQTT\x04\x02\x00\x3c\x00\x01z"))
-	if said := clients.events[1]; said[len(said)-1] != "close" {
-		t.Errorf("a second CONNECT: %q", said)
+	if got := clients.events[1]; got[len(got)-1] != "close" {
+		t.Errorf("a second CONNECT: %q", got)
 	}
 	for _, b := range []string{"\x30\xff\xff\xff\xff\x01", "\x30\xff\xff\x7f"} {
 		if n, err := PacketLength([]byte(b), 1000); err == nil {
--- a/internal/edge/mqtt/connect.go
+++ b/internal/edge/mqtt/connect.go
@@ -10,9 +10,9 @@
 const (
 	// keepAliveGrace is after how many keep-alive times without a packet a
 	// connection is closed [MQTT 3.1.2.10].
-	keepAliveGrace = 1.5
+	keepAliveFactor = 1.5
 	// maxClientID is the longest client identifier, in bytes.
-	maxClientID = 128
+	maxClientIDBytes = 128
 )
 
 // The return codes of version 3.1.1's CONNACK.
@@ -27,7 +27,7 @@
 func IsConnectHeader(b byte) bool { return b == packets.Connect<<4 }
 
 // connect handles CONNECT [MQTT 3.1].
-func (s *Server) connect(now float64, conn *connection, packet *packets.Packet) {
+func (s *Server) handleConnect(now float64, conn *connection, packet *packets.Packet) {
 	params := &packet.Connect
 	knownVersion := packet.ProtocolVersion == version311 || packet.ProtocolVersion == version5
 	switch {
@@ -36,9 +36,9 @@
 		s.rejectConnect(conn, packet, 0, returnUnacceptableVersion)
 		return
 	case packet.ConnectValidate().Code >= firstErrorCode:
-		s.violation(conn, packet.ConnectValidate().Code)
+		s.closeOnViolation(conn, packet.ConnectValidate().Code)
 		return
-	case params.ClientIdentifier == "" || len(params.ClientIdentifier) > maxClientID:
+	case params.ClientIdentifier == "" || len(params.ClientIdentifier) > maxClientIDBytes:
 		s.rejectConnect(conn, packet, packets.ErrClientIdentifierNotValid.Code, returnIdentifierRejected)
 		return
 	case s.draining:
@@ -46,14 +46,14 @@
 		return
 	}
 	clientID := strings.Clone(params.ClientIdentifier) // it refers to the read buffer
-	attached, resumed := s.openSession(now, clientID, params.Clean)
-	if attached == nil {
+	sess, resumed := s.openSession(now, clientID, params.Clean)
+	if sess == nil {
 		s.rejectConnect(conn, packet, packets.ErrQuotaExceeded.Code, returnServerUnavailable)
 		return
 	}
 	s.stats.Connects++
-	attached.connection = conn
-	conn.session = attached
+	sess.connection = conn
+	conn.session = sess
 	conn.version = packet.ProtocolVersion
 	conn.connectedAt = now
 	s.negotiate(conn, packet)
@@ -63,16 +63,16 @@
 
 // rejectConnect answers CONNECT with the version's code and closes the
 // connection.
-func (s *Server) rejectConnect(conn *connection, packet *packets.Packet, reason5, return311 byte) {
+func (s *Server) rejectConnect(conn *connection, packet *packets.Packet, reasonCode5, returnCode311 byte) {
 	s.stats.Violations++
 	conn.version = packet.ProtocolVersion
 	ack := newPacket(packets.Connack)
-	ack.ReasonCode = return311
+	ack.ReasonCode = returnCode311
 	if conn.version == version5 {
-		ack.ReasonCode = reason5
+		ack.ReasonCode = reasonCode5
 	}
 	s.send(conn, ack)
-	s.out.Close(conn.id)
+	s.actions.Close(conn.id)
 }
 
 // negotiate sets what the client chooses in CONNECT.
@@ -82,7 +82,7 @@
 	case conn.version == version5:
 		properties := &packet.Properties
 		conn.session.expiryMs = s.sessionExpiry(properties.SessionExpiryInterval)
-		conn.omitsReasons = properties.RequestProblemInfoFlag && properties.RequestProblemInfo == 0
+		conn.omitProblemInfo = properties.RequestProblemInfoFlag && properties.RequestProblemInfo == 0
 	case !packet.Connect.Clean:
 		conn.session.expiryMs = s.limits.MaxSessionExpiryMs
 	}
@@ -104,11 +104,11 @@
 			ack.Properties.ServerKeepAliveFlag = true
 		}
 	}
-	conn.timeoutMs = keepAliveGrace * keepAliveMs
+	conn.timeoutMs = keepAliveFactor * keepAliveMs
 	return ack
 }
 
-func (s *Server) setConnackProperties(properties *packets.Properties, attached *session) {
+func (s *Server) setConnackProperties(properties *packets.Properties, sess *session) {
 	properties.ReceiveMaximum = uint16(min(s.limits.ReceiveMax, math.MaxUint16))
 	properties.MaximumPacketSize = uint32(s.limits.MessageBytes)
 	// A set flag without a value declares the feature unavailable.
@@ -116,7 +116,7 @@
 	properties.WildcardSubAvailableFlag = true
 	properties.SharedSubAvailableFlag = true
 	properties.SubIDAvailableFlag = true
-	properties.SessionExpiryInterval = uint32(attached.expiryMs / 1000)
+	properties.SessionExpiryInterval = uint32(sess.expiryMs / 1000)
 	properties.SessionExpiryIntervalFlag = true
 }
 
--- a/internal/edge/mqtt/connect_test.go
+++ b/internal/edge/mqtt/connect_test.go
@@ -12,7 +12,7 @@
 	clients.connect(2, version311, "n", true, 0) // no keep-alive: it gets the longest
 	clients.events = map[uint64][]string{}
 	clients.advance(14000)
-	clients.packet(1, packets.Pingreq, 0)
+	clients.sendControl(1, packets.Pingreq, 0)
 	clients.advance(14000)
 	clients.want(1, "pingresp")
 	clients.advance(1500)
--- a/internal/edge/mqtt/fixture_test.go
+++ b/internal/edge/mqtt/fixture_test.go
@@ -91,8 +91,8 @@
 	clients.events[conn] = append(clients.events[conn], "close")
 }
 
-func (clients *testClients) Deliver(token, conn uint64, topic string, payload []byte, _ float64, again bool) {
-	clients.published = append(clients.published, publishedMessage{token, conn, topic, string(payload), again})
+func (clients *testClients) Deliver(token, conn uint64, topic string, payload []byte, _ float64, retransmitted bool) {
+	clients.published = append(clients.published, publishedMessage{token, conn, topic, string(payload), retransmitted})
 }
 
 func (clients *testClients) want(conn uint64, words string) {
@@ -112,7 +112,7 @@
 	clients.now = end
 }
 
-func (clients *testClients) connect(conn uint64, version byte, id string, clean bool, keep uint16) {
+func (clients *testClients) connect(conn uint64, version byte, id string, clean bool, keepAlive uint16) {
 	clients.versions[conn] = version
 	clients.server.AddConnection(clients.now, conn)
 	pk := packets.Packet{
@@ -122,7 +122,7 @@
 			ProtocolName:     []byte("MQTT"),
 			Clean:            clean,
 			ClientIdentifier: id,
-			Keepalive:        keep,
+			Keepalive:        keepAlive,
 		},
 	}
 	if !clean && version == version5 {
@@ -142,7 +142,7 @@
 	clients.server.Receive(clients.now, conn, Encode(&pk))
 }
 
-func (clients *testClients) packet(conn uint64, kind byte, id uint16) {
+func (clients *testClients) sendControl(conn uint64, kind byte, id uint16) {
 	pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: kind}, ProtocolVersion: clients.versions[conn], PacketID: id}
 	if kind == packets.Pubrel {
 		pk.FixedHeader.Qos = 1
--- a/internal/edge/mqtt/mqtt.go
+++ b/internal/edge/mqtt/mqtt.go
@@ -63,7 +63,7 @@
 // Server is the state of all connections and sessions.
 type Server struct {
 	limits       Limits
-	out          Actions
+	actions      Actions
 	codec        *batch.Codec
 	timers       timers.Heap
 	stats        Stats
@@ -86,8 +86,8 @@
 	timeoutMs      float64 // without a packet
 	keepAliveTimer *timers.Timer
 
-	omitsReasons bool              // the client requests no problem information
-	unanswered   map[uint16]uint64 // digests of messages, by packet identifier
+	omitProblemInfo bool              // the client requests no problem information
+	unanswered      map[uint16]uint64 // digests of messages, by packet identifier
 }
 
 // pendingMessage is a message that was delivered.
@@ -99,10 +99,10 @@
 }
 
 // New returns a server without connections.
-func New(limits Limits, codec *batch.Codec, out Actions) *Server {
+func New(limits Limits, codec *batch.Codec, actions Actions) *Server {
 	return &Server{
 		limits:      limits,
-		out:         out,
+		actions:     actions,
 		codec:       codec,
 		connections: map[uint64]*connection{},
 		sessions:    map[string]*session{},
@@ -134,7 +134,7 @@
 	delete(s.connections, id)
 	s.timers.Cancel(conn.keepAliveTimer)
 	if conn.session != nil && conn.session.connection == conn {
-		s.detach(now, conn.session)
+		s.detachSession(now, conn.session)
 	}
 }
 
@@ -158,39 +158,39 @@
 	conn.lastPacketAt = now
 	packet, err := decode(b, conn.version)
 	if err != nil {
-		s.violation(conn, reasonOf(err))
+		s.closeOnViolation(conn, reasonCodeOf(err))
 		return
 	}
 	if conn.session != nil {
-		s.handle(conn, &packet)
+		s.dispatch(conn, &packet)
 		return
 	}
 	if packet.FixedHeader.Type != packets.Connect { // [MQTT 3.1.0-1]
-		s.violation(conn, packets.ErrProtocolViolation.Code)
+		s.closeOnViolation(conn, packets.ErrProtocolViolation.Code)
 		return
 	}
-	s.connect(now, conn, &packet)
+	s.handleConnect(now, conn, &packet)
 }
 
 // handle handles a packet after CONNECT.
-func (s *Server) handle(conn *connection, packet *packets.Packet) {
+func (s *Server) dispatch(conn *connection, packet *packets.Packet) {
 	switch packet.FixedHeader.Type {
 	case packets.Publish:
-		s.publish(conn, packet)
+		s.handlePublish(conn, packet)
 	case packets.Pubrel:
-		s.release(conn, packet)
+		s.handlePubrel(conn, packet)
 	case packets.Pingreq:
 		s.send(conn, newPacket(packets.Pingresp))
 	case packets.Subscribe:
-		s.subscribe(conn, packet)
+		s.handleSubscribe(conn, packet)
 	case packets.Unsubscribe:
-		s.unsubscribe(conn, packet)
+		s.handleUnsubscribe(conn, packet)
 	case packets.Disconnect:
 		s.handleDisconnect(conn, packet)
 	case packets.Puback, packets.Pubrec, packets.Pubcomp:
 		// Answers are sent with QoS 0, so that none of these is due.
 	default: // a second CONNECT, AUTH, or what only a server sends
-		s.violation(conn, packets.ErrProtocolViolation.Code)
+		s.closeOnViolation(conn, packets.ErrProtocolViolation.Code)
 	}
 }
 
@@ -198,28 +198,28 @@
 	if conn.version == version5 && packet.Properties.SessionExpiryIntervalFlag {
 		seconds := packet.Properties.SessionExpiryInterval
 		if conn.session.expiryMs == 0 && seconds > 0 { // [MQTT 3.14.2.2.2]
-			s.violation(conn, packets.ErrProtocolViolation.Code)
+			s.closeOnViolation(conn, packets.ErrProtocolViolation.Code)
 			return
 		}
 		conn.session.expiryMs = s.sessionExpiry(seconds)
 	}
-	s.out.Close(conn.id)
+	s.actions.Close(conn.id)
 }
 
 // disconnect closes a connection, with a reason where the version has one.
-func (s *Server) disconnect(conn *connection, reason byte) {
+func (s *Server) disconnect(conn *connection, reasonCode byte) {
 	if conn.version == version5 {
 		packet := newPacket(packets.Disconnect)
-		packet.ReasonCode = reason
+		packet.ReasonCode = reasonCode
 		s.send(conn, packet)
 	}
-	s.out.Close(conn.id)
+	s.actions.Close(conn.id)
 }
 
 // violation closes a connection because of what its client sent.
-func (s *Server) violation(conn *connection, reason byte) {
+func (s *Server) closeOnViolation(conn *connection, reasonCode byte) {
 	s.stats.Violations++
-	s.disconnect(conn, reason)
+	s.disconnect(conn, reasonCode)
 }
 
 // send encodes a packet in the connection's version.
@@ -228,8 +228,8 @@
 	if packet.ProtocolVersion == 0 {
 		packet.ProtocolVersion = version311
 	}
-	packet.Mods.DisallowProblemInfo = conn.omitsReasons
-	s.out.Send(conn.id, Encode(&packet))
+	packet.Mods.DisallowProblemInfo = conn.omitProblemInfo
+	s.actions.Send(conn.id, Encode(&packet))
 }
 
 func newPacket(kind byte) packets.Packet {
--- a/internal/edge/mqtt/publish.go
+++ b/internal/edge/mqtt/publish.go
@@ -19,14 +19,14 @@
 
 // publish handles PUBLISH. The message is acknowledged only once its readings
 // have their answers, by PUBACK or PUBREC.
-func (s *Server) publish(conn *connection, packet *packets.Packet) {
-	if reason := publishViolation(conn, packet); reason >= firstErrorCode {
-		s.violation(conn, reason)
+func (s *Server) handlePublish(conn *connection, packet *packets.Packet) {
+	if reasonCode := publishViolation(conn, packet); reasonCode >= firstErrorCode {
+		s.closeOnViolation(conn, reasonCode)
 		return
 	}
 	digest := xxhash.Sum64(packet.Payload) ^ xxhash.Sum64String(packet.TopicName)
 	qos := packet.FixedHeader.Qos
-	if qos > qosAtMostOnce && !s.accept(conn, packet, digest) {
+	if qos > qosAtMostOnce && !s.acceptPublish(conn, packet, digest) {
 		return
 	}
 	s.lastToken++
@@ -38,26 +38,26 @@
 	}
 	topic := strings.Clone(packet.TopicName) // it refers to the read buffer
 	payload := append([]byte(nil), packet.Payload...)
-	s.out.Deliver(s.lastToken, conn.id, topic, payload, conn.connectedAt, packet.FixedHeader.Dup)
+	s.actions.Deliver(s.lastToken, conn.id, topic, payload, conn.connectedAt, packet.FixedHeader.Dup)
 }
 
 // publishViolation returns the reason code of a malformed or unsupported
 // PUBLISH, below firstErrorCode for none.
 func publishViolation(conn *connection, packet *packets.Packet) byte {
-	reason := packet.PublishValidate(0).Code
-	if reason < firstErrorCode && packet.FixedHeader.Retain && conn.version == version5 {
+	reasonCode := packet.PublishValidate(0).Code
+	if reasonCode < firstErrorCode && packet.FixedHeader.Retain && conn.version == version5 {
 		return packets.ErrRetainNotSupported.Code
 	}
-	return reason
+	return reasonCode
 }
 
 // accept reports whether a message with a packet identifier is to be delivered.
 // It answers a duplicate and closes the connection after a violation.
-func (s *Server) accept(conn *connection, packet *packets.Packet, digest uint64) bool {
+func (s *Server) acceptPublish(conn *connection, packet *packets.Packet, digest uint64) bool {
 	id := packet.PacketID
 	if inUse, unanswered := conn.unanswered[id]; unanswered {
 		if inUse != digest { // another message's identifier [MQTT 2.2.1]
-			s.violation(conn, packets.ErrPacketIdentifierInUse.Code)
+			s.closeOnViolation(conn, packets.ErrPacketIdentifierInUse.Code)
 		}
 		return false // a duplicate: its answer is pending
 	}
@@ -70,7 +70,7 @@
 		return false
 	}
 	if len(conn.unanswered)+len(conn.session.unreleased) >= s.limits.ReceiveMax { // [MQTT 3.3.4-7]
-		s.violation(conn, packets.ErrReceiveMaximum.Code)
+		s.closeOnViolation(conn, packets.ErrReceiveMaximum.Code)
 		return false
 	}
 	if conn.unanswered == nil {
@@ -81,7 +81,7 @@
 }
 
 // release handles PUBREL, the end of a QoS 2 message [MQTT 4.3.3].
-func (s *Server) release(conn *connection, packet *packets.Packet) {
+func (s *Server) handlePubrel(conn *connection, packet *packets.Packet) {
 	ack := newPacket(packets.Pubcomp)
 	ack.PacketID = packet.PacketID
 	if _, unreleased := conn.session.unreleased[packet.PacketID]; !unreleased && conn.version == version5 {
@@ -101,8 +101,8 @@
 	delete(s.pending, token)
 	conn := message.connection
 	delete(conn.unanswered, message.packetID)
-	reason := worstReason(results, valid)
-	if reason == 0 && message.qos == qosExactlyOnce {
+	reasonCode := worstReasonCode(results, valid)
+	if reasonCode == 0 && message.qos == qosExactlyOnce {
 		s.keepUnreleased(message)
 	}
 	if s.connections[conn.id] != conn {
@@ -115,7 +115,7 @@
 		s.send(conn, answer)
 	}
 	if message.qos > qosAtMostOnce {
-		s.acknowledge(conn, message.packetID, message.qos, reason, results)
+		s.acknowledge(conn, message.packetID, message.qos, reasonCode, results)
 	}
 	if s.draining && len(conn.unanswered) == 0 {
 		s.disconnect(conn, packets.ErrServerShuttingDown.Code)
@@ -125,19 +125,19 @@
 // keepUnreleased remembers a recorded QoS 2 message until PUBREL, also without
 // its connection: the session may be resumed.
 func (s *Server) keepUnreleased(message pendingMessage) {
-	kept := message.connection.session
-	if s.sessions[kept.clientID] != kept {
+	sess := message.connection.session
+	if s.sessions[sess.clientID] != sess {
 		return
 	}
-	if kept.unreleased == nil {
-		kept.unreleased = map[uint16]uint64{}
+	if sess.unreleased == nil {
+		sess.unreleased = map[uint16]uint64{}
 	}
-	kept.unreleased[message.packetID] = message.digest
+	sess.unreleased[message.packetID] = message.digest
 }
 
 // worstReason returns a message's reason code, that of its worst reading: the
 // more useless a retry, the worse.
-func worstReason(results []batch.Result, valid bool) (reason byte) {
+func worstReasonCode(results []batch.Result, valid bool) (reasonCode byte) {
 	if !valid {
 		return packets.ErrPayloadFormatInvalid.Code
 	}
@@ -158,20 +158,22 @@
 		}
 		if severity > worst {
 			worst = severity
-			reason = code
+			reasonCode = code
 		}
 	}
-	return reason
+	return reasonCode
 }
 
 // acknowledge sends PUBACK or PUBREC. Version 5 has reasons, and a property for
 // each reading of a message that did not succeed as a whole. Version 3.1.1 has
 // none: a subscriber has its answers by now, and for any other client the end of
 // the connection reports that its message was not accepted.
-func (s *Server) acknowledge(conn *connection, packetID uint16, qos, reason byte, results []batch.Result) {
-	failed := reason != 0
+func (s *Server) acknowledge(
+	conn *connection, packetID uint16, qos, reasonCode byte, results []batch.Result,
+) {
+	failed := reasonCode != 0
 	if failed && conn.version != version5 && !conn.session.subscribed {
-		s.out.Close(conn.id)
+		s.actions.Close(conn.id)
 		return
 	}
 	ack := newPacket(packets.Puback)
@@ -180,7 +182,7 @@
 	}
 	ack.PacketID = packetID
 	if failed && conn.version == version5 {
-		ack.ReasonCode = reason
+		ack.ReasonCode = reasonCode
 		ack.Properties.User = readingProperties(results)
 	}
 	s.send(conn, ack)
--- a/internal/edge/mqtt/publish_test.go
+++ b/internal/edge/mqtt/publish_test.go
@@ -18,7 +18,7 @@
 		clients.publish(1, 1, 5, "once", false)
 		clients.publish(1, 1, 5, "once", true) // retransmitted while it waits
 		clients.publish(1, 2, 6, "twice", false)
-		clients.packet(1, packets.Pingreq, 0)
+		clients.sendControl(1, packets.Pingreq, 0)
 		clients.want(1, "pingresp")
 		if len(clients.published) != 3 {
 			t.Fatalf("%+v", clients.published)
@@ -27,7 +27,7 @@
 			clients.answer(i, intake.Recorded)
 		}
 		clients.want(1, "puback5 pubrec6")
-		clients.packet(1, packets.Pubrel, 6)
+		clients.sendControl(1, packets.Pubrel, 6)
 		clients.want(1, "pubcomp6")
 	}
 }
@@ -53,7 +53,7 @@
 		t.Fatal("another message under the same identifier was taken for the first")
 	}
 	clients.answer(1, intake.Recorded)
-	clients.packet(2, packets.Pubrel, 6)
+	clients.sendControl(2, packets.Pubrel, 6)
 	clients.want(2, "pubrec6 pubcomp6")
 	// Its answer came while the client was disconnected.
 	clients.publish(2, 2, 7, "late", false)
--- a/internal/edge/mqtt/session.go
+++ b/internal/edge/mqtt/session.go
@@ -28,36 +28,36 @@
 // openSession returns the client's session, whose other connection is closed,
 // or a new one if there is none or it must be clean. It returns nil if all
 // sessions have connections.
-func (s *Server) openSession(now float64, clientID string, clean bool) (opened *session, resumed bool) {
-	known := s.sessions[clientID]
-	if known != nil && known.connection != nil { // [MQTT 3.1.4-3]
+func (s *Server) openSession(now float64, clientID string, clean bool) (sess *session, resumed bool) {
+	existing := s.sessions[clientID]
+	if existing != nil && existing.connection != nil { // [MQTT 3.1.4-3]
 		s.stats.TakenOver++
-		s.disconnect(known.connection, packets.ErrSessionTakenOver.Code)
-		s.detach(now, known)
-		known = s.sessions[clientID]
+		s.disconnect(existing.connection, packets.ErrSessionTakenOver.Code)
+		s.detachSession(now, existing)
+		existing = s.sessions[clientID]
 	}
-	if known != nil && clean {
-		s.removeSession(known)
-		known = nil
+	if existing != nil && clean {
+		s.removeSession(existing)
+		existing = nil
 	}
-	if known != nil {
+	if existing != nil {
 		s.stats.Resumed++
-		s.timers.Cancel(known.expiryTimer)
-		s.disconnected.Remove(known.disconnectedElement)
-		known.disconnectedElement = nil
-		return known, true
+		s.timers.Cancel(existing.expiryTimer)
+		s.disconnected.Remove(existing.disconnectedElement)
+		existing.disconnectedElement = nil
+		return existing, true
 	}
-	if !s.makeCapacity() {
+	if !s.evictForCapacity() {
 		return nil, false
 	}
-	opened = &session{clientID: clientID}
-	s.sessions[clientID] = opened
-	return opened, false
+	sess = &session{clientID: clientID}
+	s.sessions[clientID] = sess
+	return sess, false
 }
 
 // makeCapacity evicts the sessions longest without a connection while there is
 // no capacity for another.
-func (s *Server) makeCapacity() bool {
+func (s *Server) evictForCapacity() bool {
 	for len(s.sessions) >= s.limits.Sessions {
 		oldest := s.disconnected.Front()
 		if oldest == nil {
@@ -70,22 +70,22 @@
 }
 
 // detach keeps a session whose connection has ended, or removes it.
-func (s *Server) detach(now float64, detached *session) {
-	detached.connection = nil
-	if detached.expiryMs <= 0 {
-		delete(s.sessions, detached.clientID)
+func (s *Server) detachSession(now float64, sess *session) {
+	sess.connection = nil
+	if sess.expiryMs <= 0 {
+		delete(s.sessions, sess.clientID)
 		return
 	}
-	detached.disconnectedElement = s.disconnected.PushBack(detached)
-	detached.expiryTimer = s.timers.At(now+detached.expiryMs, func(float64) { s.removeSession(detached) })
+	sess.disconnectedElement = s.disconnected.PushBack(sess)
+	sess.expiryTimer = s.timers.At(now+sess.expiryMs, func(float64) { s.removeSession(sess) })
 }
 
 // removeSession removes a session without a connection.
-func (s *Server) removeSession(removed *session) {
-	s.timers.Cancel(removed.expiryTimer)
-	if removed.disconnectedElement != nil {
-		s.disconnected.Remove(removed.disconnectedElement)
-		removed.disconnectedElement = nil
+func (s *Server) removeSession(sess *session) {
+	s.timers.Cancel(sess.expiryTimer)
+	if sess.disconnectedElement != nil {
+		s.disconnected.Remove(sess.disconnectedElement)
+		sess.disconnectedElement = nil
 	}
-	delete(s.sessions, removed.clientID)
+	delete(s.sessions, sess.clientID)
 }
--- a/internal/edge/mqtt/subscribe.go
+++ b/internal/edge/mqtt/subscribe.go
@@ -7,9 +7,9 @@
 
 // subscribe grants a client the answers to its own readings, and no other
 // topic.
-func (s *Server) subscribe(conn *connection, packet *packets.Packet) {
+func (s *Server) handleSubscribe(conn *connection, packet *packets.Packet) {
 	if code := packet.SubscribeValidate().Code; code >= firstErrorCode {
-		s.violation(conn, code)
+		s.closeOnViolation(conn, code)
 		return
 	}
 	ack := newPacket(packets.Suback)
@@ -29,9 +29,9 @@
 	s.send(conn, ack)
 }
 
-func (s *Server) unsubscribe(conn *connection, packet *packets.Packet) {
+func (s *Server) handleUnsubscribe(conn *connection, packet *packets.Packet) {
 	if code := packet.UnsubscribeValidate().Code; code >= firstErrorCode {
-		s.violation(conn, code)
+		s.closeOnViolation(conn, code)
 		return
 	}
 	ack := newPacket(packets.Unsuback)
@@ -47,4 +47,4 @@
 	s.send(conn, ack)
 }
 
-func (kept *session) answersTopic() string { return AnswersTopicPrefix + kept.clientID }
+func (sess *session) answersTopic() string { return AnswersTopicPrefix + sess.clientID }
--- a/internal/edge/protocols.go
+++ b/internal/edge/protocols.go
@@ -17,19 +17,19 @@
 )
 
 // mqttOut implements mqtt.Actions for an Edge.
-type mqttOut Edge
+type mqttActions Edge
 
 // Send implements mqtt.Actions.
-func (o *mqttOut) Send(id uint64, packet []byte) { (*Edge)(o).send(id, packet) }
+func (a *mqttActions) Send(id uint64, packet []byte) { (*Edge)(a).send(id, packet) }
 
 // Close implements mqtt.Actions.
-func (o *mqttOut) Close(id uint64) { (*Edge)(o).closeAfterSending(id) }
+func (a *mqttActions) Close(id uint64) { (*Edge)(a).closeAfterSending(id) }
 
 // Deliver implements mqtt.Actions.
-func (o *mqttOut) Deliver(
+func (a *mqttActions) Deliver(
 	token, id uint64, topic string, payload []byte, connectedAt float64, retransmitted bool,
 ) {
-	e := (*Edge)(o)
+	e := (*Edge)(a)
 	decoded, err := e.codec.DecodeBatch(payload)
 	conn := e.connections.Get(slotmap.FromID(id))
 	if err != nil || conn == nil {
@@ -52,17 +52,17 @@
 }
 
 // framesOut implements frames.Actions for an Edge.
-type framesOut Edge
+type framesActions Edge
 
 // Send implements frames.Actions.
-func (o *framesOut) Send(id uint64, frame []byte) { (*Edge)(o).send(id, frame) }
+func (a *framesActions) Send(id uint64, frame []byte) { (*Edge)(a).send(id, frame) }
 
 // Close implements frames.Actions.
-func (o *framesOut) Close(id uint64) { (*Edge)(o).closeAfterSending(id) }
+func (a *framesActions) Close(id uint64) { (*Edge)(a).closeAfterSending(id) }
 
 // Deliver implements frames.Actions.
-func (o *framesOut) Deliver(token, id uint64, match string, decoded *batch.Batch, notBefore float64) {
-	e := (*Edge)(o)
+func (a *framesActions) Deliver(token, id uint64, match string, decoded *batch.Batch, notBefore float64) {
+	e := (*Edge)(a)
 	var peer netip.Addr
 	if conn := e.connections.Get(slotmap.FromID(id)); conn != nil {
 		peer = conn.peer
@@ -78,24 +78,26 @@
 }
 
 // Read implements frames.Actions.
-func (o *framesOut) Read(token, _ uint64, match, row string) {
-	(*Edge)(o).startRead(protocolFrames, token, match, row)
+func (a *framesActions) Read(token, _ uint64, match, row string) {
+	(*Edge)(a).startRead(protocolFrames, token, match, row)
 }
 
 // Known implements frames.Actions.
-func (o *framesOut) Known(device string, epoch uint64) []uint64 {
-	return o.intake.Known(device, epoch)
+func (a *framesActions) Known(device string, epoch uint64) []uint64 {
+	return a.intake.Known(device, epoch)
 }
 
 // coapOut implements coap.Actions for an Edge.
-type coapOut Edge
+type coapActions Edge
 
 // Send implements coap.Actions.
-func (o *coapOut) Send(to netip.AddrPort, payload []byte) { o.udp.send(to, payload) }
+func (a *coapActions) Send(to netip.AddrPort, payload []byte) { a.udp.send(to, payload) }
 
 // Deliver implements coap.Actions.
-func (o *coapOut) Deliver(token uint64, from netip.AddrPort, path string, payload []byte, notBefore float64) {
-	e := (*Edge)(o)
+func (a *coapActions) Deliver(
+	token uint64, from netip.AddrPort, path string, payload []byte, notBefore float64,
+) {
+	e := (*Edge)(a)
 	decoded, err := e.codec.DecodeBatch(payload)
 	if err != nil {
 		e.loop.Post(func() { e.answerInvalid(protocolCoAP, token, false) })
@@ -112,6 +114,6 @@
 }
 
 // Read implements coap.Actions.
-func (o *coapOut) Read(token uint64, _ netip.AddrPort, path, row string) {
-	(*Edge)(o).startRead(protocolCoAP, token, path, row)
+func (a *coapActions) Read(token uint64, _ netip.AddrPort, path, row string) {
+	(*Edge)(a).startRead(protocolCoAP, token, path, row)
 }
--- a/internal/edge/reads.go
+++ b/internal/edge/reads.go
@@ -12,9 +12,9 @@
 	maxReadsInFlight = 256
 	// maxCoAPValue is the longest value in a CoAP response, in bytes: one
 	// datagram must carry it.
-	maxCoAPValue = 1024
+	maxCoAPValueBytes = 1024
 	// maxRowName is the longest name of a row that may be read, in bytes.
-	maxRowName = 64
+	maxRowNameBytes = 64
 )
 
 // read is a device's request for a value.
@@ -56,18 +56,18 @@
 			return false
 		}
 	}
-	return len(name) > 0 && len(name) <= maxRowName
+	return len(name) > 0 && len(name) <= maxRowNameBytes
 }
 
 // finishRead answers a read whose statement has ended.
-func (e *Edge) finishRead(read *pendingRead, end outcome) {
+func (e *Edge) finishRead(read *pendingRead, result outcome) {
 	e.readsInFlight--
 	minRetryAfter := e.options.Intake.MinRetryAfter
-	switch end.verdict {
+	switch result.verdict {
 	case router.Served:
-		e.answerRead(read.protocol, read.token, intake.Recorded, 0, end.value)
+		e.answerRead(read.protocol, read.token, intake.Recorded, 0, result.value)
 	case router.Rejected:
-		e.answerRead(read.protocol, read.token, intake.Rejected, max(end.retryAfter, minRetryAfter), nil)
+		e.answerRead(read.protocol, read.token, intake.Rejected, max(result.retryAfterMs, minRetryAfter), nil)
 	default:
 		e.answerRead(read.protocol, read.token, intake.Unknown, minRetryAfter, nil)
 	}
@@ -76,10 +76,10 @@
 // answerRead gives a read's answer to its protocol; retryAfter is in
 // milliseconds.
 func (e *Edge) answerRead(
-	proto protocol, token uint64, status intake.Status, retryAfter float64, value []byte,
+	proto protocol, token uint64, status intake.Status, retryAfterMs float64, value []byte,
 ) {
 	if proto == protocolFrames {
-		e.frames.Value(token, status, retryAfter, value)
+		e.frames.Value(token, status, retryAfterMs, value)
 		return
 	}
 	code := codes.Content
@@ -88,9 +88,9 @@
 		code = codes.NotFound
 	case status != intake.Recorded:
 		code = codes.ServiceUnavailable
-	case len(value) > maxCoAPValue:
+	case len(value) > maxCoAPValueBytes:
 		code = codes.NotImplemented // its answer would need blocks
 		value = nil
 	}
-	e.coap.Answer(e.loop.Now(), token, code, value, retryAfter)
+	e.coap.Answer(e.loop.Now(), token, code, value, retryAfterMs)
 }
--- a/internal/edge/routes.go
+++ b/internal/edge/routes.go
@@ -21,7 +21,7 @@
 func (e *Edge) bindRoutes() (readingRoutes []intake.Route, err error) {
 	e.routeByMatch = map[string]int{}
 	for i, configured := range e.options.Routes {
-		bound, err := bindRoute(configured, e.requests)
+		bound, err := bindRoute(configured, e.requestRouter)
 		if err != nil {
 			return nil, fmt.Errorf("edge.routes[%d].%w", i, err)
 		}
@@ -62,24 +62,24 @@
 )
 
 // bindRoute finds a route's classes and checks that each fits its role.
-func bindRoute(configured operatorconfig.Route, requests RequestRouter) (bound boundRoute, err error) {
+func bindRoute(configured operatorconfig.Route, requestRouter RequestRouter) (bound boundRoute, err error) {
 	bound.Route = configured
 	if configured.Write != "" {
-		if bound.write, err = writeRole.find(requests, configured.Write); err != nil {
+		if bound.write, err = writeRole.find(requestRouter, configured.Write); err != nil {
 			return bound, err
 		}
-		if bound.check, err = checkRole.find(requests, configured.Check); err != nil {
+		if bound.check, err = checkRole.find(requestRouter, configured.Check); err != nil {
 			return bound, err
 		}
 	}
 	if configured.Read != "" {
-		bound.read, err = readRole.find(requests, configured.Read)
+		bound.read, err = readRole.find(requestRouter, configured.Read)
 	}
 	return bound, err
 }
 
-func (role classRole) find(requests RequestRouter, name string) (router.Class, error) {
-	class, ok := requests.Class([]byte(name))
+func (role classRole) find(requestRouter RequestRouter, name string) (router.Class, error) {
+	class, ok := requestRouter.Class([]byte(name))
 	if !ok {
 		return class, fmt.Errorf("%s: there is no class %q", role.key, name)
 	}
@@ -90,7 +90,7 @@
 }
 
 // routeOf returns the route with that index in intake's routes.
-func (e *Edge) routeOf(intakeIndex int) *boundRoute {
+func (e *Edge) routeByIntakeIndex(intakeIndex int) *boundRoute {
 	for i := range e.routes {
 		if e.routes[i].intakeIndex == intakeIndex {
 			return &e.routes[i]
--- a/internal/edge/statements.go
+++ b/internal/edge/statements.go
@@ -17,16 +17,16 @@
 
 // outcome is the end of a statement.
 type outcome struct {
-	verdict    router.Verdict
-	value      []byte  // if Served
-	retryAfter float64 // milliseconds, if Rejected
+	verdict      router.Verdict
+	value        []byte  // if Served
+	retryAfterMs float64 // milliseconds, if Rejected
 }
 
 // submit appends the routing comment to a statement's text and submits it to
 // the router; timeout is in milliseconds. It runs inside Do.
 func (e *Edge) submit(
 	statement *pendingStatement, class router.Class, className string,
-	text []byte, key string, group int, timeout float64,
+	text []byte, key string, group int, timeoutMs float64,
 ) {
 	e.lastSerial++
 	text = append(text, " /* id="...)
@@ -34,7 +34,7 @@
 	text = appendHex(text, e.lastSerial)
 	text = append(text, ",c="+className+",d="...)
 	waitFrom := len(text)
-	text = strconv.AppendInt(text, int64(timeout), 10)
+	text = strconv.AppendInt(text, int64(timeoutMs), 10)
 	waitTo := len(text)
 	if key != "" {
 		text = append(text, ",k="+key...)
@@ -42,11 +42,11 @@
 	text = append(text, ",cluster="...)
 	text = strconv.AppendInt(text, int64(group), 10)
 	text = append(text, " */"...)
-	e.requests.Submit(router.Request{
+	e.requestRouter.Submit(router.Request{
 		Statement: router.Statement{Text: text, WaitFrom: waitFrom, WaitTo: waitTo},
 		Class:     class.Number,
 		Group:     group,
-		TimeLeft:  timeout,
+		TimeLeft:  timeoutMs,
 	}, e, e.statements.Add(statement))
 }
 
@@ -66,27 +66,27 @@
 		return
 	}
 	e.statements.Remove(client)
-	end := outcome{verdict: answer.Verdict, retryAfter: answer.RetryAfter}
+	result := outcome{verdict: answer.Verdict, retryAfterMs: answer.RetryAfter}
 	if answer.Verdict == router.Served {
-		value, ok := document(answer.Row) // a copy: the row is valid only during this call
-		end.value = value
+		value, ok := rowValue(answer.Row) // a copy: the row is valid only during this call
+		result.value = value
 		if !ok {
-			end.verdict = router.Failed
+			result.verdict = router.Failed
 		}
 	}
 	e.loop.Post(func() {
 		if statement.read != nil {
-			e.finishRead(statement.read, end)
+			e.finishRead(statement.read, result)
 		} else {
-			e.answerStatement(statement.submission, end)
+			e.finishSubmission(statement.submission, result)
 		}
-		e.arm()
+		e.armTimer()
 	})
 }
 
 // document returns a copy of a row's value, which is bytes in binary format or
 // PostgreSQL's hexadecimal text.
-func document(row *router.Row) (value []byte, ok bool) {
+func rowValue(row *router.Row) (value []byte, ok bool) {
 	if row.Binary {
 		return append([]byte{}, row.Value...), true
 	}
