--- a/cmd/lotusbend/main_test.go
+++ b/cmd/lotusbend/main_test.go
@@ -63,7 +63,7 @@
 	config, settings := filepath.Join(dir, "config.json"), filepath.Join(dir, "settings.json5")
 	for text, want := range map[string]string{
 		"{\n\"lug\": {}}": `settings.json5:2: lug: unknown key; is "log" meant?`,
-		`{"edge": {"frames": "127.0.0.1:0", "routes": [{"match": "r", "groups": [1], "write": "view", "check": "view"}]}}`: `edge.routes[0].write: class "view" is no class of writes`,
+		`{"edge": {"frames": "127.0.0.1:0", "routes": [{"match": "r", "groups": [1], "write": "view", "check": "view"}]}}`: `edge.routes[0].write: class "view" is not a class of writes with an idempotency key`,
 	} {
 		for name, contents := range map[string][]byte{config: configuration(listen(t), 100), settings: []byte(text)} {
 			if err := os.WriteFile(name, contents, 0o600); err != nil {
--- a/internal/edge/actions.go
+++ b/internal/edge/actions.go
@@ -9,8 +9,9 @@
 	"lotusbend/internal/slotmap"
 )
 
-// actions implements intake.Actions for an Edge. Its methods run inside Do and
-// never call back into intake: an immediate answer is posted.
+// intakeActions implements intake.Actions for an Edge. Its methods are called
+// inside Do. They must not call back into intake, so an answer that is known at
+// once is posted to the loop.
 type intakeActions Edge
 
 // Answer implements intake.Actions.
@@ -70,21 +71,22 @@
 	e.submit(statement, route.check, route.Check, checkText(route.Table, id.Row()), "", group, timeoutMs)
 }
 
-// insertText returns the statement that records a reading. It returns what is
-// recorded, which may be another value under the same key.
+// insertText returns the statement that records a reading. The statement returns
+// the recorded value, which differs from the given one if another reading was
+// recorded under the same key.
 func insertText(table, row string, value []byte) []byte {
 	text := []byte("INSERT INTO " + table + " (id, doc) VALUES ('" + row + `', '\x`)
 	text = hex.AppendEncode(text, value)
 	return append(text, "') RETURNING doc"...)
 }
 
-// checkText returns the statement that reads a reading's row. A row that is
-// absent is answered by an empty value: no reading is empty.
+// checkText returns the statement that reads a reading's row. It returns an
+// empty value if the row does not exist; a reading's value is never empty.
 func checkText(table, row string) []byte {
 	return []byte("SELECT coalesce((SELECT doc FROM " + table + " WHERE id = '" + row + `'), '\x') AS doc`)
 }
 
-// answerStatement reports the end of a statement to intake.
+// finishSubmission reports the outcome of a submission's statement to intake.
 func (e *Edge) finishSubmission(submission uint64, outcome outcome) {
 	now := e.loop.Now()
 	switch outcome.verdict {
--- a/internal/edge/connection.go
+++ b/internal/edge/connection.go
@@ -10,36 +10,40 @@
 )
 
 const (
-	// maxUnreadBytes bounds the answers that a device has not read.
+	// maxUnreadBytes bounds the answers queued for a connection; a connection
+	// past it is closed.
 	maxUnreadBytes = 32 << 10
-	// unreadTimeoutMs is how long a device may leave them unread.
+	// unreadTimeoutMs is how long a write to a device may make no progress
+	// before its connection is closed.
 	unreadTimeoutMs = 5000
 	// closeTimeoutMs is how long a closing connection may take to send its last
 	// message.
 	closeTimeoutMs = 1000
 )
 
-// connection is one TCP connection of a device or gateway. Its fields belong to
-// the loop, except that unfinished is also appended to by takeInput.
+// connection is one TCP connection of a device or gateway. Its fields are
+// accessed inside the loop's Do, except for unfinished, to which the goroutine
+// of processInputs appends outside of it.
 type connection struct {
 	handle      slotmap.Handle
 	edge        *Edge
 	protocol    protocol
 	socket      *netio.Conn
 	peer        netip.Addr
-	keepReading chan bool // takeInput's answer to each input
+	keepReading chan bool // false after an input that ends the connection
 
-	unfinished      []byte // the beginning of a message
-	receivedMessage bool   // a whole one
-	unreadBytes     int    // sent and not yet taken by the system
+	unfinished      []byte // the received part of an incomplete message
+	receivedMessage bool   // whether a complete message was received
+	unreadBytes     int    // sent, but not yet written to the socket
 
-	closeTimer  *clock.Deadline // without a first message, and while closing
-	unreadTimer *clock.Deadline
-	closing     bool
+	closeTimer  *clock.Deadline // until the first message, and while closing
+	unreadTimer *clock.Deadline // nil if nothing waits to be written
+	closing     bool            // nothing more is received or sent
 	closed      bool
 }
 
-// admit registers a new connection; nil if the edge is draining or at a limit.
+// admit registers a new connection. It returns nil if the edge is draining or
+// has reached a limit.
 func (e *Edge) admit(tcp *net.TCPConn, proto protocol) (conn *connection) {
 	var peer netip.Addr
 	if address, ok := tcp.RemoteAddr().(*net.TCPAddr); ok {
@@ -69,8 +73,8 @@
 	return conn
 }
 
-// closeStalled closes a connection whose message makes too little progress, or
-// was displaced by others.
+// closeStalled closes a connection whose message arrives too slowly or was
+// evicted in favour of others.
 func (e *Edge) closeStalled(id uint64) {
 	if conn := e.connections.Get(slotmap.FromID(id)); conn != nil {
 		e.log.Debug("message stalled", "peer", conn.peer)
@@ -78,8 +82,8 @@
 	}
 }
 
-// send writes to a device. A connection whose device does not read its answers
-// is closed. It runs inside Do.
+// send writes to a device. It closes the connection if the device does not read
+// its answers. Call it inside Do.
 func (e *Edge) send(id uint64, b []byte) {
 	conn := e.connections.Get(slotmap.FromID(id))
 	if conn == nil || conn.closing {
@@ -87,7 +91,7 @@
 	}
 	conn.unreadBytes += len(b)
 	if conn.unreadBytes > maxUnreadBytes {
-		conn.closing = true // nothing more is received or sent
+		conn.closing = true
 		conn.socket.Close()
 		return
 	}
@@ -99,7 +103,8 @@
 	})
 }
 
-// sent handles that the system has taken n bytes.
+// sent accounts for n bytes that were written to the socket and restarts the
+// timer for those that remain.
 func (conn *connection) sent(n int) {
 	conn.unreadBytes -= n
 	conn.edge.loop.Cancel(conn.unreadTimer)
@@ -114,8 +119,8 @@
 	conn.unreadTimer = loop.At(loop.Now()+unreadTimeoutMs, conn.socket.Close)
 }
 
-// closeAfterSending closes a connection once its last message is sent. It runs
-// inside Do.
+// closeAfterSending closes a connection once its last message is written, or
+// after closeTimeoutMs. Call it inside Do.
 func (e *Edge) closeAfterSending(id uint64) {
 	conn := e.connections.Get(slotmap.FromID(id))
 	if conn == nil || conn.closing {
@@ -127,7 +132,7 @@
 	conn.closeTimer = e.loop.At(e.loop.Now()+closeTimeoutMs, conn.socket.Close)
 }
 
-// end closes the socket and unregisters the connection.
+// close closes the socket and unregisters the connection.
 func (conn *connection) close() {
 	conn.socket.Close()
 	e := conn.edge
--- a/internal/edge/datagrams.go
+++ b/internal/edge/datagrams.go
@@ -8,13 +8,16 @@
 )
 
 const (
-	// maxQueuedDatagrams bounds the datagrams that wait for the socket.
+	// maxQueuedDatagrams bounds the datagrams that wait to be sent; more are
+	// dropped.
 	maxQueuedDatagrams = 1024
-	// maxDatagram is the size of the read buffer, in bytes.
+	// maxDatagramBytes is the size of the read buffer: the largest UDP datagram
+	// fits.
 	maxDatagramBytes = 1 << 16
 )
 
-// datagrams is the UDP socket. One goroutine reads and one writes, until close.
+// datagramSocket is the UDP socket. One goroutine reads and one writes, until
+// close is called.
 type datagramSocket struct {
 	socket *net.UDPConn
 	queue  chan datagram
@@ -35,7 +38,8 @@
 	}
 }
 
-// send queues a datagram. It is lost if the queue is full: CoAP retransmits.
+// send queues a datagram. It drops it if the queue is full, because CoAP
+// retransmits lost messages.
 func (d *datagramSocket) send(to netip.AddrPort, payload []byte) {
 	select {
 	case d.queue <- datagram{to: to, payload: payload}:
@@ -43,7 +47,7 @@
 	}
 }
 
-// close ends both goroutines.
+// close closes the socket, which ends both goroutines.
 func (d *datagramSocket) close() (err error) {
 	d.once.Do(func() {
 		err = d.socket.Close()
@@ -52,19 +56,19 @@
 	return err
 }
 
-// write sends the queued datagrams until close.
+// writeQueued sends the queued datagrams until the socket is closed.
 func (d *datagramSocket) writeQueued() {
 	for {
 		select {
 		case next := <-d.queue:
-			_, _ = d.socket.WriteToUDPAddrPort(next.payload, next.to) // a lost one is retransmitted
+			_, _ = d.socket.WriteToUDPAddrPort(next.payload, next.to) // CoAP retransmits what is lost
 		case <-d.closed:
 			return
 		}
 	}
 }
 
-// readDatagrams delivers datagrams to the rules until the socket is closed.
+// readDatagrams passes datagrams to the CoAP server until the socket is closed.
 func (e *Edge) readDatagrams() {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
@@ -73,7 +77,7 @@
 			return
 		}
 		if err != nil {
-			continue // an ICMP error for an earlier answer is reported here
+			continue // such as an ICMP error that an earlier datagram caused
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		e.loop.Do(func() {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,11 +1,13 @@
 // Package edge accepts readings from devices over CoAP, MQTT and a framed
 // stream and submits them to the router as ordinary requests. It owns the
 // sockets, the messages that wait for their answers and the text of the
-// statements. The rules are in the packages below it, and the endpoint of a
-// statement is selected where it is for every client.
+// statements. The rules of the protocols and of readings are in its
+// subpackages. The router selects the endpoint of a statement as it does for
+// every other client.
 //
-// All state belongs to the clock.Loop: methods say where they run inside its
-// Do. Goroutines beside it read and write sockets and enter the loop to report.
+// All state belongs to a clock.Loop. A method that must be called inside Loop.Do
+// says so. The goroutines that read and write sockets call Do to access the
+// state.
 package edge
 
 import (
@@ -29,14 +31,14 @@
 	"lotusbend/internal/slotmap"
 )
 
-// RequestRouter is the router to which statements are submitted, inside the loop's
-// Do.
+// RequestRouter is the router to which the edge submits statements. Its methods
+// are called inside the loop's Do.
 type RequestRouter interface {
 	Class(name []byte) (router.Class, bool)
 	Submit(r router.Request, from router.Client, client slotmap.Handle) slotmap.Handle
 }
 
-// Edge is the edge of one router.
+// Edge is the listener for devices of one router.
 type Edge struct {
 	loop          *clock.Loop
 	log           *slog.Logger
@@ -49,11 +51,11 @@
 	routeByMatch map[string]int // index in routes
 
 	intake     *intake.Intake
-	store      *store.Store // nil without a disk
+	store      *store.Store // nil unless the settings name a store
 	mqtt       *mqtt.Server
 	frames     *frames.Server
 	coap       *coap.Server
-	unfinished *progress.Ledger // messages over TCP
+	unfinished *progress.Ledger // partially received messages over TCP
 
 	udp             *datagramSocket // nil if there is no CoAP address
 	listeners       []*listener
@@ -65,19 +67,20 @@
 	messages      slotmap.Table[pendingMessage]
 	statements    slotmap.Table[pendingStatement]
 	readsInFlight int
-	bootID        uint64 // distinguishes this process's statements from another's
-	lastSerial    uint64 // of statements
+	bootID        uint64 // random; distinguishes the statements of this process
+	lastSerial    uint64 // number of the last statement
 
-	timer    *clock.Deadline // for the earliest timer of all rules
-	timerAt  float64         // Unix milliseconds
+	timer    *clock.Deadline // for the earliest deadline of all subpackages
+	timerAt  float64         // when timer is due, in Unix milliseconds
 	draining bool
 }
 
-// The most that an MQTT property states as its receive maximum.
+// maxReceiveMaximum is the largest value of MQTT's Receive Maximum property.
 const maxReceiveMaximum = 65535
 
-// New returns an edge that listens; it accepts devices from Start on. An error
-// is a single line.
+// New opens the sockets and the store and returns an edge that accepts devices
+// once Start is called. seed seeds the random choices of the rules. The text of
+// an error is a single line.
 func New(
 	options *operatorconfig.Edge, loop *clock.Loop, log *slog.Logger,
 	budget *netio.DescriptorBudget, requestRouter RequestRouter, seed uint64,
@@ -120,7 +123,7 @@
 	return binary.BigEndian.Uint64(id[:])
 }
 
-// newServers makes the rules of the protocols.
+// newServers creates the servers of the three protocols.
 func (e *Edge) newServers(seed uint64) {
 	limits := progress.Limits{
 		WindowMs:   e.options.ProgressWindowMs,
@@ -148,8 +151,8 @@
 	}, echoKey, seed, (*coapActions)(e))
 }
 
-// Check reports whether an edge with these options could start, except for its
-// sockets and its store.
+// Check validates the routes and limits of an edge as New does, without opening
+// its sockets and its store. It returns nil if they are valid.
 func Check(options *operatorconfig.Edge, requestRouter RequestRouter) error {
 	e := &Edge{options: options, requestRouter: requestRouter}
 	readingRoutes, err := e.bindRoutes()
@@ -162,7 +165,7 @@
 	return nil
 }
 
-// restore opens the store and posts the delivery of the readings in it.
+// restore opens the store and schedules the delivery of the readings in it.
 func (e *Edge) restore() error {
 	opened, readings, err := store.Open(e.options.Store, e.options.MaxStoreBytes)
 	if err != nil {
@@ -172,7 +175,7 @@
 	e.loop.Do(func() {
 		for _, reading := range readings {
 			if reading.Route >= len(e.routes) {
-				reading.Route = 0 // its route was removed from the settings
+				reading.Route = 0 // the settings no longer contain its route
 			}
 			e.loop.Post(func() { e.intake.Recover(e.loop.Now(), reading) })
 		}
@@ -182,7 +185,8 @@
 	return nil
 }
 
-// arm sets one timer for the earliest of all rules. It runs inside Do.
+// armTimer sets the timer to the earliest deadline of all subpackages. Call it
+// inside Do.
 func (e *Edge) armTimer() {
 	next, due := e.nextTimer()
 	if !due || e.timer != nil && e.timerAt <= next {
@@ -193,7 +197,8 @@
 	e.timer = e.loop.At(next, e.runTimers)
 }
 
-// nextTimer returns the earliest timer of all rules, in Unix milliseconds.
+// nextTimer returns the earliest deadline of all subpackages, in Unix
+// milliseconds, and whether there is one.
 func (e *Edge) nextTimer() (next float64, due bool) {
 	rules := []interface{ Next() (float64, bool) }{e.intake, e.mqtt, e.frames, e.coap, e.unfinished}
 	for _, rule := range rules {
@@ -206,6 +211,7 @@
 	return next, due
 }
 
+// runTimers runs what is due in all subpackages and sets the next timer.
 func (e *Edge) runTimers() {
 	e.timer = nil
 	now := e.loop.Now()
@@ -222,7 +228,8 @@
 // statisticsInterval is how often the counters are logged, in milliseconds.
 const statisticsIntervalMs = 60000
 
-// logStatistics logs the counters at every interval in which they change.
+// logStatistics logs the counters at the end of each interval in which they
+// changed; last holds their previous values.
 func (e *Edge) logStatistics(last intake.Stats) {
 	e.loop.At(e.loop.Now()+statisticsIntervalMs, func() {
 		current := e.intake.Stats()
@@ -234,24 +241,23 @@
 	})
 }
 
-// Drain begins a graceful shutdown: nothing new is accepted, messages in
-// progress are answered. It runs inside Do.
+// Drain begins a graceful shutdown: new connections, messages and reads are
+// rejected, and messages in progress are answered. Call it inside Do.
 func (e *Edge) Drain() {
 	e.draining = true
 	e.mqtt.Drain()
 	e.frames.Drain()
 }
 
-// HasPending reports whether a device still waits for an answer. It runs inside
-// Do.
+// HasPending reports whether a device waits for an answer. Call it inside Do.
 func (e *Edge) HasPending() bool {
 	pending := e.readsInFlight > 0
 	e.messages.Each(func(slotmap.Handle, *pendingMessage) { pending = true })
 	return pending
 }
 
-// Close closes the sockets and the store, once every change to the store is on
-// the disk.
+// Close closes the sockets, then the store after all its pending changes are on
+// disk. Connections that are open stay open.
 func (e *Edge) Close() error {
 	err := e.closeSockets()
 	if e.store != nil {
@@ -260,5 +266,5 @@
 	return err
 }
 
-// Stats returns the counters of the rules for readings. It runs inside Do.
+// Stats returns the counters of readings. Call it inside Do.
 func (e *Edge) Stats() intake.Stats { return e.intake.Stats() }
--- a/internal/edge/input.go
+++ b/internal/edge/input.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	// readBufferSize is the size of the buffers that connections read into.
+	// readBufferBytes is the size of the buffers that connections read into.
 	readBufferBytes = 4 << 10
-	// maxSpareBuffers is how many of them are kept for reuse.
+	// maxSpareBuffers is how many unused buffers are kept for reuse.
 	maxSpareBuffers = 64
 )
 
-var errUnknownProtocol = errors.New("edge: not the listener's protocol")
+var errUnknownProtocol = errors.New("edge: first byte does not begin an MQTT CONNECT packet")
 
-// input is what was read on a connection, in a buffer of the edge.
+// input holds the bytes of one read from a connection.
 type input struct {
 	from   *connection
-	buffer *[]byte
-	length int
+	buffer *[]byte // from getBuffer
+	length int     // bytes read into buffer
 }
 
-// borrowBuffer returns a buffer to read into. Idle connections have none.
+// getBuffer returns a buffer to read into, which putBuffer takes back.
+// Connections that wait for input hold no buffer.
 func (e *Edge) getBuffer() *[]byte {
 	select {
 	case buffer := <-e.spareBuffers:
@@ -43,10 +44,10 @@
 	}
 }
 
-// read reads until the connection ends; it is the connection's goroutine. It
-// has no buffer while it waits, and passes input to the one goroutine of
-// takeInput: the protocols need deep stacks, which ten thousand goroutines
-// would keep.
+// read is the goroutine of a connection: it reads until the connection ends. To
+// keep the memory of ten thousand idle connections small, it holds no buffer
+// while it waits, and leaves the decoding, whose deep stack every goroutine
+// would keep, to the single goroutine of processInputs.
 func (conn *connection) read(tcp *net.TCPConn) {
 	defer conn.close()
 	raw, err := tcp.SyscallConn()
@@ -74,8 +75,8 @@
 	}
 }
 
-// readAvailable reads without waiting. done is false if nothing is available
-// yet; n is 0 at the end of the connection and after an error.
+// readAvailable reads from a non-blocking descriptor. done is false if nothing
+// is available yet; n is 0 at the end of the stream and after an error.
 func readAvailable(descriptor int, buffer []byte) (n int, done bool) {
 	for {
 		n, err := syscall.Read(descriptor, buffer)
@@ -91,8 +92,8 @@
 	}
 }
 
-// takeInput handles the input of all connections in turn: all of it needs the
-// loop anyway.
+// processInputs handles the input of all connections in turn. One goroutine
+// suffices, because handling takes the loop's lock anyway.
 func (e *Edge) processInputs() {
 	for received := range e.inputs {
 		keepReading := received.from.receive((*received.buffer)[:received.length])
@@ -101,8 +102,8 @@
 	}
 }
 
-// receive handles the whole messages of an input and keeps the beginning of an
-// unfinished one. It returns false after a violation of the protocol.
+// receive handles the complete messages of an input and keeps the beginning of
+// an incomplete one. It returns false after a violation of the protocol.
 func (conn *connection) receive(newData []byte) (keepReading bool) {
 	data := newData
 	if len(conn.unfinished) > 0 {
@@ -112,7 +113,7 @@
 	keepReading = true
 	e := conn.edge
 	e.loop.Do(func() {
-		if conn.closing { // it reads on only until its last message is sent
+		if conn.closing { // input is discarded until the last message is sent
 			conn.unfinished = nil
 			return
 		}
@@ -130,7 +131,8 @@
 	return keepReading
 }
 
-// handleMessages passes whole messages to the protocol and returns the rest.
+// handleMessages passes complete messages to the protocol's server and returns
+// the rest of data. An error is a violation of the framing.
 func (conn *connection) handleMessages(now float64, data []byte) (rest []byte, err error) {
 	e := conn.edge
 	id := conn.handle.ID()
@@ -155,8 +157,9 @@
 	return data, nil
 }
 
-// keepUnfinished keeps the beginning of a message and accounts for its new
-// bytes: all fresh ones if the message began earlier, else all of the rest.
+// keepUnfinished keeps the received part of an incomplete message and accounts
+// for its new bytes: all new data if the message began in an earlier input, else
+// the whole rest.
 func (conn *connection) keepUnfinished(now float64, rest []byte, dataBytes, newDataBytes int) {
 	e := conn.edge
 	newBytes := newDataBytes
@@ -170,8 +173,8 @@
 	}
 }
 
-// messageLength returns the length of the message at the beginning of b, 0 if
-// that is not known yet.
+// messageLength returns the length in bytes of the message at the beginning of
+// b, or 0 if b is too short to tell.
 func (conn *connection) messageLength(b []byte) (int, error) {
 	limit := conn.edge.options.MaxMessageBytes
 	if conn.protocol == protocolMQTT {
--- a/internal/edge/listen.go
+++ b/internal/edge/listen.go
@@ -10,17 +10,17 @@
 	"lotusbend/internal/edge/intake"
 )
 
-// acceptRetryDelay is the pause after a failed accept, as with no descriptor
-// left.
+// acceptRetryDelay is the pause after a failed accept, for example when the
+// process has no file descriptor left.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// listener is one TCP socket and the protocol that is spoken there.
+// listener is a TCP listener and the protocol of its connections.
 type listener struct {
 	net.Listener
 	protocol protocol
 }
 
-// listen opens the sockets that the settings name.
+// listen opens a socket for each address in the settings.
 func (e *Edge) listen() error {
 	if err := e.listenCoAP(); err != nil {
 		return err
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// Addresses returns where the edge listens for CoAP, MQTT and frames, "" where
-// it does not.
+// Addresses returns the addresses on which the edge listens for CoAP, MQTT and
+// frames. The address of a protocol without a listener is empty.
 func (e *Edge) Addresses() (coap, mqtt, frames string) {
 	if e.udp != nil {
 		coap = e.udp.socket.LocalAddr().String()
@@ -75,7 +75,7 @@
 	return coap, mqtt, frames
 }
 
-// Start accepts devices from now on, until Close. It runs outside Do.
+// Start accepts devices until Close is called. Call it once, outside Do.
 func (e *Edge) Start() {
 	e.loop.Do(func() { e.logStatistics(intake.Stats{}) })
 	if e.udp != nil {
@@ -83,7 +83,7 @@
 		go e.udp.writeQueued()
 	}
 	if len(e.listeners) > 0 {
-		// It runs until the process ends: connections outlive their listener.
+		// This goroutine is never stopped: connections outlive their listener.
 		go e.processInputs()
 	}
 	for _, l := range e.listeners {
@@ -91,7 +91,8 @@
 	}
 }
 
-// closeSockets ends the goroutines of the UDP socket and of the listeners.
+// closeSockets closes the UDP socket and the listeners, which ends their
+// goroutines.
 func (e *Edge) closeSockets() (err error) {
 	if e.udp != nil {
 		err = e.udp.close()
--- a/internal/edge/messages.go
+++ b/internal/edge/messages.go
@@ -10,27 +10,27 @@
 	"lotusbend/internal/slotmap"
 )
 
-// message is a message of readings until each of them has its answer.
+// pendingMessage is a message with readings that do not all have their answers.
 type pendingMessage struct {
 	protocol   protocol
-	token      uint64 // of the protocol's rules
-	results    []batch.Result
-	unanswered int // of results
+	token      uint64         // identifies the message to the protocol's server
+	results    []batch.Result // in the order of the readings
+	unanswered int            // results that are not known yet
 }
 
-// delivery is a decoded message as a protocol delivers it.
+// delivery is a decoded message from a protocol's server.
 type delivery struct {
 	protocol      protocol
 	token         uint64
 	match         string // selects the route
 	batch         *batch.Batch
-	notBefore     float64 // the message was sent after that, Unix milliseconds; 0 if not known
-	retransmitted bool    // its sender says that it sent it before
+	notBefore     float64 // when the message was sent at the earliest, Unix milliseconds; 0 if unknown
+	retransmitted bool    // the sender declares an earlier copy
 	from          netip.Addr
 }
 
-// deliver offers each reading of a message to intake. The answers go to the
-// protocol together, under the token. It runs inside Do.
+// deliver offers each reading of a message to intake. The protocol's server gets
+// all answers together, with the token. Call it inside Do.
 func (e *Edge) deliver(d delivery) {
 	index, known := e.routeByMatch[d.match]
 	if !known || e.routes[index].intakeIndex < 0 {
@@ -69,13 +69,14 @@
 	}
 }
 
-// The length of the prefix that one owner of addresses usually has, in bits.
+// The prefix lengths, in bits, that are usually assigned to one site.
 const (
 	ipv4NetworkBits = 24
 	ipv6NetworkBits = 48
 )
 
-// networkOf returns the network of an address, the zero Prefix for none.
+// networkOf returns the network that an address belongs to, or the zero Prefix
+// for the zero Addr.
 func networkOf(address netip.Addr) netip.Prefix {
 	address = address.Unmap()
 	bits := ipv4NetworkBits
@@ -86,7 +87,8 @@
 	return prefix
 }
 
-// finish gives a message's answers to its protocol.
+// answerMessage passes the answers to a message to its protocol's server, unless
+// some are still missing.
 func (e *Edge) answerMessage(handle slotmap.Handle) {
 	message := e.messages.Get(handle)
 	if message == nil || message.unanswered > 0 {
@@ -107,7 +109,8 @@
 	e.armTimer()
 }
 
-// answerInvalid answers a message that is not delivered to a route.
+// answerInvalid answers a message that cannot be decoded or has no route for
+// readings; unknownRoute is true if it has no route at all.
 func (e *Edge) answerInvalid(proto protocol, token uint64, unknownRoute bool) {
 	now := e.loop.Now()
 	switch proto {
@@ -125,9 +128,9 @@
 	e.armTimer()
 }
 
-// responseCode returns a message's CoAP response code: 2.04 if any reading is
-// recorded or stored, else the code of the mildest status. maxAge, in
-// milliseconds, is set for 5.03.
+// responseCode returns the CoAP response code for a message: 2.04 if any reading
+// is recorded or stored, else 5.03 if a retry of any may succeed, else 4.09 if
+// any conflicts, else 4.00. maxAgeMs is set for 5.03.
 func responseCode(results []batch.Result) (code codes.Code, maxAgeMs float64) {
 	retry := false
 	conflict := false
--- a/internal/edge/protocols.go
+++ b/internal/edge/protocols.go
@@ -8,6 +8,7 @@
 	"lotusbend/internal/slotmap"
 )
 
+// protocol identifies one of the protocols that devices use.
 type protocol uint8
 
 const (
--- a/internal/edge/reads.go
+++ b/internal/edge/reads.go
@@ -8,22 +8,24 @@
 )
 
 const (
-	// maxReadsInFlight bounds the reads of all devices.
+	// maxReadsInFlight bounds the reads of all devices together; more are
+	// rejected.
 	maxReadsInFlight = 256
-	// maxCoAPValue is the longest value in a CoAP response, in bytes: one
-	// datagram must carry it.
+	// maxCoAPValueBytes is the longest value in a CoAP response, which must fit
+	// into one datagram.
 	maxCoAPValueBytes = 1024
-	// maxRowName is the longest name of a row that may be read, in bytes.
+	// maxRowNameBytes is the longest name of a row that may be read.
 	maxRowNameBytes = 64
 )
 
-// read is a device's request for a value.
+// pendingRead is a device's request for a value that waits for its answer.
 type pendingRead struct {
 	protocol protocol
-	token    uint64 // of the protocol's rules
+	token    uint64 // identifies the request to the protocol's server
 }
 
-// startRead submits a read of the row that a device names. It runs inside Do.
+// startRead submits a read of the row that a device names. match selects the
+// route. Call it inside Do.
 func (e *Edge) startRead(proto protocol, token uint64, match, row string) {
 	index, known := e.routeByMatch[match]
 	if !known || e.routes[index].Read == "" || !isRowName(row) {
@@ -47,7 +49,8 @@
 	e.submit(statement, route.read, route.Read, text, "", group, e.options.Intake.CheckTimeout)
 }
 
-// isRowName reports whether a device's text may stand in a statement.
+// isRowName reports whether a device's text is a valid row name. Such a name
+// contains no character that could end the string literal in a statement.
 func isRowName(name string) bool {
 	for _, c := range name {
 		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
@@ -59,7 +62,7 @@
 	return len(name) > 0 && len(name) <= maxRowNameBytes
 }
 
-// finishRead answers a read whose statement has ended.
+// finishRead answers a read with the outcome of its statement.
 func (e *Edge) finishRead(read *pendingRead, result outcome) {
 	e.readsInFlight--
 	minRetryAfter := e.options.Intake.MinRetryAfter
@@ -73,8 +76,7 @@
 	}
 }
 
-// answerRead gives a read's answer to its protocol; retryAfter is in
-// milliseconds.
+// answerRead passes the answer to a read to the protocol's server.
 func (e *Edge) answerRead(
 	proto protocol, token uint64, status intake.Status, retryAfterMs float64, value []byte,
 ) {
@@ -89,7 +91,7 @@
 	case status != intake.Recorded:
 		code = codes.ServiceUnavailable
 	case len(value) > maxCoAPValueBytes:
-		code = codes.NotImplemented // its answer would need blocks
+		code = codes.NotImplemented // responses in several blocks are not supported
 		value = nil
 	}
 	e.coap.Answer(e.loop.Now(), token, code, value, retryAfterMs)
--- a/internal/edge/routes.go
+++ b/internal/edge/routes.go
@@ -8,16 +8,17 @@
 	"lotusbend/internal/router"
 )
 
-// route is a route of the settings with its classes.
+// boundRoute is a route of the settings with its classes.
 type boundRoute struct {
 	operatorconfig.Route
 	write       router.Class
 	check       router.Class
 	read        router.Class
-	intakeIndex int // in the routes of intake, -1 for a route of reads
+	intakeIndex int // in the routes of intake, -1 if readings are not accepted
 }
 
-// bindRoutes fills in e.routes and returns those of readings for intake.
+// bindRoutes sets e.routes and e.routeByMatch, and returns the routes that accept
+// readings for intake.
 func (e *Edge) bindRoutes() (readingRoutes []intake.Route, err error) {
 	e.routeByMatch = map[string]int{}
 	for i, configured := range e.options.Routes {
@@ -26,7 +27,7 @@
 			return nil, fmt.Errorf("edge.routes[%d].%w", i, err)
 		}
 		if _, duplicate := e.routeByMatch[configured.Match]; duplicate {
-			return nil, fmt.Errorf("edge.routes[%d].match: %q is given twice", i, configured.Match)
+			return nil, fmt.Errorf("edge.routes[%d].match: duplicate value %q", i, configured.Match)
 		}
 		bound.intakeIndex = -1
 		if configured.Write != "" {
@@ -42,18 +43,19 @@
 	return readingRoutes, nil
 }
 
-// classRole is the use of a class by a route and what it requires.
+// classRole is the purpose for which a route uses a class, with the property that
+// the class must have.
 type classRole struct {
 	key      string // in the settings
-	required string // in words
+	required string // the property, for error messages
 	fits     func(router.Class) bool
 }
 
 var (
-	writeRole = classRole{"write", "writes with a key", func(c router.Class) bool {
+	writeRole = classRole{"write", "writes with an idempotency key", func(c router.Class) bool {
 		return c.Write && c.NeedsIdempotencyKey
 	}}
-	checkRole = classRole{"check", "reads that see all that was written", func(c router.Class) bool {
+	checkRole = classRole{"check", "reads that see all earlier writes", func(c router.Class) bool {
 		return c.Fresh
 	}}
 	readRole = classRole{"read", "reads", func(c router.Class) bool {
@@ -78,18 +80,21 @@
 	return bound, err
 }
 
+// find returns the class with the given name, or an error if it does not exist
+// or does not fit the role.
 func (role classRole) find(requestRouter RequestRouter, name string) (router.Class, error) {
 	class, ok := requestRouter.Class([]byte(name))
 	if !ok {
-		return class, fmt.Errorf("%s: there is no class %q", role.key, name)
+		return class, fmt.Errorf("%s: class %q does not exist", role.key, name)
 	}
 	if !role.fits(class) {
-		return class, fmt.Errorf("%s: class %q is no class of %s", role.key, name, role.required)
+		return class, fmt.Errorf("%s: class %q is not a class of %s", role.key, name, role.required)
 	}
 	return class, nil
 }
 
-// routeOf returns the route with that index in intake's routes.
+// routeByIntakeIndex returns the route with the given index in intake's routes,
+// or the first route if there is none.
 func (e *Edge) routeByIntakeIndex(intakeIndex int) *boundRoute {
 	for i := range e.routes {
 		if e.routes[i].intakeIndex == intakeIndex {
--- a/internal/edge/statements.go
+++ b/internal/edge/statements.go
@@ -9,21 +9,21 @@
 	"lotusbend/internal/slotmap"
 )
 
-// statement is a statement that the router executes.
+// pendingStatement is a statement that was submitted to the router.
 type pendingStatement struct {
 	submission uint64       // of intake, 0 for a read
 	read       *pendingRead // nil for a submission of intake
 }
 
-// outcome is the end of a statement.
+// outcome is the result of a statement.
 type outcome struct {
 	verdict      router.Verdict
 	value        []byte  // if Served
-	retryAfterMs float64 // milliseconds, if Rejected
+	retryAfterMs float64 // if Rejected
 }
 
-// submit appends the routing comment to a statement's text and submits it to
-// the router; timeout is in milliseconds. It runs inside Do.
+// submit appends the routing comment to a statement's text and submits it to the
+// router. key is the idempotency key, empty for a read. Call it inside Do.
 func (e *Edge) submit(
 	statement *pendingStatement, class router.Class, className string,
 	text []byte, key string, group int, timeoutMs float64,
@@ -50,7 +50,7 @@
 	}, e, e.statements.Add(statement))
 }
 
-// appendHex appends 16 hexadecimal digits.
+// appendHex appends n as 16 hexadecimal digits.
 func appendHex(b []byte, n uint64) []byte {
 	const zeros = "0000000000000000"
 	digits := strconv.AppendUint(make([]byte, 0, len(zeros)), n, 16)
@@ -58,8 +58,8 @@
 	return append(b, digits...)
 }
 
-// Answer implements router.Client. It may come from within Submit, so that the
-// rules learn of it after the event in progress.
+// Answer implements router.Client. The router may call it from within Submit, so
+// the outcome is posted to the loop and handled after the event in progress.
 func (e *Edge) Answer(client slotmap.Handle, answer router.Answer) {
 	statement := e.statements.Get(client)
 	if statement == nil {
@@ -68,7 +68,7 @@
 	e.statements.Remove(client)
 	result := outcome{verdict: answer.Verdict, retryAfterMs: answer.RetryAfter}
 	if answer.Verdict == router.Served {
-		value, ok := rowValue(answer.Row) // a copy: the row is valid only during this call
+		value, ok := rowValue(answer.Row) // a copy, because the row is valid only during this call
 		result.value = value
 		if !ok {
 			result.verdict = router.Failed
@@ -84,8 +84,8 @@
 	})
 }
 
-// document returns a copy of a row's value, which is bytes in binary format or
-// PostgreSQL's hexadecimal text.
+// rowValue returns a copy of a row's value, decoded from PostgreSQL's hex format
+// of bytea if the row is in text format; ok is false if that is malformed.
 func rowValue(row *router.Row) (value []byte, ok bool) {
 	if row.Binary {
 		return append([]byte{}, row.Value...), true
