--- a/internal/edge/coap/block.go
+++ b/internal/edge/coap/block.go
@@ -7,31 +7,35 @@
 	"github.com/plgd-dev/go-coap/v3/message/codes"
 )
 
-// The Block1 option (RFC 7959, 2.2).
+// The value of the Block1 option (RFC 7959, 2.2). A block has
+// 2^(exponent+minBlockExponent) bytes.
 const (
 	blockNumberShift  = 4
 	blockMoreFlag     = 8
 	blockExponentMask = 7
 	reservedExponent  = 7
-	minBlockExponent  = 4 // added to the option's exponent of the size
+	minBlockExponent  = 4
 )
 
-// minGlobalTag is the length in bytes from which a Request-Tag names a transfer
-// under any address: eight random bytes cannot be guessed.
+// minGlobalTagBytes is the length from which a Request-Tag identifies a transfer
+// regardless of the client's address. Eight random bytes cannot be guessed by
+// another client; shorter tags identify a transfer only together with the
+// address.
 const minGlobalTagBytes = 8
 
-// transfer is a message that comes in blocks (RFC 7959).
+// blockTransfer is a message that is being received in blocks (RFC 7959).
 type blockTransfer struct {
 	key       string
-	owner     uint64 // in Server.unfinished
+	owner     uint64 // identifies the transfer in Server.unfinished
 	nextBlock uint32
 	blockSize int // bytes
 	received  []byte
 }
 
-// handleBlock takes one block. It returns the whole message with the last one,
-// else the code to respond with. An interrupted transfer resumes at its next
-// block, under a Request-Tag of minGlobalTag also from another address.
+// handleBlock handles one block. After the last block it returns the complete
+// message, else the code to respond with. A client may continue an interrupted
+// transfer with the next block, also from another address if its Request-Tag has
+// at least minGlobalTagBytes.
 func (s *Server) handleBlock(
 	now float64, id exchangeID, path string, received *message.Message, block1 uint32,
 ) (payload []byte, code codes.Code) {
@@ -47,7 +51,7 @@
 	}
 	key := transferKey(id, path, received)
 	if number == 0 {
-		if !more { // a message of one block
+		if !more { // the message consists of one block
 			s.endTransfer(s.transfers[key])
 			return received.Payload, noError
 		}
@@ -57,7 +61,7 @@
 	switch {
 	case transfer == nil || number > transfer.nextBlock || size != transfer.blockSize:
 		return nil, codes.RequestEntityIncomplete
-	case number < transfer.nextBlock: // a duplicate
+	case number < transfer.nextBlock: // a duplicate block
 		return nil, codes.Continue
 	case len(transfer.received)+len(received.Payload) > s.limits.MessageBytes:
 		s.endTransfer(transfer)
@@ -72,8 +76,9 @@
 	return nil, s.addTransferBytes(now, transfer, len(received.Payload))
 }
 
+// transferKey returns what identifies the transfer that a block belongs to.
 func transferKey(id exchangeID, path string, received *message.Message) string {
-	tag, _ := received.Options.GetBytes(message.RequestTag) // an absent one is empty
+	tag, _ := received.Options.GetBytes(message.RequestTag) // empty if absent
 	key := path + "\x00" + string(tag)
 	if len(tag) < minGlobalTagBytes {
 		key += "\x00" + id.peer.String() + "\x00" + strconv.Itoa(len(tag))
@@ -81,8 +86,8 @@
 	return key
 }
 
-// beginTransfer begins a transfer, or begins it anew if it is past its first
-// block.
+// beginTransfer starts a transfer with its first block. It restarts a transfer
+// that has received later blocks.
 func (s *Server) beginTransfer(key string, blockSize int) {
 	transfer := s.transfers[key]
 	if transfer != nil && transfer.nextBlock <= 1 {
@@ -95,14 +100,14 @@
 	s.transferByOwner[transfer.owner] = transfer
 }
 
-// accountFor adds a block's bytes to those of all transfers, which may end the
-// slowest. It returns the code to respond with.
+// addTransferBytes accounts for a block's bytes, which may evict the slowest
+// transfers. It returns the code to respond with.
 func (s *Server) addTransferBytes(now float64, transfer *blockTransfer, blockBytes int) codes.Code {
 	for _, owner := range s.unfinished.Grow(now, transfer.owner, blockBytes) {
 		s.stats.Stalled++
 		s.endTransfer(s.transferByOwner[owner])
 	}
-	if s.transfers[transfer.key] != transfer { // it was the slowest
+	if s.transfers[transfer.key] != transfer { // it was evicted itself
 		return codes.ServiceUnavailable
 	}
 	return codes.Continue
--- a/internal/edge/coap/coap.go
+++ b/internal/edge/coap/coap.go
@@ -1,8 +1,8 @@
-// Package coap holds the rules of a CoAP server (RFC 7252) for readings: which
-// datagram duplicates which, when a confirmable request gets its empty
-// acknowledgement and a separate response, how blocks become a message (RFC
-// 7959), and which addresses get long responses (RFC 9175). Datagrams and times
-// go in, datagrams and messages out; there is no socket and no clock. Times are
+// Package coap implements the rules of a CoAP server (RFC 7252) for readings:
+// detection of duplicates, empty acknowledgements and separate responses,
+// block-wise transfers of requests (RFC 7959), and the verification of client
+// addresses by the Echo option (RFC 9175). The package has no I/O and no clock:
+// the caller passes in datagrams and the time, and implements Actions. Times are
 // Unix milliseconds. A Server is not safe for concurrent use.
 package coap
 
@@ -21,10 +21,10 @@
 	"lotusbend/internal/edge/timers"
 )
 
-// Times of RFC 7252, section 4.8, in milliseconds, and numbers.
+// The transmission parameters of RFC 7252, 4.8.
 const (
 	exchangeLifetimeMs = 247000
-	nonLifetimeMs      = 145000 // of an exchange whose request is not confirmable
+	nonLifetimeMs      = 145000 // lifetime of an exchange with a non-confirmable request
 	ackTimeoutMs       = 2000
 	ackRandomFactor    = 1.5
 	maxRetransmit      = 4
@@ -33,10 +33,10 @@
 const (
 	// maxOptions is how many options a request may have.
 	maxOptions = 32
-	// maxDatagram is the longest that is accepted, in bytes. Longer messages
-	// come in blocks.
+	// maxDatagramBytes is the longest datagram that is accepted. Clients send
+	// longer messages in blocks.
 	maxDatagramBytes = 1472
-	// maxSegment is the longest segment of a path, in bytes.
+	// maxSegmentBytes is the longest segment of a path.
 	maxSegmentBytes = 64
 	// seedStream is the second half of the random generator's seed.
 	seedStream = 0xc0a9
@@ -56,14 +56,15 @@
 )
 
 // Actions carries out what a Server decides. Its methods must not call back into
-// it.
+// the Server.
 type Actions interface {
+	// Send sends a datagram.
 	Send(to netip.AddrPort, datagram []byte)
-	// Deliver takes a whole message that was sent after notBefore. It is
-	// answered by Server.Answer with the token.
+	// Deliver processes a complete message that was sent after notBefore. The
+	// result goes to Server.Answer with the token.
 	Deliver(token uint64, from netip.AddrPort, path string, payload []byte, notBefore float64)
-	// Read requests the value named by a path and its last segment. It is
-	// answered by Server.Answer with the token.
+	// Read reads the value of a row; row is the last segment of the request's
+	// path, and path is the rest. The result goes to Server.Answer with the token.
 	Read(token uint64, from netip.AddrPort, path, row string)
 }
 
@@ -71,10 +72,10 @@
 type Limits struct {
 	Exchanges    int             // remembered to detect duplicates
 	MessageBytes int             // of one message
-	Progress     progress.Limits // of messages in blocks
+	Progress     progress.Limits // of block-wise transfers
 }
 
-// Server is a CoAP server's state.
+// Server is the state of a CoAP server. New creates one.
 type Server struct {
 	limits  Limits
 	actions Actions
@@ -84,16 +85,16 @@
 	stats   Stats
 
 	exchanges      map[exchangeID]*requestExchange
-	exchangesByAge []*requestExchange              // the oldest first, with removed ones
-	removed        int                             // in byAge
-	pending        map[uint64]*requestExchange     // without their answer, by token
-	unacknowledged map[exchangeID]*requestExchange // with a separate response
+	exchangesByAge []*requestExchange              // oldest first, including removed ones
+	removed        int                             // number of removed exchanges in exchangesByAge
+	pending        map[uint64]*requestExchange     // without an answer, by token
+	unacknowledged map[exchangeID]*requestExchange // by the message ID of the separate response
 	lastToken      uint64
-	lastMessageID  uint16 // of a message that the server began
+	lastMessageID  uint16 // of the server's own messages
 
-	transfers       map[string]*blockTransfer
+	transfers       map[string]*blockTransfer // by transferKey
 	transferByOwner map[uint64]*blockTransfer
-	unfinished      *progress.Ledger // of the transfers
+	unfinished      *progress.Ledger // progress of the transfers
 }
 
 // Stats counts events since the start.
@@ -102,13 +103,13 @@
 	Malformed         uint64
 	Duplicates        uint64
 	Challenges        uint64 // requests without a valid Echo value
-	Evicted           uint64 // exchanges removed before their time
-	Stalled           uint64 // transfers
-	SeparateResponses uint64 // empty acknowledgements, each followed by a separate response
+	Evicted           uint64 // exchanges removed before their lifetime ended
+	Stalled           uint64 // transfers removed for lack of progress
+	SeparateResponses uint64 // requests acknowledged by an empty message before their response
 }
 
-// New returns a server. echoKey authenticates its Echo values and must be random
-// and new at every start.
+// New returns a server. echoKey authenticates its Echo values and must be a fresh
+// random key at every start. seed seeds message IDs and retransmission timeouts.
 func New(limits Limits, echoKey [32]byte, seed uint64, actions Actions) *Server {
 	random := rand.New(rand.NewPCG(seed, seedStream))
 	return &Server{
@@ -148,14 +149,14 @@
 	}
 }
 
-// Receive handles one datagram, which may be reused after the call.
+// Receive handles one datagram. The caller may reuse b after the call.
 func (s *Server) Receive(now float64, from netip.AddrPort, b []byte) {
 	s.stats.Datagrams++
 	received, err := decode(b)
 	if err != nil {
 		s.stats.Malformed++
-		// RFC 7252, 4.2: a malformed confirmable message is rejected by a
-		// Reset, any other is ignored.
+		// A malformed confirmable message is rejected with a Reset; any other is
+		// ignored (RFC 7252, 4.2).
 		if isConfirmable(b) {
 			s.sendEmpty(from, message.Reset, binary.BigEndian.Uint16(b[messageIDOffset:]))
 		}
@@ -165,19 +166,19 @@
 	isRequest := received.Code != codes.Empty && received.Code>>codeClassShift == requestClass
 	switch {
 	case received.Type == message.Acknowledgement || received.Type == message.Reset:
-		// The client has the separate response, or wants none.
+		// The client has received the separate response or rejects it.
 		if exchange := s.unacknowledged[id]; exchange != nil {
 			s.stopRetransmission(exchange)
 		}
 	case isRequest:
 		s.handleRequest(now, id, received, len(b))
-	case received.Type == message.Confirmable: // a ping, or a response to nothing
+	case received.Type == message.Confirmable: // a ping or an unexpected response
 		s.sendEmpty(from, message.Reset, id.messageID)
 	}
 }
 
-// isConfirmable reports whether a datagram's header is that of a confirmable
-// message, whatever follows it.
+// isConfirmable reports whether a datagram begins with the header of a
+// confirmable message. The rest may be malformed.
 func isConfirmable(b []byte) bool {
 	if len(b) < headerBytes || b[0]>>versionShift != version {
 		return false
@@ -185,11 +186,11 @@
 	return message.Type(b[0]>>typeShift&typeMask) == message.Confirmable
 }
 
-var errNotEmpty = errors.New("coap: an empty message that is not empty")
+var errNotEmpty = errors.New("coap: empty message has a token, options or a payload")
 
 func decode(b []byte) (*message.Message, error) {
 	if len(b) > maxDatagramBytes {
-		return nil, fmt.Errorf("coap: %d bytes", len(b))
+		return nil, fmt.Errorf("coap: datagram of %d bytes is too long", len(b))
 	}
 	received := &message.Message{Options: make(message.Options, 0, maxOptions)}
 	if _, err := coder.DefaultCoder.Decode(b, received); err != nil {
@@ -202,7 +203,7 @@
 	return received, nil
 }
 
-// sendEmpty sends an acknowledgement or a Reset.
+// sendEmpty sends an empty acknowledgement or a Reset.
 func (s *Server) sendEmpty(to netip.AddrPort, messageType message.Type, messageID uint16) {
 	b := make([]byte, headerBytes)
 	b[0] = version<<versionShift | byte(messageType)<<typeShift
--- a/internal/edge/coap/echo.go
+++ b/internal/edge/coap/echo.go
@@ -11,24 +11,26 @@
 )
 
 const (
-	// echoLifetime is how long an Echo value proves an address, in milliseconds.
+	// echoLifetimeMs is how long an Echo value proves a client's address.
 	echoLifetimeMs = 120000
-	// maxAmplification is how many times longer than the request the response
-	// to an unproven address may be (RFC 9175, 2.4, item 3).
+	// maxAmplification is the largest ratio of the lengths of response and request
+	// for an unverified address (RFC 9175, 2.4, item 3).
 	maxAmplification = 3
 
-	echoTimeBytes  = 8 // bytes
+	echoTimeBytes  = 8
 	echoProofBytes = 8
 )
 
-// newEcho returns an Echo value: the time, and a proof that this server sent it
-// to this address.
+// newEcho returns an Echo value for a client: the time, and a truncated HMAC of
+// the time and the client's address.
 func (s *Server) newEcho(now float64, to netip.AddrPort) []byte {
 	b := make([]byte, 0, echoTimeBytes+echoProofBytes)
 	b = binary.BigEndian.AppendUint64(b, math.Float64bits(now))
 	return append(b, s.echoProof(b, to)...)
 }
 
+// echoProof returns the HMAC of an encoded time and a client's address, truncated
+// to echoProofBytes.
 func (s *Server) echoProof(timestamp []byte, to netip.AddrPort) []byte {
 	mac := hmac.New(sha256.New, s.echoKey[:])
 	address, _ := to.MarshalBinary() // never fails
@@ -37,8 +39,8 @@
 	return mac.Sum(nil)[:echoProofBytes]
 }
 
-// verifyEcho returns when the request's Echo value was sent; false if there is
-// none, or if it is forged or expired.
+// verifyEcho returns when the request's Echo value was created. ok is false if the
+// request has none, or if it is forged, expired or was sent to another address.
 func (s *Server) verifyEcho(
 	now float64, from netip.AddrPort, received *message.Message,
 ) (sentAt float64, ok bool) {
--- a/internal/edge/coap/exchange.go
+++ b/internal/edge/coap/exchange.go
@@ -8,36 +8,39 @@
 	"lotusbend/internal/edge/timers"
 )
 
-// emptyAckDelay is how long a confirmable request waits for a piggybacked
-// response, in milliseconds: well before its client's first retransmission.
+// emptyAckDelayMs is how long a confirmable request waits for a piggybacked
+// response before it is acknowledged by an empty message. It is shorter than
+// ackTimeoutMs, after which the client would retransmit the request.
 const emptyAckDelayMs = 1000
 
-// noBlock is the block1 of an exchange without blocks.
+// noBlock is the block1 of an exchange whose request has no Block1 option.
 const noBlock = -1
 
+// exchangeID identifies the request of an exchange, or its separate response.
 type exchangeID struct {
 	peer      netip.AddrPort
 	messageID uint16
 }
 
-// exchange is one request and its response.
+// requestExchange is one request and its response.
 type requestExchange struct {
 	id           exchangeID
-	token        uint64 // of Actions, 0 if nothing was delivered
-	clientToken  []byte
+	token        uint64 // passed to Actions, 0 if nothing was delivered
+	clientToken  []byte // the CoAP token, which the response repeats
 	confirmable  bool
-	acknowledged bool // by an empty message
-	response     []byte
-	block1       int64 // the request's Block1, which the response repeats, or noBlock
+	acknowledged bool   // by an empty message
+	response     []byte // nil until it is sent
+	block1       int64  // the request's Block1, which the response repeats, or noBlock
 
-	separateID      uint16        // message ID of a separate response, 0 for none
-	retransmissions int           // of it
-	timer           *timers.Timer // of the empty acknowledgement, then of retransmissions
+	separateID      uint16        // message ID of the separate response, 0 if there is none
+	retransmissions int           // of the separate response
+	timer           *timers.Timer // for the empty acknowledgement, then for retransmissions
 	expiryTimer     *timers.Timer
-	removed         bool
+	removed         bool // but still in Server.exchangesByAge
 }
 
-// register remembers an exchange, so that duplicates of it are recognized.
+// registerExchange remembers an exchange, so that duplicates of its request are
+// recognized.
 func (s *Server) registerExchange(now float64, exchange *requestExchange) {
 	for len(s.exchanges) >= s.limits.Exchanges {
 		s.evictOldestExchange()
@@ -51,8 +54,9 @@
 	exchange.expiryTimer = s.timers.At(now+lifetimeMs, func(float64) { s.removeExchange(exchange) })
 }
 
-// evict removes the oldest exchange. That is safe: a duplicate is then a new
-// request, and the readings in it are recognized by their IDs.
+// evictOldestExchange removes the oldest exchange. A later duplicate of its
+// request is handled as a new request. That is safe, because intake recognizes
+// duplicate readings by their IDs.
 func (s *Server) evictOldestExchange() {
 	s.stats.Evicted++
 	for _, exchange := range s.exchangesByAge {
@@ -63,6 +67,7 @@
 	}
 }
 
+// removeExchange forgets an exchange and cancels its timers.
 func (s *Server) removeExchange(exchange *requestExchange) {
 	exchange.removed = true
 	s.timers.Cancel(exchange.timer)
@@ -76,8 +81,8 @@
 	s.compactExchangesByAge()
 }
 
-// compact takes removed exchanges out of byAge: those at its head, and all once
-// they are more than half of it.
+// compactExchangesByAge drops the removed exchanges at the head of
+// exchangesByAge, and all removed ones once they are more than half of it.
 func (s *Server) compactExchangesByAge() {
 	for len(s.exchangesByAge) > 0 && s.exchangesByAge[0].removed {
 		s.exchangesByAge[0] = nil // for the garbage collector
@@ -97,8 +102,9 @@
 	s.removed = 0
 }
 
-// awaitAnswer gives an exchange a token for its answer. A confirmable request that waits
-// for long is acknowledged meanwhile.
+// registerPending gives an exchange a token for its answer. A confirmable request
+// is acknowledged by an empty message if its answer takes longer than
+// emptyAckDelayMs.
 func (s *Server) registerPending(now float64, exchange *requestExchange) {
 	s.lastToken++
 	exchange.token = s.lastToken
--- a/internal/edge/coap/request.go
+++ b/internal/edge/coap/request.go
@@ -7,10 +7,10 @@
 	"github.com/plgd-dev/go-coap/v3/message/codes"
 )
 
-// noError is the code of a request that is accepted so far.
+// noError stands for the response code of a request that is valid so far.
 const noError codes.Code = 0
 
-// handleRequest handles a request of size bytes, unless it is a duplicate.
+// handleRequest handles a request whose datagram has size bytes.
 func (s *Server) handleRequest(now float64, id exchangeID, received *message.Message, size int) {
 	if exchange := s.exchanges[id]; exchange != nil {
 		s.handleDuplicate(exchange)
@@ -28,9 +28,10 @@
 		s.respond(now, exchange, code, nil, 0)
 		return
 	}
-	// Nothing is delivered, remembered or answered at length before the sender
-	// has shown that it receives what is sent to its address (RFC 9175, 2.4).
-	// The same value bounds the request's age. It takes no memory of the server.
+	// Until a valid Echo value proves that the client receives what is sent to its
+	// address, the server remembers and delivers nothing and sends only short
+	// responses (RFC 9175, 2.4). The value also bounds the request's age. The
+	// server keeps no state for it.
 	sentAfter, ok := s.verifyEcho(now, id.peer, received)
 	if !ok {
 		s.sendChallenge(now, exchange, size)
@@ -50,8 +51,8 @@
 	s.actions.Deliver(exchange.token, id.peer, path, append([]byte(nil), payload...), sentAfter)
 }
 
-// handleDuplicate sends what the first copy got. The request is not processed
-// again (RFC 7252, 4.5).
+// handleDuplicate repeats the acknowledgement or response to the first copy of a
+// request, without processing the request again (RFC 7252, 4.5).
 func (s *Server) handleDuplicate(exchange *requestExchange) {
 	s.stats.Duplicates++
 	switch {
@@ -62,8 +63,9 @@
 	}
 }
 
-// challenge sends an Echo value for the request's repetition, unless that would
-// amplify a forged request of size bytes.
+// sendChallenge responds with an Echo value with which the client can repeat its
+// request. It sends nothing if the response would be longer than
+// maxAmplification times the request's size in bytes: the address may be forged.
 func (s *Server) sendChallenge(now float64, exchange *requestExchange, size int) {
 	s.stats.Challenges++
 	messageType := exchange.responseType()
@@ -73,7 +75,7 @@
 	}
 }
 
-// handleRead requests the value that the path's last segment names.
+// handleRead reads the row that the last segment of the path names.
 func (s *Server) handleRead(now float64, exchange *requestExchange, path string) {
 	slash := strings.LastIndexByte(path, '/')
 	if slash <= 0 {
@@ -84,7 +86,8 @@
 	s.actions.Read(exchange.token, exchange.id.peer, path[:slash], path[slash+1:])
 }
 
-// payload returns the request's whole payload, or the code to respond with.
+// payload returns the complete payload of the request, or the code to respond
+// with if the request is too long or a block of an incomplete message.
 func (s *Server) payload(
 	now float64, exchange *requestExchange, path string, received *message.Message,
 ) (payload []byte, code codes.Code) {
@@ -99,7 +102,8 @@
 	return received.Payload, noError
 }
 
-// validate checks what does not depend on the sender.
+// validate checks the method and the options, and returns the path. The code is
+// noError if the request is valid.
 func validate(received *message.Message) (path string, code codes.Code) {
 	if received.Code != codes.POST && received.Code != codes.PUT && received.Code != codes.GET {
 		return "", codes.MethodNotAllowed
--- a/internal/edge/coap/response.go
+++ b/internal/edge/coap/response.go
@@ -10,19 +10,20 @@
 	"github.com/plgd-dev/go-coap/v3/udp/coder"
 )
 
-// responseOverhead is room for a response's header and options, in bytes.
+// maxHeaderAndOptionsBytes bounds the encoded header and options of a response.
 const maxHeaderAndOptionsBytes = 64
 
-// Answer ends a request that was delivered or read. maxAgeMs, in milliseconds, is
-// when to retry after a temporary error, 0 for none.
+// Answer responds to the request that was passed to Deliver or Read with the
+// token. maxAgeMs is the Max-Age option of the response, after which a client may
+// retry; 0 omits it. An unknown token is ignored.
 func (s *Server) Answer(now float64, token uint64, code codes.Code, payload []byte, maxAgeMs float64) {
 	if exchange := s.pending[token]; exchange != nil {
 		s.respond(now, exchange, code, payload, maxAgeMs)
 	}
 }
 
-// respond sends a response: piggybacked on the acknowledgement unless that was
-// sent, else as a message of its own, confirmable if the request was.
+// respond sends a response: piggybacked on the acknowledgement if that was not
+// sent yet, else as a separate message, which is confirmable if the request was.
 func (s *Server) respond(
 	now float64, exchange *requestExchange, code codes.Code, payload []byte, maxAgeMs float64,
 ) {
@@ -43,7 +44,7 @@
 	s.actions.Send(exchange.id.peer, exchange.response)
 }
 
-// newMessageID returns the next message ID, never 0.
+// newMessageID returns the next message ID. It skips 0, which stands for no ID.
 func (s *Server) newMessageID() uint16 {
 	s.lastMessageID++
 	if s.lastMessageID == 0 {
@@ -52,6 +53,7 @@
 	return s.lastMessageID
 }
 
+// responseType returns the type of the message that carries the response.
 func (exchange *requestExchange) responseType() message.Type {
 	switch {
 	case !exchange.confirmable:
@@ -62,9 +64,9 @@
 	return message.Acknowledgement
 }
 
-// scheduleRetransmission sends a separate response again after a timeout in
-// milliseconds, which doubles, until it is acknowledged or maxRetransmit is
-// reached (RFC 7252, 4.2).
+// scheduleRetransmission retransmits a separate response after a timeout, which
+// doubles each time, until the response is acknowledged or was retransmitted
+// maxRetransmit times (RFC 7252, 4.2).
 func (s *Server) scheduleRetransmission(now float64, exchange *requestExchange, timeoutMs float64) {
 	exchange.timer = s.timers.At(now+timeoutMs, func(now float64) {
 		exchange.retransmissions++
@@ -77,13 +79,14 @@
 	})
 }
 
+// stopRetransmission cancels the retransmission of a separate response.
 func (s *Server) stopRetransmission(exchange *requestExchange) {
 	s.timers.Cancel(exchange.timer)
 	delete(s.unacknowledged, exchangeID{peer: exchange.id.peer, messageID: exchange.separateID})
 }
 
-// encodeResponse encodes a response. Each has a new Echo value for the client's
-// next request.
+// encodeResponse encodes a response. Each response has a new Echo value for the
+// client's next request.
 func (s *Server) encodeResponse(
 	now float64, exchange *requestExchange, code codes.Code, payload []byte, maxAgeMs float64,
 	messageType message.Type, messageID uint16,
@@ -101,13 +104,13 @@
 	b := make([]byte, maxHeaderAndOptionsBytes+len(payload)+len(exchange.clientToken))
 	n, err := coder.DefaultCoder.Encode(response, b)
 	if err != nil {
-		panic(fmt.Sprintf("coap: a response cannot be written: %v", err)) // its parts are this program's own
+		panic(fmt.Sprintf("coap: encoding response: %v", err)) // a programming error: all its parts are valid
 	}
 	return b[:n]
 }
 
-// responseOptions returns the options that precede Echo, in the order of their
-// numbers.
+// responseOptions returns the options of a response in the order of their
+// numbers, without Echo, which has the highest.
 func (s *Server) responseOptions(
 	exchange *requestExchange, code codes.Code, hasPayload bool, maxAgeMs float64,
 ) (options message.Options) {
@@ -127,7 +130,8 @@
 	return options
 }
 
-// uintOption encodes a number in the fewest bytes (RFC 7252, 3.2).
+// uintOption returns an option whose value is an unsigned integer in the fewest
+// bytes (RFC 7252, 3.2).
 func uintOption(id message.OptionID, value uint64) message.Option {
 	b := binary.BigEndian.AppendUint64(nil, value)
 	for len(b) > 0 && b[0] == 0 {
--- a/internal/edge/frames/codec.go
+++ b/internal/edge/frames/codec.go
@@ -7,19 +7,19 @@
 	"lotusbend/internal/edge/batch"
 )
 
-// Version is the supported version of the protocol.
+// Version is the only supported version of the protocol.
 const Version = 1
 
-// MaxHelloBytes is the longest first frame of a connection, in bytes.
+// MaxHelloBytes is the longest first frame of a connection, without its header.
 const MaxHelloBytes = 256
 
 // HeaderLen is the length of a frame's header, in bytes.
 const HeaderLen = 4
 
-// Kind is the first element of a frame.
+// Kind identifies the type of a frame. It is the first element of the frame.
 type Kind uint8
 
-// The kinds; gateways send the odd ones.
+// The kinds of frames. Gateways send the odd ones, the router the even ones.
 const (
 	KindHello    Kind = 1
 	KindWelcome  Kind = 2
@@ -34,7 +34,7 @@
 	KindBye      Kind = 12
 )
 
-// Hello opens a connection.
+// Hello is the first frame of a connection.
 type Hello struct {
 	_       struct{} `cbor:",toarray"`
 	Kind    Kind
@@ -42,8 +42,8 @@
 	Name    string
 }
 
-// Welcome answers Hello. Mark is the router's time in Unix milliseconds, Window
-// how many frames may wait for their answer.
+// Welcome answers Hello. Mark is the router's time in Unix milliseconds, and
+// Window is the allowed number of unanswered frames.
 type Welcome struct {
 	_      struct{} `cbor:",toarray"`
 	Kind   Kind
@@ -51,8 +51,9 @@
 	Window uint32
 }
 
-// Readings is one batch. Mark is the latest that the gateway has received, and
-// Batch.Elapsed how long ago that was, by its own clock.
+// Readings carries one batch. Mark is the latest mark that the gateway has
+// received on this connection, 0 for none. Batch.Elapsed is the time since then by
+// the gateway's clock.
 type Readings struct {
 	_     struct{} `cbor:",toarray"`
 	Kind  Kind
@@ -62,16 +63,17 @@
 	Batch batch.Batch
 }
 
-// Range gives one answer to the sequence numbers From to To.
+// Range is the common answer to the sequence numbers From to To, inclusive.
 type Range struct {
 	_      struct{} `cbor:",toarray"`
 	From   uint64
 	To     uint64
-	Status uint8  // of intake.Status
+	Status uint8  // an intake.Status
 	Wait   uint32 // milliseconds until a retry
 }
 
-// Answer answers all of Readings. Mark is as in Welcome.
+// Answer answers all readings of the frame with the same ID. Mark is as in
+// Welcome.
 type Answer struct {
 	_      struct{} `cbor:",toarray"`
 	Kind   Kind
@@ -80,7 +82,8 @@
 	Ranges []Range
 }
 
-// Query requests the readings of an epoch that this router knows to be recorded.
+// Query requests the sequence numbers of a device's epoch that this router knows
+// to be recorded.
 type Query struct {
 	_      struct{} `cbor:",toarray"`
 	Kind   Kind
@@ -89,7 +92,8 @@
 	Epoch  uint64
 }
 
-// Known answers Query. Readings that it does not name may be recorded, too.
+// Known answers Query. Sequence numbers outside of its ranges may be recorded,
+// too.
 type Known struct {
 	_      struct{} `cbor:",toarray"`
 	Kind   Kind
@@ -97,7 +101,7 @@
 	Ranges []Range
 }
 
-// Read requests one value.
+// Read requests the value that Arg names.
 type Read struct {
 	_     struct{} `cbor:",toarray"`
 	Kind  Kind
@@ -106,7 +110,7 @@
 	Arg   string
 }
 
-// Value answers Read. It has a value only if its Status is Recorded.
+// Value answers Read. It has a value only if its Status is intake.Recorded.
 type Value struct {
 	_      struct{} `cbor:",toarray"`
 	Kind   Kind
@@ -116,22 +120,23 @@
 	Value  []byte
 }
 
-// Signal is a frame without content: Ping and Pong.
+// Signal is a frame without content: a ping or a pong.
 type Signal struct {
 	_    struct{} `cbor:",toarray"`
 	Kind Kind
 }
 
-// Bye is the last frame of a connection, with the reason.
+// Bye is the last frame of a connection. It has the reason for which the router
+// closes it.
 type Bye struct {
 	_      struct{} `cbor:",toarray"`
 	Kind   Kind
 	Reason string
 }
 
-// FrameLength returns the length of the frame at the beginning of b with its
-// header, 0 if more of it must come first. limit is that of the frame without
-// its header, in bytes.
+// FrameLength returns the length in bytes of the frame at the beginning of b with
+// its header, or 0 if b is too short to tell. It returns an error if the frame is
+// empty or, without its header, longer than limit bytes.
 func FrameLength(b []byte, limit int) (int, error) {
 	if len(b) < HeaderLen {
 		return 0, nil
@@ -143,7 +148,8 @@
 	return HeaderLen + int(length), nil
 }
 
-// Append appends an encoded frame to b.
+// Append encodes a frame, which is one of the message types, and appends it to b
+// with its header.
 func Append(b []byte, codec *batch.Codec, frame any) []byte {
 	body := codec.Encode(frame)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
--- a/internal/edge/frames/frames.go
+++ b/internal/edge/frames/frames.go
@@ -1,13 +1,15 @@
-// Package frames holds the rules of the compact stream for gateways, which send
-// the readings of many devices over one TCP connection: length-prefixed frames
-// of CBOR, a window of unanswered batches, and ranges of recorded sequence
-// numbers by which a gateway resumes after an interruption. Frames and times go
-// in, frames and messages out; there is no socket and no clock. Times are Unix
-// milliseconds. A Server is not safe for concurrent use.
+// Package frames implements the rules of a compact protocol for gateways, which
+// send the readings of many devices over one TCP connection. It has
+// length-prefixed CBOR frames, a window of unanswered frames, and queries for the
+// recorded sequence numbers, with which a gateway resumes after an interruption.
+// The package has no I/O and no clock: the caller passes in frames and the time,
+// and implements Actions. Times are Unix milliseconds. A Server is not safe for
+// concurrent use.
 //
-// A frame is its length in four bytes, big-endian, and one CBOR array whose
-// first element is its Kind. docs/edge.md has the whole protocol. Reasons in Bye
-// may quote the names of this package's types and their fields.
+// A frame is its length in four bytes, big-endian, followed by a CBOR array whose
+// first element is its Kind. docs/edge.md describes the whole protocol. The names
+// of the message types and their fields are part of the protocol: the reason in a
+// Bye may quote them.
 package frames
 
 import (
@@ -17,15 +19,17 @@
 )
 
 // Actions carries out what a Server decides. Its methods must not call back into
-// it.
+// the Server. conn is the ID given to Server.AddConnection.
 type Actions interface {
+	// Send sends a frame on a connection.
 	Send(conn uint64, frame []byte)
 	// Close closes a connection once the frames sent to it are written.
 	Close(conn uint64)
-	// Deliver takes a batch that was sent after notBefore. It is answered by
-	// Server.Answer with the token.
+	// Deliver processes a batch that was sent after notBefore, which is 0 if
+	// unknown. The results go to Server.Answer with the token.
 	Deliver(token, conn uint64, route string, b *batch.Batch, notBefore float64)
-	// Read requests a value. It is answered by Server.Value with the token.
+	// Read reads the value that arg names. The result goes to Server.Value with
+	// the token.
 	Read(token, conn uint64, route, arg string)
 	// Known returns the sequence numbers that are known to be recorded, in
 	// ascending order.
@@ -34,17 +38,17 @@
 
 // Limits bound a connection.
 type Limits struct {
-	Window    int     // frames without their answer
-	MaxIdleMs float64 // without a frame
+	Window    int     // unanswered frames
+	MaxIdleMs float64 // time without a frame
 }
 
-// The reasons in Bye that follow no frame.
+// Reasons in Bye that are not caused by a frame.
 const (
 	reasonDraining = "the router is stopping"
 	reasonIdle     = "silent for too long"
 )
 
-// Server is the state of all connections.
+// Server is the state of all connections. New creates one.
 type Server struct {
 	limits      Limits
 	actions     Actions
@@ -56,15 +60,16 @@
 	draining    bool
 }
 
+// connection is one connection of a gateway.
 type connection struct {
 	id          uint64
-	welcomedAt  float64 // 0 before Hello
+	welcomedAt  float64 // when Welcome was sent, 0 before Hello
 	lastFrameAt float64
-	unanswered  map[uint32]bool // IDs of frames
+	unanswered  map[uint32]bool // by frame ID
 	idleTimer   *timers.Timer
 }
 
-// pendingFrame is a batch or a read that was delivered.
+// pendingFrame is a delivered batch or read that waits for its answer.
 type pendingFrame struct {
 	connection *connection
 	id         uint32
@@ -100,8 +105,8 @@
 	}
 }
 
-// Drain disconnects every gateway, those with unanswered frames after their
-// answers.
+// Drain disconnects every gateway. A gateway with unanswered frames is
+// disconnected after its answers.
 func (s *Server) Drain() {
 	s.draining = true
 	for _, conn := range s.connections {
@@ -109,8 +114,8 @@
 	}
 }
 
-// Receive handles one whole frame with its header, which may be reused after the
-// call.
+// Receive handles one complete frame with its header. The caller may reuse b
+// after the call.
 func (s *Server) Receive(now float64, id uint64, b []byte) {
 	conn := s.connections[id]
 	if conn == nil || len(b) <= HeaderLen {
@@ -122,11 +127,14 @@
 	}
 }
 
+// disconnect sends the reason in a Bye and closes the connection.
 func (s *Server) disconnect(conn *connection, reason string) {
 	s.send(conn, Bye{Kind: KindBye, Reason: reason})
 	s.actions.Close(conn.id)
 }
 
+// disconnectIfDrained disconnects a gateway without unanswered frames if the
+// server is draining.
 func (s *Server) disconnectIfDrained(conn *connection) {
 	if s.draining && len(conn.unanswered) == 0 {
 		s.disconnect(conn, reasonDraining)
@@ -137,8 +145,8 @@
 	s.actions.Send(conn.id, Append(nil, s.codec, frame))
 }
 
-// armIdle disconnects a gateway after the idle time without a frame. The timer
-// checks when the last frame came, so that a frame need not reset it.
+// armIdleTimer disconnects a gateway after MaxIdleMs without a frame. The timer
+// checks when the last frame arrived, so frames do not need to reset it.
 func (s *Server) armIdleTimer(now float64, conn *connection) {
 	conn.idleTimer = s.timers.At(max(conn.lastFrameAt+s.limits.MaxIdleMs, now), func(now float64) {
 		if now < conn.lastFrameAt+s.limits.MaxIdleMs {
@@ -149,8 +157,8 @@
 	})
 }
 
-// takePending ends a pending frame and returns where its answer goes, nil if
-// that connection has ended.
+// takePending removes a pending frame and returns the connection and the frame ID
+// for its answer. The connection is nil if it has ended or the token is unknown.
 func (s *Server) takePending(token uint64) (*connection, uint32) {
 	frame, found := s.pending[token]
 	if !found {
@@ -165,7 +173,8 @@
 	return conn, frame.id
 }
 
-// Answer ends a batch that was delivered.
+// Answer answers the batch that was passed to Deliver with the token. An unknown
+// token is ignored.
 func (s *Server) Answer(now float64, token uint64, results []batch.Result) {
 	conn, id := s.takePending(token)
 	if conn == nil {
@@ -175,7 +184,8 @@
 	s.disconnectIfDrained(conn)
 }
 
-// Value ends a read. wait is in milliseconds.
+// Value answers the request that was passed to Read with the token. waitMs is the
+// time until a retry. An unknown token is ignored.
 func (s *Server) Value(token uint64, status intake.Status, waitMs float64, value []byte) {
 	conn, id := s.takePending(token)
 	if conn == nil {
@@ -185,7 +195,8 @@
 	s.disconnectIfDrained(conn)
 }
 
-// ranges joins adjacent results with one answer.
+// mergeResults merges consecutive sequence numbers with the same status and wait
+// into ranges.
 func mergeResults(results []batch.Result) []Range {
 	merged := make([]Range, 0, 4)
 	for _, result := range results {
@@ -203,12 +214,13 @@
 	return merged
 }
 
+// canExtendTo reports whether a range can be extended by the given result.
 func (r *Range) canExtendTo(result batch.Result) bool {
-	adjacent := r.To+1 == result.Seq && result.Seq != 0 // To may be the largest number
+	adjacent := r.To+1 == result.Seq && result.Seq != 0 // To+1 overflows to 0
 	return adjacent && r.Status == result.Status && r.Wait == result.Wait
 }
 
-// knownRanges returns the ranges of recorded sequence numbers.
+// knownRanges returns recorded sequence numbers as ranges.
 func knownRanges(sequences []uint64) []Range {
 	results := make([]batch.Result, len(sequences))
 	for i, seq := range sequences {
--- a/internal/edge/frames/handle.go
+++ b/internal/edge/frames/handle.go
@@ -15,8 +15,8 @@
 	errInvalidKind = errors.New("no frame: its kind is no small number")
 )
 
-// handle handles one frame's body. An error ends the connection and goes to the
-// gateway.
+// dispatch handles a frame without its header. An error closes the connection, and
+// its text is sent to the gateway.
 func (s *Server) dispatch(now float64, conn *connection, body []byte) error {
 	kind, err := s.decodeKind(body)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return fmt.Errorf("a frame of unknown kind %d", kind)
 }
 
-// kindOf returns the first element of a frame.
+// decodeKind returns the kind of a frame.
 func (s *Server) decodeKind(body []byte) (kind Kind, err error) {
 	var elements []cbor.RawMessage
 	if err := s.codec.Decode(body, &elements); err != nil || len(elements) == 0 {
@@ -54,7 +54,7 @@
 	return kind, nil
 }
 
-// decode decodes a frame of a known kind.
+// decode decodes a frame into the message type of its kind.
 func (s *Server) decode(body []byte, kind Kind, to any) error {
 	if err := s.codec.Decode(body, to); err != nil {
 		return fmt.Errorf("a frame of kind %d: %w", kind, err)
@@ -126,7 +126,8 @@
 	return nil
 }
 
-// awaitAnswer returns a token for a frame that waits for its answer.
+// registerPending registers a frame that waits for its answer and returns its
+// token. It returns an error if the ID is in use or the window is exceeded.
 func (s *Server) registerPending(conn *connection, id uint32) (token uint64, err error) {
 	switch {
 	case conn.unanswered[id]:
--- a/internal/edge/mqtt/codec.go
+++ b/internal/edge/mqtt/codec.go
@@ -8,8 +8,8 @@
 	"github.com/mochi-mqtt/server/v2/packets"
 )
 
-// The remaining length in a fixed header [MQTT 1.5.5]: up to four bytes of
-// seven bits each, the lowest first.
+// The Remaining Length of a fixed header is a variable byte integer
+// [MQTT 1.5.5]: up to four bytes of seven bits each, least significant first.
 const (
 	maxLengthBytes    = 4
 	lengthBitsPerByte = 7
@@ -17,10 +17,11 @@
 	continuationBit   = 0x80
 )
 
-var errLengthTooLong = errors.New("mqtt: a length of more than four bytes")
+var errLengthTooLong = errors.New("mqtt: remaining length has more than four bytes")
 
-// PacketLength returns the length of the packet at the beginning of b, 0 if
-// more of it must come first. limit is that of the remaining length, in bytes.
+// PacketLength returns the length in bytes of the packet at the beginning of b,
+// or 0 if b is too short to tell. It returns an error if the remaining length is
+// malformed or exceeds limit bytes.
 func PacketLength(b []byte, limit int) (int, error) {
 	var remaining int
 	for i := 1; i < len(b); i++ {
@@ -32,15 +33,15 @@
 			continue
 		}
 		if remaining > limit {
-			return 0, fmt.Errorf("mqtt: a packet of %d bytes, at most %d are taken", remaining, limit)
+			return 0, fmt.Errorf("mqtt: remaining length of %d bytes, at most %d allowed", remaining, limit)
 		}
 		return 1 + i + remaining, nil
 	}
 	return 0, nil
 }
 
-// decode decodes a packet. The library trusts some lengths in it: a panic there
-// is the error of a malformed packet.
+// decode decodes a packet. The library does not check some lengths in a packet, so
+// a panic in it is reported as a malformed packet.
 func decode(b []byte, version byte) (packet packets.Packet, err error) {
 	defer func() {
 		if panicked := recover(); panicked != nil {
@@ -64,6 +65,8 @@
 	return packet, err
 }
 
+// decodeBody decodes what follows the fixed header. Packets that only servers
+// send are protocol errors.
 func decodeBody(packet *packets.Packet, body []byte) error {
 	switch packet.FixedHeader.Type {
 	case packets.Connect:
@@ -90,8 +93,8 @@
 	return packets.ErrProtocolViolation
 }
 
-// reasonOf returns the reason code of an error of decode. A code that the
-// library has wrapped is not looked for: such a packet is malformed.
+// reasonCodeOf returns the reason code for an error of decode. An error in which
+// the library has wrapped a code counts as a malformed packet.
 func reasonCodeOf(err error) byte {
 	if code, ok := err.(packets.Code); ok && code.Code >= firstErrorCode {
 		return code.Code
@@ -99,12 +102,13 @@
 	return packets.ErrMalformedPacket.Code
 }
 
-// Encode encodes a packet that the edge or a device sends.
+// Encode encodes a packet that a server or a client sends. It panics if the
+// packet cannot be encoded.
 func Encode(packet *packets.Packet) []byte {
 	var b bytes.Buffer
 	if err := encode(&b, packet); err != nil {
-		// Its parts are this program's own.
-		panic(fmt.Sprintf("mqtt: packet %d cannot be written: %v", packet.FixedHeader.Type, err))
+		// A programming error: the caller built the packet.
+		panic(fmt.Sprintf("mqtt: encoding packet of type %d: %v", packet.FixedHeader.Type, err))
 	}
 	return b.Bytes()
 }
--- a/internal/edge/mqtt/connect.go
+++ b/internal/edge/mqtt/connect.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// keepAliveGrace is after how many keep-alive times without a packet a
-	// connection is closed [MQTT 3.1.2.10].
+	// keepAliveFactor times the keep-alive time is how long a connection may stay
+	// without a packet [MQTT 3.1.2.10].
 	keepAliveFactor = 1.5
-	// maxClientID is the longest client identifier, in bytes.
+	// maxClientIDBytes is the longest client identifier that is accepted.
 	maxClientIDBytes = 128
 )
 
-// The return codes of version 3.1.1's CONNACK.
+// Return codes of CONNACK in version 3.1.1.
 const (
 	returnUnacceptableVersion = 1
 	returnIdentifierRejected  = 2
 	returnServerUnavailable   = 3
 )
 
-// IsConnectHeader reports whether a connection may begin with this byte: only CONNECT
-// does, so that another protocol is recognized at once.
+// IsConnectHeader reports whether b is the first byte of a CONNECT packet. Every
+// MQTT connection begins with one, so the byte tells other protocols apart.
 func IsConnectHeader(b byte) bool { return b == packets.Connect<<4 }
 
-// connect handles CONNECT [MQTT 3.1].
+// handleConnect handles CONNECT [MQTT 3.1].
 func (s *Server) handleConnect(now float64, conn *connection, packet *packets.Packet) {
 	params := &packet.Connect
 	knownVersion := packet.ProtocolVersion == version311 || packet.ProtocolVersion == version5
@@ -45,7 +45,7 @@
 		s.rejectConnect(conn, packet, packets.ErrServerShuttingDown.Code, returnServerUnavailable)
 		return
 	}
-	clientID := strings.Clone(params.ClientIdentifier) // it refers to the read buffer
+	clientID := strings.Clone(params.ClientIdentifier) // the original refers to the read buffer
 	sess, resumed := s.openSession(now, clientID, params.Clean)
 	if sess == nil {
 		s.rejectConnect(conn, packet, packets.ErrQuotaExceeded.Code, returnServerUnavailable)
@@ -61,8 +61,8 @@
 	s.armKeepAlive(now, conn)
 }
 
-// rejectConnect answers CONNECT with the version's code and closes the
-// connection.
+// rejectConnect answers CONNECT with the code for the client's version and closes
+// the connection.
 func (s *Server) rejectConnect(conn *connection, packet *packets.Packet, reasonCode5, returnCode311 byte) {
 	s.stats.Violations++
 	conn.version = packet.ProtocolVersion
@@ -75,7 +75,7 @@
 	s.actions.Close(conn.id)
 }
 
-// negotiate sets what the client chooses in CONNECT.
+// negotiate applies the client's options in CONNECT to its connection and session.
 func (s *Server) negotiate(conn *connection, packet *packets.Packet) {
 	conn.session.expiryMs = 0
 	switch {
@@ -88,8 +88,8 @@
 	}
 }
 
-// connack returns the CONNACK and sets the connection's timeout. keepAlive is
-// in seconds, 0 for none.
+// connack returns the CONNACK and sets the connection's timeout. keepAlive is the
+// client's keep-alive in seconds; 0, for none, is replaced by the longest allowed.
 func (s *Server) connack(conn *connection, keepAlive uint16, sessionPresent bool) packets.Packet {
 	ack := newPacket(packets.Connack)
 	ack.SessionPresent = sessionPresent
@@ -108,6 +108,8 @@
 	return ack
 }
 
+// setConnackProperties states the server's limits and features in a CONNACK of
+// version 5.
 func (s *Server) setConnackProperties(properties *packets.Properties, sess *session) {
 	properties.ReceiveMaximum = uint16(min(s.limits.ReceiveMax, math.MaxUint16))
 	properties.MaximumPacketSize = uint32(s.limits.MessageBytes)
@@ -120,8 +122,8 @@
 	properties.SessionExpiryIntervalFlag = true
 }
 
-// armKeepAlive closes a connection after its timeout without a packet. The
-// timer checks when the last packet came, so that a packet need not reset it.
+// armKeepAlive closes a connection after its timeout without a packet. The timer
+// checks when the last packet arrived, so packets do not need to reset it.
 func (s *Server) armKeepAlive(now float64, conn *connection) {
 	conn.keepAliveTimer = s.timers.At(max(conn.lastPacketAt+conn.timeoutMs, now), func(now float64) {
 		if now < conn.lastPacketAt+conn.timeoutMs {
--- a/internal/edge/mqtt/mqtt.go
+++ b/internal/edge/mqtt/mqtt.go
@@ -1,11 +1,13 @@
-// Package mqtt holds the rules of an MQTT endpoint for readings: versions 3.1.1
-// and 5, quality of service 0, 1 and 2, sessions that outlive their connection,
-// keep-alive and the receive maximum. It is no broker: published messages go to
-// the edge, and a client may subscribe only to the answers to its own readings.
-// Packets and times go in, packets and messages out; there is no socket and no
-// clock. Times are Unix milliseconds. A Server is not safe for concurrent use.
+// Package mqtt implements the rules of an MQTT endpoint for readings: versions
+// 3.1.1 and 5, QoS 0, 1 and 2, sessions that outlive their connection, keep-alive
+// and the receive maximum. It is not a broker: published messages go to the edge,
+// and a client may subscribe only to the answers to its own readings. The package
+// has no I/O and no clock: the caller passes in packets and the time, and
+// implements Actions. Times are Unix milliseconds. A Server is not safe for
+// concurrent use.
 //
-// Sections named [MQTT] are of the OASIS standard, version 5.0.
+// References in the form [MQTT 3.1] are to sections and normative statements of
+// the OASIS standard, version 5.0.
 package mqtt
 
 import (
@@ -17,7 +19,8 @@
 	"lotusbend/internal/edge/timers"
 )
 
-// AnswersTopicPrefix is followed by the client's identifier.
+// AnswersTopicPrefix and a client identifier form the topic of the answers to the
+// client's readings.
 const AnswersTopicPrefix = "answers/"
 
 // The protocol levels of CONNECT.
@@ -26,17 +29,18 @@
 	version5   = 5
 )
 
-// firstErrorCode is the first reason code of an error [MQTT 2.4].
+// firstErrorCode is the lowest reason code that means failure [MQTT 2.4].
 const firstErrorCode = 0x80
 
 // Actions carries out what a Server decides. Its methods must not call back into
-// it.
+// the Server. conn is the ID given to Server.AddConnection.
 type Actions interface {
+	// Send sends a packet on a connection.
 	Send(conn uint64, packet []byte)
 	// Close closes a connection once the packets sent to it are written.
 	Close(conn uint64)
-	// Deliver takes a published message. connectedAt is when CONNACK was
-	// sent on its connection; retransmitted is its DUP flag. It is answered by
+	// Deliver processes a published message. connectedAt is when CONNACK was
+	// sent on its connection; retransmitted is its DUP flag. The results go to
 	// Server.Answer with the token.
 	Deliver(token, conn uint64, topic string, payload []byte, connectedAt float64, retransmitted bool)
 }
@@ -44,23 +48,23 @@
 // Limits bound a Server's state.
 type Limits struct {
 	Sessions           int     // with and without a connection
-	MaxSessionExpiryMs float64 // for which one is kept without a connection, at most
-	MaxKeepAliveMs     float64 // the longest that a client may choose
-	ReceiveMax         int     // messages of one client without their answer
-	MessageBytes       int     // of one packet
+	MaxSessionExpiryMs float64 // longest time that a session is kept without a connection
+	MaxKeepAliveMs     float64 // longest keep-alive that a client may choose
+	ReceiveMax         int     // unanswered and unreleased messages of one client
+	MessageBytes       int     // size of one packet
 }
 
 // Stats counts events since the start.
 type Stats struct {
 	Connects   uint64
-	Resumed    uint64 // sessions
-	TakenOver  uint64 // connections, by another of the same client
-	TimedOut   uint64 // connections, after their keep-alive
-	Violations uint64
-	Evicted    uint64 // sessions removed before their time
+	Resumed    uint64 // sessions that a client resumed
+	TakenOver  uint64 // connections closed by another connection of their client
+	TimedOut   uint64 // connections closed after their keep-alive time
+	Violations uint64 // protocol errors and rejected CONNECTs
+	Evicted    uint64 // sessions removed before they expired
 }
 
-// Server is the state of all connections and sessions.
+// Server is the state of all connections and sessions. New creates one.
 type Server struct {
 	limits       Limits
 	actions      Actions
@@ -69,7 +73,7 @@
 	stats        Stats
 	connections  map[uint64]*connection
 	sessions     map[string]*session       // by client identifier
-	disconnected list.List                 // sessions without a connection, the oldest first
+	disconnected list.List                 // sessions without a connection, longest first
 	pending      map[uint64]pendingMessage // by token
 	lastToken    uint64
 	draining     bool
@@ -83,14 +87,14 @@
 	connectedAt float64
 
 	lastPacketAt   float64
-	timeoutMs      float64 // without a packet
+	timeoutMs      float64 // after which the connection is closed without a packet
 	keepAliveTimer *timers.Timer
 
-	omitProblemInfo bool              // the client requests no problem information
-	unanswered      map[uint16]uint64 // digests of messages, by packet identifier
+	omitProblemInfo bool              // the client set Request Problem Information to 0
+	unanswered      map[uint16]uint64 // digests of delivered messages, by packet identifier
 }
 
-// pendingMessage is a message that was delivered.
+// pendingMessage is a delivered message that waits for its answer.
 type pendingMessage struct {
 	connection *connection
 	packetID   uint16
@@ -124,8 +128,8 @@
 	s.connections[id] = &connection{id: id, lastPacketAt: now}
 }
 
-// RemoveConnection unregisters a connection that has ended. Its session may be kept, and
-// its messages are processed nevertheless.
+// RemoveConnection unregisters a connection that has ended. Its session is kept
+// until it expires, and its delivered messages are processed nevertheless.
 func (s *Server) RemoveConnection(now float64, id uint64) {
 	conn := s.connections[id]
 	if conn == nil {
@@ -138,8 +142,8 @@
 	}
 }
 
-// Drain disconnects every client, those with unanswered messages after their
-// answers.
+// Drain disconnects every client and rejects new ones. A client with unanswered
+// messages is disconnected after its answers.
 func (s *Server) Drain() {
 	s.draining = true
 	for _, conn := range s.connections {
@@ -149,7 +153,7 @@
 	}
 }
 
-// Receive handles one whole packet, which may be reused after the call.
+// Receive handles one complete packet. The caller may reuse b after the call.
 func (s *Server) Receive(now float64, id uint64, b []byte) {
 	conn := s.connections[id]
 	if conn == nil {
@@ -172,7 +176,7 @@
 	s.handleConnect(now, conn, &packet)
 }
 
-// handle handles a packet after CONNECT.
+// dispatch handles a packet that follows CONNECT.
 func (s *Server) dispatch(conn *connection, packet *packets.Packet) {
 	switch packet.FixedHeader.Type {
 	case packets.Publish:
@@ -188,8 +192,8 @@
 	case packets.Disconnect:
 		s.handleDisconnect(conn, packet)
 	case packets.Puback, packets.Pubrec, packets.Pubcomp:
-		// Answers are sent with QoS 0, so that none of these is due.
-	default: // a second CONNECT, AUTH, or what only a server sends
+		// Ignored: answers are published with QoS 0, so none of these is expected.
+	default: // a second CONNECT, AUTH, or a packet that only servers send
 		s.closeOnViolation(conn, packets.ErrProtocolViolation.Code)
 	}
 }
@@ -206,7 +210,8 @@
 	s.actions.Close(conn.id)
 }
 
-// disconnect closes a connection, with a reason where the version has one.
+// disconnect closes a connection. In version 5 it sends DISCONNECT with the
+// reason code before.
 func (s *Server) disconnect(conn *connection, reasonCode byte) {
 	if conn.version == version5 {
 		packet := newPacket(packets.Disconnect)
@@ -216,7 +221,7 @@
 	s.actions.Close(conn.id)
 }
 
-// violation closes a connection because of what its client sent.
+// closeOnViolation closes a connection after a protocol error of its client.
 func (s *Server) closeOnViolation(conn *connection, reasonCode byte) {
 	s.stats.Violations++
 	s.disconnect(conn, reasonCode)
--- a/internal/edge/mqtt/publish.go
+++ b/internal/edge/mqtt/publish.go
@@ -11,14 +11,14 @@
 	"lotusbend/internal/edge/intake"
 )
 
-// The qualities of service [MQTT 4.3].
+// QoS levels [MQTT 4.3].
 const (
 	qosAtMostOnce  = 0
 	qosExactlyOnce = 2
 )
 
-// publish handles PUBLISH. The message is acknowledged only once its readings
-// have their answers, by PUBACK or PUBREC.
+// handlePublish handles PUBLISH. Messages of QoS 1 and 2 are acknowledged only
+// after all their readings have answers.
 func (s *Server) handlePublish(conn *connection, packet *packets.Packet) {
 	if reasonCode := publishViolation(conn, packet); reasonCode >= firstErrorCode {
 		s.closeOnViolation(conn, reasonCode)
@@ -36,13 +36,13 @@
 		qos:        qos,
 		digest:     digest,
 	}
-	topic := strings.Clone(packet.TopicName) // it refers to the read buffer
+	topic := strings.Clone(packet.TopicName) // the original refers to the read buffer
 	payload := append([]byte(nil), packet.Payload...)
 	s.actions.Deliver(s.lastToken, conn.id, topic, payload, conn.connectedAt, packet.FixedHeader.Dup)
 }
 
-// publishViolation returns the reason code of a malformed or unsupported
-// PUBLISH, below firstErrorCode for none.
+// publishViolation returns the reason code for a malformed or unsupported PUBLISH,
+// or a code below firstErrorCode for a valid one.
 func publishViolation(conn *connection, packet *packets.Packet) byte {
 	reasonCode := packet.PublishValidate(0).Code
 	if reasonCode < firstErrorCode && packet.FixedHeader.Retain && conn.version == version5 {
@@ -51,19 +51,20 @@
 	return reasonCode
 }
 
-// accept reports whether a message with a packet identifier is to be delivered.
-// It answers a duplicate and closes the connection after a violation.
+// acceptPublish reports whether a message of QoS 1 or 2 is to be delivered. It
+// acknowledges a duplicate that was recorded before, and closes the connection
+// after a violation.
 func (s *Server) acceptPublish(conn *connection, packet *packets.Packet, digest uint64) bool {
 	id := packet.PacketID
 	if inUse, unanswered := conn.unanswered[id]; unanswered {
 		if inUse != digest { // another message's identifier [MQTT 2.2.1]
 			s.closeOnViolation(conn, packets.ErrPacketIdentifierInUse.Code)
 		}
-		return false // a duplicate: its answer is pending
+		return false // a duplicate, whose answer is pending
 	}
-	// A message that was recorded and whose PUBREC was lost. Another message
-	// under its identifier comes from a client that has lost its session;
-	// taking it for the old one would lose the new.
+	// The message was recorded, but its PUBREC was lost. The digests are compared
+	// because a client that has lost its session may reuse the identifier for
+	// another message, which would be lost if it were taken for a duplicate.
 	recorded, unreleased := conn.session.unreleased[id]
 	if packet.FixedHeader.Qos == qosExactlyOnce && unreleased && recorded == digest {
 		s.acknowledge(conn, id, qosExactlyOnce, 0, nil)
@@ -80,7 +81,8 @@
 	return true
 }
 
-// release handles PUBREL, the end of a QoS 2 message [MQTT 4.3.3].
+// handlePubrel handles PUBREL, which ends the exchange of a QoS 2 message
+// [MQTT 4.3.3].
 func (s *Server) handlePubrel(conn *connection, packet *packets.Packet) {
 	ack := newPacket(packets.Pubcomp)
 	ack.PacketID = packet.PacketID
@@ -91,8 +93,10 @@
 	s.send(conn, ack)
 }
 
-// Answer ends a message that was delivered. valid is false for one without
-// readings.
+// Answer acknowledges the message that was passed to Deliver with the token, and
+// publishes the results to a client that has subscribed to them. valid is false
+// if the message could not be decoded or has no route. An unknown token is
+// ignored.
 func (s *Server) Answer(token uint64, results []batch.Result, valid bool) {
 	message, found := s.pending[token]
 	if !found {
@@ -122,8 +126,8 @@
 	}
 }
 
-// keepUnreleased remembers a recorded QoS 2 message until PUBREL, also without
-// its connection: the session may be resumed.
+// keepUnreleased remembers a recorded QoS 2 message in its session until PUBREL,
+// even if the connection has ended: the client may resume the session.
 func (s *Server) keepUnreleased(message pendingMessage) {
 	sess := message.connection.session
 	if s.sessions[sess.clientID] != sess {
@@ -135,8 +139,8 @@
 	sess.unreleased[message.packetID] = message.digest
 }
 
-// worstReason returns a message's reason code, that of its worst reading: the
-// more useless a retry, the worse.
+// worstReasonCode returns the reason code for a message, which is that of its
+// worst reading. The less likely a retry is to succeed, the worse the status.
 func worstReasonCode(results []batch.Result, valid bool) (reasonCode byte) {
 	if !valid {
 		return packets.ErrPayloadFormatInvalid.Code
@@ -164,10 +168,11 @@
 	return reasonCode
 }
 
-// acknowledge sends PUBACK or PUBREC. Version 5 has reasons, and a property for
-// each reading of a message that did not succeed as a whole. Version 3.1.1 has
-// none: a subscriber has its answers by now, and for any other client the end of
-// the connection reports that its message was not accepted.
+// acknowledge sends PUBACK or PUBREC. In version 5, the acknowledgement of a
+// failed message has the reason code and a user property for each reading.
+// Version 3.1.1 has no reason codes: a client that has subscribed to its answers
+// has received them before, and for any other client the connection is closed to
+// report the failure.
 func (s *Server) acknowledge(
 	conn *connection, packetID uint16, qos, reasonCode byte, results []batch.Result,
 ) {
@@ -188,8 +193,8 @@
 	s.send(conn, ack)
 }
 
-// readingProperties gives each reading's sequence number, status and wait in
-// milliseconds.
+// readingProperties returns a user property for each reading with its sequence
+// number, its status and the milliseconds until a retry.
 func readingProperties(results []batch.Result) (properties []packets.UserProperty) {
 	for _, result := range results {
 		status := intake.Status(result.Status)
--- a/internal/edge/mqtt/session.go
+++ b/internal/edge/mqtt/session.go
@@ -11,23 +11,24 @@
 // session is a client's state that outlives a connection [MQTT 4.1].
 type session struct {
 	clientID   string
-	connection *connection       // nil without one
-	subscribed bool              // to the answers
-	unreleased map[uint16]uint64 // digests of QoS 2 messages recorded before PUBREL, by packet identifier
-	expiryMs   float64           // for which it is kept without a connection
+	connection *connection       // nil while the client is disconnected
+	subscribed bool              // to the answers to the client's readings
+	unreleased map[uint16]uint64 // digests of recorded QoS 2 messages before PUBREL, by packet identifier
+	expiryMs   float64           // how long the session is kept without a connection
 
 	expiryTimer         *timers.Timer
 	disconnectedElement *list.Element // in Server.disconnected
 }
 
-// sessionExpiry returns the expiry of a session in milliseconds.
+// sessionExpiry returns the session expiry, in milliseconds, for one that a client
+// requests.
 func (s *Server) sessionExpiry(seconds uint32) float64 {
 	return min(float64(seconds)*1000, s.limits.MaxSessionExpiryMs)
 }
 
-// openSession returns the client's session, whose other connection is closed,
-// or a new one if there is none or it must be clean. It returns nil if all
-// sessions have connections.
+// openSession returns the client's session and whether it existed before. It
+// closes another connection of the client. It returns nil if there are too many
+// sessions and all of them have connections.
 func (s *Server) openSession(now float64, clientID string, clean bool) (sess *session, resumed bool) {
 	existing := s.sessions[clientID]
 	if existing != nil && existing.connection != nil { // [MQTT 3.1.4-3]
@@ -55,8 +56,9 @@
 	return sess, false
 }
 
-// makeCapacity evicts the sessions longest without a connection while there is
-// no capacity for another.
+// evictForCapacity evicts sessions until there is capacity for another, those
+// longest without a connection first. It returns false if all sessions have
+// connections.
 func (s *Server) evictForCapacity() bool {
 	for len(s.sessions) >= s.limits.Sessions {
 		oldest := s.disconnected.Front()
@@ -69,7 +71,7 @@
 	return true
 }
 
-// detach keeps a session whose connection has ended, or removes it.
+// detachSession keeps a session whose connection has ended until it expires.
 func (s *Server) detachSession(now float64, sess *session) {
 	sess.connection = nil
 	if sess.expiryMs <= 0 {
--- a/internal/edge/mqtt/subscribe.go
+++ b/internal/edge/mqtt/subscribe.go
@@ -2,11 +2,11 @@
 
 import "github.com/mochi-mqtt/server/v2/packets"
 
-// subackFailure is version 3.1.1's return code of a rejected subscription.
+// subackFailure is the return code for a rejected subscription in version 3.1.1.
 const subackFailure = 0x80
 
-// subscribe grants a client the answers to its own readings, and no other
-// topic.
+// handleSubscribe handles SUBSCRIBE. A client may subscribe only to the answers to
+// its own readings.
 func (s *Server) handleSubscribe(conn *connection, packet *packets.Packet) {
 	if code := packet.SubscribeValidate().Code; code >= firstErrorCode {
 		s.closeOnViolation(conn, code)
@@ -29,6 +29,7 @@
 	s.send(conn, ack)
 }
 
+// handleUnsubscribe handles UNSUBSCRIBE.
 func (s *Server) handleUnsubscribe(conn *connection, packet *packets.Packet) {
 	if code := packet.UnsubscribeValidate().Code; code >= firstErrorCode {
 		s.closeOnViolation(conn, code)
@@ -47,4 +48,5 @@
 	s.send(conn, ack)
 }
 
+// answersTopic returns the topic of the answers to the client's readings.
 func (sess *session) answersTopic() string { return AnswersTopicPrefix + sess.clientID }
