--- a/internal/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -17,16 +17,18 @@
 	"lotusbend/internal/edge/mqtt"
 )
 
-// The benchmarks send one reading at a time and wait for its answer, on
-// loopback, before a table in memory: what is measured is the edge alone. Run
-// them with -cpu 1 for readings a second on one core. What idle devices cost in
-// memory is measured on the router itself: lotuslab measure edge.
+// The benchmarks send one reading at a time over loopback and wait for its answer.
+// A stub with a table in memory replaces the router, so that only the edge is
+// measured. Run them with -cpu 1 for readings per second on one core. The memory
+// of idle devices is measured by lotuslab measure edge.
 
+// followSystemClock sets the edge's clock to the system time and runs its timers
+// until the end of the benchmark.
 func (test *testEdge) followSystemClock(b *testing.B) {
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
 	test.clock.Set(float64(time.Now().UnixMilli()))
-	go func() { // the edge's own timers, by the system's clock
+	go func() {
 		for ctx.Err() == nil {
 			test.clock.Set(float64(time.Now().UnixMilli()))
 			test.loop.Fire()
@@ -56,7 +58,7 @@
 		gateway.send(frames.Readings{Kind: frames.KindReadings, ID: uint32(i), Route: "readings", Batch: *reading(uint64(i), 0)})
 		var a frames.Answer
 		if err := gateway.receive(&a); err != nil || a.Ranges[0].Status != 0 {
-			b.Fatal(a, err)
+			b.Fatalf("answer = %+v, %v, want status 0", a, err)
 		}
 	}
 	b.ReportMetric(float64(b.N)/time.Since(began).Seconds(), "readings/s")
@@ -86,12 +88,13 @@
 			b.Fatal(err)
 		}
 		if n, err := c.Read(in); err != nil || in[0] != packets.Puback<<4 {
-			b.Fatalf("%x, %v", in[:n], err)
+			b.Fatalf("received %x, %v, want PUBACK", in[:n], err)
 		}
 	}
 	b.ReportMetric(float64(b.N)/time.Since(began).Seconds(), "readings/s")
 }
 
+// connect opens an MQTT session and waits for CONNACK.
 func connect(b testing.TB, c net.Conn, id string) {
 	hello := packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Connect}, ProtocolVersion: 4,
 		Connect: packets.ConnectParams{ProtocolName: []byte("MQTT"), ClientIdentifier: id, Keepalive: 300}}
@@ -100,7 +103,7 @@
 		b.Fatal(err)
 	}
 	if n, err := c.Read(in); err != nil || in[0] != packets.Connack<<4 {
-		b.Fatalf("%x, %v", in[:n], err)
+		b.Fatalf("received %x, %v, want CONNACK", in[:n], err)
 	}
 }
 
@@ -152,7 +155,7 @@
 	b.ResetTimer()
 	for i := range b.N {
 		if code := post(i + 1); code != codes.Changed {
-			b.Fatal(code)
+			b.Fatalf("response code = %v, want %v", code, codes.Changed)
 		}
 	}
 	b.ReportMetric(float64(b.N)/time.Since(began).Seconds(), "readings/s")
--- a/internal/edge/coap/block_test.go
+++ b/internal/edge/coap/block_test.go
@@ -9,14 +9,17 @@
 	"github.com/plgd-dev/go-coap/v3/message/codes"
 )
 
+// block returns the Block1 option of a block of 16 bytes.
 func block(number uint32, more bool) message.Option {
 	v := uint64(number) << 4
 	if more {
 		v |= 8
 	}
-	return uintOption(message.Block1, v) // 16 bytes each
+	return uintOption(message.Block1, v)
 }
 
+// A transfer with a long Request-Tag continues from another address. Duplicate
+// blocks are acknowledged, and a missing block is reported.
 func TestBlockTransferResumesFromAnotherAddress(t *testing.T) {
 	tag := message.Option{ID: message.RequestTag, Value: []byte("12345678")}
 	client := newTestClient(t)
@@ -31,10 +34,10 @@
 	if c := send(home, 0); c != codes.Continue {
 		t.Fatal(c)
 	}
-	if c := send(home, 2); c != codes.RequestEntityIncomplete { // one is missing
+	if c := send(home, 2); c != codes.RequestEntityIncomplete { // block 1 is missing
 		t.Fatal(c)
 	}
-	if c := send(home, 0); c != codes.Continue { // its acknowledgement was lost
+	if c := send(home, 0); c != codes.Continue { // a duplicate whose acknowledgement was lost
 		t.Fatal(c)
 	}
 	client.advance(5000)
@@ -45,33 +48,35 @@
 		t.Fatal(c)
 	}
 	if c := send(away, 2); c != 0 || len(client.delivered) != 1 || client.delivered[0].payload != strings.Join(parts, "") {
-		t.Fatalf("%v, %+v", c, client.delivered)
+		t.Fatalf("last block: code %v, delivered %+v, want the whole message without a response", c, client.delivered)
 	}
 	if len(client.server.transfers)+len(client.server.transferByOwner)+client.server.unfinished.Len() != 0 {
-		t.Error("a transfer is left")
+		t.Error("state of the complete transfer is left, want none")
 	}
 }
 
+// A transfer ends if it makes no progress in the progress window, if it exceeds
+// the length limit, or if it is the slowest when all transfers exceed their limit.
 func TestStalledTransferEnds(t *testing.T) {
 	client := newTestClient(t)
 	client.send(home, strings.Repeat("a", 16), block(0, true))
 	client.advance(25000)
 	client.send(home, strings.Repeat("a", 16), block(1, true))
 	if m := client.last(); m.Code != codes.RequestEntityIncomplete || client.server.stats.Stalled != 1 {
-		t.Errorf("%v, %+v", m, client.server.stats)
+		t.Errorf("block after a stall = %v, stats %+v, want 4.08 and one stalled transfer", m, client.server.stats)
 	}
 	for n := range uint32(20) {
 		client.send(home, strings.Repeat("a", 16), block(n, true))
 	}
 	if m := client.last(); len(client.server.transfers) != 0 || m.Code != codes.RequestEntityIncomplete {
-		t.Errorf("a message without end: %v, %d transfers", m, len(client.server.transfers))
+		t.Errorf("block past the length limit = %v with %d transfers, want 4.08 with none", m, len(client.server.transfers))
 	}
-	// Many transfers together have a limit, too.
 	for n := range 100 {
 		tag := message.Option{ID: message.RequestTag, Value: []byte{1, 2, 3, 4, 5, 6, 7, byte(n)}}
 		client.send(home, strings.Repeat("a", 16), block(0, true), tag)
 	}
 	if client.server.unfinished.Bytes() > 2000 || len(client.server.transfers) > 8 {
-		t.Errorf("%d bytes in %d transfers", client.server.unfinished.Bytes(), len(client.server.transfers))
+		t.Errorf("%d bytes in %d transfers, want at most 2000 in 8",
+			client.server.unfinished.Bytes(), len(client.server.transfers))
 	}
 }
--- a/internal/edge/coap/characterization_test.go
+++ b/internal/edge/coap/characterization_test.go
@@ -80,15 +80,16 @@
 
 var home, away = netip.MustParseAddrPort("10.0.0.1:5683"), netip.MustParseAddrPort("[2001:db8::1]:1024")
 
-// endpoint is a server's clients, and all its actions, as numbers and bytes.
+// endpoint acts as all clients of a server and records the server's actions as
+// numbers and bytes.
 type endpoint struct {
 	t             *testing.T
 	server        *coap.Server
 	now           float64
 	tokens        []uint64
 	events        []string
-	echo          map[netip.AddrPort][]byte // the latest value that an address was sent
-	lastMessageID int32                     // message number
+	echo          map[netip.AddrPort][]byte // the latest Echo value sent to an address
+	lastMessageID int32                     // of the clients' messages
 }
 
 func newEndpoint(t *testing.T) *endpoint {
@@ -111,7 +112,7 @@
 	e.record("1 %x %x", to.Addr().AsSlice(), datagram)
 	m := message.Message{Options: make(message.Options, 0, 16)}
 	if _, err := coder.DefaultCoder.Decode(datagram, &m); err != nil {
-		e.t.Errorf("%x was sent: %v", datagram, err)
+		e.t.Errorf("decoding sent datagram %x: %v", datagram, err)
 	}
 	if value, err := m.Options.GetBytes(message.Echo); err == nil {
 		e.echo[to] = value
@@ -128,7 +129,7 @@
 	e.record("3 %d %x %x %x", token, from.Addr().AsSlice(), path, row)
 }
 
-// pass lets time pass and runs the timers due meanwhile.
+// advance sets the time forward and runs each timer at its time.
 func (e *endpoint) advance(ms float64) {
 	end := e.now + ms
 	for due, ok := e.server.Next(); ok && due <= end; due, ok = e.server.Next() {
@@ -138,7 +139,7 @@
 	e.now = end
 }
 
-// request encodes a request to a path, without what proves the address.
+// request encodes a request with the given options. It adds no Echo value.
 func (e *endpoint) request(kind message.Type, method codes.Code, path, payload string, options ...message.Option) []byte {
 	e.t.Helper()
 	e.lastMessageID++
@@ -161,7 +162,8 @@
 
 func (e *endpoint) datagram(from netip.AddrPort, b []byte) { e.server.Receive(e.now, from, b) }
 
-// proof returns the option that proves an address, which it requests first.
+// echoOption returns a valid Echo option for an address. It requests an Echo value
+// if the address has none yet.
 func (e *endpoint) echoOption(from netip.AddrPort) message.Option {
 	e.t.Helper()
 	if e.echo[from] == nil {
@@ -170,7 +172,7 @@
 	return message.Option{ID: message.Echo, Value: e.echo[from]}
 }
 
-// post sends a whole message from a proven address.
+// post sends a POST with a valid Echo option from home.
 func (e *endpoint) post(kind message.Type, payload string, options ...message.Option) (sent []byte) {
 	e.t.Helper()
 	sent = e.request(kind, codes.POST, "readings", payload, append(options, e.echoOption(home))...)
@@ -178,7 +180,7 @@
 	return sent
 }
 
-// block is the option of one block of 16 bytes, or of another size.
+// block returns the Block1 option of a block of 16 bytes, or of 16<<size bytes.
 func block(number int, more bool, size ...int) message.Option {
 	exponent := 0
 	if len(size) > 0 {
@@ -195,15 +197,16 @@
 	return message.Option{ID: message.RequestTag, Value: []byte(value)}
 }
 
-// part is a block's payload.
+// blockPayload is the payload of one block.
 const blockPayload = "0123456789abcdef"
 
+// exchanges are scenarios by name.
 var exchanges = map[string]func(*endpoint){
 	"challenge": func(e *endpoint) {
 		e.datagram(home, e.request(message.Confirmable, codes.POST, "readings", blockPayload))
 		e.datagram(home, e.request(message.NonConfirmable, codes.POST, "readings", blockPayload))
 		e.datagram(away, e.request(message.Confirmable, codes.GET, "limits/x", ""))
-		e.datagram(away, []byte{1<<6 | 1, 2, 0, 9, 7, 0xb1, 'r'}) // too short to be answered
+		e.datagram(away, []byte{1<<6 | 1, 2, 0, 9, 7, 0xb1, 'r'}) // shorter than a third of the response
 		e.datagram(away, e.request(message.Confirmable, codes.POST, "readings", blockPayload, e.echoOption(home)))
 		stale := e.echoOption(home)
 		e.advance(120001)
@@ -213,13 +216,13 @@
 	},
 	"piggybacked": func(e *endpoint) {
 		sent := e.post(message.Confirmable, "batch")
-		e.datagram(home, sent) // a duplicate before the answer
+		e.datagram(home, sent) // a duplicate before the response
 		e.advance(300)
 		e.server.Answer(e.now, e.tokens[0], codes.Changed, []byte{0xa1, 1, 0x80}, 0)
 		e.datagram(home, sent)
-		e.server.Answer(e.now, e.tokens[0], codes.Changed, nil, 0) // once only
+		e.server.Answer(e.now, e.tokens[0], codes.Changed, nil, 0) // ignored: the token was answered
 		e.advance(250000)
-		e.datagram(home, sent) // expired, and so is its proof
+		e.datagram(home, sent) // the exchange and the Echo value have expired
 	},
 	"not-confirmable": func(e *endpoint) {
 		sent := e.post(message.NonConfirmable, "batch")
@@ -233,7 +236,7 @@
 		e.datagram(home, sent)
 		e.server.Answer(e.now, e.tokens[0], codes.Changed, []byte("reply"), 0)
 		e.datagram(home, sent)
-		e.advance(100000) // retransmitted until the last attempt
+		e.advance(100000) // until the last retransmission
 	},
 	"separate-and-acknowledged": func(e *endpoint) {
 		for kind := message.Acknowledgement; kind <= message.Reset; kind++ {
@@ -344,7 +347,7 @@
 		}
 	},
 	"blocks-of-the-slowest": func(e *endpoint) {
-		for n := range 14 { // each of seven clients has sent two blocks when another begins
+		for n := range 14 { // each of seven transfers has two blocks
 			e.post(message.Confirmable, blockPayload, block(n%2, true), tag(fmt.Sprintf("%08d", n/2)))
 		}
 		e.post(message.Confirmable, blockPayload, block(0, true), tag("the last"))
--- a/internal/edge/coap/coap_test.go
+++ b/internal/edge/coap/coap_test.go
@@ -7,6 +7,8 @@
 	"github.com/plgd-dev/go-coap/v3/udp/coder"
 )
 
+// FuzzDatagram passes a datagram to a server as it is and, if it can be decoded,
+// with a valid Echo value. No transfer may outlive the progress window.
 func FuzzDatagram(f *testing.F) {
 	client := newTestClient(&testing.T{})
 	f.Add(client.post(message.Confirmable, "batch", block(0, true), message.Option{ID: message.Echo, Value: make([]byte, 16)}))
@@ -26,7 +28,7 @@
 		}
 		client.advance(300000)
 		if len(client.server.transfers)+client.server.unfinished.Len() != 0 {
-			t.Error("a transfer is left")
+			t.Error("a transfer is left after 300 s, want none")
 		}
 	})
 }
--- a/internal/edge/coap/echo_test.go
+++ b/internal/edge/coap/echo_test.go
@@ -7,8 +7,9 @@
 	"github.com/plgd-dev/go-coap/v3/message/codes"
 )
 
-// Nothing is delivered for an unproven address, and its responses are short;
-// an Echo value of another address, or an expired one, proves nothing.
+// A request without a valid Echo value is not delivered, and its response is not
+// much longer than the request. An Echo value is invalid if it was sent to another
+// address or has expired.
 func TestEchoValueProvesAddress(t *testing.T) {
 	client := newTestClient(t)
 	stolen := client.echoOption(home)
@@ -16,16 +17,17 @@
 		b := client.post(message.NonConfirmable, "batch", o...)
 		client.server.Receive(client.now, away, b)
 		if m := client.last(); m.Code != codes.Unauthorized || len(client.datagrams[len(client.datagrams)-1]) > 3*len(b) {
-			t.Errorf("%v", m)
+			t.Errorf("response to an unverified address = %v, want 4.01 of at most three times the request", m)
 		}
 	}
 	client.advance(echoLifetimeMs + 1)
 	client.server.Receive(client.now, home, client.post(message.Confirmable, "batch", stolen))
 	if m := client.last(); m.Code != codes.Unauthorized || len(client.delivered) != 0 || len(client.server.exchanges) != 0 {
-		t.Errorf("%v, %d delivered, %d exchanges", m, len(client.delivered), len(client.server.exchanges))
+		t.Errorf("expired Echo: %v, %d delivered, %d exchanges, want 4.01 and none of either",
+			m, len(client.delivered), len(client.server.exchanges))
 	}
-	client.server.Receive(client.now, away, []byte{1<<6 | 1, 1, 0, 9, 7, 0xb1, 'r'}) // seven bytes
+	client.server.Receive(client.now, away, []byte{1<<6 | 1, 1, 0, 9, 7, 0xb1, 'r'}) // 7 bytes
 	if len(client.sent) != 0 {
-		t.Errorf("%d bytes in answer to seven", len(client.datagrams[len(client.datagrams)-1]))
+		t.Errorf("response of %d bytes to a request of 7 bytes, want none", len(client.datagrams[len(client.datagrams)-1]))
 	}
 }
--- a/internal/edge/coap/fixture_test.go
+++ b/internal/edge/coap/fixture_test.go
@@ -14,15 +14,16 @@
 
 var home, away = netip.MustParseAddrPort("10.0.0.1:5683"), netip.MustParseAddrPort("10.9.0.1:1024")
 
+// delivery is one call of Deliver or Read.
 type delivery struct {
 	token     uint64
 	path      string
-	arg       string
+	row       string
 	payload   string
 	notBefore float64
 }
 
-// testClient is a client and records the actions of the server.
+// testClient acts as the clients of a server and records the server's actions.
 type testClient struct {
 	t             *testing.T
 	server        *Server
@@ -52,8 +53,8 @@
 	client.delivered = append(client.delivered, delivery{token, path, "", string(payload), notBefore})
 }
 
-func (client *testClient) Read(token uint64, _ netip.AddrPort, path, arg string) {
-	client.delivered = append(client.delivered, delivery{token: token, path: path, arg: arg})
+func (client *testClient) Read(token uint64, _ netip.AddrPort, path, row string) {
+	client.delivered = append(client.delivered, delivery{token: token, path: path, row: row})
 }
 
 func newTestClient(t *testing.T) *testClient {
@@ -66,6 +67,7 @@
 	return client
 }
 
+// advance sets the time forward and runs each timer at its time.
 func (client *testClient) advance(ms float64) {
 	end := client.now + ms
 	for at, ok := client.server.Next(); ok && at <= end; at, ok = client.server.Next() {
@@ -75,7 +77,8 @@
 	client.now = end
 }
 
-// last returns the last message from the server, once.
+// last returns the last message from the server and forgets all others. It fails
+// the test if there is none.
 func (client *testClient) last() *message.Message {
 	client.t.Helper()
 	if len(client.sent) == 0 {
@@ -86,6 +89,7 @@
 	return m
 }
 
+// post encodes a POST with the next message ID. It adds no Echo value.
 func (client *testClient) post(kind message.Type, payload string, more ...message.Option) []byte {
 	client.lastMessageID++
 	m := message.Message{
@@ -107,17 +111,19 @@
 	return b[:n]
 }
 
-// send posts a confirmable message from a proven address.
+// send sends a confirmable POST with a valid Echo value.
 func (client *testClient) send(from netip.AddrPort, payload string, more ...message.Option) {
 	more = append(more, client.echoOption(from))
 	client.server.Receive(client.now, from, client.post(message.Confirmable, payload, more...))
 }
 
+// echoOption returns a valid Echo option for an address. It requests an Echo value
+// if the address has none yet.
 func (client *testClient) echoOption(from netip.AddrPort) message.Option {
 	if client.echo[from] == nil {
 		client.server.Receive(client.now, from, client.post(message.Confirmable, strings.Repeat("x", 20)))
 		if m := client.last(); m.Code != codes.Unauthorized {
-			client.t.Fatalf("%v without an Echo", m)
+			client.t.Fatalf("response without Echo = %v, want 4.01", m)
 		}
 	}
 	return message.Option{ID: message.Echo, Value: client.echo[from]}
--- a/internal/edge/coap/request.go
+++ b/internal/edge/coap/request.go
@@ -69,7 +69,8 @@
 func (s *Server) sendChallenge(now float64, exchange *requestExchange, size int) {
 	s.stats.Challenges++
 	messageType := exchange.responseType()
-	response := s.encodeResponse(now, exchange, codes.Unauthorized, nil, 0, messageType, exchange.id.messageID)
+	response := s.encodeResponse(
+		now, exchange, codes.Unauthorized, nil, 0, messageType, exchange.id.messageID)
 	if len(response) <= maxAmplification*size {
 		s.actions.Send(exchange.id.peer, response)
 	}
--- a/internal/edge/connection_test.go
+++ b/internal/edge/connection_test.go
@@ -8,12 +8,12 @@
 	"lotusbend/internal/edge/batch"
 	"lotusbend/internal/edge/frames"
 	"lotusbend/internal/edge/intake"
-	edgeoptions "lotusbend/internal/operatorconfig"
+	"lotusbend/internal/operatorconfig"
 	"lotusbend/internal/slotmap"
 )
 
-// A link that delivers one byte a second is closed after the progress window;
-// others are served meanwhile.
+// A connection that delivers one byte per second is closed after the progress
+// window. Other connections are served meanwhile.
 func TestStalledMessageClosesConnection(t *testing.T) {
 	test := newTestEdge(t, nil)
 	slow, usual := test.dial().hello(), test.dial().hello()
@@ -24,26 +24,27 @@
 		if _, err := slow.Write(whole[i : i+1]); err != nil {
 			break
 		}
-		test.waitFor("a byte", func() bool { return test.edge.unfinished.Len() == 1 || i > 9 })
+		test.waitFor("an unfinished message", func() bool { return test.edge.unfinished.Len() == 1 || i > 9 })
 		test.waitForSent()
 		test.advance(1000)
 		usual.sendReading(uint32(i), "usual", uint64(i))
 		var a frames.Answer
 		if err := usual.receive(&a); err != nil || a.Ranges[0].Status != uint8(intake.Recorded) {
-			t.Fatalf("%+v, %v", a, err)
+			t.Fatalf("answer on another connection = %+v, %v, want recorded", a, err)
 		}
 	}
 	if !slow.closed() {
-		t.Error("a connection of one byte a second stays")
+		t.Error("connection with one byte per second is open, want closed")
 	}
-	test.waitFor("nothing left of it", func() bool {
+	test.waitFor("the slow connection to be unregistered", func() bool {
 		return test.edge.unfinished.Len() == 0 && test.edge.unfinished.Bytes() == 0 && test.edge.openConnections == 1
 	})
 }
 
-// Unfinished messages together take no more than their limit.
-func TestLimitOfUnfinishedBytes(t *testing.T) {
-	test := newTestEdge(t, func(o *edgeoptions.Edge) { o.UnfinishedBytes = 20000 })
+// The slowest connections are closed if the unfinished messages of all
+// connections together exceed their limit. A new connection is served.
+func TestUnfinishedBytesAreLimited(t *testing.T) {
+	test := newTestEdge(t, func(o *operatorconfig.Edge) { o.UnfinishedBytes = 20000 })
 	var peers []*testGateway
 	for range 20 {
 		gateway := test.dial().hello()
@@ -52,37 +53,39 @@
 		}
 		peers = append(peers, gateway)
 	}
-	test.waitFor("the slowest went", func() bool {
+	test.waitFor("the slowest connections to be closed", func() bool {
 		return test.edge.openConnections <= 6 && test.edge.unfinished.Bytes() <= 20000
 	})
 	last := test.dial().hello()
 	last.sendReading(1, "d", 1)
 	var a frames.Answer
 	if err := last.receive(&a); err != nil {
-		t.Error(err)
+		t.Errorf("receiving the answer on a new connection: %v", err)
 	}
 	_ = peers
 }
 
-// Two thousand silent connections do not affect others, and time out.
+// Two thousand connections that send nothing do not keep others from being
+// served, and are closed after FirstMessageMs.
 func TestSilentConnectionsTimeOut(t *testing.T) {
 	test := newTestEdge(t, nil)
 	for range 2000 {
 		test.dial()
 	}
-	test.waitFor("all of them", func() bool { return test.edge.openConnections == 2000 })
+	test.waitFor("2000 connections", func() bool { return test.edge.openConnections == 2000 })
 	gateway := test.dial().hello()
 	gateway.sendReading(1, "d", 1)
 	var a frames.Answer
 	if err := gateway.receive(&a); err != nil || a.Ranges[0].Status != uint8(intake.Recorded) {
-		t.Fatalf("%+v, %v", a, err)
+		t.Fatalf("answer beside silent connections = %+v, %v, want recorded", a, err)
 	}
 	test.waitForSent()
 	test.advance(test.edge.options.FirstMessageMs + 1)
-	test.waitFor("their end", func() bool { return test.edge.openConnections == 1 })
+	test.waitFor("the silent connections to be closed", func() bool { return test.edge.openConnections == 1 })
 }
 
-// The connection of a device that does not read its answers is closed.
+// A connection whose device sends requests but does not read the answers is
+// closed, before more than maxUnreadBytes are queued for it.
 func TestUnreadAnswersCloseConnection(t *testing.T) {
 	test := newTestEdge(t, nil)
 	gateway := test.dial().hello()
@@ -97,12 +100,12 @@
 		}
 	}()
 	most := 0
-	test.waitFor("its end", func() bool {
+	test.waitFor("the connection to be closed", func() bool {
 		test.edge.connections.Each(func(_ slotmap.Handle, conn *connection) { most = max(most, conn.unreadBytes) })
 		return test.edge.openConnections == 0
 	})
 	if <-ended; most > maxUnreadBytes+1024 {
-		t.Errorf("%d bytes were kept for it", most)
+		t.Errorf("unread bytes = %d at most, want at most %d", most, maxUnreadBytes+1024)
 	}
 }
 
@@ -123,12 +126,12 @@
 			}
 			gateway := &testGateway{t, c, test.codec}
 			if !gateway.closed() {
-				t.Errorf("%q at %s: it stays", b, address)
+				t.Errorf("connection that sent %q to %s is open, want closed", b, address)
 			}
 			_ = c.Close()
 		}
 	}
 	if test.router.statementCount() != 0 {
-		t.Errorf("%q went on", test.router.statements)
+		t.Errorf("statements = %q, want none", test.router.statements)
 	}
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -5,38 +5,38 @@
 
 	"lotusbend/internal/edge/frames"
 	"lotusbend/internal/edge/intake"
-	edgeoptions "lotusbend/internal/operatorconfig"
+	"lotusbend/internal/operatorconfig"
 )
 
-func TestDrainEndsIdleConnections(t *testing.T) {
+func TestDrainDisconnectsIdleGateway(t *testing.T) {
 	test := newTestEdge(t, nil)
 	gateway := test.dial().hello()
 	test.loop.Do(test.edge.Drain)
 	var bye frames.Bye
 	if err := gateway.receive(&bye); err != nil || bye.Kind != frames.KindBye {
-		t.Errorf("%+v, %v", bye, err)
+		t.Errorf("last frame = %+v, %v, want Bye", bye, err)
 	}
 	if !gateway.closed() {
-		t.Error("it stays")
+		t.Error("connection of a drained edge is open, want closed")
 	}
 }
 
-// A stored reading is delivered after a restart, although nothing was delivered
-// before.
+// A reading that was stored but not yet recorded is recorded after a restart, and
+// then removed from the store.
 func TestStoredReadingIsDeliveredAfterRestart(t *testing.T) {
 	path := t.TempDir() + "/store"
-	durable := func(o *edgeoptions.Edge) { o.Store, o.Intake.Durable = path, true }
+	durable := func(o *operatorconfig.Edge) { o.Store, o.Intake.Durable = path, true }
 	test := newTestEdge(t, durable)
-	test.router.silent = true // nothing can be delivered
+	test.router.silent = true // so that the reading is not recorded
 	gateway := test.dial().hello()
 	gateway.sendReading(1, "d", 1)
 	var a frames.Answer
 	if err := gateway.receive(&a); err != nil || a.Ranges[0].Status != uint8(intake.Stored) {
-		t.Fatalf("%+v, %v", a, err)
+		t.Fatalf("answer = %+v, %v, want stored", a, err)
 	}
 	if err := test.edge.Close(); err != nil {
 		t.Fatal(err)
 	}
 	test = newTestEdge(t, durable)
-	test.waitFor("its delivery", func() bool { return test.router.rowCount() == 1 && test.edge.store.Bytes() == 0 })
+	test.waitFor("the stored reading to be recorded", func() bool { return test.router.rowCount() == 1 && test.edge.store.Bytes() == 0 })
 }
--- a/internal/edge/fixture_test.go
+++ b/internal/edge/fixture_test.go
@@ -17,19 +17,19 @@
 	"lotusbend/internal/edge/batch"
 	"lotusbend/internal/edge/frames"
 	"lotusbend/internal/netio"
-	edgeoptions "lotusbend/internal/operatorconfig"
+	"lotusbend/internal/operatorconfig"
 	"lotusbend/internal/postgres/wire"
 	"lotusbend/internal/router"
 	"lotusbend/internal/slotmap"
 )
 
-// stubRouter stands in for the router and all behind it: a table in memory.
+// stubRouter is a RequestRouter that executes statements on a table in memory.
 type stubRouter struct {
 	mu          sync.Mutex
 	rows        map[string][]byte
-	writesByKey map[string]int
+	writesByKey map[string]int // by idempotency key
 	statements  []string
-	silent      bool // sends no answers
+	silent      bool // answer no statement
 }
 
 func (r *stubRouter) Class(name []byte) (router.Class, bool) {
@@ -81,13 +81,14 @@
 	return len(r.statements)
 }
 
+// rowCount returns how many rows were written.
 func (r *stubRouter) rowCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.rows)
 }
 
-// testEdge is an edge on loopback with a clock that tests set.
+// testEdge is an edge on loopback with a stub router and a manual clock.
 type testEdge struct {
 	t      testing.TB
 	clock  *clock.Clock
@@ -97,9 +98,9 @@
 	codec  *batch.Codec
 }
 
-func newTestEdge(t testing.TB, change func(*edgeoptions.Edge)) *testEdge {
+func newTestEdge(t testing.TB, change func(*operatorconfig.Edge)) *testEdge {
 	t.Helper()
-	options, err := edgeoptions.Parse("test", []byte(`{"edge": {
+	options, err := operatorconfig.Parse("test", []byte(`{"edge": {
 		"coap": "127.0.0.1:0", "mqtt": "127.0.0.1:0", "frames": "127.0.0.1:0",
 		"connections": 20000, "routes": [
 		{"match": "readings", "groups": [1, 2], "write": "ledger-write", "check": "invoice-check"},
@@ -127,7 +128,7 @@
 	return test
 }
 
-// advance sets the clock forward, timer by timer.
+// advance sets the clock forward and runs each timer at its time.
 func (test *testEdge) advance(ms float64) {
 	end := test.clock.Now() + ms
 	for at, ok := test.loop.Next(); ok && at <= end; at, ok = test.loop.Next() {
@@ -137,7 +138,8 @@
 	test.clock.Set(end)
 }
 
-// waitFor waits until the edge is in the state that holds checks.
+// waitFor waits until the condition holds, which is evaluated inside the loop's
+// Do. It fails the test after 20 seconds.
 func (test *testEdge) waitFor(what string, holds func() bool) {
 	test.t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; runtime.Gosched() {
@@ -147,23 +149,25 @@
 			return
 		}
 		if time.Now().After(end) {
-			test.t.Fatalf("never came: %s", what)
+			test.t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// waitForSent waits until the edge has noted that every answer was written. A
-// client may read its answer before that, and a clock that is set ahead then would
-// take the answer for one that the client leaves unread.
+// waitForSent waits until the edge has registered that every answer was written. A
+// client may read its answer earlier. If the clock were set forward in between,
+// the unread timer would close the connection.
 func (test *testEdge) waitForSent() {
 	test.t.Helper()
-	test.waitFor("answers written", func() bool {
+	test.waitFor("all answers to be written", func() bool {
 		unread := 0
 		test.edge.connections.Each(func(_ slotmap.Handle, conn *connection) { unread += conn.unreadBytes })
 		return unread == 0
 	})
 }
 
+// encodeBatch encodes a batch with a reading for each sequence number. The value
+// of a reading is the device and the number.
 func (test *testEdge) encodeBatch(device string, seqs ...uint64) []byte {
 	b := &batch.Batch{Device: device, Epoch: 1}
 	for _, s := range seqs {
@@ -172,13 +176,14 @@
 	return test.codec.Encode(b)
 }
 
-// testGateway is a gateway of the framed stream.
+// testGateway is the connection of a gateway that sends frames.
 type testGateway struct {
 	t testing.TB
 	net.Conn
 	codec *batch.Codec
 }
 
+// dial opens a connection for frames, without Hello.
 func (test *testEdge) dial() *testGateway {
 	test.t.Helper()
 	_, _, address := test.edge.Addresses()
@@ -197,8 +202,9 @@
 	}
 }
 
+// receive decodes the next frame into a message.
 func (gateway *testGateway) receive(to any) error {
-	_ = gateway.SetReadDeadline(time.Now().Add(20 * time.Second)) // only so that a test ends
+	_ = gateway.SetReadDeadline(time.Now().Add(20 * time.Second)) // ends a test that would hang
 	head := make([]byte, frames.HeaderLen)
 	if _, err := io.ReadFull(gateway, head); err != nil {
 		return err
@@ -214,23 +220,26 @@
 	return gateway.codec.Decode(body, to)
 }
 
+// hello sends Hello and waits for Welcome.
 func (gateway *testGateway) hello() *testGateway {
 	gateway.t.Helper()
 	gateway.send(frames.Hello{Kind: frames.KindHello, Version: frames.Version, Name: "g"})
 	var welcome frames.Welcome
 	if err := gateway.receive(&welcome); err != nil || welcome.Kind != frames.KindWelcome {
-		gateway.t.Fatalf("%+v, %v", welcome, err)
+		gateway.t.Fatalf("answer to Hello = %+v, %v, want Welcome", welcome, err)
 	}
 	return gateway
 }
 
+// sendReading sends a batch of one reading.
 func (gateway *testGateway) sendReading(id uint32, device string, seq uint64) {
 	gateway.t.Helper()
 	gateway.send(frames.Readings{Kind: frames.KindReadings, ID: id, Route: "readings",
 		Batch: batch.Batch{Device: device, Epoch: 1, Readings: []batch.Reading{{Seq: seq, Value: []byte("v")}}}})
 }
 
-// closed waits for the connection's end.
+// closed discards what the edge sends and reports whether the edge closes the
+// connection within 20 seconds.
 func (gateway *testGateway) closed() bool {
 	_ = gateway.SetReadDeadline(time.Now().Add(20 * time.Second))
 	_, err := io.Copy(io.Discard, gateway)
--- a/internal/edge/frames/characterization_test.go
+++ b/internal/edge/frames/characterization_test.go
@@ -79,6 +79,7 @@
 	}
 }
 
+// exampleReadings returns a batch of two readings.
 func exampleReadings(id uint32, mark float64) frames.Readings {
 	elapsed := 100.0
 	readings := []batch.Reading{{Seq: 1, Value: []byte("v")}, {Seq: 2, Sent: 1, Urgent: true, Value: []byte("w")}}
@@ -86,6 +87,7 @@
 		Batch: batch.Batch{Device: "meter-1", Epoch: 2, Elapsed: &elapsed, Readings: readings}}
 }
 
+// allFrames returns frames of every kind by name.
 func allFrames() map[string]any {
 	twoRanges := []frames.Range{{From: 1, To: 3}, {From: 4, To: 4, Status: 3, Wait: 500}}
 	return map[string]any{
@@ -105,7 +107,7 @@
 	}
 }
 
-// connection is one gateway's, and all actions of the server, as numbers and
+// connection acts as a gateway and records the server's actions as numbers and
 // bytes.
 type connection struct {
 	server *frames.Server
@@ -129,7 +131,7 @@
 func (c *connection) Send(conn uint64, frame []byte) {
 	var bye frames.Bye
 	if err := c.codec.Decode(frame[frames.HeaderLen:], &bye); err == nil {
-		// What the codec says of a broken frame names types of the program.
+		// The codec's errors quote Go type names and are left out.
 		if reason, _, cut := strings.Cut(bye.Reason, "cbor: "); cut {
 			c.record("1 %d %d %x", conn, bye.Kind, reason)
 			return
@@ -163,7 +165,7 @@
 	c.send(frames.Hello{Kind: frames.KindHello, Version: frames.Version, Name: "gateway"})
 }
 
-// pass lets time pass and runs the timers due meanwhile.
+// advance sets the time forward and runs each timer at its time.
 func (c *connection) advance(ms float64) {
 	end := c.now + ms
 	for due, ok := c.server.Next(); ok && due <= end; due, ok = c.server.Next() {
@@ -173,7 +175,7 @@
 	c.now = end
 }
 
-// connections are whole connections.
+// connections are scenarios by name, each of one connection.
 var connections = map[string]func(*connection){
 	"answers": func(c *connection) {
 		c.hello()
@@ -185,7 +187,7 @@
 			{Seq: 8, Status: 3}, {Seq: 8}, {Seq: math.MaxUint64}, {Seq: 0},
 		})
 		c.server.Answer(c.now, c.tokens[0], nil)
-		c.server.Answer(c.now, c.tokens[0], nil) // once only
+		c.server.Answer(c.now, c.tokens[0], nil) // ignored: the token was answered
 		c.server.Answer(c.now, 99, nil)
 		without := exampleReadings(1, 1.7e12)
 		without.Batch.Elapsed = nil
@@ -258,7 +260,7 @@
 	"broken-hello": func(c *connection) { c.send(frames.Signal{Kind: frames.KindHello}) },
 }
 
-// lengths writes what is made of a frame's length.
+// lengths returns the results of FrameLength.
 func lengths() (text string) {
 	for _, b := range []string{
 		"", "\x00\x00\x00", "\x00\x00\x00\x05", "\x00\x00\x00\x64",
--- a/internal/edge/frames/frames_test.go
+++ b/internal/edge/frames/frames_test.go
@@ -10,7 +10,7 @@
 	"lotusbend/internal/edge/intake"
 )
 
-// testGateway is a gateway and records the actions of the server.
+// testGateway acts as a gateway and records the server's actions.
 type testGateway struct {
 	t         *testing.T
 	server    *Server
@@ -49,6 +49,8 @@
 func (gateway *testGateway) hello() {
 	gateway.send(Hello{Kind: KindHello, Version: Version, Name: "g"})
 }
+
+// last decodes the last frame from the server. It fails the test if there is none.
 func (gateway *testGateway) last(to any) {
 	gateway.t.Helper()
 	if len(gateway.sent) == 0 {
@@ -59,6 +61,7 @@
 	}
 }
 
+// readings returns a batch of one reading that was sent 100 ms after the mark.
 func readings(id uint32, mark float64) Readings {
 	elapsed := 100.0
 	readings := []batch.Reading{{Seq: 1, Value: []byte("v")}}
@@ -66,17 +69,19 @@
 		Batch: batch.Batch{Device: "d", Epoch: 1, Elapsed: &elapsed, Readings: readings}}
 }
 
-func TestAnswersInRangesAndAgeOfBatches(t *testing.T) {
+// A gateway gets a Welcome, answers and known sequence numbers in ranges, values
+// and pongs. The earliest time of a batch follows from its mark and elapsed time.
+func TestBatchesQueriesAndReadsAreAnswered(t *testing.T) {
 	gateway := newTestGateway(t)
 	gateway.hello()
 	var welcome Welcome
 	if gateway.last(&welcome); welcome.Kind != KindWelcome || welcome.Window != 3 || welcome.Mark != gateway.now {
-		t.Fatalf("%+v", welcome)
+		t.Fatalf("welcome = %+v, want window 3 and the current time", welcome)
 	}
-	gateway.now += 5000 // the link delayed it
+	gateway.now += 5000 // delay of the link
 	gateway.send(readings(1, welcome.Mark))
 	if at := welcome.Mark + 100; gateway.notBefore > at || gateway.notBefore < at-1 {
-		t.Errorf("not before %v, it was sent at %v", gateway.notBefore, at)
+		t.Errorf("notBefore = %v, want at most 1 ms before %v", gateway.notBefore, at)
 	}
 	results := []batch.Result{{Seq: 4}, {Seq: 5}, {Seq: 6, Status: uint8(intake.Rejected), Wait: 9}, {Seq: 7}, {Seq: 0}}
 	gateway.server.Answer(gateway.now, gateway.tokens[0], results)
@@ -84,47 +89,48 @@
 	gateway.last(&a)
 	got := fmt.Sprint(a.Ranges)
 	if a.ID != 1 || a.Mark != gateway.now || got != "[{{} 4 5 0 0} {{} 6 6 3 9} {{} 7 7 0 0} {{} 0 0 0 0}]" {
-		t.Errorf("%+v", a)
+		t.Errorf("answer = %+v, want ID 1, the current time and the results in four ranges", a)
 	}
 	gateway.send(Query{Kind: KindQuery, ID: 8, Device: "d", Epoch: 1})
 	var k Known
 	if gateway.last(&k); fmt.Sprint(k.Ranges) != "[{{} 1 3 0 0} {{} 7 7 0 0} {{} 9 10 0 0}]" {
-		t.Errorf("%+v", k)
+		t.Errorf("known = %+v, want ranges 1 to 3, 7 and 9 to 10", k)
 	}
 	gateway.send(Read{Kind: KindRead, ID: 2, Route: "v", Arg: "x"})
 	gateway.server.Value(gateway.tokens[1], intake.Recorded, 0, []byte("value"))
 	var v Value
 	if gateway.last(&v); string(v.Value) != "value" || v.ID != 2 {
-		t.Errorf("%+v", v)
+		t.Errorf(`value = %+v, want ID 2 and "value"`, v)
 	}
 	gateway.send(Signal{Kind: KindPing})
 	var s Signal
 	if gateway.last(&s); s.Kind != KindPong {
-		t.Errorf("%+v", s)
+		t.Errorf("answer to a ping = %+v, want a pong", s)
 	}
 }
 
+// A violation of the protocol closes the connection after a Bye with a reason.
 func TestViolationsDisconnectWithReason(t *testing.T) {
 	for name, do := range map[string]func(gateway *testGateway){
-		"readings first":   func(gateway *testGateway) { gateway.send(readings(1, 0)) },
-		"two hellos":       func(gateway *testGateway) { gateway.hello(); gateway.hello() },
-		"a version":        func(gateway *testGateway) { gateway.send(Hello{Kind: KindHello, Version: 9}) },
-		"a kind":           func(gateway *testGateway) { gateway.hello(); gateway.send(Signal{Kind: 33}) },
-		"no array":         func(gateway *testGateway) { gateway.send(7) },
-		"a mark of others": func(gateway *testGateway) { gateway.hello(); gateway.send(readings(1, gateway.now-5000)) },
-		"a mark to come":   func(gateway *testGateway) { gateway.hello(); gateway.send(readings(1, gateway.now+1)) },
-		"a number twice": func(gateway *testGateway) {
+		"readings before hello":      func(gateway *testGateway) { gateway.send(readings(1, 0)) },
+		"second hello":               func(gateway *testGateway) { gateway.hello(); gateway.hello() },
+		"unsupported version":        func(gateway *testGateway) { gateway.send(Hello{Kind: KindHello, Version: 9}) },
+		"unknown kind":               func(gateway *testGateway) { gateway.hello(); gateway.send(Signal{Kind: 33}) },
+		"not an array":               func(gateway *testGateway) { gateway.send(7) },
+		"mark before the connection": func(gateway *testGateway) { gateway.hello(); gateway.send(readings(1, gateway.now-5000)) },
+		"mark in the future":         func(gateway *testGateway) { gateway.hello(); gateway.send(readings(1, gateway.now+1)) },
+		"frame ID in use": func(gateway *testGateway) {
 			gateway.hello()
 			gateway.send(readings(1, 0))
 			gateway.send(readings(1, 0))
 		},
-		"past the window": func(gateway *testGateway) {
+		"window exceeded": func(gateway *testGateway) {
 			gateway.hello()
 			for id := range uint32(4) {
 				gateway.send(readings(id, 0))
 			}
 		},
-		"no device": func(gateway *testGateway) {
+		"empty device": func(gateway *testGateway) {
 			gateway.hello()
 			r := readings(1, 0)
 			r.Batch.Device = ""
@@ -135,12 +141,14 @@
 		do(gateway)
 		var bye Bye
 		if gateway.last(&bye); !gateway.closed || bye.Kind != KindBye || bye.Reason == "" {
-			t.Errorf("%s: closed %t, %+v", name, gateway.closed, bye)
+			t.Errorf("%s: closed = %t, last frame %+v, want closed after a Bye", name, gateway.closed, bye)
 		}
 	}
 }
 
-func TestIdleTimeoutAndDrain(t *testing.T) {
+// A gateway is disconnected after MaxIdleMs without a frame. Draining disconnects
+// it after its answers.
+func TestIdleTimeoutAndDrainDisconnect(t *testing.T) {
 	gateway := newTestGateway(t)
 	gateway.hello()
 	for range 3 {
@@ -149,43 +157,45 @@
 		gateway.server.Tick(gateway.now)
 	}
 	if gateway.closed {
-		t.Fatal("closed while it sent frames")
+		t.Fatal("connection with a frame every 4 s was closed, want open")
 	}
 	gateway.now += 5001
 	gateway.server.Tick(gateway.now)
 	if !gateway.closed {
-		t.Error("a silent gateway stays")
+		t.Error("idle connection is open, want closed")
 	}
 	gateway = newTestGateway(t)
 	gateway.hello()
 	gateway.send(readings(1, 0))
 	gateway.server.Drain()
 	if gateway.closed {
-		t.Fatal("disconnected before its answer")
+		t.Fatal("draining closed the connection before its answer")
 	}
 	gateway.server.Answer(gateway.now, gateway.tokens[0], []batch.Result{{Seq: 1}})
 	if !gateway.closed {
-		t.Error("it stays after its answer")
+		t.Error("draining connection is open after its answer, want closed")
 	}
 	gateway.server.RemoveConnection(1)
 	if len(gateway.server.connections)+len(gateway.server.pending)+gateway.server.timers.Len() != 0 {
-		t.Error("something is left")
+		t.Error("state of a removed connection is left, want none")
 	}
 }
 
-func TestFrameLengths(t *testing.T) {
+func TestFrameLength(t *testing.T) {
 	for in, want := range map[string]int{"": 0, "\x00\x00\x00": 0, "\x00\x00\x00\x05": 9} {
 		if n, err := FrameLength([]byte(in), 100); err != nil || n != want {
-			t.Errorf("%q: %d, %v", in, n, err)
+			t.Errorf("FrameLength(%q) = %d, %v, want %d", in, n, err, want)
 		}
 	}
 	for _, in := range []string{"\x00\x00\x00\x00", "\xff\xff\xff\xff", "\x00\x00\x00\x65"} {
 		if _, err := FrameLength([]byte(in), 100); err == nil {
-			t.Errorf("%q was accepted", in)
+			t.Errorf("FrameLength(%q) succeeded, want an error", in)
 		}
 	}
 }
 
+// FuzzFrames passes two frames to a server. Nothing may panic, and no frame may
+// stay pending after it is answered.
 func FuzzFrames(f *testing.F) {
 	c := batch.NewCodec()
 	f.Add(c.Encode(Hello{Kind: KindHello, Version: Version}), c.Encode(readings(1, 0)))
@@ -199,7 +209,7 @@
 			gateway.server.Answer(gateway.now, token, []batch.Result{{Seq: 1}})
 		}
 		if len(gateway.server.pending) != 0 || bytes.Contains(bytes.Join(gateway.sent, nil), []byte("panic")) {
-			t.Error("a frame is left")
+			t.Error("a frame is pending after its answer, or a reason mentions a panic")
 		}
 	})
 }
--- a/internal/edge/mqtt/characterization_test.go
+++ b/internal/edge/mqtt/characterization_test.go
@@ -86,7 +86,8 @@
 	version5   = 5
 )
 
-// endpoint is a server's clients, and all its actions, as numbers and bytes.
+// endpoint acts as all clients of a server and records the server's actions as
+// numbers and bytes.
 type endpoint struct {
 	server  *mqtt.Server
 	version byte
@@ -118,7 +119,7 @@
 	e.record("3 %d %d %x %x %.3f %d", token, conn, topic, payload, connectedAt, dup)
 }
 
-// pass lets time pass and runs the timers due meanwhile.
+// advance sets the time forward and runs each timer at its time.
 func (e *endpoint) advance(ms float64) {
 	end := e.now + ms
 	for due, ok := e.server.Next(); ok && due <= end; due, ok = e.server.Next() {
@@ -128,7 +129,8 @@
 	e.now = end
 }
 
-// send encodes a packet in the endpoint's version and hands it to the server.
+// send encodes a packet, by default in the endpoint's version, and passes it to
+// the server.
 func (e *endpoint) send(conn uint64, pk packets.Packet) {
 	if pk.ProtocolVersion == 0 {
 		pk.ProtocolVersion = e.version
@@ -136,8 +138,8 @@
 	e.server.Receive(e.now, conn, mqtt.Encode(&pk))
 }
 
-// connectPacket begins a connection. keep is its keep-alive time in seconds, and
-// kept for how many seconds its session is kept, 0 for a clean start.
+// connectPacket returns a CONNECT. keepAlive and sessionExpiry are in seconds; a
+// sessionExpiry of 0 requests a clean start.
 func connectPacket(version byte, id string, keepAlive uint16, sessionExpiry uint32) packets.Packet {
 	pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: packets.Connect}, ProtocolVersion: version,
 		Connect: packets.ConnectParams{ProtocolName: []byte("MQTT"), Clean: sessionExpiry == 0, ClientIdentifier: id, Keepalive: keepAlive}}
@@ -169,7 +171,7 @@
 	e.send(conn, pk)
 }
 
-// control sends a packet that has a number at most.
+// sendControl sends a packet that has at most a packet identifier.
 func (e *endpoint) sendControl(conn uint64, kind byte, packetID uint16) {
 	pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: kind}, PacketID: packetID}
 	if kind == packets.Pubrel {
@@ -178,7 +180,7 @@
 	e.send(conn, pk)
 }
 
-// subscribe subscribes to topics, or unsubscribes.
+// subscribe sends a SUBSCRIBE or, by kind, an UNSUBSCRIBE.
 func (e *endpoint) subscribe(conn uint64, kind byte, packetID uint16, topics ...string) {
 	pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: kind, Qos: 1}, PacketID: packetID}
 	for _, topic := range topics {
@@ -190,13 +192,13 @@
 	}
 	pk.ProtocolVersion = e.version
 	var b bytes.Buffer
-	if err := pk.UnsubscribeEncode(&b); err != nil { // which Encode does not write
+	if err := pk.UnsubscribeEncode(&b); err != nil { // not supported by Encode
 		panic(err)
 	}
 	e.server.Receive(e.now, conn, b.Bytes())
 }
 
-// answer ends the latest message, with one reading of each status.
+// answer answers the latest message, with one reading for each status.
 func (e *endpoint) answer(statuses ...intake.Status) {
 	var results []batch.Result
 	for i, status := range statuses {
@@ -208,17 +210,18 @@
 func setDup(pk *packets.Packet)    { pk.FixedHeader.Dup = true }
 func setRetain(pk *packets.Packet) { pk.FixedHeader.Retain = true }
 
-// raw passes bytes that are no packet, or one that no client would send.
+// sendRaw passes bytes to the server that Encode cannot produce.
 func (e *endpoint) sendRaw(conn uint64, packet string) {
 	e.server.Receive(e.now, conn, []byte(packet))
 }
 
+// sessions are scenarios by name.
 var sessions = map[string]func(*endpoint){
 	"greetings": func(e *endpoint) {
 		e.connect(1, "a", 20, 0)
 		e.connect(2, "b", 0, 0)
 		e.connect(3, "c", 60, 0)
-		e.connect(4, "d", 20, 0) // one too many
+		e.connect(4, "d", 20, 0) // exceeds the limit of sessions
 	},
 	"keepers": func(e *endpoint) {
 		e.connect(1, "a", 20, 30)
@@ -258,7 +261,7 @@
 		e.server.AddConnection(e.now, 5)
 		e.sendControl(5, packets.Pingreq, 0)
 		e.connect(6, "f", 20, 0)
-		e.send(6, connectPacket(e.version, "f", 20, 0)) // a second one
+		e.send(6, connectPacket(e.version, "f", 20, 0)) // a second CONNECT
 		e.server.RemoveConnection(e.now, 99)
 	},
 	"quality-0": func(e *endpoint) {
@@ -270,9 +273,9 @@
 	"quality-1": func(e *endpoint) {
 		e.connect(1, "a", 20, 30)
 		e.publish(1, 1, 5, "batch")
-		e.publish(1, 1, 5, "batch", setDup) // its answer is on its way
+		e.publish(1, 1, 5, "batch", setDup) // its answer is pending
 		e.answer(intake.Recorded, intake.Stored)
-		e.answer(intake.Recorded) // once only
+		e.answer(intake.Recorded) // ignored: the token was answered
 		e.publish(1, 1, 5, "batch", setDup)
 		e.answer(intake.Recorded, intake.Rejected, intake.Unknown)
 		e.sendControl(1, packets.Puback, 9)
@@ -402,7 +405,8 @@
 	},
 }
 
-// lengths writes what is made of a packet's length.
+// lengths returns the results of PacketLength, and the bytes that can begin a
+// connection.
 func lengths() (text string) {
 	for _, b := range []string{
 		"", "\x30", "\x30\x05", "\x30\x80", "\x30\xc8\x01", "\x30\xc9\x01",
--- a/internal/edge/mqtt/fixture_test.go
+++ b/internal/edge/mqtt/fixture_test.go
@@ -11,18 +11,19 @@
 	"lotusbend/internal/edge/intake"
 )
 
+// publishedMessage is one call of Deliver.
 type publishedMessage struct {
 	token, conn   uint64
 	topic, body   string
 	retransmitted bool
 }
 
-// testClients are clients and record the actions of the server.
+// testClients acts as the clients of a server and records the server's actions.
 type testClients struct {
 	t         *testing.T
 	server    *Server
 	now       float64
-	events    map[uint64][]string // of each connection, one word a packet
+	events    map[uint64][]string // by connection, one word for each packet
 	published []publishedMessage
 	versions  map[uint64]byte
 }
@@ -37,10 +38,12 @@
 	return clients
 }
 
+// Send records a packet as one word: its type, packet identifier, "!" and reason
+// code, "+" if the session is present, and user properties.
 func (clients *testClients) Send(conn uint64, b []byte) {
 	n, err := PacketLength(b, 1<<16)
 	if err != nil || n != len(b) {
-		clients.t.Fatalf("%x: a frame of %d: %v", b, n, err)
+		clients.t.Fatalf("PacketLength(%x) = %d, %v, want the whole packet", b, n, err)
 	}
 	version := clients.versions[conn]
 	if conn := clients.server.connections[conn]; conn != nil {
@@ -48,7 +51,7 @@
 	}
 	pk, err := decodeAny(b, version)
 	if err != nil {
-		clients.t.Fatalf("%x: %v", b, err)
+		clients.t.Fatalf("decoding sent packet %x: %v", b, err)
 	}
 	word := strings.ToLower(packets.PacketNames[pk.FixedHeader.Type])
 	if pk.PacketID > 0 {
@@ -66,7 +69,7 @@
 	clients.events[conn] = append(clients.events[conn], word)
 }
 
-// decodeAny also reads what only a server sends.
+// decodeAny decodes a packet, including those that only servers send.
 func decodeAny(b []byte, version byte) (packets.Packet, error) {
 	pk := packets.Packet{ProtocolVersion: version}
 	if err := pk.FixedHeader.Decode(b[0]); err != nil {
@@ -95,14 +98,17 @@
 	clients.published = append(clients.published, publishedMessage{token, conn, topic, string(payload), retransmitted})
 }
 
+// want compares the recorded actions on a connection, separated by spaces, and
+// clears them.
 func (clients *testClients) want(conn uint64, words string) {
 	clients.t.Helper()
 	if got := strings.Join(clients.events[conn], " "); got != words {
-		clients.t.Fatalf("connection %d got %q, want %q", conn, got, words)
+		clients.t.Fatalf("actions on connection %d = %q, want %q", conn, got, words)
 	}
 	clients.events[conn] = nil
 }
 
+// advance sets the time forward and runs each timer at its time.
 func (clients *testClients) advance(ms float64) {
 	end := clients.now + ms
 	for at, ok := clients.server.Next(); ok && at <= end; at, ok = clients.server.Next() {
@@ -112,6 +118,7 @@
 	clients.now = end
 }
 
+// connect opens a connection and sends CONNECT. keepAlive is in seconds.
 func (clients *testClients) connect(conn uint64, version byte, id string, clean bool, keepAlive uint16) {
 	clients.versions[conn] = version
 	clients.server.AddConnection(clients.now, conn)
@@ -142,6 +149,7 @@
 	clients.server.Receive(clients.now, conn, Encode(&pk))
 }
 
+// sendControl sends a packet that has at most a packet identifier.
 func (clients *testClients) sendControl(conn uint64, kind byte, id uint16) {
 	pk := packets.Packet{FixedHeader: packets.FixedHeader{Type: kind}, ProtocolVersion: clients.versions[conn], PacketID: id}
 	if kind == packets.Pubrel {
@@ -150,6 +158,8 @@
 	clients.server.Receive(clients.now, conn, Encode(&pk))
 }
 
+// answer answers the i-th delivered message with one reading for each status. A
+// message without statuses is answered as invalid.
 func (clients *testClients) answer(i int, statuses ...intake.Status) {
 	var results []batch.Result
 	for n, s := range statuses {
--- a/internal/edge/mqtt/mqtt_test.go
+++ b/internal/edge/mqtt/mqtt_test.go
@@ -6,6 +6,8 @@
 	"lotusbend/internal/edge/intake"
 )
 
+// Draining disconnects idle clients at once and others after their answers, and
+// rejects new clients.
 func TestDrainDisconnectsAfterAnswers(t *testing.T) {
 	clients := newTestClients(t, nil)
 	clients.connect(1, version5, "idle", true, 10)
--- a/internal/edge/mqtt/publish_test.go
+++ b/internal/edge/mqtt/publish_test.go
@@ -9,6 +9,8 @@
 	"lotusbend/internal/edge/intake"
 )
 
+// A message is acknowledged only after its answer. A retransmission in between is
+// not delivered.
 func TestAcknowledgementFollowsAnswer(t *testing.T) {
 	for _, version := range []byte{version311, version5} {
 		clients := newTestClients(t, nil)
@@ -16,12 +18,12 @@
 		clients.want(1, "connack")
 		clients.publish(1, 0, 0, "none", false)
 		clients.publish(1, 1, 5, "once", false)
-		clients.publish(1, 1, 5, "once", true) // retransmitted while it waits
+		clients.publish(1, 1, 5, "once", true) // retransmitted before its answer
 		clients.publish(1, 2, 6, "twice", false)
 		clients.sendControl(1, packets.Pingreq, 0)
 		clients.want(1, "pingresp")
 		if len(clients.published) != 3 {
-			t.Fatalf("%+v", clients.published)
+			t.Fatalf("delivered %+v, want 3 messages", clients.published)
 		}
 		for i := range clients.published {
 			clients.answer(i, intake.Recorded)
@@ -32,8 +34,9 @@
 	}
 }
 
-// QoS 2 with PUBREC lost: the message comes again, on another connection, and
-// is not delivered again.
+// A QoS 2 message whose PUBREC was lost is retransmitted on another connection. It
+// is acknowledged again, but not delivered again. Another message with the same
+// packet identifier is delivered.
 func TestLostPubrecDoesNotDuplicate(t *testing.T) {
 	clients := newTestClients(t, nil)
 	clients.connect(1, version311, "m", false, 10)
@@ -45,17 +48,17 @@
 	clients.publish(2, 2, 6, "body", true)
 	clients.want(2, "connack+ pubrec6")
 	if len(clients.published) != 1 {
-		t.Fatalf("delivered %d times", len(clients.published))
+		t.Fatalf("delivered %d times, want 1", len(clients.published))
 	}
-	// A client that lost its session gives the identifier to another message.
+	// A client that has lost its session reuses the identifier for another message.
 	clients.publish(2, 2, 6, "another", false)
 	if len(clients.published) != 2 {
-		t.Fatal("another message under the same identifier was taken for the first")
+		t.Fatal("another message with the same identifier was not delivered")
 	}
 	clients.answer(1, intake.Recorded)
 	clients.sendControl(2, packets.Pubrel, 6)
 	clients.want(2, "pubrec6 pubcomp6")
-	// Its answer came while the client was disconnected.
+	// The answer arrives while the client is disconnected.
 	clients.publish(2, 2, 7, "late", false)
 	clients.server.RemoveConnection(clients.now, 2)
 	clients.answer(2, intake.Recorded)
@@ -63,11 +66,14 @@
 	clients.publish(3, 2, 7, "late", true)
 	clients.want(3, "connack+ pubrec7")
 	if len(clients.published) != 3 {
-		t.Errorf("delivered %d times", len(clients.published))
+		t.Errorf("%d messages delivered, want 3", len(clients.published))
 	}
 }
 
-func TestFailedReadingsHaveReasons(t *testing.T) {
+// In version 5, the acknowledgement of a failed message has a reason code and the
+// status of each reading. In version 3.1.1, the connection is closed unless the
+// client has subscribed to its answers.
+func TestFailedReadingsAreReportedToClient(t *testing.T) {
 	clients := newTestClients(t, nil)
 	clients.connect(1, version5, "m", true, 10)
 	clients.publish(1, 1, 1, "a", false)
@@ -77,7 +83,6 @@
 	clients.answer(1, intake.Conflict)
 	clients.answer(2)
 	clients.want(1, "connack puback1!97(1 recorded 7)(2 refused 7) pubrec2!83(1 conflict 7) puback3!99")
-	// Version 3.1.1 has no reasons: the connection is closed, or the answers are published.
 	clients.connect(2, version311, "n", true, 10)
 	clients.publish(2, 1, 1, "a", false)
 	clients.answer(3, intake.Rejected)
@@ -95,14 +100,16 @@
 	clients.want(3, "connack suback9 publish puback1")
 }
 
-func TestReceiveMaximumAndPacketIDInUse(t *testing.T) {
+// A client that exceeds the receive maximum, or that uses the packet identifier
+// of an unanswered message for another message, is disconnected.
+func TestReceiveMaximumAndReusedPacketIDCloseConnection(t *testing.T) {
 	clients := newTestClients(t, nil)
 	clients.connect(1, version5, "m", false, 10)
 	for n := uint16(1); n <= 4; n++ {
 		clients.publish(1, 2, n, fmt.Sprint(n), false)
 	}
 	for i := range clients.published {
-		clients.answer(i, intake.Recorded) // recorded and unreleased: they count
+		clients.answer(i, intake.Recorded) // unreleased messages count
 	}
 	clients.events[1] = nil
 	clients.publish(1, 1, 9, "five", false)
--- a/internal/edge/protocols_test.go
+++ b/internal/edge/protocols_test.go
@@ -16,8 +16,10 @@
 	"lotusbend/internal/edge/intake"
 )
 
-// go-coap's client: it is challenged for an Echo value, sends that, and each
-// reading has its own answer; a duplicate records nothing more.
+// The client of go-coap gets an Echo challenge, repeats its request with the Echo
+// value, and gets an answer for each reading. Repeated batches are not recorded
+// again. Recorded values can be read. A row name that could end a string literal
+// is rejected before a statement is submitted.
 func TestCoAPClientRecordsAndReads(t *testing.T) {
 	test := newTestEdge(t, nil)
 	address, _, _ := test.edge.Addresses()
@@ -57,17 +59,17 @@
 	}
 	code, echo, _ := post(nil)
 	if code != codes.Unauthorized || test.router.rowCount() != 0 {
-		t.Fatalf("%v without an Echo value, %d recorded", code, test.router.rowCount())
+		t.Fatalf("POST without Echo = %v with %d rows, want 4.01 with none", code, test.router.rowCount())
 	}
 	for range 3 {
 		var reply *batch.Reply
 		code, echo, reply = post(echo)
 		if code != codes.Changed || len(reply.Results) != 2 || reply.Results[1].Status != uint8(intake.Recorded) {
-			t.Fatalf("%v %+v", code, reply)
+			t.Fatalf("POST = %v %+v, want 2.04 with two recorded readings", code, reply)
 		}
 	}
 	if test.router.rowCount() != 2 || len(test.router.writesByKey) != 2 {
-		t.Errorf("%d rows, %d keys", test.router.rowCount(), len(test.router.writesByKey))
+		t.Errorf("%d rows and %d keys, want 2 of each", test.router.rowCount(), len(test.router.writesByKey))
 	}
 	id := intake.ID{Device: "meter", Epoch: 1, Seq: 2}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -77,16 +79,17 @@
 		t.Fatal(err)
 	}
 	if body, err := m.ReadBody(); err != nil || m.Code() != codes.Content || string(body) != "meter 2" {
-		t.Errorf("%v %q, %v", m.Code(), body, err)
+		t.Errorf(`GET of a recorded row = %v %q, %v, want 2.05 "meter 2"`, m.Code(), body, err)
 	}
 	before := test.router.statementCount()
 	m, err = c.Get(ctx, "/values/x%27--", coapmessage.Option{ID: coapmessage.Echo, Value: echo})
 	if err != nil || m.Code() == codes.Content || test.router.statementCount() != before {
-		t.Errorf("a name that may not stand in a statement: %v, %v", m.Code(), err)
+		t.Errorf("GET of an invalid row name = %v, %v, want an error code and no statement", m.Code(), err)
 	}
 }
 
-// paho's client, at each quality of service.
+// The client of paho publishes a batch at each QoS and receives the answers that
+// it has subscribed to.
 func TestMQTTClientAtEachQoS(t *testing.T) {
 	test := newTestEdge(t, nil)
 	_, address, _ := test.edge.Addresses()
@@ -108,14 +111,14 @@
 		case b := <-answers:
 			err := test.codec.Decode(b, &reply)
 			if err != nil || len(reply.Results) != 1 || reply.Results[0].Status != uint8(intake.Recorded) {
-				t.Errorf("%+v, %v", reply, err)
+				t.Errorf("published answer = %+v, %v, want one recorded reading", reply, err)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatal("no answer")
+			t.Fatal("no answer was published within 10 seconds")
 		}
 	}
 	c.Disconnect(100)
 	if test.router.rowCount() != 3 {
-		t.Errorf("%d rows", test.router.rowCount())
+		t.Errorf("%d rows, want 3", test.router.rowCount())
 	}
 }
