--- a/internal/edge/connection.go
+++ b/internal/edge/connection.go
@@ -30,7 +30,7 @@
 	protocol    protocol
 	socket      *netio.Conn
 	peer        netip.Addr
-	keepReading chan bool // false after an input that ends the connection
+	keepReading chan bool // from processInputs after each input; false closes the connection
 
 	unfinished      []byte // the received part of an incomplete message
 	receivedMessage bool   // whether a complete message was received
--- a/internal/edge/connection_test.go
+++ b/internal/edge/connection_test.go
@@ -16,20 +16,20 @@
 // window. Other connections are served meanwhile.
 func TestStalledMessageClosesConnection(t *testing.T) {
 	test := newTestEdge(t, nil)
-	slow, usual := test.dial().hello(), test.dial().hello()
+	slow, other := test.dial().hello(), test.dial().hello()
 	readings := []batch.Reading{{Seq: 1, Value: bytes.Repeat([]byte("v"), 200)}}
-	whole := frames.Append(nil, test.codec, frames.Readings{Kind: frames.KindReadings, ID: 1, Route: "readings",
+	encoded := frames.Append(nil, test.codec, frames.Readings{Kind: frames.KindReadings, ID: 1, Route: "readings",
 		Batch: batch.Batch{Device: "slow", Epoch: 1, Readings: readings}})
 	for i := range 11 {
-		if _, err := slow.Write(whole[i : i+1]); err != nil {
+		if _, err := slow.Write(encoded[i : i+1]); err != nil {
 			break
 		}
 		test.waitFor("an unfinished message", func() bool { return test.edge.unfinished.Len() == 1 || i > 9 })
 		test.waitForSent()
 		test.advance(1000)
-		usual.sendReading(uint32(i), "usual", uint64(i))
+		other.sendReading(uint32(i), "usual", uint64(i))
 		var a frames.Answer
-		if err := usual.receive(&a); err != nil || a.Ranges[0].Status != uint8(intake.Recorded) {
+		if err := other.receive(&a); err != nil || a.Ranges[0].Status != uint8(intake.Recorded) {
 			t.Fatalf("answer on another connection = %+v, %v, want recorded", a, err)
 		}
 	}
@@ -99,13 +99,13 @@
 			}
 		}
 	}()
-	most := 0
+	maxUnread := 0
 	test.waitFor("the connection to be closed", func() bool {
-		test.edge.connections.Each(func(_ slotmap.Handle, conn *connection) { most = max(most, conn.unreadBytes) })
+		test.edge.connections.Each(func(_ slotmap.Handle, conn *connection) { maxUnread = max(maxUnread, conn.unreadBytes) })
 		return test.edge.openConnections == 0
 	})
-	if <-ended; most > maxUnreadBytes+1024 {
-		t.Errorf("unread bytes = %d at most, want at most %d", most, maxUnreadBytes+1024)
+	if <-ended; maxUnread > maxUnreadBytes+1024 {
+		t.Errorf("unread bytes = %d at most, want at most %d", maxUnread, maxUnreadBytes+1024)
 	}
 }
 
--- a/internal/edge/datagrams.go
+++ b/internal/edge/datagrams.go
@@ -25,6 +25,7 @@
 	once   sync.Once
 }
 
+// datagram is a datagram that waits to be sent.
 type datagram struct {
 	to      netip.AddrPort
 	payload []byte
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -38,7 +38,7 @@
 	Submit(r router.Request, from router.Client, client slotmap.Handle) slotmap.Handle
 }
 
-// Edge is the listener for devices of one router.
+// Edge accepts readings from devices for one router. New creates one.
 type Edge struct {
 	loop          *clock.Loop
 	log           *slog.Logger
--- a/internal/edge/input.go
+++ b/internal/edge/input.go
@@ -168,8 +168,8 @@
 		newBytes = len(rest)
 		conn.unfinished = append([]byte(nil), rest...)
 	}
-	for _, displaced := range e.unfinished.Grow(now, conn.handle.ID(), newBytes) {
-		e.closeStalled(displaced)
+	for _, evicted := range e.unfinished.Grow(now, conn.handle.ID(), newBytes) {
+		e.closeStalled(evicted)
 	}
 }
 
--- a/internal/edge/mqtt/mqtt.go
+++ b/internal/edge/mqtt/mqtt.go
@@ -84,7 +84,7 @@
 	id          uint64
 	version     byte
 	session     *session // nil before CONNECT
-	connectedAt float64
+	connectedAt float64  // when CONNACK was sent
 
 	lastPacketAt   float64
 	timeoutMs      float64 // after which the connection is closed without a packet
--- a/internal/edge/mqtt/publish.go
+++ b/internal/edge/mqtt/publish.go
@@ -56,8 +56,8 @@
 // after a violation.
 func (s *Server) acceptPublish(conn *connection, packet *packets.Packet, digest uint64) bool {
 	id := packet.PacketID
-	if inUse, unanswered := conn.unanswered[id]; unanswered {
-		if inUse != digest { // another message's identifier [MQTT 2.2.1]
+	if pendingDigest, unanswered := conn.unanswered[id]; unanswered {
+		if pendingDigest != digest { // another message's identifier [MQTT 2.2.1]
 			s.closeOnViolation(conn, packets.ErrPacketIdentifierInUse.Code)
 		}
 		return false // a duplicate, whose answer is pending
@@ -65,8 +65,8 @@
 	// The message was recorded, but its PUBREC was lost. The digests are compared
 	// because a client that has lost its session may reuse the identifier for
 	// another message, which would be lost if it were taken for a duplicate.
-	recorded, unreleased := conn.session.unreleased[id]
-	if packet.FixedHeader.Qos == qosExactlyOnce && unreleased && recorded == digest {
+	recordedDigest, unreleased := conn.session.unreleased[id]
+	if packet.FixedHeader.Qos == qosExactlyOnce && unreleased && recordedDigest == digest {
 		s.acknowledge(conn, id, qosExactlyOnce, 0, nil)
 		return false
 	}
--- a/internal/edge/mqtt/session.go
+++ b/internal/edge/mqtt/session.go
@@ -27,8 +27,8 @@
 }
 
 // openSession returns the client's session and whether it existed before. It
-// closes another connection of the client. It returns nil if there are too many
-// sessions and all of them have connections.
+// closes another connection of the client; clean discards an existing session. It
+// returns nil if there are too many sessions and all of them have connections.
 func (s *Server) openSession(now float64, clientID string, clean bool) (sess *session, resumed bool) {
 	existing := s.sessions[clientID]
 	if existing != nil && existing.connection != nil { // [MQTT 3.1.4-3]
@@ -71,7 +71,8 @@
 	return true
 }
 
-// detachSession keeps a session whose connection has ended until it expires.
+// detachSession keeps a session whose connection has ended until it expires, or
+// removes it at once if its expiry is 0.
 func (s *Server) detachSession(now float64, sess *session) {
 	sess.connection = nil
 	if sess.expiryMs <= 0 {
