--- a/cmd/lotusbend-sim/main_test.go
+++ b/cmd/lotusbend-sim/main_test.go
@@ -9,8 +9,8 @@
 	"lotusbend/internal/simprotocol"
 )
 
-// batch frames one record at the clock 0.
-func batch(code byte, fields []byte) []byte {
+// encodeBatch frames one record at the clock 0.
+func encodeBatch(code byte, fields []byte) []byte {
 	b := binary.LittleEndian.AppendUint32(nil, uint32(5+len(fields)))
 	b = append(b, 1, 0, 0, 0)
 	b = append(b, make([]byte, 12)...)
@@ -19,7 +19,7 @@
 	return append(b, fields...)
 }
 
-func TestServeEndsCleanly(t *testing.T) {
+func TestServeEndsAtEndOfInput(t *testing.T) {
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(make([]byte, 20)), &out); err != nil {
 		t.Fatal(err)
@@ -29,15 +29,15 @@
 	}
 }
 
-func TestServeReportsBadInput(t *testing.T) {
+func TestServeReportsInvalidInput(t *testing.T) {
 	settings := []byte("not JSON")
 	configure := append(make([]byte, 10), byte(len(settings)), 0, 0, 0)
 	for name, c := range map[string]struct {
 		in   []byte
 		want string
 	}{
-		"unknown instance": {batch(3, make([]byte, 6)), "unknown instance"},
-		"bad settings":     {batch(4, append(configure, settings...)), "settings"},
+		"unknown instance": {encodeBatch(3, make([]byte, 6)), "unknown instance"},
+		"bad settings":     {encodeBatch(4, append(configure, settings...)), "settings"},
 		"truncated":        {make([]byte, 7), "truncated"},
 	} {
 		err := serve(bytes.NewReader(c.in), &bytes.Buffer{})
--- a/cmd/lotusbend/main_test.go
+++ b/cmd/lotusbend/main_test.go
@@ -32,8 +32,8 @@
 	os.Exit(m.Run())
 }
 
-// logOf starts the program and returns its log.
-func logOf(t *testing.T, program *exec.Cmd, variables ...string) io.Reader {
+// startWithLog starts the program and returns its log.
+func startWithLog(t *testing.T, program *exec.Cmd, variables ...string) io.Reader {
 	t.Helper()
 	program.Env = append(append(os.Environ(), asProgram+"=1"), variables...)
 	log, err := program.StderrPipe()
@@ -58,7 +58,7 @@
 }
 
 // A settings file in disorder ends the start with one plain line.
-func TestBadSettingsEndTheStartWithOneLine(t *testing.T) {
+func TestInvalidSettingsEndStartWithOneLine(t *testing.T) {
 	dir := t.TempDir()
 	config, settings := filepath.Join(dir, "config.json"), filepath.Join(dir, "settings.json5")
 	for text, want := range map[string]string{
@@ -100,7 +100,7 @@
 		}
 	}
 	set(`{"log": {"form": "json"}} // from here on`)
-	log := logOf(t, program, "GW_CONFIG="+path, "LOTUSBEND_SETTINGS="+settings)
+	log := startWithLog(t, program, "GW_CONFIG="+path, "LOTUSBEND_SETTINGS="+settings)
 	lines := bufio.NewScanner(log)
 	await := func(part string) {
 		t.Helper()
@@ -121,7 +121,7 @@
 	put(configuration(second, 200))
 	signal(syscall.SIGHUP)
 	await("configuration read anew")
-	agent(t, second)
+	acceptWatch(t, second)
 	put(bytes.Replace(configuration(first, 100), []byte(`"settings"`), []byte(`"other"`), 1))
 	signal(syscall.SIGHUP)
 	await("not taken")
@@ -139,7 +139,7 @@
 }
 
 // The page that a router serves is the one that the command reads and prints.
-func TestFleetPageReadsBack(t *testing.T) {
+func TestFleetPageIsDecodedAndPrinted(t *testing.T) {
 	p := fleetPage{Classes: []string{"view"}, View: membership.View{Version: 3, Fleet: membership.Size{Low: 1, High: 2},
 		Members: []membership.Update{{Name: "a", Zone: "z", State: membership.Suspect, Start: 1}}}}
 	var totals fleetstate.Counters
--- a/cmd/lotusbend/serving_test.go
+++ b/cmd/lotusbend/serving_test.go
@@ -13,10 +13,10 @@
 
 // One packet may hold startup and statement, or each comes byte by byte; id
 // and k pass on unchanged while d becomes what the router still waits.
-func TestStartupAndStatementComeInAnyPieces(t *testing.T) {
+func TestStartupAndStatementArriveInAnyChunks(t *testing.T) {
 	l := listen(t)
-	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
-	both := wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), []byte(write))
+	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	both := wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), []byte(writeQuery))
 	var h *peer
 	for _, size := range []int{len(both), 1} {
 		p := w.dial()
@@ -27,21 +27,21 @@
 		for chunk := range slices.Chunk(both, size) {
 			p.write(chunk)
 		}
-		p.want(p.answer(), "RKZ")
+		p.wantContains(p.answer(), "RKZ")
 		if h == nil {
 			h = accept(t, l)
 		}
-		if got := h.serve("value", "off"); got != write {
+		if got := h.serve("value", "off"); got != writeQuery {
 			t.Fatalf("the host got %q", got)
 		}
-		p.want(p.answer(), "TDCZ")
-		w.pass(settleDelayMs)
+		p.wantContains(p.answer(), "TDCZ")
+		w.advance(settleDelayMs)
 	}
 }
 
 // A statement that no host may see leaves the connection usable.
-func TestBadStatementsGoToNoHost(t *testing.T) {
-	w := newWorld(t, 100)
+func TestInvalidStatementsReachNoEndpoint(t *testing.T) {
+	w := newTestbed(t, 100)
 	p := w.client()
 	for sql, want := range map[string]string{
 		"": "IZ", " ; ": "IZ", "SELECT 1": "42601", "SELECT 1 /* id=1,c=view,d=x,cluster=1 */": "42601",
@@ -51,82 +51,82 @@
 		"INSERT 1 /* id=1,c=write,d=9,cluster=1 */":     "idempotency key",
 	} {
 		p.query(sql)
-		p.want(p.answer(), want)
+		p.wantContains(p.answer(), want)
 	}
 	p.write([]byte("P\x00\x00\x00\x08\x00\x00\x00\x00S\x00\x00\x00\x04")) // Parse and Sync
-	p.want(p.answer(), "0A000")
+	p.wantContains(p.answer(), "0A000")
 	p.query("")
-	p.want(p.answer(), "IZ")
+	p.wantContains(p.answer(), "IZ")
 }
 
 // A frame that lies about its length ends its own connection only.
-func TestBrokenFramesEndTheirConnectionOnly(t *testing.T) {
-	w := newWorld(t, 100)
+func TestMalformedMessagesEndOnlyTheirConnection(t *testing.T) {
+	w := newTestbed(t, 100)
 	good := w.client()
 	for _, b := range []string{"Q\xff\xff\xff\xff", "Q\x00\x00\x00\x00"} {
 		p := w.client()
 		p.write([]byte(b))
-		p.want(p.answer(), "08P01")
+		p.wantContains(p.answer(), "08P01")
 	}
 	for _, b := range []string{"\x00\x00\x00\x00", "\x7f\xff\xff\xff", "\x00\x00\x00\x08\x00\x01\x00\x00"} {
 		p := w.dial()
 		p.write([]byte(b))
-		p.want(p.answer(), "closed")
+		p.wantContains(p.answer(), "closed")
 	}
 	good.query("")
-	good.want(good.answer(), "IZ")
+	good.wantContains(good.answer(), "IZ")
 }
 
 // A refused connection never ran: the write is held, and refused with the
 // time to come back once it was held for half its wait.
-func TestRefusedConnectionIsNoAttempt(t *testing.T) {
-	w := newWorld(t, 100, endpoint("p", reservePort(t), "off", "ready"))
+func TestRefusedConnectionHasNoEffect(t *testing.T) {
+	w := newTestbed(t, 100, endpoint("p", reservePort(t), "off", "ready"))
 	p := w.client()
-	p.query(write)
-	w.until(func() bool { return w.node.router.PendingRequests() == 1 })
-	got := w.answerAfter(p)
-	p.want(got, "C53300")
-	p.want(got, "D1000")
+	p.query(writeQuery)
+	w.waitUntil(func() bool { return w.node.router.PendingRequests() == 1 })
+	got := w.advanceToAnswer(p)
+	p.wantContains(got, "C53300")
+	p.wantContains(got, "D1000")
 }
 
 // A connection that breaks once the statement is written may have run it: a
 // write must not be called refused, which invites a repeat elsewhere.
 func TestConnectionBrokenAfterTheLastByteMayHaveExecuted(t *testing.T) {
 	l := listen(t)
-	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
+	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
 	p := w.client()
-	p.query(write)
+	p.query(writeQuery)
 	h := accept(t, l)
 	h.message()
 	_ = h.c.Close()
-	w.until(func() bool { _, hosts := w.node.budget.Open(); return hosts == 0 })
-	p.want(w.answerAfter(p), "57014")
+	w.waitUntil(func() bool { _, hosts := w.node.budget.Open(); return hosts == 0 })
+	p.wantContains(w.advanceToAnswer(p), "57014")
 }
 
 // At the deadline the attempt ends, by closing its connection, and the client
 // has its one answer; what the host says later goes nowhere.
 func TestDeadlineEndsTheAttempt(t *testing.T) {
 	l := listen(t)
-	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
+	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
 	p := w.client()
-	p.query(write)
+	p.query(writeQuery)
 	h := accept(t, l)
 	h.message()
-	w.pass(2000)
-	p.want(p.answer(), "57014")
+	w.advance(2000)
+	p.wantContains(p.answer(), "57014")
 	if kind, _ := h.message(); kind != 0 {
 		t.Error("the attempt's connection is still open")
 	}
 	p.query("")
-	p.want(p.answer(), "IZ")
+	p.wantContains(p.answer(), "IZ")
 }
 
 // Work for a client that has gone is called off.
 func TestDisconnectedClientCancelsItsAttempt(t *testing.T) {
 	l := listen(t)
-	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
+	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
 	p := w.client()
-	p.query(write)
+	p.query(writeQuery)
 	h := accept(t, l)
 	h.message()
 	_ = p.c.Close()
@@ -138,20 +138,20 @@
 // A miss moves the read on; the connection stays, and is the one used next.
 func TestIneligibleAnswerIsRetriedElsewhereAndConnectionsAreReused(t *testing.T) {
 	primary, replica := listen(t), listen(t)
-	w := newWorld(t, 100, endpoint("p", primary, "off", "ready"), endpoint("r", replica, "on", "ready"))
+	w := newTestbed(t, 100, endpoint("p", primary, "off", "ready"), endpoint("r", replica, "on", "ready"))
 	p := w.client()
-	p.query(view)
+	p.query(viewQuery)
 	r := accept(t, replica)
 	r.refuse(wire.CodeTooFarBehind)
 	h := accept(t, primary)
 	h.serve("fresh", "off")
-	p.want(p.answer(), "fresh")
-	w.pass(settleDelayMs)
-	p.query(write)
-	p.want(h.serve("again", "off"), "c=write")
-	p.want(p.answer(), "again")
+	p.wantContains(p.answer(), "fresh")
+	w.advance(settleDelayMs)
+	p.query(writeQuery)
+	p.wantContains(h.serve("again", "off"), "c=write")
+	p.wantContains(p.answer(), "again")
 	// Idle for nearly the settings' time, they are closed from this side first.
-	w.pass(25000)
+	w.advance(25000)
 	for _, c := range []*peer{r, h} {
 		if kind, _ := c.message(); kind != 0 {
 			t.Error("an idle connection is still open")
@@ -161,39 +161,41 @@
 
 // What a host sends beyond an answer must not be taken for the next one's: its
 // connection ends, whether that comes with the answer or later.
-func TestMoreThanTheAnswerEndsItsConnection(t *testing.T) {
+func TestBytesAfterAnswerEndConnection(t *testing.T) {
 	l := listen(t)
-	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
+	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
 	p := w.client()
-	twice := func(value string) []byte { return append(row(write, value, "off"), row(write, value, "off")...) }
+	twice := func(value string) []byte {
+		return append(rowAnswer(writeQuery, value, "off"), rowAnswer(writeQuery, value, "off")...)
+	}
 	for _, late := range []bool{false, true} {
-		p.query(write)
+		p.query(writeQuery)
 		h := accept(t, l)
 		h.message()
 		if late {
-			h.write(row(write, "own", "off"))
-			p.want(p.answer(), "own")
-			w.pass(settleDelayMs)
-			h.write(row(write, "again", "off"))
+			h.write(rowAnswer(writeQuery, "own", "off"))
+			p.wantContains(p.answer(), "own")
+			w.advance(settleDelayMs)
+			h.write(rowAnswer(writeQuery, "again", "off"))
 		} else {
 			h.write(twice("own"))
-			p.want(p.answer(), "own")
+			p.wantContains(p.answer(), "own")
 		}
 		if kind, _ := h.message(); kind != 0 {
 			t.Fatal("the connection is still open")
 		}
 	}
-	p.query(write)
+	p.query(writeQuery)
 	accept(t, l).serve("its own", "off")
-	p.want(p.answer(), "its own")
+	p.wantContains(p.answer(), "its own")
 }
 
 // An answer that can't be one to the statement is a failed attempt that may
 // have run, on a connection of no further use.
-func TestMalformedAnswersFailAndEndTheirConnection(t *testing.T) {
+func TestMalformedAnswersFailAttemptAndEndConnection(t *testing.T) {
 	l := listen(t)
-	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
-	good := string(row(write, "value", "off"))
+	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	good := string(rowAnswer(writeQuery, "value", "off"))
 	for _, spoilt := range []string{
 		"\r\nnoise\r\n\r\n", strings.Repeat("x", 1<<16), "D\xc0\x00\x00\x00", "T\x00\x00\x00\x03",
 		strings.Replace(good, "D\x00\x00\x00\x0f", "d\x00\x00\x00\x0f", 1), // a message of no known type
@@ -204,7 +206,7 @@
 		strings.Replace(good, "Z\x00\x00\x00\x05I", "Z\x00\x00\x00\x05x", 1),
 	} {
 		p := w.client()
-		p.query(write)
+		p.query(writeQuery)
 		h := accept(t, l)
 		h.message()
 		h.write([]byte(spoilt))
@@ -212,81 +214,81 @@
 			t.Fatalf("%.40q: the connection is still open", spoilt)
 		}
 		_ = p.c.Close()
-		w.until(func() bool { return w.node.router.PendingRequests() == 0 })
-		w.pass(10000) // the member's rest is over
+		w.waitUntil(func() bool { return w.node.router.PendingRequests() == 0 })
+		w.advance(10000) // the member's rest is over
 	}
 }
 
 // Answers come in the order of what was sent, however much came ahead.
-func TestStatementsSentAheadAreAnsweredInOrder(t *testing.T) {
+func TestPipelinedStatementsAreAnsweredInOrder(t *testing.T) {
 	l := listen(t)
-	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
+	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
 	p := w.client()
-	p.write(wire.AppendQuery(wire.AppendQuery(wire.AppendQuery(nil, []byte(write)), nil), []byte(write)))
+	p.write(wire.AppendQuery(wire.AppendQuery(wire.AppendQuery(nil, []byte(writeQuery)), nil), []byte(writeQuery)))
 	h := accept(t, l)
 	h.serve("one", "off")
-	p.want(p.answer(), "one")
-	p.want(p.answer(), "IZ")
-	w.pass(settleDelayMs)
+	p.wantContains(p.answer(), "one")
+	p.wantContains(p.answer(), "IZ")
+	w.advance(settleDelayMs)
 	h.serve("two", "off")
-	p.want(p.answer(), "two")
+	p.wantContains(p.answer(), "two")
 }
 
 // A new configuration moves the watch without a gap: the old address is heard
 // until the new one has told its list, and no longer.
-func TestReloadMovesTheWatch(t *testing.T) {
+func TestReloadMovesWatchWithoutGap(t *testing.T) {
 	old, fresh, moved := listen(t), listen(t), listen(t)
-	w := newWorld(t, 100, endpoint("old", old, "off", "ready"))
-	before := agent(t, w.discovery)
+	w := newTestbed(t, 100, endpoint("old", old, "off", "ready"))
+	before := acceptWatch(t, w.discovery)
 	whole := `{"index":4,"snapshot":true,"endpoints":[` + endpoint("old", old, "off", "ready") + `]}`
-	before.tell("/v1/endpoints", whole)
+	before.answerWatch("/v1/endpoints", whole)
 	c, err := deployconfig.Parse(configuration(moved, 200), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.node.reload(c)
-	after := agent(t, moved)
-	before.tell("/v1/endpoints?after=4&wait_ms=3000", `{"index":5,"snapshot":false,"endpoints":[`+
+	after := acceptWatch(t, moved)
+	before.answerWatch("/v1/endpoints?after=4&wait_ms=3000", `{"index":5,"snapshot":false,"endpoints":[`+
 		endpoint("old", old, "off", "draining")+","+endpoint("new", fresh, "off", "ready")+`]}`)
 	// The next call comes once the list was taken: a statement sent sooner may go to the old host.
 	if r, err := http.ReadRequest(before.in); err != nil || r.URL.RawQuery != "after=5&wait_ms=3000" {
 		t.Fatalf("asked %v, %v", r, err)
 	}
 	p := w.client()
-	p.query(write)
+	p.query(writeQuery)
 	h := accept(t, fresh)
 	h.serve("new", "off")
-	p.want(p.answer(), "new")
-	after.tell("/v1/endpoints", `{"index":6,"snapshot":true,"endpoints":[`+endpoint("old", old, "off", "ready")+`]}`)
+	p.wantContains(p.answer(), "new")
+	after.answerWatch("/v1/endpoints", `{"index":6,"snapshot":true,"endpoints":[`+endpoint("old", old, "off", "ready")+`]}`)
 	if _, err := http.ReadRequest(before.in); err == nil {
 		t.Error("the old address is asked again")
 	}
-	p.query(write)
+	p.query(writeQuery)
 	accept(t, old).serve("old", "off")
-	p.want(p.answer(), "old")
-	after.tell("/v1/endpoints?after=6&wait_ms=3000", `{"index":6,"snapshot":false,"endpoints":[]}`)
+	p.wantContains(p.answer(), "old")
+	after.answerWatch("/v1/endpoints?after=6&wait_ms=3000", `{"index":6,"snapshot":false,"endpoints":[]}`)
 }
 
 // The list changes under way: a host that drains gets nothing new, its
 // successor does, and the watch continues from the list's index.
-func TestDiscoveryIsFollowed(t *testing.T) {
+func TestEndpointListUpdatesAreFollowed(t *testing.T) {
 	old, fresh := listen(t), listen(t)
-	w := newWorld(t, 100, endpoint("old", old, "off", "ready"))
-	d := agent(t, w.discovery)
-	answer := d.tell
+	w := newTestbed(t, 100, endpoint("old", old, "off", "ready"))
+	d := acceptWatch(t, w.discovery)
+	answer := d.answerWatch
 	answer("/v1/endpoints", `{"index":4,"snapshot":true,"endpoints":[`+endpoint("old", old, "off", "ready")+`]}`)
 	p := w.client()
-	p.query(write)
+	p.query(writeQuery)
 	h := accept(t, old)
 	h.serve("old", "off")
-	p.want(p.answer(), "old")
+	p.wantContains(p.answer(), "old")
 	answer("/v1/endpoints?after=4&wait_ms=3000", `{"index":5,"snapshot":false,"endpoints":[`+
 		endpoint("old", old, "off", "draining")+","+endpoint("new", fresh, "off", "ready")+`]}`)
 	answer("/v1/endpoints?after=5&wait_ms=3000", `{"index":5,"snapshot":false,"endpoints":[]}`)
-	p.query(write)
+	p.query(writeQuery)
 	accept(t, fresh).serve("new", "off")
-	p.want(p.answer(), "new")
-	w.pass(settleDelayMs)
+	p.wantContains(p.answer(), "new")
+	w.advance(settleDelayMs)
 	if kind, _ := h.message(); kind != 0 {
 		t.Error("the idle connection to a draining host is still open")
 	}
@@ -296,27 +298,27 @@
 // what is held is finished before the end.
 func TestShutdownFinishesPendingRequests(t *testing.T) {
 	l := listen(t)
-	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
+	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
 	idle := w.client()
-	w.told()
+	w.beginShutdown()
 	p := w.client()
-	p.query(write)
+	p.query(writeQuery)
 	h := accept(t, l)
 	h.message()
-	w.pass(drainDelayMs + shutdownCheckMs)
-	idle.want(idle.answer(), "closed")
+	w.advance(drainDelayMs + shutdownCheckMs)
+	idle.wantContains(idle.answer(), "closed")
 	late := w.dial()
-	late.want(late.answer(), "57P03")
+	late.wantContains(late.answer(), "57P03")
 	for range 10 { // more than the last answers get
-		w.pass(shutdownCheckMs)
+		w.advance(shutdownCheckMs)
 		runtime.Gosched()
 	}
 	if len(w.ended) > 0 {
 		t.Error("ended while a request was held")
 	}
-	h.write(row(write, "held", "off"))
-	p.want(p.answer(), "held")
-	p.want(p.answer(), "closed")
+	h.write(rowAnswer(writeQuery, "held", "off"))
+	p.wantContains(p.answer(), "held")
+	p.wantContains(p.answer(), "closed")
 	for {
 		select {
 		case err := <-w.ended:
@@ -325,7 +327,7 @@
 			}
 			return
 		default:
-			w.pass(shutdownCheckMs)
+			w.advance(shutdownCheckMs)
 			runtime.Gosched()
 		}
 	}
@@ -334,31 +336,31 @@
 // Sockets are shared: past the clients' part a client is turned away cleanly.
 // Silent connections, however many, and those quiet for long make room first.
 func TestTooManyClientsAreRejected(t *testing.T) {
-	w := newWorld(t, 28)
+	w := newTestbed(t, 28)
 	ask := func() *peer {
 		p := w.client()
 		p.query("SELECT 1")
-		p.want(p.answer(), "42601")
+		p.wantContains(p.answer(), "42601")
 		return p
 	}
 	silent := []*peer{w.client(), w.dial()}
 	held := []*peer{ask(), ask()}
 	for _, p := range silent {
-		p.want(p.answer(), "closed")
+		p.wantContains(p.answer(), "closed")
 	}
 	// It has sent its first statement before it is heard: a reset would take
 	// the answer with it.
 	p := w.dial()
-	p.write(wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), []byte(write)))
+	p.write(wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), []byte(writeQuery)))
 	got := p.answer()
-	p.want(got, "53300")
-	p.want(got, "closed")
+	p.wantContains(got, "53300")
+	p.wantContains(got, "closed")
 	held[1].query("")
-	held[1].want(held[1].answer(), "IZ")
-	w.pass(2100)
+	held[1].wantContains(held[1].answer(), "IZ")
+	w.advance(2100)
 	ask()
 	for _, p := range held[:1] {
-		p.want(p.answer(), "closed")
+		p.wantContains(p.answer(), "closed")
 	}
 }
 
@@ -366,78 +368,78 @@
 // clients open for requests: the longest idle goes, and none that is at work.
 func TestIdleClientsAreClosedForTheNextRequest(t *testing.T) {
 	l := listen(t)
-	w := newWorld(t, 60, endpoint("p", l, "off", "ready"))
+	w := newTestbed(t, 60, endpoint("p", l, "off", "ready"))
 	var h *peer
 	var clients []*peer
 	for range 17 { // of 20
 		p := w.client()
-		p.query(write)
+		p.query(writeQuery)
 		if h == nil {
 			h = accept(t, l)
 		}
 		h.serve("value", "off")
-		p.want(p.answer(), "value")
+		p.wantContains(p.answer(), "value")
 		clients = append(clients, p)
-		w.pass(settleDelayMs)
+		w.advance(settleDelayMs)
 	}
 	for _, p := range clients[:2] {
-		p.want(p.answer(), "closed")
+		p.wantContains(p.answer(), "closed")
 	}
 	clients[2].query("")
-	clients[2].want(clients[2].answer(), "IZ")
+	clients[2].wantContains(clients[2].answer(), "IZ")
 }
 
 // Whoever has said nothing whole hears so or is let go within 2 s, while a
 // statement under way may take its time.
 func TestIdleClientsAreClosed(t *testing.T) {
 	l := listen(t)
-	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
+	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
 	busy := w.client()
-	busy.query(write)
+	busy.query(writeQuery)
 	h := accept(t, l)
 	h.message()
 	nothing, begun, idle := w.dial(), w.client(), w.client()
 	idle.query("SELECT 1")
-	idle.want(idle.answer(), "42601")
-	w.until(func() bool { clients, _ := w.node.budget.Open(); return clients == 4 })
-	w.pass(1990)
-	h.write(row(write, "late", "off"))
-	busy.want(busy.answer(), "late")
-	w.pass(20)
-	nothing.want(nothing.answer(), "closed")
-	begun.want(begun.answer(), "closed")
+	idle.wantContains(idle.answer(), "42601")
+	w.waitUntil(func() bool { clients, _ := w.node.budget.Open(); return clients == 4 })
+	w.advance(1990)
+	h.write(rowAnswer(writeQuery, "late", "off"))
+	busy.wantContains(busy.answer(), "late")
+	w.advance(20)
+	nothing.wantContains(nothing.answer(), "closed")
+	begun.wantContains(begun.answer(), "closed")
 	idle.query("")
-	idle.want(idle.answer(), "IZ")
-	w.pass(10000)
-	idle.want(idle.answer(), "closed")
-	busy.want(busy.answer(), "closed")
-	w.pass(1000) // that they may take to go after they heard so; none of them does by itself
-	w.until(func() bool { clients, _ := w.node.budget.Open(); return clients == 0 })
+	idle.wantContains(idle.answer(), "IZ")
+	w.advance(10000)
+	idle.wantContains(idle.answer(), "closed")
+	busy.wantContains(busy.answer(), "closed")
+	w.advance(1000) // that they may take to go after they heard so; none of them does by itself
+	w.waitUntil(func() bool { clients, _ := w.node.budget.Open(); return clients == 0 })
 }
 
 // An id under way names one request: an answer could not be told from the
 // other's. It is free again once that has ended.
 func TestRequestIDsInUseAreRejected(t *testing.T) {
 	l := listen(t)
-	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
+	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
 	first, second := w.client(), w.client()
-	first.query(write)
+	first.query(writeQuery)
 	h := accept(t, l)
 	h.message()
-	second.query(write)
-	second.want(second.answer(), "42601")
-	h.write(row(write, "own", "off"))
-	first.want(first.answer(), "own")
-	w.pass(settleDelayMs)
-	second.query(write)
+	second.query(writeQuery)
+	second.wantContains(second.answer(), "42601")
+	h.write(rowAnswer(writeQuery, "own", "off"))
+	first.wantContains(first.answer(), "own")
+	w.advance(settleDelayMs)
+	second.query(writeQuery)
 	h.serve("next", "off")
-	second.want(second.answer(), "next")
+	second.wantContains(second.answer(), "next")
 }
 
 // A client that goes on sending after it was told costs no more than a little:
 // the connection ends though its client does not.
-func TestClientThatGoesOnSendingIsCutOff(t *testing.T) {
-	w := newWorld(t, 100)
+func TestClientThatKeepsSendingAfterErrorIsDisconnected(t *testing.T) {
+	w := newTestbed(t, 100)
 	p := w.client()
 	b := append([]byte("Q\x7f\xff\xff\xff"), make([]byte, 1<<16)...)
 	for range 1 << 12 { // more than the system's buffers hold
@@ -452,18 +454,18 @@
 // would fill the memory.
 func TestAnsweredRequestsLeaveNoDeadline(t *testing.T) {
 	l := listen(t)
-	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
+	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
 	p := w.client()
 	var h *peer
 	for range 10 {
-		p.query(write)
+		p.query(writeQuery)
 		if h == nil {
 			h = accept(t, l)
 		}
 		h.serve("value", "off")
-		p.want(p.answer(), "value")
-		w.pass(settleDelayMs)
+		p.wantContains(p.answer(), "value")
+		w.advance(settleDelayMs)
 	}
 	// What stays is for the client, the host's connection, the module, the watch.
-	w.until(func() bool { return w.loop.Pending() <= 4 })
+	w.waitUntil(func() bool { return w.loop.Pending() <= 4 })
 }
--- a/cmd/lotusbend/shutdown_test.go
+++ b/cmd/lotusbend/shutdown_test.go
@@ -18,28 +18,28 @@
 	"lotusbend/internal/operatorconfig"
 )
 
-// told tells the router to stop and waits until it has heard.
-func (w *testbed) told() {
+// beginShutdown tells the router to stop and waits until it has heard.
+func (w *testbed) beginShutdown() {
 	w.stop()
 	for line := ""; !strings.Contains(line, "stopping"); {
 		line = <-w.logged
 	}
 }
 
-// stopped is told, with the linger over.
-func (w *testbed) stopped() {
-	w.told()
-	w.pass(drainDelayMs + shutdownCheckMs)
+// beginDraining is told, with the linger over.
+func (w *testbed) beginDraining() {
+	w.beginShutdown()
+	w.advance(drainDelayMs + shutdownCheckMs)
 }
 
-// ends waits for the router's end, once every limit on clients is over.
-func (w *testbed) ends() {
+// awaitEnd waits for the router's end, once every limit on clients is over.
+func (w *testbed) awaitEnd() {
 	w.t.Helper()
-	w.until(func() bool {
+	w.waitUntil(func() bool {
 		clients, _ := w.node.server.ClientCounts()
 		return clients == 0 && w.node.router.PendingRequests() == 0
 	})
-	w.pass(rejectedClientsMs + shutdownCheckMs)
+	w.advance(rejectedClientsMs + shutdownCheckMs)
 	if err := <-w.ended; err != nil {
 		w.t.Error(err)
 	}
@@ -49,25 +49,25 @@
 // would reset its connection.
 func TestShutdownWaitsUntilTheLastAnswerIsRead(t *testing.T) {
 	l := listen(t)
-	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
+	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
 	p := w.client()
-	p.query(write)
+	p.query(writeQuery)
 	h := accept(t, l)
 	h.message()
-	w.stopped()
-	h.write(row(write, "late", "off"))
-	w.until(func() bool { return w.node.router.PendingRequests() == 0 })
-	w.pass(500) // half of the time that it has
+	w.beginDraining()
+	h.write(rowAnswer(writeQuery, "late", "off"))
+	w.waitUntil(func() bool { return w.node.router.PendingRequests() == 0 })
+	w.advance(500) // half of the time that it has
 	for range 1000 {
 		runtime.Gosched()
 	}
 	if len(w.ended) > 0 {
 		t.Fatal("ended before the answer was read")
 	}
-	p.want(p.answer(), "late")
-	p.want(p.answer(), "closed")
+	p.wantContains(p.answer(), "late")
+	p.wantContains(p.answer(), "closed")
 	_ = p.c.Close()
-	w.ends()
+	w.awaitEnd()
 }
 
 // Neither a client that reads nothing and stays, nor one that says it would
@@ -75,34 +75,34 @@
 // the limits of the front.
 func TestShutdownIsBounded(t *testing.T) {
 	l := listen(t)
-	w := newWorld(t, 100, endpoint("p", l, "off", "ready"))
+	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
 	w.client() // reads nothing, and stays
 	p := w.client()
-	p.query(strings.Replace(write, "d=2000", "d=60000", 1))
+	p.query(strings.Replace(writeQuery, "d=2000", "d=60000", 1))
 	h := accept(t, l)
 	h.message()
-	w.stopped()
-	w.pass(5000 - 2*shutdownCheckMs) // of the settings' longest wait
+	w.beginDraining()
+	w.advance(5000 - 2*shutdownCheckMs) // of the settings' longest wait
 	w.loop.Do(func() {
 		if w.node.router.PendingRequests() != 1 {
 			t.Error("a request was given up before the longest wait was over")
 		}
 	})
-	w.pass(3 * shutdownCheckMs)
-	p.want(p.answer(), "57014")
-	p.want(p.answer(), "closed")
-	w.pass(1000) // that each has to go
-	w.ends()
+	w.advance(3 * shutdownCheckMs)
+	p.wantContains(p.answer(), "57014")
+	p.wantContains(p.answer(), "closed")
+	w.advance(1000) // that each has to go
+	w.awaitEnd()
 }
 
 // SIGTERM may come before the router serves, and twice: it ends in good order.
-func TestSIGTERMWhileStarting(t *testing.T) {
+func TestSIGTERMWhileStartingEndsInOrder(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	program := exec.Command(os.Args[0])
-	log := logOf(t, program, "GW_CONFIG="+path)
+	log := startWithLog(t, program, "GW_CONFIG="+path)
 	to, err := os.OpenFile(path, os.O_WRONLY, 0) // open once the program reads it
 	if err != nil {
 		t.Fatal(err)
@@ -127,9 +127,9 @@
 
 // A new configuration that comes before the start is in force from the start
 // on: it must not be undone by the first one's address.
-func TestReloadBeforeTheStart(t *testing.T) {
+func TestReloadBeforeStartReplacesAddress(t *testing.T) {
 	old, moved := listen(t), listen(t)
-	loop := clock.NewLoop(clock.Manual(start))
+	loop := clock.NewLoop(clock.Manual(startMs))
 	var configs [2]*deployconfig.Config
 	for i, l := range []net.Listener{old, moved} {
 		var err error
@@ -143,7 +143,7 @@
 	}
 	n.reload(configs[1])
 	n.start()
-	agent(t, moved).tell("/v1/endpoints", `{"index":4,"snapshot":true,"endpoints":[]}`)
+	acceptWatch(t, moved).answerWatch("/v1/endpoints", `{"index":4,"snapshot":true,"endpoints":[]}`)
 	loop.Do(func() {
 		if len(n.watches) != 1 {
 			t.Errorf("%d watches", len(n.watches))
--- a/cmd/lotusbend/start_test.go
+++ b/cmd/lotusbend/start_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	program := exec.Command("/bin/sh", "-c", line, os.Args[0])
-	log := logOf(t, program, "GW_CONFIG="+path)
+	log := startWithLog(t, program, "GW_CONFIG="+path)
 	t.Cleanup(func() { _ = program.Process.Kill(); _ = program.Wait() })
 	lines := bufio.NewScanner(log)
 	for address == "" && lines.Scan() {
@@ -48,10 +48,10 @@
 	return address, before
 }
 
-// readyWithin is what a restarted router may take on the operators' machines.
+// maxStartDuration is what a restarted router may take on the operators' machines.
 // That it waits for nothing shows in the order of its log, however loaded this
 // machine is.
-const readyWithin = 10 * time.Second
+const maxStartDuration = 10 * time.Second
 
 // A router that starts while discovery is silent is ready at once and serves by
 // the list that it was given: nothing is turned away for want of a new one.
@@ -70,20 +70,20 @@
 	}
 	p := newPeer(t, c)
 	p.write(wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), nil))
-	p.want(p.answer(), "RKZ")
-	p.want(p.answer(), "IZ")
-	if took := time.Since(began); took > readyWithin {
+	p.wantContains(p.answer(), "RKZ")
+	p.wantContains(p.answer(), "IZ")
+	if took := time.Since(began); took > maxStartDuration {
 		t.Errorf("ready after %v", took)
 	}
-	p.query(write)
+	p.query(writeQuery)
 	accept(t, host).serve("value", "off")
-	p.want(p.answer(), "value")
+	p.wantContains(p.answer(), "value")
 }
 
 // Idle clients may fill the descriptors while discovery is down: its watch and
 // connections to hosts still get theirs, and a client that comes then is
 // served. The system's limit is that of the settings.
-func TestIdleClientsLeaveDescriptorsToDiscoveryAndHosts(t *testing.T) {
+func TestIdleClientsLeaveDescriptorsToDiscoveryAndEndpoints(t *testing.T) {
 	const descriptors, idle = 100, 300
 	discovery, host := reservePort(t), listen(t)
 	address, _ := startProgram(t, fmt.Sprintf(`ulimit -n %d; exec "$0"`, descriptors), configuration(discovery, descriptors))
@@ -99,8 +99,8 @@
 	if err := back.(*net.TCPListener).SetDeadline(time.Now().Add(6 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	told := agent(t, back)
-	told.tell("/v1/endpoints", fmt.Sprintf(`{"index":2,"snapshot":true,"endpoints":[%s]}`, endpoint("p", host, "off", "ready")))
+	told := acceptWatch(t, back)
+	told.answerWatch("/v1/endpoints", fmt.Sprintf(`{"index":2,"snapshot":true,"endpoints":[%s]}`, endpoint("p", host, "off", "ready")))
 	if _, err := http.ReadRequest(told.in); err != nil { // its next call: the list has been taken
 		t.Fatal(err)
 	}
@@ -109,11 +109,11 @@
 		t.Fatal(err)
 	}
 	p := newPeer(t, c)
-	p.write(wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), []byte(write)))
+	p.write(wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), []byte(writeQuery)))
 	if err := host.(*net.TCPListener).SetDeadline(time.Now().Add(2 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	accept(t, host).serve("value", "off")
-	p.want(p.answer(), "RKZ")
-	p.want(p.answer(), "value")
+	p.wantContains(p.answer(), "RKZ")
+	p.wantContains(p.answer(), "value")
 }
--- a/cmd/lotusbend/testbed_test.go
+++ b/cmd/lotusbend/testbed_test.go
@@ -21,7 +21,7 @@
 	"lotusbend/internal/postgres/wire"
 )
 
-const start = 1767225600000 // of the settable clock
+const startMs = 1767225600000 // of the settable clock
 
 const settingsJSON = `{"Classes": [
 	{"AimMs": 500, "GiveUpMs": 1200, "Group": "all", "Importance": 2, "KeyTtlMs": 5000, "LateWorth": 0, "Name": "view", "Semantics": "pure"},
@@ -109,18 +109,18 @@
 	return l
 }
 
-// addressed is a listener, or a port that may become one.
-type addressed interface{ Addr() net.Addr }
+// addresser is a listener, or a port that may become one.
+type addresser interface{ Addr() net.Addr }
 
 // endpoint is one line of the list, in group 1.
-func endpoint(name string, l addressed, recovery, status string) string {
+func endpoint(name string, l addresser, recovery, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","group":1,"status":%q,"recovery":%q,"since_ms":0}`,
 		name, l.Addr(), status, recovery)
 }
 
-func newWorld(t *testing.T, sockets int, known ...string) *testbed {
+func newTestbed(t *testing.T, sockets int, known ...string) *testbed {
 	t.Helper()
-	w := &testbed{t: t, clock: clock.Manual(start), discovery: listen(t), ended: make(chan error, 1),
+	w := &testbed{t: t, clock: clock.Manual(startMs), discovery: listen(t), ended: make(chan error, 1),
 		logged: make(chan string, 100)}
 	w.loop = clock.NewLoop(w.clock)
 	c, err := deployconfig.Parse(configuration(w.discovery, sockets, known...), func(string) string { return "" })
@@ -139,17 +139,17 @@
 }
 
 // configuration is a configuration file's contents.
-func configuration(discovery addressed, sockets int, known ...string) []byte {
+func configuration(discovery addresser, sockets int, known ...string) []byte {
 	return fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"sockets":%d},
 		"known":{"index":1,"snapshot":true,"endpoints":[%s]},"settings":%s}`,
 		discovery.Addr(), sockets, strings.Join(known, ","), settingsJSON)
 }
 
-// pass sets the clock forward, deadline by deadline. A client may have its
+// advance sets the clock forward, deadline by deadline. A client may have its
 // answer before the router knows that it is with the system: the client's idle
 // time begins then, so that is waited for.
-func (w *testbed) pass(ms float64) {
-	w.until(func() bool { return w.node.server.UnsentClients() == 0 })
+func (w *testbed) advance(ms float64) {
+	w.waitUntil(func() bool { return w.node.server.UnsentClients() == 0 })
 	end := w.clock.Now() + ms
 	for {
 		at, ok := w.loop.Next()
@@ -162,20 +162,20 @@
 	w.clock.Set(end)
 }
 
-// answerAfter lets time pass until p has its answer, at the most the wait of
+// advanceToAnswer lets time pass until p has its answer, at the most the wait of
 // the write: further on, an answer not written yet would be given up.
-func (w *testbed) answerAfter(p *peer) string {
+func (w *testbed) advanceToAnswer(p *peer) string {
 	done := make(chan string, 1)
 	go func() { done <- p.answer() }()
 	for range 201 {
-		w.pass(10)
+		w.advance(10)
 		runtime.Gosched()
 	}
 	return <-done
 }
 
-// until waits for what the router's state must come to.
-func (w *testbed) until(holds func() bool) {
+// waitUntil waits for what the router's state must come to.
+func (w *testbed) waitUntil(holds func() bool) {
 	for ok := false; !ok; runtime.Gosched() {
 		w.loop.Do(func() { ok = holds() })
 	}
@@ -234,7 +234,7 @@
 	}
 }
 
-func (p *peer) want(got, part string) {
+func (p *peer) wantContains(got, part string) {
 	p.t.Helper()
 	if !strings.Contains(got, part) {
 		p.t.Fatalf("got %q, want %q in it", got, part)
@@ -255,23 +255,23 @@
 func (w *testbed) client() *peer {
 	p := w.dial()
 	p.write(wire.AppendStartup(nil, "app", "shop"))
-	p.want(p.answer(), "RKZ")
+	p.wantContains(p.answer(), "RKZ")
 	return p
 }
 
 func (p *peer) query(sql string) { p.write(wire.AppendQuery(nil, []byte(sql))) }
 
 const (
-	view  = `SELECT doc FROM items WHERE id = '7f3a' /* id=9b1f,c=view,d=1000,cluster=1 */`
-	write = `INSERT INTO items (id, doc) VALUES ('7f3a', '\x9f03') RETURNING doc /* id=9b20,c=write,d=2000,k=5c0f,cluster=1 */`
+	viewQuery  = `SELECT doc FROM items WHERE id = '7f3a' /* id=9b1f,c=view,d=1000,cluster=1 */`
+	writeQuery = `INSERT INTO items (id, doc) VALUES ('7f3a', '\x9f03') RETURNING doc /* id=9b20,c=write,d=2000,k=5c0f,cluster=1 */`
 )
 
 // accept takes a router's connection to a database host, up to its first
 // ReadyForQuery.
 func accept(t *testing.T, l net.Listener) *peer {
 	t.Helper()
-	p := slow(t, l)
-	p.comesUp()
+	p := acceptUnready(t, l)
+	p.sendReady()
 	return p
 }
 
@@ -281,12 +281,12 @@
 	if kind != wire.Query {
 		p.t.Fatalf("a host got %q instead of a statement", kind)
 	}
-	p.write(row(body, value, role))
+	p.write(rowAnswer(body, value, role))
 	return strings.TrimRight(body, "\x00")
 }
 
-// row is a host's whole answer to the statement.
-func row(statement, value, role string) []byte {
+// rowAnswer is a host's whole answer to the statement.
+func rowAnswer(statement, value, role string) []byte {
 	b := wire.AppendRowDescription(nil, wire.Column{Name: []byte("doc"), Type: 17, Size: -1, Binary: true})
 	b = wire.AppendDataRow(b, []byte(value))
 	tag := "SELECT 1"
@@ -295,7 +295,7 @@
 	}
 	b = wire.AppendCommandComplete(b, []byte(tag))
 	b = wire.AppendParameterStatus(b, "recovery", role)
-	b = wire.AppendParameterStatus(b, "lsn_ms", fmt.Sprint(start))
+	b = wire.AppendParameterStatus(b, "lsn_ms", fmt.Sprint(startMs))
 	return wire.AppendReadyForQuery(b)
 }
 
@@ -306,8 +306,8 @@
 	p.write(wire.AppendReadyForQuery(wire.AppendErrorResponse(nil, "ERROR", code, "no", "")))
 }
 
-// agent takes the next watch at discovery's address.
-func agent(t *testing.T, l net.Listener) *peer {
+// acceptWatch takes the next watch at discovery's address.
+func acceptWatch(t *testing.T, l net.Listener) *peer {
 	t.Helper()
 	c, err := l.Accept()
 	if err != nil {
@@ -316,8 +316,8 @@
 	return newPeer(t, c)
 }
 
-// tell answers a call for want with a list.
-func (p *peer) tell(want, list string) {
+// answerWatch answers a call for want with a list.
+func (p *peer) answerWatch(want, list string) {
 	p.t.Helper()
 	r, err := http.ReadRequest(p.in)
 	if err != nil || r.URL.String() != want {
--- a/cmd/lotuslab/main.go
+++ b/cmd/lotuslab/main.go
@@ -17,7 +17,7 @@
 // The exit codes of a drill.
 const (
 	exitFault  = 1 // the audit found a fault
-	exitCannot = 2 // wrong usage, or the drill could not run
+	exitNotRun = 2 // wrong usage, or the drill could not run
 )
 
 // errFault reports that an audit found a fault.
@@ -56,7 +56,7 @@
 		enums,
 		kong.Exit(func(code int) {
 			if code != 0 {
-				code = exitCannot
+				code = exitNotRun
 			}
 			os.Exit(code)
 		}))
@@ -74,7 +74,7 @@
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "lotuslab:", err)
-		os.Exit(exitCannot)
+		os.Exit(exitNotRun)
 	}
 }
 
--- a/cmd/lotuslab/main_test.go
+++ b/cmd/lotuslab/main_test.go
@@ -22,7 +22,7 @@
 
 // Wrong usage, or a drill that cannot run, must not look like a fault that an audit
 // found, nor like a drill that passed.
-func TestWrongUsageIsNoFault(t *testing.T) {
+func TestInvalidUsageExitsWithNotRun(t *testing.T) {
 	for _, args := range []string{
 		"drill", "drill nothing", "drill edge --loss 2", "drill edge --sabotage other", "drill edge --seed x",
 		"drill edge --devices 0",
@@ -33,7 +33,7 @@
 		program.Env = append(os.Environ(), asProgram+"="+args)
 		out, err := program.Output()
 		var ended *exec.ExitError
-		if !errors.As(err, &ended) || ended.ExitCode() != exitCannot || strings.Contains(string(out), "{") {
+		if !errors.As(err, &ended) || ended.ExitCode() != exitNotRun || strings.Contains(string(out), "{") {
 			t.Errorf("%s: %v: %q", args, err, out)
 		}
 	}
--- a/internal/operatorconfig/edge.go
+++ b/internal/operatorconfig/edge.go
@@ -9,14 +9,14 @@
 
 // Bounds of the edge's settings.
 const (
-	maxMs         = 86400e3 // a day
-	maxBytes      = 1 << 40
-	maxCount      = 10_000_000
-	maxRoutes     = 100
-	maxGroups     = 1000 // of a route
-	maxGroup      = 1<<16 - 1
-	maxMatch      = 64 // letters of a route's match
-	maxIdentifier = 63 // letters of a table's name, as PostgreSQL takes them
+	maxDurationMs     = 86400e3 // a day
+	maxBytes          = 1 << 40
+	maxCount          = 10_000_000
+	maxRoutes         = 100
+	maxRouteGroups    = 1000 // of a route
+	maxGroupNumber    = 1<<16 - 1
+	maxMatchBytes     = 64 // letters of a route's match
+	maxTableNameBytes = 63 // letters of a table's name, as PostgreSQL takes them
 )
 
 // Edge switches the edge for devices on.
@@ -158,18 +158,18 @@
 	route := Route{Table: "items"}
 	section.section(map[string]func(*value){
 		"match": func(v *value) {
-			if route.Match = v.text(); !isPlain(route.Match, "/-_.", maxMatch) {
+			if route.Match = v.text(); !isPlain(route.Match, "/-_.", maxMatchBytes) {
 				v.fail("%q: 1 to 64 letters, digits, or / - _ . are expected", route.Match)
 			}
 		},
 		"groups": func(v *value) {
-			v.array(maxGroups, func(v *value) { route.Groups = append(route.Groups, v.integer(0, maxGroup)) })
+			v.array(maxRouteGroups, func(v *value) { route.Groups = append(route.Groups, v.integer(0, maxGroupNumber)) })
 		},
 		"write": func(v *value) { route.Write = v.text() },
 		"check": func(v *value) { route.Check = v.text() },
 		"read":  func(v *value) { route.Read = v.text() },
 		"table": func(v *value) {
-			if route.Table = v.text(); !isPlain(route.Table, "_", maxIdentifier) {
+			if route.Table = v.text(); !isPlain(route.Table, "_", maxTableNameBytes) {
 				v.fail("%q is no plain name of a table", route.Table)
 			}
 		},
@@ -190,7 +190,7 @@
 
 // milliseconds parses a time above 0 into to.
 func milliseconds(to *float64) func(*value) {
-	return func(v *value) { *to = v.number(1, maxMs, false) }
+	return func(v *value) { *to = v.number(1, maxDurationMs, false) }
 }
 
 // count parses a whole number above 0 into to.
--- a/internal/operatorconfig/membership.go
+++ b/internal/operatorconfig/membership.go
@@ -34,13 +34,13 @@
 		GossipBytesPerSecond: defaults.GossipBytesPerSecond,
 	}
 	section.section(map[string]func(*value){
-		"bind":      address4(&options.Bind),
-		"advertise": address4(&options.Advertise),
-		"admin":     address4(&options.Admin),
+		"bind":      ipv4Address(&options.Bind),
+		"advertise": ipv4Address(&options.Advertise),
+		"admin":     ipv4Address(&options.Admin),
 		"seeds": func(v *value) {
 			v.array(maxSeeds, func(v *value) {
 				var seed string
-				address4(&seed)(v)
+				ipv4Address(&seed)(v)
 				options.Seeds = append(options.Seeds, seed)
 			})
 		},
@@ -59,8 +59,8 @@
 	return options
 }
 
-// address4 parses an IPv4 address with its port into to.
-func address4(to *string) func(*value) {
+// ipv4Address parses an IPv4 address with its port into to.
+func ipv4Address(to *string) func(*value) {
 	return func(v *value) {
 		*to = v.text()
 		address, err := netip.ParseAddrPort(*to)
--- a/internal/operatorconfig/membership_test.go
+++ b/internal/operatorconfig/membership_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestMembershipIsOffUnlessNamed(t *testing.T) {
+func TestMembershipIsOffByDefault(t *testing.T) {
 	o, err := Parse("f", []byte(`{"log": {}}`))
 	if err != nil || o.Membership != nil {
 		t.Fatalf("%v, %+v", err, o.Membership)
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestMembershipFaultsAreOneLine(t *testing.T) {
+func TestMembershipErrorsNameFileLineAndPath(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"membership": {}}`:                                           `f:1: membership: bind is needed`,
 		`{"membership": {"bind": "[::1]:7"}}`:                          `f:1: membership.bind: "\[::1\]:7" is no IPv4 address`,
--- a/internal/operatorconfig/options_test.go
+++ b/internal/operatorconfig/options_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const usual = `// a comment
+const example = `// a comment
 {
 	"log": {"level": "debug", "form": "json",},
 	"edge": {
@@ -19,8 +19,8 @@
 	},
 }`
 
-func TestSettingsAreReadAndTheRestHasDefaults(t *testing.T) {
-	o, err := Parse("f", []byte(usual))
+func TestParseAppliesDefaults(t *testing.T) {
+	o, err := Parse("f", []byte(example))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestTheFileOfTheDeploymentIsInOrder(t *testing.T) {
+func TestDeploymentFileIsValid(t *testing.T) {
 	const path = "../../deploy/lotusbend.json5"
 	if o, err := Load(path); err != nil || o.Edge != nil {
 		t.Errorf("%+v, %v", o, err)
@@ -50,7 +50,7 @@
 }
 
 // Each fault is one line with file, line, path and what was expected.
-func TestFaultsAreToldInOneLine(t *testing.T) {
+func TestParseErrorsNameFileLineAndPath(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                       `f:1: \$: the file is empty`,
 		"{\n\n  \"edgy\": 1}":                    `f:3: edgy: unknown key; is "edge" meant\?`,
@@ -58,17 +58,17 @@
 		"{\"log\": {}, \"log\": {}}":             `f:1: log: given twice`,
 		"[1]":                                    `f:1: \$: an object is expected`,
 		"{\"log\": ":                             `f: line 2, column 1`,
-		strings.Replace(usual, "5000", "0", 1):   `f:6: edge.readings: 0: a whole number from 1 to`,
-		strings.Replace(usual, "5000", "1.5", 1): `f:6: edge.readings: 1.5: a whole number`,
-		strings.Replace(usual, "5000", `"5"`, 1): `f:6: edge.readings: a number is expected`,
-		strings.Replace(usual, "127.0.0.1:1883", "here", 1):                                          `f:5: edge.mqtt: "here" is no address and port`,
-		strings.Replace(usual, `"groups": [1, 2]`, `"groups": [1, -2]`, 1):                           `f:8: edge.routes\[0\].groups\[1\]: -2`,
-		strings.Replace(usual, `, "check": "c"`, "", 1):                                              `f:8: edge.routes\[0\]: write needs check`,
-		strings.Replace(usual, `"match": "v"`, `"match": "v'"`, 1):                                   `f:8: edge.routes\[1\].match: "v'": 1 to 64 letters`,
-		strings.Replace(usual, `"readings": 5000`, `"readings": 5`, 1):                               `f:4: edge: per_device and per_network must not be over readings`,
-		strings.Replace(usual, `"store": "/tmp/x"`, `"retry_min_ms": 9000, "retry_max_ms": 8000`, 1): `f:4: edge: retry_min_ms is over retry_max_ms`,
-		`{"edge": {"mqtt": "127.0.0.1:1"}}`:                                                          `f:1: edge: routes are needed`,
-		`{"edge": {"routes": []}}`:                                                                   `f:1: edge: one of coap, mqtt and frames`,
+		strings.Replace(example, "5000", "0", 1): `f:6: edge.readings: 0: a whole number from 1 to`,
+		strings.Replace(example, "5000", "1.5", 1):                                                     `f:6: edge.readings: 1.5: a whole number`,
+		strings.Replace(example, "5000", `"5"`, 1):                                                     `f:6: edge.readings: a number is expected`,
+		strings.Replace(example, "127.0.0.1:1883", "here", 1):                                          `f:5: edge.mqtt: "here" is no address and port`,
+		strings.Replace(example, `"groups": [1, 2]`, `"groups": [1, -2]`, 1):                           `f:8: edge.routes\[0\].groups\[1\]: -2`,
+		strings.Replace(example, `, "check": "c"`, "", 1):                                              `f:8: edge.routes\[0\]: write needs check`,
+		strings.Replace(example, `"match": "v"`, `"match": "v'"`, 1):                                   `f:8: edge.routes\[1\].match: "v'": 1 to 64 letters`,
+		strings.Replace(example, `"readings": 5000`, `"readings": 5`, 1):                               `f:4: edge: per_device and per_network must not be over readings`,
+		strings.Replace(example, `"store": "/tmp/x"`, `"retry_min_ms": 9000, "retry_max_ms": 8000`, 1): `f:4: edge: retry_min_ms is over retry_max_ms`,
+		`{"edge": {"mqtt": "127.0.0.1:1"}}`:                                                            `f:1: edge: routes are needed`,
+		`{"edge": {"routes": []}}`:                                                                     `f:1: edge: one of coap, mqtt and frames`,
 	} {
 		o, err := Parse("f", []byte(text))
 		if err == nil {
@@ -82,7 +82,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(usual)
+	f.Add(example)
 	f.Add(`{"edge": {"routes": [{"groups": 1}]}}`)
 	f.Fuzz(func(t *testing.T, text string) {
 		if o, err := Parse("f", []byte(text)); err == nil && o.Edge != nil && len(o.Edge.Routes) == 0 {
--- a/internal/operatorconfig/shared.go
+++ b/internal/operatorconfig/shared.go
@@ -21,14 +21,14 @@
 	options := &Shared{Rules: fleetstate.Defaults()}
 	rules := &options.Rules
 	section.section(map[string]func(*value){
-		"tick_ms":    wholeMs(&rules.TickMs, 20, 10_000),
-		"counts_ms":  wholeMs(&rules.CounterIntervalMs, 20, 60_000),
-		"lease_ms":   wholeMs(&rules.LeaseMs, 100, 600_000),
-		"skew_ms":    wholeMs(&rules.SkewMs, 0, 600_000),
-		"fold_ms":    wholeMs(&rules.CounterRetentionMs, 10_000, 86_400_000),
-		"claim_ms":   wholeMs(&rules.ReportTTLMs, 100, 60_000),
-		"hint_ms":    wholeMs(&rules.EjectionMs, 20, 60_000),
-		"hearsay_ms": wholeMs(&rules.GossipEjectionMs, 20, 60_000),
+		"tick_ms":    wholeMilliseconds(&rules.TickMs, 20, 10_000),
+		"counts_ms":  wholeMilliseconds(&rules.CounterIntervalMs, 20, 60_000),
+		"lease_ms":   wholeMilliseconds(&rules.LeaseMs, 100, 600_000),
+		"skew_ms":    wholeMilliseconds(&rules.SkewMs, 0, 600_000),
+		"fold_ms":    wholeMilliseconds(&rules.CounterRetentionMs, 10_000, 86_400_000),
+		"claim_ms":   wholeMilliseconds(&rules.ReportTTLMs, 100, 60_000),
+		"hint_ms":    wholeMilliseconds(&rules.EjectionMs, 20, 60_000),
+		"hearsay_ms": wholeMilliseconds(&rules.GossipEjectionMs, 20, 60_000),
 		"share_most": func(v *value) { rules.MaxEjectedFraction = v.number(0, 0.9, false) },
 		"lendable":   func(v *value) { rules.MaxLentFraction = v.number(0, 0.9, false) },
 		"clock_offset_ms": func(v *value) {
@@ -48,7 +48,7 @@
 	return options
 }
 
-// wholeMs parses a whole number of milliseconds into to.
-func wholeMs(to *int64, low, high int) func(*value) {
+// wholeMilliseconds parses a whole number of milliseconds into to.
+func wholeMilliseconds(to *int64, low, high int) func(*value) {
 	return func(v *value) { *to = int64(v.integer(low, high)) }
 }
--- a/internal/operatorconfig/value.go
+++ b/internal/operatorconfig/value.go
@@ -72,7 +72,7 @@
 		case seen[name]:
 			key.fail("given twice")
 		case !known:
-			key.fail("unknown key%s", nearest(name, slices.Sorted(maps.Keys(fields))))
+			key.fail("unknown key%s", suggestKey(name, slices.Sorted(maps.Keys(fields))))
 		default:
 			parse(member)
 		}
@@ -162,14 +162,14 @@
 	return text
 }
 
-// maxTypos is the distance up to which a known key is suggested for another.
-const maxTypos = 2
+// maxEditDistance is the distance up to which a known key is suggested for another.
+const maxEditDistance = 2
 
-// nearest suggests a known key for one that is off by a letter or two.
-func nearest(name string, known []string) string {
-	best, suggestion := maxTypos+1, ""
+// suggestKey suggests a known key for one that is off by a letter or two.
+func suggestKey(name string, known []string) string {
+	best, suggestion := maxEditDistance+1, ""
 	for _, key := range known {
-		if typos := distance(name, key); typos < best {
+		if typos := editDistance(name, key); typos < best {
 			best, suggestion = typos, key
 		}
 	}
@@ -179,9 +179,9 @@
 	return fmt.Sprintf("; is %q meant?", suggestion)
 }
 
-// distance is Levenshtein's: how many letters must be inserted, deleted or
+// editDistance is Levenshtein's: how many letters must be inserted, deleted or
 // replaced.
-func distance(a, b string) int {
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/internal/routingconfig/routingconfig_test.go
+++ b/internal/routingconfig/routingconfig_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestParseSettingsErrors(t *testing.T) {
+func TestParseRejectsInvalidSettings(t *testing.T) {
 	for name, text := range map[string]string{
 		"not JSON":     "x",
 		"empty":        "{}",
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestFleetSizeIsOneRouterAtLeast(t *testing.T) {
+func TestFleetSizeIsAtLeastOneRouter(t *testing.T) {
 	for size, want := range map[string]int{"0": 1, "-3": 1, "0.5": 1, "130": 130, "1e300": math.MaxInt32} {
 		text := strings.Replace(example, `"Feedback"`, `"FleetSize": `+size+`, "Feedback"`, 1)
 		s, err := Parse([]byte(text))
--- a/internal/routingconfig/slowstart_test.go
+++ b/internal/routingconfig/slowstart_test.go
@@ -14,12 +14,12 @@
 // fleet is many routers in one process that share nothing but the hosts, on a
 // clock of events.
 type fleet struct {
-	now     time.Duration
-	events  events
-	serial  uint64
-	routers []*instance
-	cold    uint32          // the host that restarts
-	sends   []time.Duration // to it, since it has
+	now        time.Duration
+	events     events
+	lastSerial uint64
+	routers    []*instance
+	restarted  uint32          // the host that restarts
+	sends      []time.Duration // to it, since it has
 }
 
 // instance is one router; it implements decide.Actions.
@@ -50,8 +50,8 @@
 }
 
 func (f *fleet) after(d time.Duration, do func()) {
-	f.serial++
-	heap.Push(&f.events, event{f.now + d, f.serial, do})
+	f.lastSerial++
+	heap.Push(&f.events, event{f.now + d, f.lastSerial, do})
 }
 
 func (f *fleet) run(until time.Duration) {
@@ -64,24 +64,24 @@
 }
 
 const (
-	work     = 75 * time.Millisecond
-	warmRate = 40.0 // requests a second that a warm host can do: three cores
-	hosts    = 4    // one of them the primary
+	serviceTime   = 75 * time.Millisecond
+	warmCapacity  = 40.0 // requests a second that a warm host can do: three cores
+	endpointCount = 4    // one of them the primary
 )
 
 func (i *instance) Send(request uint64, member uint32, _ time.Duration) {
 	f, n := i.fleet, i.attempts[request]
 	i.attempts[request]++
-	if member == f.cold {
+	if member == f.restarted {
 		f.sends = append(f.sends, f.now)
 	}
-	f.after(work, func() {
+	f.after(serviceTime, func() {
 		role := decide.RoleReplica
 		if member == 1 {
 			role = decide.RolePrimary
 		}
 		i.module.AttemptEnded(f.now, decide.AttemptResult{
-			Request: request, Attempt: n, Endpoint: member, Outcome: decide.OK, Latency: work, ClientAnswered: true,
+			Request: request, Attempt: n, Endpoint: member, Outcome: decide.OK, Latency: serviceTime, ClientAnswered: true,
 			Status: decide.ReplicationStatus{Role: role, Position: f.now - 10*time.Millisecond},
 		})
 		delete(i.attempts, request)
@@ -97,8 +97,8 @@
 	i.fleet.after(after, func() { i.module.TimerFired(i.fleet.now, tok) })
 }
 
-// coldSettings is a configuration's settings for so many routers.
-func coldSettings(routers int, factor float64, check string) []byte {
+// slowStartSettings is a configuration's settings for so many routers.
+func slowStartSettings(routers int, factor float64, check string) []byte {
 	return fmt.Appendf(nil, `{"Classes": [{"AimMs": 500, "GiveUpMs": 1200, "Group": "all", "Importance": 2, "LateWorth": 0, "Name": "view", "Semantics": "pure"}],
 	"Discovery": "push", "FamilyInfo": {"ClassRead": ["bounded"], "OldestDataMs": [800], "Stamps": true, "Tokens": "carried", "WhenBehind": %q},
 	"Feedback": {"Fields": ["x0", "x1"], "Via": "on_probe"}, "FleetSize": %d, "Limits": {"MaxAttempts": 6},
@@ -108,11 +108,11 @@
 // A host that comes back cold is not pushed over by twenty or thirty routers
 // that each know only themselves: in no second do they send it more than the
 // settings allow, but for chance, N + 2 roots of N + 2.
-func TestColdHostIsNotPushedOverByManyRouters(t *testing.T) {
+func TestManyRoutersDoNotOverloadWarmingEndpoint(t *testing.T) {
 	for _, routers := range []int{20, 30} {
 		for _, factor := range []float64{2, 4} {
 			for _, seed := range []uint64{1, 2, 3} {
-				over, sent := playCold(t, routers, factor, seed)
+				over, sent := simulateRestart(t, routers, factor, seed)
 				if over > 0 || sent == 0 {
 					t.Errorf("%d routers, factor %v, seed %d: %d sent, %.1f more than the rule allows in the worst second",
 						routers, factor, seed, sent, over)
@@ -122,18 +122,18 @@
 	}
 }
 
-// playCold returns by how much the worst second went over the rule, and how
+// simulateRestart returns by how much the worst second went over the rule, and how
 // many requests the cold host was sent.
-func playCold(t *testing.T, routers int, factor float64, seed uint64) (over float64, sent int) {
+func simulateRestart(t *testing.T, routers int, factor float64, seed uint64) (over float64, sent int) {
 	t.Helper()
-	s, err := Parse(coldSettings(routers, factor, "refuse"))
+	s, err := Parse(slowStartSettings(routers, factor, "refuse"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	f := &fleet{}
 	rng := rand.New(rand.NewPCG(seed, 9))
 	list := func(started time.Duration) (members []decide.Endpoint) {
-		for id := range uint32(hosts) {
+		for id := range uint32(endpointCount) {
 			members = append(members, decide.Endpoint{ID: id + 1, State: decide.Ready, Primary: id == 0})
 		}
 		members[1].StartedAt = started
@@ -148,7 +148,7 @@
 		f.routers = append(f.routers, i)
 		i.module.Start(0)
 		i.module.EndpointsUpdated(0, decide.UpdateSnapshot, list(0))
-		mean := float64(routers) / (0.9 * warmRate * (hosts - 1)) // seconds between one router's requests
+		mean := float64(routers) / (0.9 * warmCapacity * (endpointCount - 1)) // seconds between one router's requests
 		var arrive func()
 		arrive = func() {
 			request++
@@ -159,7 +159,7 @@
 	}
 	const restart = 20 * time.Second
 	f.run(restart)
-	f.cold = 2
+	f.restarted = 2
 	for _, i := range f.routers {
 		i.module.EndpointsUpdated(f.now, decide.UpdateDelta, list(restart)[1:2])
 	}
@@ -172,7 +172,7 @@
 			}
 		}
 		warmth := s.Config.SlowStartCapacity + (1-s.Config.SlowStartCapacity)*(from-restart).Seconds()/s.Config.SlowStartDuration.Seconds()
-		allowed := factor * warmth * warmRate * s.Config.OverloadDuration.Seconds()
+		allowed := factor * warmth * warmCapacity * s.Config.OverloadDuration.Seconds()
 		over = max(over, float64(count)-(allowed+2*math.Sqrt(allowed)+2))
 	}
 	return over, len(f.sends)
--- a/internal/simprotocol/characterization_test.go
+++ b/internal/simprotocol/characterization_test.go
@@ -55,8 +55,8 @@
 }
 
 const (
-	request = 0x763f25d3a91c4
-	member  = 0x03124a07
+	request  = 0x763f25d3a91c4
+	endpoint = 0x03124a07
 )
 
 // replies fills one reply for each scenario. The names are those of the
@@ -64,7 +64,7 @@
 var replies = map[string]func(*simprotocol.Reply, *simprotocol.ActionWriter){
 	"no-action": func(*simprotocol.Reply, *simprotocol.ActionWriter) {},
 	"place": func(_ *simprotocol.Reply, s *simprotocol.ActionWriter) {
-		s.Send(request, member, 80*time.Millisecond)
+		s.Send(request, endpoint, 80*time.Millisecond)
 		s.Send(math.MaxUint64, math.MaxUint32, 0)
 		s.Send(0, 0, 1234567*time.Nanosecond)
 	},
@@ -81,12 +81,12 @@
 		s.Fail(math.MaxUint64)
 	},
 	"check": func(_ *simprotocol.Reply, s *simprotocol.ActionWriter) {
-		s.CheckHealth(member)
+		s.CheckHealth(endpoint)
 		s.CheckHealth(math.MaxUint32)
 	},
 	"keep-informed": func(_ *simprotocol.Reply, s *simprotocol.ActionWriter) { s.WatchEndpoints() },
 	"drop-connections": func(_ *simprotocol.Reply, s *simprotocol.ActionWriter) {
-		s.CloseIdle(member)
+		s.CloseIdle(endpoint)
 		s.CloseIdle(math.MaxUint32)
 	},
 	"schedule": func(_ *simprotocol.Reply, s *simprotocol.ActionWriter) {
@@ -101,7 +101,7 @@
 	"exception-at-bound":   func(p *simprotocol.Reply, _ *simprotocol.ActionWriter) { p.Exception(3, strings.Repeat("x", 65535)) },
 	"exception-over-bound": func(p *simprotocol.Reply, _ *simprotocol.ActionWriter) { p.Exception(3, strings.Repeat("y", 65536)) },
 	"several-instances": func(p *simprotocol.Reply, s *simprotocol.ActionWriter) {
-		s.Send(request, member, time.Second)
+		s.Send(request, endpoint, time.Second)
 		s.Instance = math.MaxUint16
 		s.WatchEndpoints()
 		p.Exception(4, "broken")
@@ -109,7 +109,7 @@
 		s.SetTimer(time.Millisecond, 1)
 	},
 	"reset-midway": func(p *simprotocol.Reply, s *simprotocol.ActionWriter) {
-		s.Send(request, member, time.Second)
+		s.Send(request, endpoint, time.Second)
 		p.Reset(math.MaxUint32)
 		s.Fail(request)
 	},
@@ -229,8 +229,8 @@
 	n.add(int64(ev.List), int64(ev.Kind))
 	n.request(ev)
 	n.result(ev)
-	n.probe(ev)
-	n.members(ev)
+	n.healthCheck(ev)
+	n.endpoints(ev)
 }
 
 func (n *numbers) request(ev *simprotocol.Event) {
@@ -249,7 +249,7 @@
 	n.add(int64(r.Status.Role), int64(r.Status.Position))
 }
 
-func (n *numbers) probe(ev *simprotocol.Event) {
+func (n *numbers) healthCheck(ev *simprotocol.Event) {
 	p := &ev.HealthCheck
 	n.add(int64(p.Endpoint), int64(p.Outcome), int64(len(p.Values)))
 	for _, v := range p.Values {
@@ -257,7 +257,7 @@
 	}
 }
 
-func (n *numbers) members(ev *simprotocol.Event) {
+func (n *numbers) endpoints(ev *simprotocol.Event) {
 	n.add(int64(len(ev.Endpoints)))
 	for _, m := range ev.Endpoints {
 		n.add(int64(m.ID), int64(m.Zone), int64(m.Group), int64(m.State))
--- a/internal/simprotocol/codes.go
+++ b/internal/simprotocol/codes.go
@@ -44,9 +44,9 @@
 // endpointStates are the states of a list entry, by their number.
 var endpointStates = [...]decide.EndpointState{decide.Removed, decide.Ready, decide.Draining}
 
-// outcomes are the outcomes by their result code, which are those of errno
+// outcomesByCode are the outcomesByCode by their result code, which are those of errno
 // where there is one.
-var outcomes = map[uint16]decide.Outcome{
+var outcomesByCode = map[uint16]decide.Outcome{
 	0:   decide.OK,
 	2:   decide.Ineligible,
 	5:   decide.Error,
--- a/internal/simprotocol/event.go
+++ b/internal/simprotocol/event.go
@@ -157,7 +157,7 @@
 	if f.err != nil {
 		return f.err
 	}
-	outcome, known := outcomes[code]
+	outcome, known := outcomesByCode[code]
 	if !known {
 		return malformed("unknown outcome %d", code)
 	}
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -8,8 +8,8 @@
 	"lotusbend/internal/clock"
 )
 
-// widestField is the length of the widest number.
-const widestField = 8
+// maxNumberBytes is the length of the widest number.
+const maxNumberBytes = 8
 
 // fields reads the fields of one record, little-endian. Past the record's end it
 // notes an error and returns zeros.
@@ -24,7 +24,7 @@
 		f.err = malformed("field runs past its record")
 	}
 	if f.err != nil {
-		return make([]byte, min(n, widestField))
+		return make([]byte, min(n, maxNumberBytes))
 	}
 	value := f.bytes[:n]
 	f.bytes = f.bytes[n:]
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -13,7 +13,7 @@
 	"lotusbend/decide"
 )
 
-func unhex(t *testing.T, s string) []byte {
+func decodeHex(t *testing.T, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
 	if err != nil {
@@ -49,7 +49,7 @@
 }
 
 func TestDecodeBatch(t *testing.T) {
-	evs, err := decode(unhex(t, `4e000000 03000000 00000000206ec040 0c000000
+	evs, err := decode(decodeHex(t, `4e000000 03000000 00000000206ec040 0c000000
 		07 2f000000 0300 c4913a5df2630700 0000000000002840 0040ce43 00003041 640ad2557c3bf091 01 0000 0000
 		0000000000006e40
 		03 06000000 0300 4d000000
@@ -68,8 +68,8 @@
 
 func TestDecodeOutcomeAndList(t *testing.T) {
 	evs, err := decode(frame(2,
-		unhex(t, `02 1f000000 0300 c4913a5df2630700 00 074a1203 0000 0000000000803240 01 8e630000 00`),
-		unhex(t, `05 3a000000 00000000 02000000
+		decodeHex(t, `02 1f000000 0300 c4913a5df2630700 00 074a1203 0000 0000000000803240 01 8e630000 00`),
+		decodeHex(t, `05 3a000000 00000000 02000000
 			074a1203 00 00 0b00 01 0000803f 0000803f 0000000000000000
 			f211902c 01 00 0b00 01 00000000 0000c03f 0000000000d4b740`)))
 	if err != nil {
@@ -93,7 +93,7 @@
 	a.SetTimer(500*time.Millisecond, 77)
 	a.Instance = 5
 	a.CloseIdle(0x2c9011f2)
-	want := unhex(t, `39000000 03000000 0c000000
+	want := decodeHex(t, `39000000 03000000 0c000000
 		00 16000000 0300 c4913a5df2630700 074a1203 0000000000005440
 		04 0e000000 0300 0000000000407f40 4d000000
 		06 06000000 0500 f211902c`)
@@ -116,7 +116,7 @@
 		"short fields":     frame(1, record(EventTimerFired, []byte{3, 0, 77})),
 		"long fields":      frame(1, record(EventTimerFired, make([]byte, 9))),
 		"unknown code":     frame(1, record(99, make([]byte, 9))),
-		"unknown outcome":  frame(1, unhex(t, `0a 11000000 0300 f211902c 0900 666666666666f63f 00`)),
+		"unknown outcome":  frame(1, decodeHex(t, `0a 11000000 0300 f211902c 0900 666666666666f63f 00`)),
 		"list too short":   frame(1, record(EventRegisterList, []byte{0, 0, 0, 0, 200, 0, 0, 0})),
 		"list count":       frame(1, record(EventRegisterList, []byte{0, 0, 0, 0, 255, 255, 255, 255})),
 		"settings count":   frame(1, record(EventConfigure, append(make([]byte, 10), 255, 255, 255, 255))),
