--- a/cmd/lotusbend/maysend_test.go
+++ b/cmd/lotusbend/maysend_test.go
@@ -39,12 +39,12 @@
 // into draining: the statement must not be written there any more.
 func TestQueuedAttemptIsNotWrittenToDrainingEndpoint(t *testing.T) {
 	primary, replica := listen(t), listen(t)
-	w := newTestbed(t, 100, endpoint("p", primary, "off", "ready"), endpoint("r", replica, "on", "ready"))
-	d := acceptWatch(t, w.discovery)
+	bed := newTestbed(t, 100, endpoint("p", primary, "off", "ready"), endpoint("r", replica, "on", "ready"))
+	d := acceptWatch(t, bed.discovery)
 	d.answerWatch("/v1/endpoints", fmt.Sprintf(`{"index":4,"snapshot":true,"endpoints":[%s,%s]}`,
 		endpoint("p", primary, "off", "ready"), endpoint("r", replica, "on", "ready")))
-	p := w.client()
-	p.query(viewQuery)
+	p := bed.client()
+	p.query(view)
 	r := acceptUnready(t, replica)
 	d.answerWatch("/v1/endpoints?after=4&wait_ms=3000", fmt.Sprintf(`{"index":5,"snapshot":false,"endpoints":[%s]}`,
 		endpoint("r", replica, "on", "draining")))
@@ -63,14 +63,14 @@
 // statement must not be written, and the connection serves the next client.
 func TestQueuedAttemptIsNotWrittenForDisconnectedClient(t *testing.T) {
 	l := listen(t)
-	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
-	gone, next := w.client(), w.client()
-	gone.query(writeQuery)
+	bed := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	gone, next := bed.client(), bed.client()
+	gone.query(write)
 	h := acceptUnready(t, l)
 	_ = gone.c.Close()
-	w.waitUntil(func() bool { return w.node.router.PendingRequests() == 0 })
+	bed.waitUntil(func() bool { return bed.node.router.PendingRequests() == 0 })
 	h.sendReady()
-	next.query(strings.Replace(writeQuery, "9b20", "9b21", 1))
+	next.query(strings.Replace(write, "9b20", "9b21", 1))
 	next.wantContains(h.serve("next", "off"), "9b21")
 	next.wantContains(next.answer(), "next")
 }
@@ -79,21 +79,21 @@
 // statement must not be sent again.
 func TestRetryIsNotSentForDisconnectedClient(t *testing.T) {
 	l := listen(t)
-	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
-	gone, next := w.client(), w.client()
-	gone.query(writeQuery)
+	bed := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	gone, next := bed.client(), bed.client()
+	gone.query(write)
 	h := accept(t, l)
 	h.refuse(wire.CodeReadOnlyTransaction)
 	for rests := false; !rests; runtime.Gosched() { // then the error has been processed: the connection stays unused for a moment
-		due, _ := w.loop.Next()
-		rests = due <= startMs+settleDelayMs
+		due, _ := bed.loop.Next()
+		rests = due <= start+settleDelayMs
 	}
 	_ = gone.c.Close()
-	w.waitUntil(func() bool { return w.node.router.PendingRequests() == 0 })
-	w.advance(1000)
-	next.query(strings.Replace(writeQuery, "9b20", "9b21", 1))
+	bed.waitUntil(func() bool { return bed.node.router.PendingRequests() == 0 })
+	bed.advance(1000)
+	next.query(strings.Replace(write, "9b20", "9b21", 1))
 	for tries := 0; !h.hasInput(); tries++ { // the router looks for the primary every 0.1 s
-		if w.advance(10); tries > 200 {
+		if bed.advance(10); tries > 200 {
 			t.Fatal("the next client's statement was not sent within 2 s")
 		}
 	}
--- a/cmd/lotusbend/serving_test.go
+++ b/cmd/lotusbend/serving_test.go
@@ -15,11 +15,11 @@
 // id and k on unchanged, and sets d to the time that is left: here still all of it.
 func TestStartupAndStatementArriveInAnyChunks(t *testing.T) {
 	l := listen(t)
-	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
-	both := wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), []byte(writeQuery))
+	bed := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	both := wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), []byte(write))
 	var h *peer
 	for _, size := range []int{len(both), 1} {
-		p := w.dial()
+		p := bed.dial()
 		p.write([]byte{0, 0, 0, 8, 4, 0xd2, 0x16, 0x2f}) // SSLRequest
 		if no, _ := p.in.ReadByte(); no != 'N' {
 			t.Fatalf("answer to SSLRequest = %q, want N", no)
@@ -31,19 +31,19 @@
 		if h == nil {
 			h = accept(t, l)
 		}
-		if got := h.serve("value", "off"); got != writeQuery {
+		if got := h.serve("value", "off"); got != write {
 			t.Fatalf("endpoint got %q, want the statement unchanged", got)
 		}
 		p.wantContains(p.answer(), "TDCZ")
-		w.advance(settleDelayMs)
+		bed.advance(settleDelayMs)
 	}
 }
 
 // A statement that is not sent to any endpoint must leave the client's connection
 // usable.
 func TestInvalidStatementsReachNoEndpoint(t *testing.T) {
-	w := newTestbed(t, 100)
-	p := w.client()
+	bed := newTestbed(t, 100)
+	p := bed.client()
 	for sql, want := range map[string]string{
 		"": "IZ", " ; ": "IZ", "SELECT 1": "42601", "SELECT 1 /* id=1,c=view,d=x,cluster=1 */": "42601",
 		"SELECT 1 /* id=1,c=what,d=9,cluster=1 */": "unknown class", "SELECT 1 /* id=1,c=view,d=9 */": "42601",
@@ -62,15 +62,15 @@
 
 // A message with a false length must end its own connection only.
 func TestMalformedMessagesEndOnlyTheirConnection(t *testing.T) {
-	w := newTestbed(t, 100)
-	good := w.client()
+	bed := newTestbed(t, 100)
+	good := bed.client()
 	for _, b := range []string{"Q\xff\xff\xff\xff", "Q\x00\x00\x00\x00"} {
-		p := w.client()
+		p := bed.client()
 		p.write([]byte(b))
 		p.wantContains(p.answer(), "08P01")
 	}
 	for _, b := range []string{"\x00\x00\x00\x00", "\x7f\xff\xff\xff", "\x00\x00\x00\x08\x00\x01\x00\x00"} {
-		p := w.dial()
+		p := bed.dial()
 		p.write([]byte(b))
 		p.wantContains(p.answer(), "closed")
 	}
@@ -81,11 +81,11 @@
 // A statement whose connection was refused has not run. The router holds the write,
 // and rejects it with a time to retry after half of its deadline.
 func TestRefusedConnectionHasNoEffect(t *testing.T) {
-	w := newTestbed(t, 100, endpoint("p", reservePort(t), "off", "ready"))
-	p := w.client()
-	p.query(writeQuery)
-	w.waitUntil(func() bool { return w.node.router.PendingRequests() == 1 })
-	got := w.advanceToAnswer(p)
+	bed := newTestbed(t, 100, endpoint("p", reservePort(t), "off", "ready"))
+	p := bed.client()
+	p.query(write)
+	bed.waitUntil(func() bool { return bed.node.router.PendingRequests() == 1 })
+	got := bed.advanceToAnswer(p)
 	p.wantContains(got, "C53300")
 	p.wantContains(got, "D1000")
 }
@@ -95,26 +95,26 @@
 // it again elsewhere.
 func TestConnectionBrokenAfterTheLastByteMayHaveExecuted(t *testing.T) {
 	l := listen(t)
-	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
-	p := w.client()
-	p.query(writeQuery)
+	bed := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	p := bed.client()
+	p.query(write)
 	h := accept(t, l)
 	h.message()
 	_ = h.c.Close()
-	w.waitUntil(func() bool { _, hosts := w.node.budget.Open(); return hosts == 0 })
-	p.wantContains(w.advanceToAnswer(p), "57014")
+	bed.waitUntil(func() bool { _, hosts := bed.node.budget.Open(); return hosts == 0 })
+	p.wantContains(bed.advanceToAnswer(p), "57014")
 }
 
 // At the deadline the router closes the attempt's connection and answers the
 // client; a late answer of the endpoint must not reach the client.
 func TestDeadlineEndsTheAttempt(t *testing.T) {
 	l := listen(t)
-	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
-	p := w.client()
-	p.query(writeQuery)
+	bed := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	p := bed.client()
+	p.query(write)
 	h := accept(t, l)
 	h.message()
-	w.advance(2000)
+	bed.advance(2000)
 	p.wantContains(p.answer(), "57014")
 	if kind, _ := h.message(); kind != 0 {
 		t.Errorf("endpoint got a message %q, want its connection closed", kind)
@@ -127,9 +127,9 @@
 // cancels the work at the endpoint.
 func TestDisconnectedClientCancelsItsAttempt(t *testing.T) {
 	l := listen(t)
-	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
-	p := w.client()
-	p.query(writeQuery)
+	bed := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	p := bed.client()
+	p.query(write)
 	h := accept(t, l)
 	h.message()
 	_ = p.c.Close()
@@ -142,20 +142,20 @@
 // connections stay open and are used again, until they are idle for too long.
 func TestIneligibleAnswerIsRetriedElsewhereAndConnectionsAreReused(t *testing.T) {
 	primary, replica := listen(t), listen(t)
-	w := newTestbed(t, 100, endpoint("p", primary, "off", "ready"), endpoint("r", replica, "on", "ready"))
-	p := w.client()
-	p.query(viewQuery)
+	bed := newTestbed(t, 100, endpoint("p", primary, "off", "ready"), endpoint("r", replica, "on", "ready"))
+	p := bed.client()
+	p.query(view)
 	r := accept(t, replica)
 	r.refuse(wire.CodeTooFarBehind)
 	h := accept(t, primary)
 	h.serve("fresh", "off")
 	p.wantContains(p.answer(), "fresh")
-	w.advance(settleDelayMs)
-	p.query(writeQuery)
+	bed.advance(settleDelayMs)
+	p.query(write)
 	p.wantContains(h.serve("again", "off"), "c=write")
 	p.wantContains(p.answer(), "again")
 	// The router closes idle connections shortly before the endpoints would.
-	w.advance(25000)
+	bed.advance(25000)
 	for _, c := range []*peer{r, h} {
 		if kind, _ := c.message(); kind != 0 {
 			t.Errorf("endpoint got a message %q, want its idle connection closed", kind)
@@ -167,20 +167,20 @@
 // answer: the connection ends, whether they come with the answer or later.
 func TestBytesAfterAnswerEndConnection(t *testing.T) {
 	l := listen(t)
-	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
-	p := w.client()
+	bed := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	p := bed.client()
 	twice := func(value string) []byte {
-		return append(rowAnswer(writeQuery, value, "off"), rowAnswer(writeQuery, value, "off")...)
+		return append(rowAnswer(write, value, "off"), rowAnswer(write, value, "off")...)
 	}
 	for _, late := range []bool{false, true} {
-		p.query(writeQuery)
+		p.query(write)
 		h := accept(t, l)
 		h.message()
 		if late {
-			h.write(rowAnswer(writeQuery, "own", "off"))
+			h.write(rowAnswer(write, "own", "off"))
 			p.wantContains(p.answer(), "own")
-			w.advance(settleDelayMs)
-			h.write(rowAnswer(writeQuery, "again", "off"))
+			bed.advance(settleDelayMs)
+			h.write(rowAnswer(write, "again", "off"))
 		} else {
 			h.write(twice("own"))
 			p.wantContains(p.answer(), "own")
@@ -189,7 +189,7 @@
 			t.Fatalf("late %v: endpoint got a message %q, want its connection closed", late, kind)
 		}
 	}
-	p.query(writeQuery)
+	p.query(write)
 	accept(t, l).serve("its own", "off")
 	p.wantContains(p.answer(), "its own")
 }
@@ -198,8 +198,8 @@
 // which may have run, and the connection must be closed.
 func TestMalformedAnswersFailAttemptAndEndConnection(t *testing.T) {
 	l := listen(t)
-	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
-	good := string(rowAnswer(writeQuery, "value", "off"))
+	bed := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	good := string(rowAnswer(write, "value", "off"))
 	for _, spoilt := range []string{
 		"\r\nnoise\r\n\r\n", strings.Repeat("x", 1<<16), "D\xc0\x00\x00\x00", "T\x00\x00\x00\x03",
 		strings.Replace(good, "D\x00\x00\x00\x0f", "d\x00\x00\x00\x0f", 1), // a message of an unknown type
@@ -209,8 +209,8 @@
 		good[strings.Index(good, "D\x00"):], good[strings.Index(good, "C\x00"):], good[strings.Index(good, "Z"):],
 		strings.Replace(good, "Z\x00\x00\x00\x05I", "Z\x00\x00\x00\x05x", 1),
 	} {
-		p := w.client()
-		p.query(writeQuery)
+		p := bed.client()
+		p.query(write)
 		h := accept(t, l)
 		h.message()
 		h.write([]byte(spoilt))
@@ -218,8 +218,8 @@
 			t.Fatalf("after %.40q the endpoint got a message %q, want its connection closed", spoilt, kind)
 		}
 		_ = p.c.Close()
-		w.waitUntil(func() bool { return w.node.router.PendingRequests() == 0 })
-		w.advance(10000) // the endpoint is selected again after this time
+		bed.waitUntil(func() bool { return bed.node.router.PendingRequests() == 0 })
+		bed.advance(10000) // the endpoint is selected again after this time
 	}
 }
 
@@ -227,14 +227,14 @@
 // the order of the statements.
 func TestPipelinedStatementsAreAnsweredInOrder(t *testing.T) {
 	l := listen(t)
-	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
-	p := w.client()
-	p.write(wire.AppendQuery(wire.AppendQuery(wire.AppendQuery(nil, []byte(writeQuery)), nil), []byte(writeQuery)))
+	bed := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	p := bed.client()
+	p.write(wire.AppendQuery(wire.AppendQuery(wire.AppendQuery(nil, []byte(write)), nil), []byte(write)))
 	h := accept(t, l)
 	h.serve("one", "off")
 	p.wantContains(p.answer(), "one")
 	p.wantContains(p.answer(), "IZ")
-	w.advance(settleDelayMs)
+	bed.advance(settleDelayMs)
 	h.serve("two", "off")
 	p.wantContains(p.answer(), "two")
 }
@@ -243,15 +243,15 @@
 // address apply until the new address has sent a list, and not after.
 func TestReloadMovesWatchWithoutGap(t *testing.T) {
 	old, fresh, moved := listen(t), listen(t), listen(t)
-	w := newTestbed(t, 100, endpoint("old", old, "off", "ready"))
-	before := acceptWatch(t, w.discovery)
+	bed := newTestbed(t, 100, endpoint("old", old, "off", "ready"))
+	before := acceptWatch(t, bed.discovery)
 	whole := `{"index":4,"snapshot":true,"endpoints":[` + endpoint("old", old, "off", "ready") + `]}`
 	before.answerWatch("/v1/endpoints", whole)
 	c, err := deployconfig.Parse(configuration(moved, 200), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.node.reload(c)
+	bed.node.reload(c)
 	after := acceptWatch(t, moved)
 	before.answerWatch("/v1/endpoints?after=4&wait_ms=3000", `{"index":5,"snapshot":false,"endpoints":[`+
 		endpoint("old", old, "off", "draining")+","+endpoint("new", fresh, "off", "ready")+`]}`)
@@ -259,8 +259,8 @@
 	if r, err := http.ReadRequest(before.in); err != nil || r.URL.RawQuery != "after=5&wait_ms=3000" {
 		t.Fatalf("discovery got request %v, %v; want after=5&wait_ms=3000", r, err)
 	}
-	p := w.client()
-	p.query(writeQuery)
+	p := bed.client()
+	p.query(write)
 	h := accept(t, fresh)
 	h.serve("new", "off")
 	p.wantContains(p.answer(), "new")
@@ -268,7 +268,7 @@
 	if _, err := http.ReadRequest(before.in); err == nil {
 		t.Error("the old address got another request, want its connection closed")
 	}
-	p.query(writeQuery)
+	p.query(write)
 	accept(t, old).serve("old", "off")
 	p.wantContains(p.answer(), "old")
 	after.answerWatch("/v1/endpoints?after=6&wait_ms=3000", `{"index":6,"snapshot":false,"endpoints":[]}`)
@@ -278,22 +278,22 @@
 // successor does, and the watch continues from the index of the list.
 func TestEndpointListUpdatesAreFollowed(t *testing.T) {
 	old, fresh := listen(t), listen(t)
-	w := newTestbed(t, 100, endpoint("old", old, "off", "ready"))
-	d := acceptWatch(t, w.discovery)
+	bed := newTestbed(t, 100, endpoint("old", old, "off", "ready"))
+	d := acceptWatch(t, bed.discovery)
 	answer := d.answerWatch
 	answer("/v1/endpoints", `{"index":4,"snapshot":true,"endpoints":[`+endpoint("old", old, "off", "ready")+`]}`)
-	p := w.client()
-	p.query(writeQuery)
+	p := bed.client()
+	p.query(write)
 	h := accept(t, old)
 	h.serve("old", "off")
 	p.wantContains(p.answer(), "old")
 	answer("/v1/endpoints?after=4&wait_ms=3000", `{"index":5,"snapshot":false,"endpoints":[`+
 		endpoint("old", old, "off", "draining")+","+endpoint("new", fresh, "off", "ready")+`]}`)
 	answer("/v1/endpoints?after=5&wait_ms=3000", `{"index":5,"snapshot":false,"endpoints":[]}`)
-	p.query(writeQuery)
+	p.query(write)
 	accept(t, fresh).serve("new", "off")
 	p.wantContains(p.answer(), "new")
-	w.advance(settleDelayMs)
+	bed.advance(settleDelayMs)
 	if kind, _ := h.message(); kind != 0 {
 		t.Errorf("draining endpoint got a message %q, want its idle connection closed", kind)
 	}
@@ -303,36 +303,36 @@
 // pending requests are finished before the router ends.
 func TestShutdownFinishesPendingRequests(t *testing.T) {
 	l := listen(t)
-	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
-	idle := w.client()
-	w.beginShutdown()
-	p := w.client()
-	p.query(writeQuery)
+	bed := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	idle := bed.client()
+	bed.beginShutdown()
+	p := bed.client()
+	p.query(write)
 	h := accept(t, l)
 	h.message()
-	w.advance(drainDelayMs + shutdownCheckMs)
+	bed.advance(drainDelayMs + shutdownCheckMs)
 	idle.wantContains(idle.answer(), "closed")
-	late := w.dial()
+	late := bed.dial()
 	late.wantContains(late.answer(), "57P03")
 	for range 10 { // longer than the router waits for unsent answers
-		w.advance(shutdownCheckMs)
+		bed.advance(shutdownCheckMs)
 		runtime.Gosched()
 	}
-	if len(w.ended) > 0 {
+	if len(bed.ended) > 0 {
 		t.Error("the router ended while a request was pending")
 	}
-	h.write(rowAnswer(writeQuery, "held", "off"))
+	h.write(rowAnswer(write, "held", "off"))
 	p.wantContains(p.answer(), "held")
 	p.wantContains(p.answer(), "closed")
 	for {
 		select {
-		case err := <-w.ended:
+		case err := <-bed.ended:
 			if err != nil {
 				t.Error(err)
 			}
 			return
 		default:
-			w.advance(shutdownCheckMs)
+			bed.advance(shutdownCheckMs)
 			runtime.Gosched()
 		}
 	}
@@ -342,28 +342,28 @@
 // Connections without a statement, and those idle for long, are closed first to
 // make room.
 func TestTooManyClientsAreRejected(t *testing.T) {
-	w := newTestbed(t, 28)
+	bed := newTestbed(t, 28)
 	ask := func() *peer {
-		p := w.client()
+		p := bed.client()
 		p.query("SELECT 1")
 		p.wantContains(p.answer(), "42601")
 		return p
 	}
-	silent := []*peer{w.client(), w.dial()}
+	silent := []*peer{bed.client(), bed.dial()}
 	held := []*peer{ask(), ask()}
 	for _, p := range silent {
 		p.wantContains(p.answer(), "closed")
 	}
 	// The client has sent its first statement before it is rejected: closing the
 	// socket with unread input would reset it, and the answer would be lost.
-	p := w.dial()
-	p.write(wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), []byte(writeQuery)))
+	p := bed.dial()
+	p.write(wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), []byte(write)))
 	got := p.answer()
 	p.wantContains(got, "53300")
 	p.wantContains(got, "closed")
 	held[1].query("")
 	held[1].wantContains(held[1].answer(), "IZ")
-	w.advance(2100)
+	bed.advance(2100)
 	ask()
 	for _, p := range held[:1] {
 		p.wantContains(p.answer(), "closed")
@@ -375,19 +375,19 @@
 // has a pending request.
 func TestIdleClientsAreClosedForTheNextRequest(t *testing.T) {
 	l := listen(t)
-	w := newTestbed(t, 60, endpoint("p", l, "off", "ready"))
+	bed := newTestbed(t, 60, endpoint("p", l, "off", "ready"))
 	var h *peer
 	var clients []*peer
 	for range 17 { // of 20 descriptors
-		p := w.client()
-		p.query(writeQuery)
+		p := bed.client()
+		p.query(write)
 		if h == nil {
 			h = accept(t, l)
 		}
 		h.serve("value", "off")
 		p.wantContains(p.answer(), "value")
 		clients = append(clients, p)
-		w.advance(settleDelayMs)
+		bed.advance(settleDelayMs)
 	}
 	for _, p := range clients[:2] {
 		p.wantContains(p.answer(), "closed")
@@ -400,45 +400,45 @@
 // idle one later, while a pending statement may take longer.
 func TestIdleClientsAreClosed(t *testing.T) {
 	l := listen(t)
-	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
-	busy := w.client()
-	busy.query(writeQuery)
+	bed := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	busy := bed.client()
+	busy.query(write)
 	h := accept(t, l)
 	h.message()
-	nothing, begun, idle := w.dial(), w.client(), w.client()
+	nothing, begun, idle := bed.dial(), bed.client(), bed.client()
 	idle.query("SELECT 1")
 	idle.wantContains(idle.answer(), "42601")
-	w.waitUntil(func() bool { clients, _ := w.node.budget.Open(); return clients == 4 })
-	w.advance(1990)
-	h.write(rowAnswer(writeQuery, "late", "off"))
+	bed.waitUntil(func() bool { clients, _ := bed.node.budget.Open(); return clients == 4 })
+	bed.advance(1990)
+	h.write(rowAnswer(write, "late", "off"))
 	busy.wantContains(busy.answer(), "late")
-	w.advance(20)
+	bed.advance(20)
 	nothing.wantContains(nothing.answer(), "closed")
 	begun.wantContains(begun.answer(), "closed")
 	idle.query("")
 	idle.wantContains(idle.answer(), "IZ")
-	w.advance(10000)
+	bed.advance(10000)
 	idle.wantContains(idle.answer(), "closed")
 	busy.wantContains(busy.answer(), "closed")
-	w.advance(1000) // the time to disconnect after the error, which none of them uses
-	w.waitUntil(func() bool { clients, _ := w.node.budget.Open(); return clients == 0 })
+	bed.advance(1000) // the time to disconnect after the error, which none of them uses
+	bed.waitUntil(func() bool { clients, _ := bed.node.budget.Open(); return clients == 0 })
 }
 
 // A statement with the id of a pending request is rejected, as their answers could
 // not be told apart. The id is free again once the request has ended.
 func TestRequestIDsInUseAreRejected(t *testing.T) {
 	l := listen(t)
-	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
-	first, second := w.client(), w.client()
-	first.query(writeQuery)
+	bed := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	first, second := bed.client(), bed.client()
+	first.query(write)
 	h := accept(t, l)
 	h.message()
-	second.query(writeQuery)
+	second.query(write)
 	second.wantContains(second.answer(), "42601")
-	h.write(rowAnswer(writeQuery, "own", "off"))
+	h.write(rowAnswer(write, "own", "off"))
 	first.wantContains(first.answer(), "own")
-	w.advance(settleDelayMs)
-	second.query(writeQuery)
+	bed.advance(settleDelayMs)
+	second.query(write)
 	h.serve("next", "off")
 	second.wantContains(second.answer(), "next")
 }
@@ -446,8 +446,8 @@
 // A client that keeps sending after an error must not take up the router's time or
 // memory: the router closes the connection.
 func TestClientThatKeepsSendingAfterErrorIsDisconnected(t *testing.T) {
-	w := newTestbed(t, 100)
-	p := w.client()
+	bed := newTestbed(t, 100)
+	p := bed.client()
 	b := append([]byte("Q\x7f\xff\xff\xff"), make([]byte, 1<<16)...)
 	for range 1 << 12 { // 256 MiB, more than the system's buffers hold
 		if _, err := p.c.Write(b); err != nil {
@@ -461,18 +461,18 @@
 // time.
 func TestAnsweredRequestsLeaveNoDeadline(t *testing.T) {
 	l := listen(t)
-	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
-	p := w.client()
+	bed := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	p := bed.client()
 	var h *peer
 	for range 10 {
-		p.query(writeQuery)
+		p.query(write)
 		if h == nil {
 			h = accept(t, l)
 		}
 		h.serve("value", "off")
 		p.wantContains(p.answer(), "value")
-		w.advance(settleDelayMs)
+		bed.advance(settleDelayMs)
 	}
 	// The remaining timers: the client, the endpoint's connection, the decisions, the watch.
-	w.waitUntil(func() bool { return w.loop.Pending() <= 4 })
+	bed.waitUntil(func() bool { return bed.loop.Pending() <= 4 })
 }
--- a/cmd/lotusbend/shutdown_test.go
+++ b/cmd/lotusbend/shutdown_test.go
@@ -19,30 +19,30 @@
 )
 
 // beginShutdown stops the router and waits until it has logged that.
-func (w *testbed) beginShutdown() {
-	w.stop()
+func (bed *testbed) beginShutdown() {
+	bed.stop()
 	for line := ""; !strings.Contains(line, "stopping"); {
-		line = <-w.logged
+		line = <-bed.logged
 	}
 }
 
 // beginDraining stops the router and lets the drain delay pass.
-func (w *testbed) beginDraining() {
-	w.beginShutdown()
-	w.advance(drainDelayMs + shutdownCheckMs)
+func (bed *testbed) beginDraining() {
+	bed.beginShutdown()
+	bed.advance(drainDelayMs + shutdownCheckMs)
 }
 
 // awaitEnd waits until no client and no request is left, lets the time for rejected
 // clients pass, and waits until the router ends.
-func (w *testbed) awaitEnd() {
-	w.t.Helper()
-	w.waitUntil(func() bool {
-		clients, _ := w.node.server.ClientCounts()
-		return clients == 0 && w.node.router.PendingRequests() == 0
+func (bed *testbed) awaitEnd() {
+	bed.t.Helper()
+	bed.waitUntil(func() bool {
+		clients, _ := bed.node.server.ClientCounts()
+		return clients == 0 && bed.node.router.PendingRequests() == 0
 	})
-	w.advance(rejectedClientsMs + shutdownCheckMs)
-	if err := <-w.ended; err != nil {
-		w.t.Error(err)
+	bed.advance(rejectedClientsMs + shutdownCheckMs)
+	if err := <-bed.ended; err != nil {
+		bed.t.Error(err)
 	}
 }
 
@@ -50,25 +50,25 @@
 // would reset the connection and the answer would be lost.
 func TestShutdownWaitsUntilTheLastAnswerIsRead(t *testing.T) {
 	l := listen(t)
-	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
-	p := w.client()
-	p.query(writeQuery)
+	bed := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	p := bed.client()
+	p.query(write)
 	h := accept(t, l)
 	h.message()
-	w.beginDraining()
-	h.write(rowAnswer(writeQuery, "late", "off"))
-	w.waitUntil(func() bool { return w.node.router.PendingRequests() == 0 })
-	w.advance(500) // half of the time that the client has
+	bed.beginDraining()
+	h.write(rowAnswer(write, "late", "off"))
+	bed.waitUntil(func() bool { return bed.node.router.PendingRequests() == 0 })
+	bed.advance(500) // half of the time that the client has
 	for range 1000 {
 		runtime.Gosched()
 	}
-	if len(w.ended) > 0 {
+	if len(bed.ended) > 0 {
 		t.Fatal("the router ended before the answer was read")
 	}
 	p.wantContains(p.answer(), "late")
 	p.wantContains(p.answer(), "closed")
 	_ = p.c.Close()
-	w.awaitEnd()
+	bed.awaitEnd()
 }
 
 // A client that reads nothing and stays connected, or one that asks for a deadline
@@ -76,24 +76,24 @@
 // settings and the timeouts of the front.
 func TestShutdownIsBounded(t *testing.T) {
 	l := listen(t)
-	w := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
-	w.client() // reads nothing, and stays
-	p := w.client()
-	p.query(strings.Replace(writeQuery, "d=2000", "d=60000", 1))
+	bed := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	bed.client() // reads nothing, and stays
+	p := bed.client()
+	p.query(strings.Replace(write, "d=2000", "d=60000", 1))
 	h := accept(t, l)
 	h.message()
-	w.beginDraining()
-	w.advance(5000 - 2*shutdownCheckMs) // just before the longest deadline in the settings
-	w.loop.Do(func() {
-		if w.node.router.PendingRequests() != 1 {
+	bed.beginDraining()
+	bed.advance(5000 - 2*shutdownCheckMs) // just before the longest deadline in the settings
+	bed.loop.Do(func() {
+		if bed.node.router.PendingRequests() != 1 {
 			t.Error("the request ended before the longest deadline had passed")
 		}
 	})
-	w.advance(3 * shutdownCheckMs)
+	bed.advance(3 * shutdownCheckMs)
 	p.wantContains(p.answer(), "57014")
 	p.wantContains(p.answer(), "closed")
-	w.advance(1000) // the time that each client has to disconnect
-	w.awaitEnd()
+	bed.advance(1000) // the time that each client has to disconnect
+	bed.awaitEnd()
 }
 
 // SIGTERM may arrive before the router serves, and twice: the router must still
@@ -131,7 +131,7 @@
 // address, and none may run at the first one.
 func TestReloadBeforeStartReplacesAddress(t *testing.T) {
 	old, moved := listen(t), listen(t)
-	loop := clock.NewLoop(clock.Manual(startMs))
+	loop := clock.NewLoop(clock.Manual(start))
 	var configs [2]*deployconfig.Config
 	for i, l := range []net.Listener{old, moved} {
 		var err error
--- a/cmd/lotusbend/start_test.go
+++ b/cmd/lotusbend/start_test.go
@@ -75,7 +75,7 @@
 	if took := time.Since(began); took > maxStartDuration {
 		t.Errorf("ready after %v, want at most %v", took, maxStartDuration)
 	}
-	p.query(writeQuery)
+	p.query(write)
 	accept(t, host).serve("value", "off")
 	p.wantContains(p.answer(), "value")
 }
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	p := newPeer(t, c)
-	p.write(wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), []byte(writeQuery)))
+	p.write(wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), []byte(write)))
 	if err := host.(*net.TCPListener).SetDeadline(time.Now().Add(2 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/lotusbend/testbed_test.go
+++ b/cmd/lotusbend/testbed_test.go
@@ -21,7 +21,7 @@
 	"lotusbend/internal/postgres/wire"
 )
 
-const startMs = 1767225600000 // initial time of the manual clock, in Unix milliseconds
+const start = 1767225600000 // initial time of the manual clock, in Unix milliseconds
 
 const settingsJSON = `{"Classes": [
 	{"AimMs": 500, "GiveUpMs": 1200, "Group": "all", "Importance": 2, "KeyTtlMs": 5000, "LateWorth": 0, "Name": "view", "Semantics": "pure"},
@@ -50,9 +50,9 @@
 
 // Write implements io.Writer for the router's log. It drops lines when the channel
 // is full.
-func (w *testbed) Write(line []byte) (int, error) {
+func (bed *testbed) Write(line []byte) (int, error) {
 	select {
-	case w.logged <- string(line):
+	case bed.logged <- string(line):
 	default: // no test waits for this line
 	}
 	return len(line), nil
@@ -124,22 +124,22 @@
 // newTestbed starts a router with a limit on descriptors and the known endpoints.
 func newTestbed(t *testing.T, sockets int, known ...string) *testbed {
 	t.Helper()
-	w := &testbed{t: t, clock: clock.Manual(startMs), discovery: listen(t), ended: make(chan error, 1),
+	bed := &testbed{t: t, clock: clock.Manual(start), discovery: listen(t), ended: make(chan error, 1),
 		logged: make(chan string, 100)}
-	w.loop = clock.NewLoop(w.clock)
-	c, err := deployconfig.Parse(configuration(w.discovery, sockets, known...), func(string) string { return "" })
+	bed.loop = clock.NewLoop(bed.clock)
+	c, err := deployconfig.Parse(configuration(bed.discovery, sockets, known...), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w.node, err = newNode(c, &operatorconfig.Options{}, w.loop, slog.New(slog.NewTextHandler(w, nil))); err != nil {
+	if bed.node, err = newNode(c, &operatorconfig.Options{}, bed.loop, slog.New(slog.NewTextHandler(bed, nil))); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	w.stop = cancel
+	bed.stop = cancel
 	t.Cleanup(cancel)
-	w.node.start()
-	go func() { w.ended <- w.node.run(ctx) }()
-	return w
+	bed.node.start()
+	go func() { bed.ended <- bed.node.run(ctx) }()
+	return bed
 }
 
 // configuration returns the contents of a configuration file.
@@ -152,28 +152,28 @@
 // advance moves the clock forward by ms, timer by timer. It first waits until no
 // answer is unsent: a client can read an answer before the router learns that it
 // was written, and the client's idle time begins only then.
-func (w *testbed) advance(ms float64) {
-	w.waitUntil(func() bool { return w.node.server.UnsentClients() == 0 })
-	end := w.clock.Now() + ms
+func (bed *testbed) advance(ms float64) {
+	bed.waitUntil(func() bool { return bed.node.server.UnsentClients() == 0 })
+	end := bed.clock.Now() + ms
 	for {
-		at, ok := w.loop.Next()
+		at, ok := bed.loop.Next()
 		if !ok || at > end {
 			break
 		}
-		w.clock.Set(max(at, w.clock.Now()))
-		w.loop.Fire()
+		bed.clock.Set(max(at, bed.clock.Now()))
+		bed.loop.Fire()
 	}
-	w.clock.Set(end)
+	bed.clock.Set(end)
 }
 
 // advanceToAnswer advances the clock while p waits for its answer, by little more
 // than the 2 s that the client of a write waits: later, the router would drop an
 // answer that it has not written yet.
-func (w *testbed) advanceToAnswer(p *peer) string {
+func (bed *testbed) advanceToAnswer(p *peer) string {
 	done := make(chan string, 1)
 	go func() { done <- p.answer() }()
 	for range 201 {
-		w.advance(10)
+		bed.advance(10)
 		runtime.Gosched()
 	}
 	return <-done
@@ -181,9 +181,9 @@
 
 // waitUntil waits until a condition on the router's state holds. The condition
 // runs in the loop.
-func (w *testbed) waitUntil(holds func() bool) {
+func (bed *testbed) waitUntil(holds func() bool) {
 	for ok := false; !ok; runtime.Gosched() {
-		w.loop.Do(func() { ok = holds() })
+		bed.loop.Do(func() { ok = holds() })
 	}
 }
 
@@ -249,18 +249,18 @@
 }
 
 // dial connects a client that has not sent anything.
-func (w *testbed) dial() *peer {
-	w.t.Helper()
-	c, err := net.Dial("tcp", w.node.server.Address())
+func (bed *testbed) dial() *peer {
+	bed.t.Helper()
+	c, err := net.Dial("tcp", bed.node.server.Address())
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	return newPeer(w.t, c)
+	return newPeer(bed.t, c)
 }
 
 // client connects a client up to its first ReadyForQuery.
-func (w *testbed) client() *peer {
-	p := w.dial()
+func (bed *testbed) client() *peer {
+	p := bed.dial()
 	p.write(wire.AppendStartup(nil, "app", "shop"))
 	p.wantContains(p.answer(), "RKZ")
 	return p
@@ -269,8 +269,8 @@
 func (p *peer) query(sql string) { p.write(wire.AppendQuery(nil, []byte(sql))) }
 
 const (
-	viewQuery  = `SELECT doc FROM items WHERE id = '7f3a' /* id=9b1f,c=view,d=1000,cluster=1 */`
-	writeQuery = `INSERT INTO items (id, doc) VALUES ('7f3a', '\x9f03') RETURNING doc /* id=9b20,c=write,d=2000,k=5c0f,cluster=1 */`
+	view  = `SELECT doc FROM items WHERE id = '7f3a' /* id=9b1f,c=view,d=1000,cluster=1 */`
+	write = `INSERT INTO items (id, doc) VALUES ('7f3a', '\x9f03') RETURNING doc /* id=9b20,c=write,d=2000,k=5c0f,cluster=1 */`
 )
 
 // accept accepts a router's connection to an endpoint and answers its startup with
@@ -302,7 +302,7 @@
 	}
 	b = wire.AppendCommandComplete(b, []byte(tag))
 	b = wire.AppendParameterStatus(b, "recovery", role)
-	b = wire.AppendParameterStatus(b, "lsn_ms", fmt.Sprint(startMs))
+	b = wire.AppendParameterStatus(b, "lsn_ms", fmt.Sprint(start))
 	return wire.AppendReadyForQuery(b)
 }
 
