--- a/cmd/lotusbend/maysend_test.go
+++ b/cmd/lotusbend/maysend_test.go
@@ -56,7 +56,7 @@
 		t.Errorf("the draining endpoint got a message %q, want a closed connection", kind)
 	}
 	accept(t, primary).serve("fresh", "off")
-	p.wantContains(p.answer(), "fresh")
+	p.want(p.answer(), "fresh")
 }
 
 // While an attempt waits for its connection, its client may disconnect: the
@@ -71,8 +71,8 @@
 	bed.waitUntil(func() bool { return bed.node.router.PendingRequests() == 0 })
 	h.sendReady()
 	next.query(strings.Replace(write, "9b20", "9b21", 1))
-	next.wantContains(h.serve("next", "off"), "9b21")
-	next.wantContains(next.answer(), "next")
+	next.want(h.serve("next", "off"), "9b21")
+	next.want(next.answer(), "next")
 }
 
 // While a retry waits for a primary to be found, its client may disconnect: the
@@ -84,7 +84,7 @@
 	gone.query(write)
 	h := accept(t, l)
 	h.refuse(wire.CodeReadOnlyTransaction)
-	for rests := false; !rests; runtime.Gosched() { // then the error has been processed: the connection stays unused for a moment
+	for rests := false; !rests; runtime.Gosched() { // ends once the error is processed: a timer then ends the connection's pause
 		due, _ := bed.loop.Next()
 		rests = due <= start+settleDelayMs
 	}
@@ -97,8 +97,8 @@
 			t.Fatal("the next client's statement was not sent within 2 s")
 		}
 	}
-	next.wantContains(h.serve("next", "off"), "9b21")
-	next.wantContains(next.answer(), "next")
+	next.want(h.serve("next", "off"), "9b21")
+	next.want(next.answer(), "next")
 }
 
 // hasInput reports whether the peer has received something.
--- a/cmd/lotusbend/serving_test.go
+++ b/cmd/lotusbend/serving_test.go
@@ -27,14 +27,14 @@
 		for chunk := range slices.Chunk(both, size) {
 			p.write(chunk)
 		}
-		p.wantContains(p.answer(), "RKZ")
+		p.want(p.answer(), "RKZ")
 		if h == nil {
 			h = accept(t, l)
 		}
 		if got := h.serve("value", "off"); got != write {
 			t.Fatalf("endpoint got %q, want the statement unchanged", got)
 		}
-		p.wantContains(p.answer(), "TDCZ")
+		p.want(p.answer(), "TDCZ")
 		bed.advance(settleDelayMs)
 	}
 }
@@ -52,12 +52,12 @@
 		"INSERT 1 /* id=1,c=write,d=9,cluster=1 */":     "idempotency key",
 	} {
 		p.query(sql)
-		p.wantContains(p.answer(), want)
+		p.want(p.answer(), want)
 	}
 	p.write([]byte("P\x00\x00\x00\x08\x00\x00\x00\x00S\x00\x00\x00\x04")) // Parse and Sync
-	p.wantContains(p.answer(), "0A000")
+	p.want(p.answer(), "0A000")
 	p.query("")
-	p.wantContains(p.answer(), "IZ")
+	p.want(p.answer(), "IZ")
 }
 
 // A message with a false length must end its own connection only.
@@ -67,15 +67,15 @@
 	for _, b := range []string{"Q\xff\xff\xff\xff", "Q\x00\x00\x00\x00"} {
 		p := bed.client()
 		p.write([]byte(b))
-		p.wantContains(p.answer(), "08P01")
+		p.want(p.answer(), "08P01")
 	}
 	for _, b := range []string{"\x00\x00\x00\x00", "\x7f\xff\xff\xff", "\x00\x00\x00\x08\x00\x01\x00\x00"} {
 		p := bed.dial()
 		p.write([]byte(b))
-		p.wantContains(p.answer(), "closed")
+		p.want(p.answer(), "closed")
 	}
 	good.query("")
-	good.wantContains(good.answer(), "IZ")
+	good.want(good.answer(), "IZ")
 }
 
 // A statement whose connection was refused has not run. The router holds the write,
@@ -86,8 +86,8 @@
 	p.query(write)
 	bed.waitUntil(func() bool { return bed.node.router.PendingRequests() == 1 })
 	got := bed.advanceToAnswer(p)
-	p.wantContains(got, "C53300")
-	p.wantContains(got, "D1000")
+	p.want(got, "C53300")
+	p.want(got, "D1000")
 }
 
 // If the connection breaks after the statement is written, the statement may have
@@ -102,7 +102,7 @@
 	h.message()
 	_ = h.c.Close()
 	bed.waitUntil(func() bool { _, hosts := bed.node.budget.Open(); return hosts == 0 })
-	p.wantContains(bed.advanceToAnswer(p), "57014")
+	p.want(bed.advanceToAnswer(p), "57014")
 }
 
 // At the deadline the router closes the attempt's connection and answers the
@@ -115,12 +115,12 @@
 	h := accept(t, l)
 	h.message()
 	bed.advance(2000)
-	p.wantContains(p.answer(), "57014")
+	p.want(p.answer(), "57014")
 	if kind, _ := h.message(); kind != 0 {
 		t.Errorf("endpoint got a message %q, want its connection closed", kind)
 	}
 	p.query("")
-	p.wantContains(p.answer(), "IZ")
+	p.want(p.answer(), "IZ")
 }
 
 // When a client disconnects, the connection of its attempt must be closed, which
@@ -149,11 +149,11 @@
 	r.refuse(wire.CodeTooFarBehind)
 	h := accept(t, primary)
 	h.serve("fresh", "off")
-	p.wantContains(p.answer(), "fresh")
+	p.want(p.answer(), "fresh")
 	bed.advance(settleDelayMs)
 	p.query(write)
-	p.wantContains(h.serve("again", "off"), "c=write")
-	p.wantContains(p.answer(), "again")
+	p.want(h.serve("again", "off"), "c=write")
+	p.want(p.answer(), "again")
 	// The router closes idle connections shortly before the endpoints would.
 	bed.advance(25000)
 	for _, c := range []*peer{r, h} {
@@ -178,12 +178,12 @@
 		h.message()
 		if late {
 			h.write(rowAnswer(write, "own", "off"))
-			p.wantContains(p.answer(), "own")
+			p.want(p.answer(), "own")
 			bed.advance(settleDelayMs)
 			h.write(rowAnswer(write, "again", "off"))
 		} else {
 			h.write(twice("own"))
-			p.wantContains(p.answer(), "own")
+			p.want(p.answer(), "own")
 		}
 		if kind, _ := h.message(); kind != 0 {
 			t.Fatalf("late %v: endpoint got a message %q, want its connection closed", late, kind)
@@ -191,7 +191,7 @@
 	}
 	p.query(write)
 	accept(t, l).serve("its own", "off")
-	p.wantContains(p.answer(), "its own")
+	p.want(p.answer(), "its own")
 }
 
 // An answer that is malformed, or cannot be one to the statement, fails the attempt,
@@ -232,11 +232,11 @@
 	p.write(wire.AppendQuery(wire.AppendQuery(wire.AppendQuery(nil, []byte(write)), nil), []byte(write)))
 	h := accept(t, l)
 	h.serve("one", "off")
-	p.wantContains(p.answer(), "one")
-	p.wantContains(p.answer(), "IZ")
+	p.want(p.answer(), "one")
+	p.want(p.answer(), "IZ")
 	bed.advance(settleDelayMs)
 	h.serve("two", "off")
-	p.wantContains(p.answer(), "two")
+	p.want(p.answer(), "two")
 }
 
 // A reload moves the watch to a new address without a gap: updates from the old
@@ -263,14 +263,14 @@
 	p.query(write)
 	h := accept(t, fresh)
 	h.serve("new", "off")
-	p.wantContains(p.answer(), "new")
+	p.want(p.answer(), "new")
 	after.answerWatch("/v1/endpoints", `{"index":6,"snapshot":true,"endpoints":[`+endpoint("old", old, "off", "ready")+`]}`)
 	if _, err := http.ReadRequest(before.in); err == nil {
 		t.Error("the old address got another request, want its connection closed")
 	}
 	p.query(write)
 	accept(t, old).serve("old", "off")
-	p.wantContains(p.answer(), "old")
+	p.want(p.answer(), "old")
 	after.answerWatch("/v1/endpoints?after=6&wait_ms=3000", `{"index":6,"snapshot":false,"endpoints":[]}`)
 }
 
@@ -286,13 +286,13 @@
 	p.query(write)
 	h := accept(t, old)
 	h.serve("old", "off")
-	p.wantContains(p.answer(), "old")
+	p.want(p.answer(), "old")
 	answer("/v1/endpoints?after=4&wait_ms=3000", `{"index":5,"snapshot":false,"endpoints":[`+
 		endpoint("old", old, "off", "draining")+","+endpoint("new", fresh, "off", "ready")+`]}`)
 	answer("/v1/endpoints?after=5&wait_ms=3000", `{"index":5,"snapshot":false,"endpoints":[]}`)
 	p.query(write)
 	accept(t, fresh).serve("new", "off")
-	p.wantContains(p.answer(), "new")
+	p.want(p.answer(), "new")
 	bed.advance(settleDelayMs)
 	if kind, _ := h.message(); kind != 0 {
 		t.Errorf("draining endpoint got a message %q, want its idle connection closed", kind)
@@ -311,9 +311,9 @@
 	h := accept(t, l)
 	h.message()
 	bed.advance(drainDelayMs + shutdownCheckMs)
-	idle.wantContains(idle.answer(), "closed")
+	idle.want(idle.answer(), "closed")
 	late := bed.dial()
-	late.wantContains(late.answer(), "57P03")
+	late.want(late.answer(), "57P03")
 	for range 10 { // longer than the router waits for unsent answers
 		bed.advance(shutdownCheckMs)
 		runtime.Gosched()
@@ -322,8 +322,8 @@
 		t.Error("the router ended while a request was pending")
 	}
 	h.write(rowAnswer(write, "held", "off"))
-	p.wantContains(p.answer(), "held")
-	p.wantContains(p.answer(), "closed")
+	p.want(p.answer(), "held")
+	p.want(p.answer(), "closed")
 	for {
 		select {
 		case err := <-bed.ended:
@@ -346,27 +346,27 @@
 	ask := func() *peer {
 		p := bed.client()
 		p.query("SELECT 1")
-		p.wantContains(p.answer(), "42601")
+		p.want(p.answer(), "42601")
 		return p
 	}
 	silent := []*peer{bed.client(), bed.dial()}
 	held := []*peer{ask(), ask()}
 	for _, p := range silent {
-		p.wantContains(p.answer(), "closed")
+		p.want(p.answer(), "closed")
 	}
 	// The client has sent its first statement before it is rejected: closing the
 	// socket with unread input would reset it, and the answer would be lost.
 	p := bed.dial()
 	p.write(wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), []byte(write)))
 	got := p.answer()
-	p.wantContains(got, "53300")
-	p.wantContains(got, "closed")
+	p.want(got, "53300")
+	p.want(got, "closed")
 	held[1].query("")
-	held[1].wantContains(held[1].answer(), "IZ")
+	held[1].want(held[1].answer(), "IZ")
 	bed.advance(2100)
 	ask()
 	for _, p := range held[:1] {
-		p.wantContains(p.answer(), "closed")
+		p.want(p.answer(), "closed")
 	}
 }
 
@@ -385,15 +385,15 @@
 			h = accept(t, l)
 		}
 		h.serve("value", "off")
-		p.wantContains(p.answer(), "value")
+		p.want(p.answer(), "value")
 		clients = append(clients, p)
 		bed.advance(settleDelayMs)
 	}
 	for _, p := range clients[:2] {
-		p.wantContains(p.answer(), "closed")
+		p.want(p.answer(), "closed")
 	}
 	clients[2].query("")
-	clients[2].wantContains(clients[2].answer(), "IZ")
+	clients[2].want(clients[2].answer(), "IZ")
 }
 
 // A client without a complete startup or statement is closed within 2 s, and an
@@ -407,19 +407,19 @@
 	h.message()
 	nothing, begun, idle := bed.dial(), bed.client(), bed.client()
 	idle.query("SELECT 1")
-	idle.wantContains(idle.answer(), "42601")
+	idle.want(idle.answer(), "42601")
 	bed.waitUntil(func() bool { clients, _ := bed.node.budget.Open(); return clients == 4 })
 	bed.advance(1990)
 	h.write(rowAnswer(write, "late", "off"))
-	busy.wantContains(busy.answer(), "late")
+	busy.want(busy.answer(), "late")
 	bed.advance(20)
-	nothing.wantContains(nothing.answer(), "closed")
-	begun.wantContains(begun.answer(), "closed")
+	nothing.want(nothing.answer(), "closed")
+	begun.want(begun.answer(), "closed")
 	idle.query("")
-	idle.wantContains(idle.answer(), "IZ")
+	idle.want(idle.answer(), "IZ")
 	bed.advance(10000)
-	idle.wantContains(idle.answer(), "closed")
-	busy.wantContains(busy.answer(), "closed")
+	idle.want(idle.answer(), "closed")
+	busy.want(busy.answer(), "closed")
 	bed.advance(1000) // the time to disconnect after the error, which none of them uses
 	bed.waitUntil(func() bool { clients, _ := bed.node.budget.Open(); return clients == 0 })
 }
@@ -434,13 +434,13 @@
 	h := accept(t, l)
 	h.message()
 	second.query(write)
-	second.wantContains(second.answer(), "42601")
+	second.want(second.answer(), "42601")
 	h.write(rowAnswer(write, "own", "off"))
-	first.wantContains(first.answer(), "own")
+	first.want(first.answer(), "own")
 	bed.advance(settleDelayMs)
 	second.query(write)
 	h.serve("next", "off")
-	second.wantContains(second.answer(), "next")
+	second.want(second.answer(), "next")
 }
 
 // A client that keeps sending after an error must not take up the router's time or
@@ -470,7 +470,7 @@
 			h = accept(t, l)
 		}
 		h.serve("value", "off")
-		p.wantContains(p.answer(), "value")
+		p.want(p.answer(), "value")
 		bed.advance(settleDelayMs)
 	}
 	// The remaining timers: the client, the endpoint's connection, the decisions, the watch.
--- a/cmd/lotusbend/shutdown_test.go
+++ b/cmd/lotusbend/shutdown_test.go
@@ -65,8 +65,8 @@
 	if len(bed.ended) > 0 {
 		t.Fatal("the router ended before the answer was read")
 	}
-	p.wantContains(p.answer(), "late")
-	p.wantContains(p.answer(), "closed")
+	p.want(p.answer(), "late")
+	p.want(p.answer(), "closed")
 	_ = p.c.Close()
 	bed.awaitEnd()
 }
@@ -90,8 +90,8 @@
 		}
 	})
 	bed.advance(3 * shutdownCheckMs)
-	p.wantContains(p.answer(), "57014")
-	p.wantContains(p.answer(), "closed")
+	p.want(p.answer(), "57014")
+	p.want(p.answer(), "closed")
 	bed.advance(1000) // the time that each client has to disconnect
 	bed.awaitEnd()
 }
--- a/cmd/lotusbend/start_test.go
+++ b/cmd/lotusbend/start_test.go
@@ -70,14 +70,14 @@
 	}
 	p := newPeer(t, c)
 	p.write(wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), nil))
-	p.wantContains(p.answer(), "RKZ")
-	p.wantContains(p.answer(), "IZ")
+	p.want(p.answer(), "RKZ")
+	p.want(p.answer(), "IZ")
 	if took := time.Since(began); took > maxStartDuration {
 		t.Errorf("ready after %v, want at most %v", took, maxStartDuration)
 	}
 	p.query(write)
 	accept(t, host).serve("value", "off")
-	p.wantContains(p.answer(), "value")
+	p.want(p.answer(), "value")
 }
 
 // Idle clients may use up the descriptors while discovery is down: the watch and
@@ -114,6 +114,6 @@
 		t.Fatal(err)
 	}
 	accept(t, host).serve("value", "off")
-	p.wantContains(p.answer(), "RKZ")
-	p.wantContains(p.answer(), "value")
+	p.want(p.answer(), "RKZ")
+	p.want(p.answer(), "value")
 }
--- a/cmd/lotusbend/testbed_test.go
+++ b/cmd/lotusbend/testbed_test.go
@@ -43,9 +43,9 @@
 	loop      *clock.Loop
 	node      *node
 	discovery net.Listener
-	stop      context.CancelFunc
-	ended     chan error
-	logged    chan string
+	stop      context.CancelFunc // begins the shutdown
+	ended     chan error         // receives the result of node.run
+	logged    chan string        // receives the lines of the log
 }
 
 // Write implements io.Writer for the router's log. It drops lines when the channel
@@ -77,6 +77,7 @@
 	port int
 }
 
+// reservePort binds a free port of loopback.
 func reservePort(t *testing.T) *reservedPort {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -99,6 +100,7 @@
 	return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: r.port}
 }
 
+// listen returns a listener on the port, which accepts connections from now on.
 func (r *reservedPort) listen() net.Listener {
 	r.t.Helper()
 	if err := syscall.Listen(int(r.file.Fd()), syscall.SOMAXCONN); err != nil {
@@ -194,6 +196,7 @@
 	in *bufio.Reader
 }
 
+// newPeer returns the test's end of a connection, which is closed when the test ends.
 func newPeer(t *testing.T, c net.Conn) *peer {
 	t.Cleanup(func() { _ = c.Close() })
 	return &peer{t, c, bufio.NewReader(c)}
@@ -241,7 +244,8 @@
 	}
 }
 
-func (p *peer) wantContains(got, part string) {
+// want ends the test if got does not contain part.
+func (p *peer) want(got, part string) {
 	p.t.Helper()
 	if !strings.Contains(got, part) {
 		p.t.Fatalf("got %q, want it to contain %q", got, part)
@@ -262,10 +266,11 @@
 func (bed *testbed) client() *peer {
 	p := bed.dial()
 	p.write(wire.AppendStartup(nil, "app", "shop"))
-	p.wantContains(p.answer(), "RKZ")
+	p.want(p.answer(), "RKZ")
 	return p
 }
 
+// query sends a statement as a client.
 func (p *peer) query(sql string) { p.write(wire.AppendQuery(nil, []byte(sql))) }
 
 const (
--- a/internal/operatorconfig/options.go
+++ b/internal/operatorconfig/options.go
@@ -33,7 +33,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads the contents of a settings file; errors give name as the file's.
+// Parse reads the contents of a settings file. name is the file's name in errors.
 func Parse(name string, text []byte) (*Options, error) {
 	if len(strings.TrimSpace(string(text))) == 0 {
 		return nil, fmt.Errorf("%s:1: $: %w", name, errEmpty)
--- a/internal/routingconfig/routingconfig.go
+++ b/internal/routingconfig/routingconfig.go
@@ -211,7 +211,7 @@
 // position converts a position in seconds to the router's clock; 0 if it is not a
 // positive finite number. After a few hours a float32 of seconds resolves only
 // about a millisecond, so the value is rounded down by one unit in the last place:
-// it must not be taken for newer than it is.
+// a position must not appear newer than it is.
 func (s *Settings) position(seconds float32) time.Duration {
 	rounded := math.Nextafter32(seconds, 0)
 	if !(rounded > 0) || math.IsInf(float64(rounded), 0) {
--- a/internal/simprotocol/batch.go
+++ b/internal/simprotocol/batch.go
@@ -18,7 +18,7 @@
 	// recordHeaderBytes is the length of a record's header: code, field length.
 	recordHeaderBytes = 5
 	// maxFrameBytes bounds the body of a frame. Real batches have a few megabytes;
-	// a longer body is taken for a corrupt length.
+	// a greater length is rejected as corrupt.
 	maxFrameBytes = 1 << 30
 	// readChunkBytes bounds the memory allocated ahead of the bytes that arrive.
 	readChunkBytes = 1 << 20
@@ -78,7 +78,7 @@
 }
 
 // readBody reads the body into the buffer. The buffer grows as bytes arrive, so
-// that a false length allocates no memory for bytes that never come.
+// that a false length allocates no memory for bytes that never arrive.
 func (r *Reader) readBody(length int) error {
 	r.buffer = r.buffer[:0]
 	for len(r.buffer) < length {
