--- a/internal/pooling/characterization_test.go
+++ b/internal/pooling/characterization_test.go
@@ -127,16 +127,16 @@
 // limit and some together.
 var leaseLimits = map[string]pooling.Limits{
 	"unlimited":    {},
-	"total":        {Total: 5, MaxWait: 400},
-	"per-host":     {PerEndpoint: 3, MaxWait: 400},
-	"per-user":     {PerUser: 2, MaxWait: 400},
-	"per-database": {PerDatabase: 3, MaxWait: 400},
-	"reserve":      {PerEndpoint: 4, Reserve: 2, MaxWait: 300},
-	"queue":        {Total: 3, MaxQueued: 4, MaxWait: 900},
-	"opening":      {Total: 12, MaxOpening: 1, MaxWait: 500},
+	"total":        {Total: 5, MaxQueueTimeout: 400},
+	"per-host":     {PerEndpoint: 3, MaxQueueTimeout: 400},
+	"per-user":     {PerUser: 2, MaxQueueTimeout: 400},
+	"per-database": {PerDatabase: 3, MaxQueueTimeout: 400},
+	"reserve":      {PerEndpoint: 4, WriteReserve: 2, MaxQueueTimeout: 300},
+	"queue":        {Total: 3, MaxQueued: 4, MaxQueueTimeout: 900},
+	"opening":      {Total: 12, MaxOpening: 1, MaxQueueTimeout: 500},
 	"lives":        {MaxLifetime: 300},
-	"ages":         {Total: 8, IdleTimeout: 150, MaxLifetime: 900, MaxWait: 500},
-	"all": {Total: 9, PerEndpoint: 5, PerUser: 5, PerDatabase: 6, Reserve: 1, MaxQueued: 12, MaxWait: 350,
+	"ages":         {Total: 8, IdleTimeout: 150, MaxLifetime: 900, MaxQueueTimeout: 500},
+	"all": {Total: 9, PerEndpoint: 5, PerUser: 5, PerDatabase: 6, WriteReserve: 1, MaxQueued: 12, MaxQueueTimeout: 350,
 		MaxOpening: 2, IdleTimeout: 250, MaxLifetime: 1500},
 }
 
@@ -240,7 +240,7 @@
 	case n < 89:
 		host := 1 + w.random.IntN(leaseEndpoints)
 		w.drained[host] = !w.drained[host]
-		w.leases.Drain(uint32(host), w.drained[host])
+		w.leases.SetDraining(uint32(host), w.drained[host])
 	case n < 92:
 		w.outOfOrder()
 	default:
@@ -273,8 +273,8 @@
 			User:     pick(w.random, "ann", "ben", "cleo"),
 			Database: pick(w.random, "shop", "shop", "park"),
 		},
-		Write: w.random.IntN(3) == 0,
-		Wait:  pick(w.random, 0.0, 50, 250, 1000),
+		Write:        w.random.IntN(3) == 0,
+		QueueTimeout: pick(w.random, 0.0, 50, 250, 1000),
 	})
 }
 
@@ -479,9 +479,9 @@
 		d.texts(name)
 		return name == "safe" || name == "part.safe"
 	}
-	for _, reader := range []pooling.Reader{{}, {Standard: true}, {Standard: true, Safe: safe}} {
+	for _, reader := range []pooling.Analyzer{{}, {StandardConformingStrings: true}, {StandardConformingStrings: true, SafeFunction: safe}} {
 		for _, statement := range statements {
-			effects := reader.Read(statement)
+			effects := reader.Analyze(statement)
 			d.numbers(len(effects))
 			for _, effect := range effects {
 				hashEffect(d, effect)
@@ -518,14 +518,14 @@
 	const events = 6000
 	d := newDigest()
 	random := rand.New(rand.NewPCG(6, 7))
-	reader := pooling.Reader{Standard: true}
+	reader := pooling.Analyzer{StandardConformingStrings: true}
 	var sessions [4]pooling.Session
-	var connections [3]pooling.Connection
+	var connections [3]pooling.ConnectionState
 	for range events {
 		session, connection := &sessions[random.IntN(len(sessions))], &connections[random.IntN(len(connections))]
 		switch n := random.IntN(100); {
 		case n < 70:
-			for _, effect := range reader.Read(pick(random, sessionStatements...)) {
+			for _, effect := range reader.Analyze(pick(random, sessionStatements...)) {
 				session.Apply(effect)
 			}
 		case n < 78:
@@ -539,7 +539,7 @@
 		default:
 			d.texts(connection.HandoverSQL(session))
 			if random.IntN(3) > 0 {
-				connection.HandedOver(session)
+				connection.RecordHandover(session)
 			}
 			d.flags(connection.Release(session))
 			d.texts(connection.HandoverSQL(session))
@@ -553,7 +553,7 @@
 // exclamation mark stands for an error.
 func sessionScripts() string {
 	d := newDigest()
-	reader := pooling.Reader{Standard: true}
+	reader := pooling.Analyzer{StandardConformingStrings: true}
 	for _, script := range []string{
 		"create temp table t () | begin | discard temp | commit",
 		"create temp table t () | begin | discard temp | rollback",
@@ -581,12 +581,12 @@
 		"begin | ! | prepare p as select 1 | rollback", "! | set a to 1",
 	} {
 		var session pooling.Session
-		var connection pooling.Connection
+		var connection pooling.ConnectionState
 		for statement := range strings.SplitSeq(script, " | ") {
 			if statement == "!" {
 				session.Fail()
 			} else {
-				for _, effect := range reader.Read(statement) {
+				for _, effect := range reader.Analyze(statement) {
 					session.Apply(effect)
 				}
 			}
@@ -628,9 +628,9 @@
 		return chosen
 	}
 	for range 1000 {
-		d.texts(pooling.Difference(settings(), settings()))
+		d.texts(pooling.SettingsDifference(settings(), settings()))
 	}
-	d.texts(pooling.Difference(nil, nil))
+	d.texts(pooling.SettingsDifference(nil, nil))
 	return d.sum()
 }
 
@@ -642,7 +642,7 @@
 		for range random.IntN(10) {
 			text.WriteString(pick(random, "a", "'", "\\", "\"", "é", "\n", "\xff", " ", "$"))
 		}
-		d.texts(pooling.Literal(text.String()))
+		d.texts(pooling.QuoteLiteral(text.String()))
 	}
 	return d.sum()
 }
@@ -651,7 +651,7 @@
 	d := newDigest()
 	for n := range 80 {
 		for _, unit := range []string{"a", "é", "€", "𝄞", "\xff", "\x80"} {
-			d.texts(pooling.Truncate(strings.Repeat("x", n%5) + strings.Repeat(unit, n)))
+			d.texts(pooling.TruncateIdentifier(strings.Repeat("x", n%5) + strings.Repeat(unit, n)))
 		}
 	}
 	return d.sum()
@@ -733,7 +733,7 @@
 // message sends one message of the client.
 func (w *extendedWorld) message(c *extendedClient) {
 	w.count++
-	m := &pooling.Message{Kind: pick(w.random, []byte("PPPBBDDEECHSSS")...), Raw: w.count}
+	m := &pooling.ClientMessage{Kind: pick(w.random, []byte("PPPBBDDEECHSSS")...), Raw: w.count}
 	switch m.Kind {
 	case 'D', 'C':
 		m.Portal = w.random.IntN(3) == 0
@@ -760,8 +760,8 @@
 		w.digest.numbers(int(oid))
 	}
 	w.digest.texts(s.Name, s.Text)
-	if s.Message != nil {
-		w.digest.numbers(s.Message.Raw.(int))
+	if s.ClientMessage != nil {
+		w.digest.numbers(s.ClientMessage.Raw.(int))
 	}
 }
 
@@ -774,7 +774,7 @@
 		return
 	}
 	kind := c.unsent[0].Kind
-	portal := c.unsent[0].Message != nil && c.unsent[0].Message.Portal
+	portal := c.unsent[0].ClientMessage != nil && c.unsent[0].ClientMessage.Portal
 	c.unsent = c.unsent[1:]
 	switch {
 	case kind == 'S':
@@ -877,7 +877,7 @@
 }
 
 // hashPrepared hashes a statement, or the SQLSTATE of the error.
-func hashPrepared(d digest, p *pooling.Prepared, err error) {
+func hashPrepared(d digest, p *pooling.PreparedStatement, err error) {
 	if err != nil {
 		state, _, _ := strings.Cut(err.Error(), ":")
 		d.texts(state)
--- a/internal/pooling/doc.go
+++ b/internal/pooling/doc.go
@@ -1,8 +1,8 @@
 // Package pooling holds the rules of transaction pooling, by which many clients
 // use few connections to PostgreSQL endpoints:
 //
-//   - Reader: what a statement does to its session;
-//   - Session, Settings and Connection: which session state can be handed over
+//   - Analyzer: what a statement does to its session;
+//   - Session, Settings and ConnectionState: which session state can be handed over
 //     to another connection, and what pins a session to its connection;
 //   - Catalog, ClientStatements, ConnectionStatements and Pipeline: prepared
 //     statements and the extended protocol;
--- a/internal/pooling/effect.go
+++ b/internal/pooling/effect.go
@@ -85,20 +85,20 @@
 	return Effect{Kind: Opaque, Pins: PinUnknown, Writes: true, Schema: true}
 }
 
-// Reader reads what statements do. It is safe for concurrent use if Safe is.
-type Reader struct {
-	// Safe reports whether a function neither writes nor changes its session.
+// Analyzer reads what statements do. It is safe for concurrent use if SafeFunction is.
+type Analyzer struct {
+	// SafeFunction reports whether a function neither writes nor changes its session.
 	// Nil adds none to the common functions that are known.
-	Safe func(name string) bool
-	// Standard is standard_conforming_strings, which is on by default in
+	SafeFunction func(name string) bool
+	// StandardConformingStrings is standard_conforming_strings, which is on by default in
 	// PostgreSQL.
-	Standard bool
+	StandardConformingStrings bool
 }
 
-// Read returns what each statement of a query string does, in order. A string
+// Analyze returns what each statement of a query string does, in order. A string
 // that cannot be parsed is one Opaque statement.
-func (r Reader) Read(sql string) []Effect {
-	statements, err := splitStatements(sql, r.Standard)
+func (r Analyzer) Analyze(sql string) []Effect {
+	statements, err := splitStatements(sql, r.StandardConformingStrings)
 	if err != nil {
 		return []Effect{opaqueEffect()}
 	}
--- a/internal/pooling/effect_test.go
+++ b/internal/pooling/effect_test.go
@@ -33,8 +33,8 @@
 	return out
 }
 
-func TestReadEffects(t *testing.T) {
-	r := Reader{Standard: true, Safe: func(name string) bool { return name == "park_total" || name == "billing.fee" }}
+func TestAnalyzeEffects(t *testing.T) {
+	r := Analyzer{StandardConformingStrings: true, SafeFunction: func(name string) bool { return name == "park_total" || name == "billing.fee" }}
 	for _, test := range []struct{ sql, want string }{
 		{"", ""},
 		{" ; ;; ", ""},
@@ -108,30 +108,30 @@
 		{"frobnicate", "opaque pins(unknown function) schema writes"},
 	} {
 		var got []string
-		for _, e := range r.Read(test.sql) {
+		for _, e := range r.Analyze(test.sql) {
 			got = append(got, describeEffect(e))
 		}
 		if s := strings.Join(got, " | "); s != test.want {
 			t.Errorf("%s\n got %s\nwant %s", test.sql, s, test.want)
 		}
 	}
-	if got := fmt.Sprint(len(Reader{}.Read(`select 'a\'; set c to 2'`))); got != "1" {
+	if got := fmt.Sprint(len(Analyzer{}.Analyze(`select 'a\'; set c to 2'`))); got != "1" {
 		t.Errorf("with backslashes that escape: %s statements", got)
 	}
 }
 
-func FuzzRead(f *testing.F) {
+func FuzzAnalyze(f *testing.F) {
 	f.Add("select E'a\\'' ; set a.b = $$x$$ -- y\n; /* /* */ */ commit and chain")
 	f.Add("create function f() begin atomic select 1; end")
 	f.Fuzz(func(t *testing.T, sql string) {
-		for _, r := range []Reader{{}, {Standard: true}} {
-			for _, e := range r.Read(sql) {
+		for _, r := range []Analyzer{{}, {StandardConformingStrings: true}} {
+			for _, e := range r.Analyze(sql) {
 				if e.Kind > Opaque {
 					t.Errorf("%+v", e)
 				}
 				// A value that was read must read back as itself.
 				if e.Kind == Set && e.Name != "session_authorization" && e.Name != "role" {
-					again := r.Read(Difference(nil, map[string]string{e.Name: e.Value}))
+					again := r.Analyze(SettingsDifference(nil, map[string]string{e.Name: e.Value}))
 					kindKept := len(again) == 1 && (again[0].Kind == Set || again[0].Kind == Reset)
 					if !kindKept || again[0].Kind == Set && (again[0].Value != e.Value || again[0].Name != e.Name) {
 						t.Errorf("%q: %+v came back as %+v", sql, e, again)
--- a/internal/pooling/function.go
+++ b/internal/pooling/function.go
@@ -4,7 +4,7 @@
 
 // body looks through a query for what it does besides returning rows: functions
 // that it calls, data that it changes, tables that it creates.
-func (r Reader) body(tokens []token) Effect {
+func (r Analyzer) body(tokens []token) Effect {
 	var effect Effect
 	for i, t := range tokens {
 		if t.kind == identifier {
@@ -46,7 +46,7 @@
 // call returns the pins of the name before a parenthesis, and adds to effect
 // whether calling it writes. Where the name is that of a table or an alias with
 // its columns, it does nothing.
-func (r Reader) call(tokens []token, i int, effect *Effect) Pin {
+func (r Analyzer) call(tokens []token, i int, effect *Effect) Pin {
 	first := i
 	name := strings.ToLower(tokens[i].text)
 	for first >= 2 && tokens[first-1].isSymbol(".") && tokens[first-2].isIdentifier() {
@@ -65,7 +65,7 @@
 
 // function returns the pins of calling a function, and adds to effect whether
 // it writes.
-func (r Reader) function(name string, unquoted bool, effect *Effect) Pin {
+func (r Analyzer) function(name string, unquoted bool, effect *Effect) Pin {
 	switch {
 	case name == "currval" || name == "lastval":
 		return PinSequence
@@ -79,7 +79,7 @@
 		return 0 // which locks are left is not known: the pin stays
 	case strings.HasPrefix(name, "pg_advisory_lock"), strings.HasPrefix(name, "pg_try_advisory_lock"):
 		return PinLock
-	case unquoted && callable[name], r.Safe != nil && r.Safe(name):
+	case unquoted && callable[name], r.SafeFunction != nil && r.SafeFunction(name):
 		return 0
 	}
 	effect.Writes = true // an unknown function may write
--- a/internal/pooling/lease.go
+++ b/internal/pooling/lease.go
@@ -19,23 +19,23 @@
 
 // ConnectionRequest is a client's request for a connection.
 type ConnectionRequest struct {
-	Client uint64
-	Key    PoolKey
-	Write  bool    // a write may use the reserve that reads leave
-	Wait   float64 // longest time in the queue, milliseconds
+	Client       uint64
+	Key          PoolKey
+	Write        bool    // a write may use the reserve that reads leave
+	QueueTimeout float64 // longest time in the queue, milliseconds
 }
 
 // Limits bound connections. A zero field sets no bound.
 type Limits struct {
-	Total       int     // connections
-	PerEndpoint int     // connections
-	PerUser     int     // connections
-	PerDatabase int     // connections
-	Reserve     int     // of PerEndpoint, connections that reads must leave to writes
-	MaxQueued   int     // queued requests of all endpoints
-	MaxWait     float64 // longest time in the queue, milliseconds
-	MaxOpening  int     // connections that open to one endpoint at the same time
-	IdleTimeout float64 // until an idle connection is closed, milliseconds
+	Total           int     // connections
+	PerEndpoint     int     // connections
+	PerUser         int     // connections
+	PerDatabase     int     // connections
+	WriteReserve    int     // of PerEndpoint, connections that reads must leave to writes
+	MaxQueued       int     // queued requests of all endpoints
+	MaxQueueTimeout float64 // longest time in the queue, milliseconds
+	MaxOpening      int     // connections that open to one endpoint at the same time
+	IdleTimeout     float64 // until an idle connection is closed, milliseconds
 	// MaxLifetime of a connection in milliseconds. Up to a tenth is added at
 	// random, so that connections opened together do not all end together.
 	MaxLifetime float64
@@ -191,9 +191,9 @@
 		endpoint.queueOrder = append(endpoint.queueOrder, key)
 	}
 	queued.element = queue.PushBack(queued)
-	wait := request.Wait
-	if l.limits.MaxWait > 0 {
-		wait = min(wait, l.limits.MaxWait)
+	wait := request.QueueTimeout
+	if l.limits.MaxQueueTimeout > 0 {
+		wait = min(wait, l.limits.MaxQueueTimeout)
 	}
 	queued.timer = l.timers.At(now+wait, func(float64) {
 		l.dequeue(queued)
@@ -204,7 +204,7 @@
 // retryAfter draws when a rejected client may retry, in milliseconds. Retries
 // are spread over as long as a request may be queued.
 func (l *Leases) retryAfter() float64 {
-	return max(l.limits.MaxWait, 100) * (0.5 + 0.5*l.rand.Float64())
+	return max(l.limits.MaxQueueTimeout, 100) * (0.5 + 0.5*l.rand.Float64())
 }
 
 // Cancel ends a client's queued request, if there is one.
@@ -229,10 +229,10 @@
 	}
 }
 
-// Drain stops or resumes the use of an endpoint. While it drains, its idle
+// SetDraining stops or resumes the use of an endpoint. While it drains, its idle
 // connections are closed, its leased ones are closed when their leases end, and
 // requests for it are rejected.
-func (l *Leases) Drain(id uint32, draining bool) {
+func (l *Leases) SetDraining(id uint32, draining bool) {
 	endpoint := l.endpoint(id)
 	endpoint.draining = draining
 	if !draining {
--- a/internal/pooling/lease_dispatch.go
+++ b/internal/pooling/lease_dispatch.go
@@ -86,10 +86,10 @@
 // onlyReserveLeft reports whether reads must leave an endpoint's remaining
 // connections to writes.
 func (l *Leases) onlyReserveLeft(endpoint *endpointState) bool {
-	if l.limits.Reserve == 0 || l.limits.PerEndpoint == 0 {
+	if l.limits.WriteReserve == 0 || l.limits.PerEndpoint == 0 {
 		return false
 	}
-	return endpoint.leased+endpoint.opening >= l.limits.PerEndpoint-l.limits.Reserve
+	return endpoint.leased+endpoint.opening >= l.limits.PerEndpoint-l.limits.WriteReserve
 }
 
 // open opens a connection for a request, if the limits allow one more or
--- a/internal/pooling/lease_test.go
+++ b/internal/pooling/lease_test.go
@@ -142,7 +142,7 @@
 		limit := func(what string) int { return rapid.IntRange(0, 5).Draw(t, what) }
 		lim := Limits{Total: limit("total"), PerEndpoint: limit("per host"), PerUser: limit("per user"),
 			PerDatabase: limit("per database"), MaxQueued: limit("queue"),
-			MaxWait: 500, MaxOpening: limit("opening"), IdleTimeout: 300, MaxLifetime: 2000}
+			MaxQueueTimeout: 500, MaxOpening: limit("opening"), IdleTimeout: 300, MaxLifetime: 2000}
 		model := newLeaseModel(lim, t.Fatalf)
 		for n := range rapid.IntRange(1, 120).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
@@ -176,7 +176,7 @@
 				if rapid.IntRange(0, 3).Draw(t, "drain") == 0 {
 					endpoint := uint32(rapid.IntRange(1, 2).Draw(t, "drained"))
 					model.drained[endpoint] = !model.drained[endpoint]
-					model.leases.Drain(endpoint, model.drained[endpoint])
+					model.leases.SetDraining(endpoint, model.drained[endpoint])
 				}
 				model.advance(rapid.Float64Range(0, 200).Draw(t, "pass"))
 			}
@@ -278,7 +278,7 @@
 }
 
 func TestReadsLeaveReserveToWrites(t *testing.T) {
-	model := newLeaseModel(Limits{PerEndpoint: 4, Reserve: 2, MaxWait: 100}, t.Fatalf)
+	model := newLeaseModel(Limits{PerEndpoint: 4, WriteReserve: 2, MaxQueueTimeout: 100}, t.Fatalf)
 	for c := uint64(1); c <= 4; c++ {
 		model.acquire(c, 1, "a", false)
 	}
@@ -297,12 +297,12 @@
 	}
 	model.advance(101)
 	if len(model.requests) != 0 {
-		t.Error("reads are queued past MaxWait")
+		t.Error("reads are queued past MaxQueueTimeout")
 	}
 }
 
 func TestDrainClosesConnectionsWhenLeasesEnd(t *testing.T) {
-	model := newLeaseModel(Limits{PerEndpoint: 2, MaxWait: 1000}, t.Fatalf)
+	model := newLeaseModel(Limits{PerEndpoint: 2, MaxQueueTimeout: 1000}, t.Fatalf)
 	model.acquire(1, 1, "a", false)
 	model.acquire(2, 1, "a", false)
 	model.acquire(3, 1, "a", false)
@@ -314,7 +314,7 @@
 	model.actions = nil
 	model.acquire(4, 1, "a", false)
 	model.drained[1] = true
-	model.leases.Drain(1, true)
+	model.leases.SetDraining(1, true)
 	model.expect(t, "reject4")
 	model.release(conns[0], true)
 	model.expect(t, fmt.Sprintf("close%d", conns[0]))
--- a/internal/pooling/pipeline.go
+++ b/internal/pooling/pipeline.go
@@ -20,8 +20,8 @@
 	msgError         = 'E'
 )
 
-// Message is one message of the extended protocol from a client.
-type Message struct {
+// ClientMessage is one message of the extended protocol from a client.
+type ClientMessage struct {
 	Kind byte // 'P', 'B', 'D', 'E', 'C', 'H' or 'S', as on the wire
 	// Statement is the client's name of a prepared statement: of Parse, Bind,
 	// and Describe and Close where Portal is false.
@@ -35,15 +35,15 @@
 // ServerMessage is one message for the server: the client's own under another
 // statement name, or one of the pool's.
 type ServerMessage struct {
-	Kind    byte
-	Name    string   // server-side statement of Parse, Bind, Describe and Close
-	Text    string   // of the pool's own Parse
-	Types   []uint32 // of the pool's own Parse, OIDs
-	Message *Message // the client's, nil for the pool's own
+	Kind          byte
+	Name          string         // server-side statement of Parse, Bind, Describe and Close
+	Text          string         // of the pool's own Parse
+	Types         []uint32       // of the pool's own Parse, OIDs
+	ClientMessage *ClientMessage // the client's, nil for the pool's own
 }
 
-// Reply says what becomes of one message from the server.
-type Reply struct {
+// ReplyAction says what becomes of one message from the server.
+type ReplyAction struct {
 	Forward bool // to the client
 	// Synthesized are the pool's own answers for the client after it, by their
 	// kinds: '1' for ParseComplete, '3' for CloseComplete.
@@ -52,11 +52,11 @@
 
 // expectedAnswer is an answer that is pending.
 type expectedAnswer struct {
-	kind        byte      // of the message that is answered
-	portal      bool      // it is about a portal
-	internal    bool      // answers the pool's own message: not for the client
-	synthesized byte      // nothing was sent; the pool gives this answer in its turn
-	parsed      *Prepared // what a Parse adds to the connection
+	kind        byte               // of the message that is answered
+	portal      bool               // it is about a portal
+	internal    bool               // answers the pool's own message: not for the client
+	synthesized byte               // nothing was sent; the pool gives this answer in its turn
+	parsed      *PreparedStatement // what a Parse adds to the connection
 	// undo reverts the message's effects after an error: failed if the error
 	// answers the message itself, otherwise the server skips it.
 	undo func(failed bool)
@@ -107,14 +107,14 @@
 // FromClient takes a client's message, if the pipeline is Ready. It returns
 // what must be sent to the server for it, and the kinds of the pool's own
 // answers that the client gets now since none are pending before them.
-func (p *Pipeline) FromClient(m *Message) (send []ServerMessage, now []byte) {
+func (p *Pipeline) FromClient(m *ClientMessage) (send []ServerMessage, now []byte) {
 	if p.failed && m.Kind != msgSync {
 		return nil, nil
 	}
 	p.failed = false
 	switch {
 	case m.Kind == msgFlush:
-		return []ServerMessage{{Kind: msgFlush, Message: m}}, nil
+		return []ServerMessage{{Kind: msgFlush, ClientMessage: m}}, nil
 	case m.Kind == msgParse:
 		send = p.parse(m)
 	case m.Kind == msgBind, m.Kind == msgDescribe && !m.Portal:
@@ -128,17 +128,17 @@
 }
 
 // passThrough sends a client's message under a server-side statement name.
-func (p *Pipeline) passThrough(m *Message, name string) []ServerMessage {
+func (p *Pipeline) passThrough(m *ClientMessage, name string) []ServerMessage {
 	p.expect(expectedAnswer{kind: m.Kind, portal: m.Portal})
-	return []ServerMessage{{Kind: m.Kind, Name: name, Message: m}}
+	return []ServerMessage{{Kind: m.Kind, Name: name, ClientMessage: m}}
 }
 
 func (p *Pipeline) expect(answer expectedAnswer) { p.pending = append(p.pending, answer) }
 
 // parse names a statement for the client. If the connection has it, the Parse
 // is not sent and the pool answers it.
-func (p *Pipeline) parse(m *Message) []ServerMessage {
-	var replaced *Prepared
+func (p *Pipeline) parse(m *ClientMessage) []ServerMessage {
+	var replaced *PreparedStatement
 	if m.Statement == "" {
 		replaced, _ = p.names.Get("")
 	}
@@ -159,12 +159,12 @@
 		return send
 	}
 	p.expect(expectedAnswer{kind: msgParse, parsed: prepared, undo: undo})
-	return append(send, ServerMessage{Kind: msgParse, Name: prepared.ServerName, Message: m})
+	return append(send, ServerMessage{Kind: msgParse, Name: prepared.ServerName, ClientMessage: m})
 }
 
 // failParse sends what makes the server fail where the client's names do not
 // allow a Parse: otherwise the server's transaction would go on.
-func (p *Pipeline) failParse(m *Message) []ServerMessage {
+func (p *Pipeline) failParse(m *ClientMessage) []ServerMessage {
 	duplicate, _ := p.names.Get(m.Statement)
 	if duplicate == nil { // too many statements: bind one that the server cannot have
 		p.expect(expectedAnswer{kind: msgBind})
@@ -176,7 +176,7 @@
 }
 
 // parseMessage is the pool's own Parse of a statement.
-func parseMessage(prepared *Prepared) ServerMessage {
+func parseMessage(prepared *PreparedStatement) ServerMessage {
 	return ServerMessage{
 		Kind:  msgParse,
 		Name:  prepared.ServerName,
@@ -188,7 +188,7 @@
 // useStatement sends a message that names a prepared statement, after what the
 // connection lacks for it. An unknown name is sent as it is: no statement on
 // the server has it, so that the server itself answers with the error.
-func (p *Pipeline) useStatement(m *Message) []ServerMessage {
+func (p *Pipeline) useStatement(m *ClientMessage) []ServerMessage {
 	prepared, err := p.names.Get(m.Statement)
 	if err != nil {
 		return p.passThrough(m, escapeUnknownName(m.Statement))
@@ -207,7 +207,7 @@
 }
 
 // ensure sends what the connection lacks for a statement.
-func (p *Pipeline) ensure(prepared *Prepared) []ServerMessage {
+func (p *Pipeline) ensure(prepared *PreparedStatement) []ServerMessage {
 	steps := p.statements.Ensure(p.catalog, prepared)
 	send := p.closeStatements(steps.Close)
 	if !steps.Parse {
@@ -228,7 +228,7 @@
 }
 
 // closeName frees a client's name. The server keeps the statement for others.
-func (p *Pipeline) closeName(m *Message) {
+func (p *Pipeline) closeName(m *ClientMessage) {
 	answer := expectedAnswer{kind: msgClose, synthesized: msgCloseComplete}
 	if prepared, err := p.names.Get(m.Statement); err == nil {
 		p.names.Close(p.catalog, m.Statement)
--- a/internal/pooling/pipeline_answer.go
+++ b/internal/pooling/pipeline_answer.go
@@ -3,13 +3,13 @@
 // FromServer takes the kind of a message from the server and returns what
 // becomes of it. ok is false if it answers nothing that is pending: then the
 // connection must be closed.
-func (p *Pipeline) FromServer(kind byte) (reply Reply, ok bool) {
+func (p *Pipeline) FromServer(kind byte) (reply ReplyAction, ok bool) {
 	switch kind {
 	case 'N', 'S', 'A': // NoticeResponse, ParameterStatus, NotificationResponse come at any time
-		return Reply{Forward: true}, true
+		return ReplyAction{Forward: true}, true
 	}
 	if len(p.pending) == 0 {
-		return Reply{}, false
+		return ReplyAction{}, false
 	}
 	answer := p.pending[0]
 	if kind == msgError {
@@ -18,11 +18,11 @@
 		if answer.kind != msgSync {
 			p.skip()
 		}
-		return Reply{Forward: true}, true
+		return ReplyAction{Forward: true}, true
 	}
 	last, expected := answer.accepts(kind)
 	if !expected {
-		return Reply{}, false
+		return ReplyAction{}, false
 	}
 	reply.Forward = !answer.internal
 	if last {
--- a/internal/pooling/pipeline_test.go
+++ b/internal/pooling/pipeline_test.go
@@ -140,7 +140,7 @@
 			}
 			steps := rapid.IntRange(1, 12).Draw(t, "messages")
 			for n := range steps {
-				m := &Message{Kind: rapid.SampledFrom([]byte("PPBBEEDCSH")).Draw(t, "kind")}
+				m := &ClientMessage{Kind: rapid.SampledFrom([]byte("PPBBEEDCSH")).Draw(t, "kind")}
 				if n == steps-1 {
 					m.Kind = 'S' // a turn ends with it
 				}
@@ -154,9 +154,9 @@
 				want = append(want, c.private.take(w)...)
 				send, now := pipeline.FromClient(m)
 				for _, s := range send {
-					x := wireMessage{kind: s.Kind, statement: s.Name, text: s.Text, isPortal: m.Portal && s.Message != nil}
-					if s.Message != nil {
-						x.text = s.Message.Text
+					x := wireMessage{kind: s.Kind, statement: s.Name, text: s.Text, isPortal: m.Portal && s.ClientMessage != nil}
+					if s.ClientMessage != nil {
+						x.text = s.ClientMessage.Text
 					}
 					inTransit = append(inTransit, x)
 				}
@@ -200,14 +200,14 @@
 		if i == 49 {
 			text = "noexec"
 		}
-		for _, m := range []*Message{{Kind: 'P', Text: text}, {Kind: 'B'}, {Kind: 'E'}} {
+		for _, m := range []*ClientMessage{{Kind: 'P', Text: text}, {Kind: 'B'}, {Kind: 'E'}} {
 			s, _ := pipeline.FromClient(m)
 			sends = append(sends, s...)
 		}
 	}
-	s, _ := pipeline.FromClient(&Message{Kind: 'S'})
+	s, _ := pipeline.FromClient(&ClientMessage{Kind: 'S'})
 	for _, s := range append(sends, s...) {
-		for _, reply := range server.take(wireMessage{kind: s.Kind, statement: s.Name, text: s.Message.Text}) {
+		for _, reply := range server.take(wireMessage{kind: s.Kind, statement: s.Name, text: s.ClientMessage.Text}) {
 			if r, ok := pipeline.FromServer(reply[0]); !ok || !r.Forward {
 				t.Fatalf("%q: %+v %t", reply, r, ok)
 			}
@@ -223,7 +223,7 @@
 	var catalog Catalog
 	for _, c := range []struct{ sent, came byte }{{'B', '1'}, {'E', 'Z'}, {'S', 'C'}, {'D', '2'}} {
 		pipeline := NewPipeline(&catalog, &ClientStatements{}, &ConnectionStatements{})
-		pipeline.FromClient(&Message{Kind: c.sent, Portal: true})
+		pipeline.FromClient(&ClientMessage{Kind: c.sent, Portal: true})
 		if _, ok := pipeline.FromServer(c.came); ok {
 			t.Errorf("%c was answered by %c", c.sent, c.came)
 		}
@@ -244,8 +244,8 @@
 	deliver := func() {
 		for _, s := range inTransit {
 			text := s.Text
-			if s.Message != nil {
-				text = s.Message.Text
+			if s.ClientMessage != nil {
+				text = s.ClientMessage.Text
 			}
 			for _, reply := range server.take(wireMessage{kind: s.Kind, statement: s.Name, text: text}) {
 				r, ok := pipeline.FromServer(reply[0])
@@ -263,7 +263,7 @@
 		inTransit = nil
 	}
 	waited := 0
-	for _, m := range []*Message{{Kind: 'P', Text: "select 1"}, {Kind: 'P', Statement: "s", Text: "select 1"},
+	for _, m := range []*ClientMessage{{Kind: 'P', Text: "select 1"}, {Kind: 'P', Statement: "s", Text: "select 1"},
 		{Kind: 'P', Statement: "s", Text: "select 1"},
 		{Kind: 'P', Text: "select 2"}, {Kind: 'S'}, {Kind: 'P', Text: "select 1"}, {Kind: 'S'}} {
 		if !pipeline.Ready() {
--- a/internal/pooling/prepared.go
+++ b/internal/pooling/prepared.go
@@ -11,9 +11,9 @@
 // Errors of prepared statements. The text begins with the SQLSTATE for the
 // client.
 var (
-	ErrDuplicate = errors.New("42P05: a prepared statement of this name exists")
-	ErrUnknown   = errors.New("26000: there is no prepared statement of this name")
-	ErrTooMany   = errors.New("53400: too many prepared statements")
+	ErrDuplicateStatement = errors.New("42P05: a prepared statement of this name exists")
+	ErrUnknownStatement   = errors.New("26000: there is no prepared statement of this name")
+	ErrTooManyStatements  = errors.New("53400: too many prepared statements")
 )
 
 // serverPrefix begins the names of prepared statements on servers.
@@ -22,9 +22,9 @@
 // preparedKey is the digest of a statement's text and parameter types.
 type preparedKey [sha256.Size]byte
 
-// Prepared is a statement's text with its parameter types, shared by all
+// PreparedStatement is a statement's text with its parameter types, shared by all
 // clients that prepared it.
-type Prepared struct {
+type PreparedStatement struct {
 	Text       string
 	Types      []uint32 // OIDs as the client gave them; 0 for an unspecified type
 	ServerName string   // its name on every server
@@ -37,7 +37,7 @@
 // since a cached plan may no longer return the same columns. The zero Catalog
 // is empty. It is not safe for concurrent use.
 type Catalog struct {
-	statements map[preparedKey]*Prepared
+	statements map[preparedKey]*PreparedStatement
 	generation uint64 // of the schema
 }
 
@@ -48,18 +48,18 @@
 func (c *Catalog) Len() int { return len(c.statements) }
 
 // use returns the statement of a text and types for one more name.
-func (c *Catalog) use(text string, types []uint32) *Prepared {
+func (c *Catalog) use(text string, types []uint32) *PreparedStatement {
 	key := newPreparedKey(text, types)
 	prepared := c.statements[key]
 	if prepared == nil {
-		prepared = &Prepared{
+		prepared = &PreparedStatement{
 			Text:       text,
 			Types:      slices.Clone(types),
 			ServerName: serverPrefix + hex.EncodeToString(key[:16]),
 			key:        key,
 		}
 		if c.statements == nil {
-			c.statements = map[preparedKey]*Prepared{}
+			c.statements = map[preparedKey]*PreparedStatement{}
 		}
 		c.statements[key] = prepared
 	}
@@ -76,7 +76,7 @@
 }
 
 // release takes back one use.
-func (c *Catalog) release(prepared *Prepared) {
+func (c *Catalog) release(prepared *PreparedStatement) {
 	prepared.uses--
 	if prepared.uses == 0 {
 		delete(c.statements, prepared.key)
@@ -88,36 +88,36 @@
 // no bound. It is not safe for concurrent use.
 type ClientStatements struct {
 	Max    int // statements, 0 for no bound
-	byName map[string]*Prepared
+	byName map[string]*PreparedStatement
 }
 
-// Parse names a statement. The error is ErrDuplicate if the name is in use,
-// except that the unnamed statement is replaced, or ErrTooMany.
-func (s *ClientStatements) Parse(catalog *Catalog, name, text string, types []uint32) (*Prepared, error) {
+// Parse names a statement. The error is ErrDuplicateStatement if the name is in use,
+// except that the unnamed statement is replaced, or ErrTooManyStatements.
+func (s *ClientStatements) Parse(catalog *Catalog, name, text string, types []uint32) (*PreparedStatement, error) {
 	old := s.byName[name]
 	if old != nil && name != "" {
-		return nil, ErrDuplicate
+		return nil, ErrDuplicateStatement
 	}
 	if old == nil && s.Max > 0 && len(s.byName) >= s.Max {
-		return nil, ErrTooMany
+		return nil, ErrTooManyStatements
 	}
 	prepared := catalog.use(text, types)
 	if old != nil {
 		catalog.release(old)
 	}
 	if s.byName == nil {
-		s.byName = map[string]*Prepared{}
+		s.byName = map[string]*PreparedStatement{}
 	}
 	s.byName[name] = prepared
 	return prepared, nil
 }
 
-// Get returns the statement of a name, or ErrUnknown.
-func (s *ClientStatements) Get(name string) (*Prepared, error) {
+// Get returns the statement of a name, or ErrUnknownStatement.
+func (s *ClientStatements) Get(name string) (*PreparedStatement, error) {
 	if prepared := s.byName[name]; prepared != nil {
 		return prepared, nil
 	}
-	return nil, ErrUnknown
+	return nil, ErrUnknownStatement
 }
 
 // Close frees a name. As in PostgreSQL, an unknown name is no error.
--- a/internal/pooling/prepared_server.go
+++ b/internal/pooling/prepared_server.go
@@ -20,15 +20,15 @@
 // staleGeneration is a generation that a Catalog never reaches.
 const staleGeneration = ^uint64(0)
 
-// Steps are the messages that must be sent before a statement can be bound.
-type Steps struct {
+// PrepareSteps are the messages that must be sent before a statement can be bound.
+type PrepareSteps struct {
 	Close []string // a Close of each of these server-side names, in order
 	Parse bool     // then a Parse of the statement itself
 }
 
 // Ensure returns what must be sent before a statement can be bound on the
 // connection, and records it as done. If the Parse fails, Forget must follow.
-func (s *ConnectionStatements) Ensure(catalog *Catalog, prepared *Prepared) (steps Steps) {
+func (s *ConnectionStatements) Ensure(catalog *Catalog, prepared *PreparedStatement) (steps PrepareSteps) {
 	if element := s.byName[prepared.ServerName]; element != nil {
 		if element.Value.(*connectionStatement).generation == catalog.generation {
 			s.order.MoveToBack(element)
@@ -50,7 +50,7 @@
 
 // Forget records that a statement is not on the connection after all: its Parse
 // failed, or was skipped after another error.
-func (s *ConnectionStatements) Forget(prepared *Prepared) {
+func (s *ConnectionStatements) Forget(prepared *PreparedStatement) {
 	if element := s.byName[prepared.ServerName]; element != nil {
 		s.remove(element)
 	}
--- a/internal/pooling/prepared_test.go
+++ b/internal/pooling/prepared_test.go
@@ -24,7 +24,7 @@
 	if p1 != p3 || p1 == p2 || p1 == p4 || sameNames || len(p1.ServerName) > maxName {
 		t.Errorf("%v %v %v %v", p1, p2, p3, p4)
 	}
-	if _, err := a.Parse(&catalog, "s", "select 3", nil); !errors.Is(err, ErrDuplicate) {
+	if _, err := a.Parse(&catalog, "s", "select 3", nil); !errors.Is(err, ErrDuplicateStatement) {
 		t.Error(err)
 	}
 	if s := onServer.Ensure(&catalog, p1); !s.Parse || len(s.Close) > 0 {
@@ -49,7 +49,7 @@
 	a.Close(&catalog, "s")
 	a.Close(&catalog, "s")
 	b.Clear(&catalog)
-	if _, err := a.Get("s"); !errors.Is(err, ErrUnknown) || catalog.Len() != 0 {
+	if _, err := a.Get("s"); !errors.Is(err, ErrUnknownStatement) || catalog.Len() != 0 {
 		t.Errorf("%v, %d left", err, catalog.Len())
 	}
 	for range 2 { // the unnamed one is replaced
@@ -59,7 +59,7 @@
 	}
 	few := ClientStatements{Max: 1}
 	_, _ = few.Parse(&catalog, "x", "select 1", nil)
-	if _, err := few.Parse(&catalog, "y", "select 1", nil); !errors.Is(err, ErrTooMany) {
+	if _, err := few.Parse(&catalog, "y", "select 1", nil); !errors.Is(err, ErrTooManyStatements) {
 		t.Error(err)
 	}
 }
@@ -71,7 +71,7 @@
 		var catalog Catalog
 		var names ClientStatements
 		onServer := ConnectionStatements{Max: rapid.IntRange(1, 4).Draw(t, "most")}
-		var all []*Prepared
+		var all []*PreparedStatement
 		for i := range 6 {
 			p, _ := names.Parse(&catalog, fmt.Sprint(i), fmt.Sprint("select ", i), nil)
 			all = append(all, p)
--- a/internal/pooling/session.go
+++ b/internal/pooling/session.go
@@ -11,8 +11,8 @@
 // protocol messages have no such bound.
 const maxName = 63
 
-// Truncate shortens an identifier as PostgreSQL does, to whole characters.
-func Truncate(name string) string {
+// TruncateIdentifier shortens an identifier as PostgreSQL does, to whole characters.
+func TruncateIdentifier(name string) string {
 	if len(name) <= maxName {
 		return name
 	}
@@ -85,9 +85,9 @@
 // milliseconds.
 func (s *Session) RecordWrite(position float64) { s.Position = max(s.Position, position) }
 
-// Connection is the session state on a server's connection. The zero Connection
+// ConnectionState is the session state on a server's connection. The zero ConnectionState
 // is new and has none. It is not safe for concurrent use.
-type Connection struct {
+type ConnectionState struct {
 	settings   map[string]string
 	prepared   map[string]string // texts of PREPARE statements by name
 	Statements ConnectionStatements
@@ -96,16 +96,16 @@
 // Release records what a session leaves behind on its connection. The
 // connection is reusable if the session is outside a transaction and pins
 // nothing; otherwise it must be closed, or reset by DISCARD ALL and Reset.
-func (c *Connection) Release(s *Session) (reusable bool) {
+func (c *ConnectionState) Release(s *Session) (reusable bool) {
 	if s.InTransaction() || s.pins != 0 {
 		return false
 	}
-	c.HandedOver(s)
+	c.RecordHandover(s)
 	return true
 }
 
 // Reset records that DISCARD ALL succeeded on the connection.
-func (c *Connection) Reset() {
+func (c *ConnectionState) Reset() {
 	c.settings = nil
 	c.prepared = nil
 	c.Statements.Clear()
@@ -113,9 +113,9 @@
 
 // HandoverSQL returns one query string, hence one round trip, that gives the
 // connection the state of a session; "" if it has it already.
-func (c *Connection) HandoverSQL(s *Session) string {
+func (c *ConnectionState) HandoverSQL(s *Session) string {
 	var statements []string
-	if sql := Difference(c.settings, s.base); sql != "" {
+	if sql := SettingsDifference(c.settings, s.base); sql != "" {
 		statements = append(statements, sql)
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.prepared)) {
@@ -131,8 +131,8 @@
 	return strings.Join(statements, "; ")
 }
 
-// HandedOver records that the statements of HandoverSQL succeeded.
-func (c *Connection) HandedOver(s *Session) {
+// RecordHandover records that the statements of HandoverSQL succeeded.
+func (c *ConnectionState) RecordHandover(s *Session) {
 	c.settings = s.Session()
 	c.prepared = maps.Clone(s.prepared)
 }
--- a/internal/pooling/session_test.go
+++ b/internal/pooling/session_test.go
@@ -10,7 +10,7 @@
 )
 
 func applySQL(s *Session, sql string) {
-	for _, e := range (Reader{Standard: true}).Read(sql) {
+	for _, e := range (Analyzer{StandardConformingStrings: true}).Analyze(sql) {
 		s.Apply(e)
 	}
 }
@@ -48,7 +48,7 @@
 func TestConnectionIsReusableOnlyWithoutOpenState(t *testing.T) {
 	for sql, want := range map[string]bool{"set a to 1": true, "begin": false, "listen a": false,
 		"begin; commit and chain": false, "begin; select 1; rollback": true} {
-		var connection Connection
+		var connection ConnectionState
 		s := &Session{}
 		if applySQL(s, sql); connection.Release(s) != want {
 			t.Errorf("%s: reusable %t", sql, !want)
@@ -67,7 +67,7 @@
 		"set local a to 6", "prepare p as select 1", "prepare p as select 2", `prepare "Q q" as select 3`, "deallocate p",
 		"deallocate all", "discard all", "select 1"}
 	rapid.Check(t, func(t *rapid.T) {
-		var connection Connection
+		var connection ConnectionState
 		real := &server{} // the session on the server
 		clients := make([]*Session, rapid.IntRange(2, 4).Draw(t, "clients"))
 		for i := range clients {
@@ -80,7 +80,7 @@
 				trips++
 				applySQL(&real.Session, q)
 			}
-			connection.HandedOver(s)
+			connection.RecordHandover(s)
 			if again := connection.HandoverSQL(s); again != "" {
 				t.Fatalf("states agree, and yet %q", again)
 			}
@@ -92,7 +92,7 @@
 				t.Fatalf("the server has prepared %v, the client %v", real.prepared, s.prepared)
 			}
 			sql := rapid.SampledFrom(statements).Draw(t, "statement")
-			if strings.HasPrefix(sql, "prepare") && s.prepared[(Reader{}).Read(sql)[0].Name] != "" {
+			if strings.HasPrefix(sql, "prepare") && s.prepared[(Analyzer{}).Analyze(sql)[0].Name] != "" {
 				continue // refused by the host: the name is taken
 			}
 			applySQL(s, sql)
@@ -106,7 +106,7 @@
 
 func TestTruncateFollowsPostgreSQL(t *testing.T) {
 	long := strings.Repeat("a", 62) + "åäö"
-	if got := Truncate(long); got != strings.Repeat("a", 62) {
+	if got := TruncateIdentifier(long); got != strings.Repeat("a", 62) {
 		t.Errorf("%q", got)
 	}
 	s := &Session{}
--- a/internal/pooling/settings_difference.go
+++ b/internal/pooling/settings_difference.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// Difference returns the statements, in one query string, that change a
+// SettingsDifference returns the statements, in one query string, that change a
 // connection's settings from one state to another; "" if these are equal. Both
 // are outside any transaction. Changes of the session's user come first, then
 // changes of the role, since the others depend on these.
-func Difference(from, to map[string]string) string {
+func SettingsDifference(from, to map[string]string) string {
 	names := changedNames(from, to)
 	slices.SortFunc(names, func(a, b string) int {
 		if order := cmp.Compare(settingRank(a), settingRank(b)); order != 0 {
--- a/internal/pooling/settings_test.go
+++ b/internal/pooling/settings_test.go
@@ -152,9 +152,9 @@
 // SET LOCAL, an error, then ROLLBACK TO: what was before the savepoint is back.
 func TestSetLocalThenErrorThenRollbackTo(t *testing.T) {
 	var s Settings
-	r := Reader{Standard: true}
+	r := Analyzer{StandardConformingStrings: true}
 	run := func(sql string) {
-		for _, e := range r.Read(sql) {
+		for _, e := range r.Analyze(sql) {
 			s.Apply(e)
 		}
 	}
@@ -186,7 +186,7 @@
 // The difference of two sessions makes the one the other, and says nothing
 // where they agree.
 func TestDifferenceMakesSessionsEqual(t *testing.T) {
-	r := Reader{Standard: true}
+	r := Analyzer{StandardConformingStrings: true}
 	session := rapid.Custom(func(t *rapid.T) map[string]string {
 		m := map[string]string{}
 		for _, name := range []string{"a", "my.own", "search_path", "timezone", "role", "session_authorization", "We Ird.x"} {
@@ -199,12 +199,12 @@
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		has, must := session.Draw(t, "has"), session.Draw(t, "must")
-		diff := Difference(has, must)
+		diff := SettingsDifference(has, must)
 		if maps.Equal(has, must) != (diff == "") {
 			t.Fatalf("%v to %v: %q", has, must, diff)
 		}
 		s := Settings{base: maps.Clone(has)}
-		for _, e := range r.Read(diff) {
+		for _, e := range r.Analyze(diff) {
 			if e.Kind != Set && e.Kind != Reset {
 				t.Fatalf("%q: %+v", diff, e)
 			}
@@ -216,7 +216,7 @@
 		}
 		for name, v := range must {
 			// A constant reads back as it means: with or without the E before it.
-			if fmt.Sprint(r.Read("set q to "+v)) != fmt.Sprint(r.Read("set q to "+got[name])) {
+			if fmt.Sprint(r.Analyze("set q to "+v)) != fmt.Sprint(r.Analyze("set q to "+got[name])) {
 				t.Fatalf("%q made %s %q, want %q", diff, name, got[name], v)
 			}
 		}
--- a/internal/pooling/statement.go
+++ b/internal/pooling/statement.go
@@ -45,7 +45,7 @@
 
 // statement returns what one statement does. What no group of statements knows
 // is Opaque: DO, CALL, LOAD and whatever else there is.
-func (r Reader) statement(tokens []token) Effect {
+func (r Analyzer) statement(tokens []token) Effect {
 	groups := []func(tokenCursor) (Effect, bool){
 		r.transactionStatement,
 		r.settingStatement,
@@ -65,7 +65,7 @@
 }
 
 // transactionStatement reads statements that begin, end or part transactions.
-func (r Reader) transactionStatement(c tokenCursor) (effect Effect, known bool) {
+func (r Analyzer) transactionStatement(c tokenCursor) (effect Effect, known bool) {
 	switch {
 	case c.take("begin"), c.take("start", "transaction"):
 		return Effect{Kind: Begin}, true
@@ -98,7 +98,7 @@
 }
 
 // settingStatement reads SET and RESET.
-func (r Reader) settingStatement(c tokenCursor) (effect Effect, known bool) {
+func (r Analyzer) settingStatement(c tokenCursor) (effect Effect, known bool) {
 	switch {
 	case c.take("set"):
 		return readSet(c), true
@@ -113,7 +113,7 @@
 }
 
 // discardStatement reads DISCARD.
-func (r Reader) discardStatement(c tokenCursor) (effect Effect, known bool) {
+func (r Analyzer) discardStatement(c tokenCursor) (effect Effect, known bool) {
 	if !c.take("discard") {
 		return Effect{}, false
 	}
@@ -131,30 +131,30 @@
 }
 
 // preparedStatement reads PREPARE, EXECUTE and DEALLOCATE.
-func (r Reader) preparedStatement(c tokenCursor) (effect Effect, known bool) {
+func (r Analyzer) preparedStatement(c tokenCursor) (effect Effect, known bool) {
 	switch {
 	case c.take("prepare"):
 		effect = r.body(c)
 		effect.Kind = Prepare
-		effect.Name = Truncate(c.takeIdentifier())
+		effect.Name = TruncateIdentifier(c.takeIdentifier())
 		return effect, true
 	case c.take("execute"):
 		effect = r.body(c) // of the arguments; the statement's own effects were those of PREPARE
 		effect.Kind = Execute
-		effect.Name = Truncate(c.takeIdentifier())
+		effect.Name = TruncateIdentifier(c.takeIdentifier())
 		return effect, true
 	case c.take("deallocate"):
 		c.take("prepare")
 		if c.take("all") {
 			return Effect{Kind: DeallocateAll}, true
 		}
-		return Effect{Kind: Deallocate, Name: Truncate(c.takeIdentifier())}, true
+		return Effect{Kind: Deallocate, Name: TruncateIdentifier(c.takeIdentifier())}, true
 	}
 	return Effect{}, false
 }
 
 // notificationStatement reads LISTEN and UNLISTEN.
-func (r Reader) notificationStatement(c tokenCursor) (effect Effect, known bool) {
+func (r Analyzer) notificationStatement(c tokenCursor) (effect Effect, known bool) {
 	switch {
 	case c.take("listen"):
 		return Effect{Pins: PinListen}, true
@@ -169,7 +169,7 @@
 
 // writeStatement reads statements that only a primary runs and that leave the
 // schema as it is.
-func (r Reader) writeStatement(c tokenCursor) (effect Effect, known bool) {
+func (r Analyzer) writeStatement(c tokenCursor) (effect Effect, known bool) {
 	if !c.takeAny("notify", "truncate", "lock", "vacuum", "analyze", "cluster", "reindex", "refresh",
 		"checkpoint", "insert", "update", "delete", "merge", "copy") {
 		return Effect{}, false
@@ -180,7 +180,7 @@
 }
 
 // schemaStatement reads statements that change the schema.
-func (r Reader) schemaStatement(c tokenCursor) (effect Effect, known bool) {
+func (r Analyzer) schemaStatement(c tokenCursor) (effect Effect, known bool) {
 	if !c.takeAny("create", "alter", "drop", "grant", "revoke", "comment", "security", "import", "reassign") {
 		return Effect{}, false
 	}
@@ -197,7 +197,7 @@
 }
 
 // query reads statements that return rows, and cursors.
-func (r Reader) query(c tokenCursor) (effect Effect, known bool) {
+func (r Analyzer) query(c tokenCursor) (effect Effect, known bool) {
 	rest := c
 	switch {
 	case rest.take("declare"):
--- a/internal/pooling/statement_set.go
+++ b/internal/pooling/statement_set.go
@@ -85,7 +85,7 @@
 		}
 		switch t.kind {
 		case stringConstant:
-			sql.WriteString(Literal(t.text))
+			sql.WriteString(QuoteLiteral(t.text))
 		case quotedIdentifier:
 			sql.WriteString(quoteIdentifier(t.text))
 		case parameter:
@@ -102,9 +102,9 @@
 	return `"` + strings.ReplaceAll(name, `"`, `""`) + `"`
 }
 
-// Literal returns a string constant that means the given value under either
+// QuoteLiteral returns a string constant that means the given value under either
 // setting of standard_conforming_strings.
-func Literal(value string) string {
+func QuoteLiteral(value string) string {
 	quoted := "'" + strings.ReplaceAll(value, "'", "''") + "'"
 	if strings.Contains(value, `\`) {
 		return " E" + strings.ReplaceAll(quoted, `\`, `\\`)
