--- a/internal/pooling/characterization_test.go
+++ b/internal/pooling/characterization_test.go
@@ -677,7 +677,7 @@
 type extendedWorld struct {
 	digest     digest
 	random     *rand.Rand
-	catalog    pooling.Catalog
+	catalog    pooling.StatementCatalog
 	statements []*pooling.ConnectionStatements // of each connection
 	clients    []*extendedClient
 	count      int // of messages
@@ -834,7 +834,7 @@
 	const events = 4000
 	d := newDigest()
 	random := rand.New(rand.NewPCG(14, 15))
-	var catalog pooling.Catalog
+	var catalog pooling.StatementCatalog
 	names := []*pooling.ClientStatements{{}, {Max: 3}}
 	statements := []*pooling.ConnectionStatements{{}, {Max: 2}}
 	for range events {
--- a/internal/pooling/doc.go
+++ b/internal/pooling/doc.go
@@ -4,7 +4,7 @@
 //   - Analyzer: what a statement does to its session;
 //   - Session, Settings and ConnectionState: which session state can be handed over
 //     to another connection, and what pins a session to its connection;
-//   - Catalog, ClientStatements, ConnectionStatements and Pipeline: prepared
+//   - StatementCatalog, ClientStatements, ConnectionStatements and Pipeline: prepared
 //     statements and the extended protocol;
 //   - Leases: which client gets a connection next.
 //
--- a/internal/pooling/pipeline.go
+++ b/internal/pooling/pipeline.go
@@ -73,7 +73,7 @@
 // is not parsed again, and one that it lacks is parsed first. Pipeline keeps
 // the order of the answers, so that the client cannot tell.
 type Pipeline struct {
-	catalog    *Catalog
+	catalog    *StatementCatalog
 	names      *ClientStatements
 	statements *ConnectionStatements
 	pending    []expectedAnswer
@@ -81,7 +81,7 @@
 }
 
 // NewPipeline returns an empty pipeline of a client on a connection.
-func NewPipeline(catalog *Catalog, names *ClientStatements, statements *ConnectionStatements) *Pipeline {
+func NewPipeline(catalog *StatementCatalog, names *ClientStatements, statements *ConnectionStatements) *Pipeline {
 	return &Pipeline{catalog: catalog, names: names, statements: statements}
 }
 
--- a/internal/pooling/pipeline_test.go
+++ b/internal/pooling/pipeline_test.go
@@ -102,7 +102,7 @@
 func TestPipelineMatchesPrivateConnection(t *testing.T) {
 	texts := []string{"select 1", "select 2", "select 3", "a syntax error", "nobind 1", "noexec 1"}
 	rapid.Check(t, func(t *rapid.T) {
-		var catalog Catalog
+		var catalog StatementCatalog
 		onServer := &ConnectionStatements{Max: rapid.IntRange(1, 4).Draw(t, "most")}
 		shared := newBackend()
 		type client struct {
@@ -190,7 +190,7 @@
 // A pipeline of 100 Executes whose 50th fails: 49 are answered, then the error,
 // then nothing but the Sync's own answer.
 func TestPipelineErrorInTheMiddle(t *testing.T) {
-	var catalog Catalog
+	var catalog StatementCatalog
 	pipeline := NewPipeline(&catalog, &ClientStatements{}, &ConnectionStatements{})
 	server := newBackend()
 	counts := map[byte]int{}
@@ -220,7 +220,7 @@
 }
 
 func TestPipelineRejectsUnexpectedAnswer(t *testing.T) {
-	var catalog Catalog
+	var catalog StatementCatalog
 	for _, c := range []struct{ sent, came byte }{{'B', '1'}, {'E', 'Z'}, {'S', 'C'}, {'D', '2'}} {
 		pipeline := NewPipeline(&catalog, &ClientStatements{}, &ConnectionStatements{})
 		pipeline.FromClient(&ClientMessage{Kind: c.sent, Portal: true})
@@ -236,7 +236,7 @@
 // Messages behind a Sync wait where an error before it would take back what
 // they rest on: here a Close that the server passed over.
 func TestPipelineWaitsBehindUncertainSync(t *testing.T) {
-	var catalog Catalog
+	var catalog StatementCatalog
 	pipeline := NewPipeline(&catalog, &ClientStatements{}, &ConnectionStatements{Max: 1})
 	server := newBackend()
 	var received []string
--- a/internal/pooling/prepared.go
+++ b/internal/pooling/prepared.go
@@ -32,23 +32,23 @@
 	key        preparedKey
 }
 
-// Catalog holds the prepared statements of all clients. A change of the schema
+// StatementCatalog holds the prepared statements of all clients. A change of the schema
 // makes those on servers stale: they are parsed again before their next use,
-// since a cached plan may no longer return the same columns. The zero Catalog
+// since a cached plan may no longer return the same columns. The zero StatementCatalog
 // is empty. It is not safe for concurrent use.
-type Catalog struct {
+type StatementCatalog struct {
 	statements map[preparedKey]*PreparedStatement
 	generation uint64 // of the schema
 }
 
 // SchemaChanged reports that a statement changed the schema.
-func (c *Catalog) SchemaChanged() { c.generation++ }
+func (c *StatementCatalog) SchemaChanged() { c.generation++ }
 
 // Len returns the number of statements.
-func (c *Catalog) Len() int { return len(c.statements) }
+func (c *StatementCatalog) Len() int { return len(c.statements) }
 
 // use returns the statement of a text and types for one more name.
-func (c *Catalog) use(text string, types []uint32) *PreparedStatement {
+func (c *StatementCatalog) use(text string, types []uint32) *PreparedStatement {
 	key := newPreparedKey(text, types)
 	prepared := c.statements[key]
 	if prepared == nil {
@@ -76,7 +76,7 @@
 }
 
 // release takes back one use.
-func (c *Catalog) release(prepared *PreparedStatement) {
+func (c *StatementCatalog) release(prepared *PreparedStatement) {
 	prepared.uses--
 	if prepared.uses == 0 {
 		delete(c.statements, prepared.key)
@@ -93,7 +93,7 @@
 
 // Parse names a statement. The error is ErrDuplicateStatement if the name is in use,
 // except that the unnamed statement is replaced, or ErrTooManyStatements.
-func (s *ClientStatements) Parse(catalog *Catalog, name, text string, types []uint32) (*PreparedStatement, error) {
+func (s *ClientStatements) Parse(catalog *StatementCatalog, name, text string, types []uint32) (*PreparedStatement, error) {
 	old := s.byName[name]
 	if old != nil && name != "" {
 		return nil, ErrDuplicateStatement
@@ -121,7 +121,7 @@
 }
 
 // Close frees a name. As in PostgreSQL, an unknown name is no error.
-func (s *ClientStatements) Close(catalog *Catalog, name string) {
+func (s *ClientStatements) Close(catalog *StatementCatalog, name string) {
 	if prepared := s.byName[name]; prepared != nil {
 		catalog.release(prepared)
 		delete(s.byName, name)
@@ -130,7 +130,7 @@
 
 // Clear frees every name: after DEALLOCATE ALL, DISCARD ALL or the client's
 // disconnection.
-func (s *ClientStatements) Clear(catalog *Catalog) {
+func (s *ClientStatements) Clear(catalog *StatementCatalog) {
 	for _, prepared := range s.byName {
 		catalog.release(prepared)
 	}
--- a/internal/pooling/prepared_server.go
+++ b/internal/pooling/prepared_server.go
@@ -17,7 +17,7 @@
 	generation uint64 // of the schema at its Parse
 }
 
-// staleGeneration is a generation that a Catalog never reaches.
+// staleGeneration is a generation that a StatementCatalog never reaches.
 const staleGeneration = ^uint64(0)
 
 // PrepareSteps are the messages that must be sent before a statement can be bound.
@@ -28,7 +28,7 @@
 
 // Ensure returns what must be sent before a statement can be bound on the
 // connection, and records it as done. If the Parse fails, Forget must follow.
-func (s *ConnectionStatements) Ensure(catalog *Catalog, prepared *PreparedStatement) (steps PrepareSteps) {
+func (s *ConnectionStatements) Ensure(catalog *StatementCatalog, prepared *PreparedStatement) (steps PrepareSteps) {
 	if element := s.byName[prepared.ServerName]; element != nil {
 		if element.Value.(*connectionStatement).generation == catalog.generation {
 			s.order.MoveToBack(element)
--- a/internal/pooling/prepared_test.go
+++ b/internal/pooling/prepared_test.go
@@ -10,7 +10,7 @@
 
 // The same name with two texts by two clients on one connection.
 func TestClientsSharePreparedStatementsByText(t *testing.T) {
-	var catalog Catalog
+	var catalog StatementCatalog
 	var a, b ClientStatements
 	onServer := ConnectionStatements{Max: 2}
 	p1, err := a.Parse(&catalog, "s", "select 1", nil)
@@ -68,7 +68,7 @@
 // agrees with what the server has.
 func TestConnectionStatementsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var catalog Catalog
+		var catalog StatementCatalog
 		var names ClientStatements
 		onServer := ConnectionStatements{Max: rapid.IntRange(1, 4).Draw(t, "most")}
 		var all []*PreparedStatement
