--- a/internal/pooling/effect.go
+++ b/internal/pooling/effect.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// Kind is what a statement does to its session.
+// Kind classifies a statement by what it does to its session.
 type Kind uint8
 
-// The kinds of statement. Which fields of an Effect belong to one is said
-// behind it.
+// Kinds of statements. The comment on a kind names the Effect fields that it
+// sets besides the flags and pins.
 const (
-	Ordinary Kind = iota // nothing but what the Effect's flags and pins say
+	Ordinary Kind = iota // no effect besides the flags and pins
 	Begin
 	Commit
 	Rollback
@@ -23,27 +23,27 @@
 	DiscardPlans
 	DiscardTemp
 	DiscardSequences
-	Prepare       // Name, Text
-	Execute       // Name
-	Deallocate    // Name
-	DeallocateAll // of all names
-	Opaque        // not understood: may do anything
+	Prepare    // Name, Text
+	Execute    // Name
+	Deallocate // Name
+	DeallocateAll
+	Opaque // not understood: may do anything
 )
 
-// Pin is a set of reasons why a session must keep its connection.
+// Pin is a bit set of reasons why a session must keep its connection.
 type Pin uint16
 
-// The reasons, one bit each.
+// Reasons to pin a session.
 const (
 	PinTemp     Pin = 1 << iota // a temporary table or view
 	PinListen                   // LISTEN
-	PinLock                     // an advisory lock of the session
+	PinLock                     // a session-level advisory lock
 	PinHold                     // a cursor WITH HOLD
-	PinSequence                 // currval or lastval
-	PinUnknown                  // a function or block that may do any of these
+	PinSequence                 // the session's sequence values, which currval and lastval return
+	PinUnknown                  // an unknown statement or function, which may do any of these
 )
 
-// pinNames are the names of the bits of Pin, in order.
+// pinNames holds the names of the bits of Pin, lowest bit first.
 var pinNames = [...]string{
 	"temporary table",
 	"listen",
@@ -53,7 +53,7 @@
 	"unknown function",
 }
 
-// String returns the names of the reasons, for operators.
+// String returns the names of the reasons, separated by commas, or "none".
 func (p Pin) String() string {
 	var names []string
 	for i, name := range pinNames {
@@ -67,44 +67,48 @@
 	return strings.Join(names, ", ")
 }
 
-// Effect is what one statement does to its session and to others.
+// Effect describes what one statement does to its session and to the database.
 type Effect struct {
 	Kind   Kind
 	Name   string // of a savepoint, setting or prepared statement
-	Value  string // of Set and SetLocal, as SQL that may follow the name
+	Value  string // of Set and SetLocal, as SQL that may follow SET name TO
 	Text   string // of Prepare, the whole statement
-	Pins   Pin    // reasons that begin with it
-	Unpins Pin    // reasons that end with it
-	Schema bool   // changes the schema: plans of other sessions may be stale
-	Writes bool   // only a primary can run it
-	Chain  bool   // COMMIT or ROLLBACK AND CHAIN: another transaction begins
+	Pins   Pin    // reasons that the statement adds
+	Unpins Pin    // reasons that the statement removes
+	Schema bool   // changes the schema, so that plans of other sessions may be stale
+	Writes bool   // can run only on a primary
+	Chain  bool   // COMMIT or ROLLBACK AND CHAIN: a new transaction begins
 }
 
-// opaqueEffect is that of a statement that may do anything.
+// opaqueEffect returns the effect of a statement that may do anything.
 func opaqueEffect() Effect {
 	return Effect{Kind: Opaque, Pins: PinUnknown, Writes: true, Schema: true}
 }
 
-// Analyzer reads what statements do. It is safe for concurrent use if SafeFunction is.
+// Analyzer determines the effects of statements from their text. It is safe for
+// concurrent use if SafeFunction is.
 type Analyzer struct {
-	// SafeFunction reports whether a function neither writes nor changes its session.
-	// Nil adds none to the common functions that are known.
+	// SafeFunction reports whether a function neither writes nor changes its
+	// session. The name is in lower case, with its schema if the call names one
+	// other than pg_catalog. If nil, only the built-in functions that Analyzer
+	// knows count as safe.
 	SafeFunction func(name string) bool
-	// StandardConformingStrings is standard_conforming_strings, which is on by default in
-	// PostgreSQL.
+	// StandardConformingStrings is the value of the PostgreSQL setting
+	// standard_conforming_strings, which is on by default: backslashes in plain
+	// string constants are literal.
 	StandardConformingStrings bool
 }
 
-// Analyze returns what each statement of a query string does, in order. A string
-// that cannot be parsed is one Opaque statement.
-func (r Analyzer) Analyze(sql string) []Effect {
-	statements, err := splitStatements(sql, r.StandardConformingStrings)
+// Analyze returns the effect of each statement of a query string, in order. A
+// string that cannot be tokenized yields one Opaque effect.
+func (a Analyzer) Analyze(sql string) []Effect {
+	statements, err := splitStatements(sql, a.StandardConformingStrings)
 	if err != nil {
 		return []Effect{opaqueEffect()}
 	}
 	effects := make([]Effect, len(statements))
 	for i, statement := range statements {
-		effects[i] = r.statement(statement.tokens)
+		effects[i] = a.statement(statement.tokens)
 		if effects[i].Kind == Prepare {
 			effects[i].Text = statement.text
 		}
--- a/internal/pooling/function.go
+++ b/internal/pooling/function.go
@@ -2,24 +2,25 @@
 
 import "strings"
 
-// body looks through a query for what it does besides returning rows: functions
-// that it calls, data that it changes, tables that it creates.
-func (r Analyzer) body(tokens []token) Effect {
+// analyzeQuery returns what a query does besides returning rows: the functions
+// that it calls, the data that it changes and the tables that it creates.
+func (a Analyzer) analyzeQuery(tokens []token) Effect {
 	var effect Effect
 	for i, t := range tokens {
 		if t.kind == identifier {
-			readKeyword(tokens, i, &effect)
+			applyKeyword(tokens, i, &effect)
 		}
 		if t.isIdentifier() && i+1 < len(tokens) && tokens[i+1].isSymbol("(") {
-			effect.Pins |= r.call(tokens, i, &effect)
+			effect.Pins |= a.callPins(tokens, i, &effect)
 		}
 	}
 	return effect
 }
 
-// readKeyword adds what the i-th token means if it is a key word.
-func readKeyword(tokens []token, i int, effect *Effect) {
-	var before, after token // zero where there is none
+// applyKeyword adds the effect of the i-th token if it is a key word that has
+// one.
+func applyKeyword(tokens []token, i int, effect *Effect) {
+	var before, after token // zero at the ends of the statement
 	if i > 0 {
 		before = tokens[i-1]
 	}
@@ -28,7 +29,7 @@
 	}
 	switch tokens[i].text {
 	case "insert", "update", "delete", "merge":
-		effect.Writes = true // in a WITH, or FOR UPDATE, which needs a primary, too
+		effect.Writes = true // also inside WITH; SELECT FOR UPDATE needs a primary, too
 	case "share":
 		effect.Writes = effect.Writes || before.is("for") || before.is("key")
 	case "into":
@@ -43,10 +44,10 @@
 	}
 }
 
-// call returns the pins of the name before a parenthesis, and adds to effect
-// whether calling it writes. Where the name is that of a table or an alias with
-// its columns, it does nothing.
-func (r Analyzer) call(tokens []token, i int, effect *Effect) Pin {
+// callPins returns the pins of calling the function whose name ends at token i,
+// before a parenthesis, and adds to effect whether the call writes. A name of a
+// table or an alias with a column list is not a call and has no effect.
+func (a Analyzer) callPins(tokens []token, i int, effect *Effect) Pin {
 	first := i
 	name := strings.ToLower(tokens[i].text)
 	for first >= 2 && tokens[first-1].isSymbol(".") && tokens[first-2].isIdentifier() {
@@ -60,12 +61,13 @@
 		}
 	}
 	unquoted := tokens[i].kind == identifier
-	return r.function(strings.TrimPrefix(name, "pg_catalog."), unquoted, effect)
+	return a.functionPins(strings.TrimPrefix(name, "pg_catalog."), unquoted, effect)
 }
 
-// function returns the pins of calling a function, and adds to effect whether
-// it writes.
-func (r Analyzer) function(name string, unquoted bool, effect *Effect) Pin {
+// functionPins returns the pins of calling a function, and adds to effect
+// whether it writes. The name is in lower case; unquoted reports whether its
+// last part was written without quotes.
+func (a Analyzer) functionPins(name string, unquoted bool, effect *Effect) Pin {
 	switch {
 	case name == "currval" || name == "lastval":
 		return PinSequence
@@ -74,21 +76,22 @@
 		return PinSequence
 	case strings.HasPrefix(name, "pg_advisory_xact_lock"),
 		strings.HasPrefix(name, "pg_try_advisory_xact_lock"):
-		return 0 // the lock ends with its transaction
+		return 0 // the lock is released at the end of the transaction
 	case strings.HasPrefix(name, "pg_advisory_unlock"):
-		return 0 // which locks are left is not known: the pin stays
+		return 0 // the session may hold other locks, so the pin remains
 	case strings.HasPrefix(name, "pg_advisory_lock"), strings.HasPrefix(name, "pg_try_advisory_lock"):
 		return PinLock
-	case unquoted && callable[name], r.SafeFunction != nil && r.SafeFunction(name):
+	case unquoted && safeBeforeParenthesis[name], a.SafeFunction != nil && a.SafeFunction(name):
 		return 0
 	}
 	effect.Writes = true // an unknown function may write
 	return PinUnknown
 }
 
-// callable holds key words that stand before a parenthesis without being
-// functions, and the usual functions that neither write nor change a session.
-var callable = func() map[string]bool {
+// safeBeforeParenthesis holds the key words that may precede a parenthesis
+// without being functions, and the common built-in functions that neither write
+// nor change the session.
+var safeBeforeParenthesis = func() map[string]bool {
 	names := map[string]bool{}
 	for _, name := range strings.Fields(`
 		and or not in any all some exists from where on using as select values with over filter within
--- a/internal/pooling/lease.go
+++ b/internal/pooling/lease.go
@@ -9,19 +9,28 @@
 	"lotusbend/internal/edge/timers"
 )
 
-// PoolKey is what the connections of one pool have in common. A connection is
-// never leased under another key.
+// lifetimeJitter is the largest fraction of Limits.MaxLifetime that is added at
+// random to a connection's lifetime.
+const lifetimeJitter = 0.1
+
+// minRetryAfterBoundMs is the upper bound of the time after which a rejected
+// client may retry, in milliseconds, if Limits.MaxQueueTimeout is lower or not
+// set.
+const minRetryAfterBoundMs = 100
+
+// PoolKey identifies a pool: connections to one endpoint with the same user and
+// database. A connection is never leased under another key.
 type PoolKey struct {
 	Endpoint uint32
 	User     string
 	Database string
 }
 
-// ConnectionRequest is a client's request for a connection.
+// ConnectionRequest is a client's request to lease a connection.
 type ConnectionRequest struct {
 	Client       uint64
 	Key          PoolKey
-	Write        bool    // a write may use the reserve that reads leave
+	Write        bool    // may use the connections that are reserved for writes
 	QueueTimeout float64 // longest time in the queue, milliseconds
 }
 
@@ -31,29 +40,32 @@
 	PerEndpoint     int     // connections
 	PerUser         int     // connections
 	PerDatabase     int     // connections
-	WriteReserve    int     // of PerEndpoint, connections that reads must leave to writes
-	MaxQueued       int     // queued requests of all endpoints
+	WriteReserve    int     // connections of PerEndpoint that are reserved for writes
+	MaxQueued       int     // queued requests for all endpoints
 	MaxQueueTimeout float64 // longest time in the queue, milliseconds
-	MaxOpening      int     // connections that open to one endpoint at the same time
-	IdleTimeout     float64 // until an idle connection is closed, milliseconds
-	// MaxLifetime of a connection in milliseconds. Up to a tenth is added at
-	// random, so that connections opened together do not all end together.
+	MaxOpening      int     // connections being opened to one endpoint at the same time
+	IdleTimeout     float64 // time until an idle connection is closed, milliseconds
+	// MaxLifetime is the age in milliseconds at which a connection is closed,
+	// once it is not leased. Up to a tenth is added at random, so that
+	// connections opened together are not all closed together.
 	MaxLifetime float64
 }
 
-// LeaseActions are the requests of Leases to its caller. The methods must not
-// call back into Leases.
+// LeaseActions carries out the decisions of Leases. Its methods must not call
+// back into Leases.
 type LeaseActions interface {
-	// Open opens a connection; Opened or Closed reports the outcome.
+	// Open starts to open a connection. The outcome must be reported to
+	// Leases.Opened or Leases.Closed.
 	Open(conn uint64, key PoolKey)
-	// Grant leases a connection to a client, until Released.
+	// Grant leases a connection to a client until Leases.Released is called.
 	Grant(client, conn uint64)
-	// Reject ends a request with SQLSTATE 53300. retryAfter is in milliseconds.
+	// Reject fails a request with SQLSTATE 53300. retryAfter is in milliseconds.
 	Reject(client uint64, retryAfter float64)
-	// Close closes a connection. Closed need not be called for it.
+	// Close closes a connection. Leases.Closed need not be called for it.
 	Close(conn uint64)
 }
 
+// connState is the state of a server connection.
 type connState uint8
 
 const (
@@ -67,22 +79,23 @@
 	id          uint64
 	key         PoolKey
 	state       connState
-	client      uint64        // that leases it, or leased it last
+	client      uint64        // client that holds the lease, or held the last one
 	idleElement *list.Element // in Leases.idle, while idle
-	expires     float64       // end of its lifetime, Unix milliseconds; 0 for none
-	timer       *timers.Timer // end of its idle time or lifetime
+	expiresAt   float64       // end of its lifetime, Unix milliseconds; 0 for none
+	timer       *timers.Timer // closes it while idle, at the end of its idle time or lifetime
 }
 
 // queuedRequest is a request that waits for a connection.
 type queuedRequest struct {
 	ConnectionRequest
-	seq     uint64 // order of arrival
-	timer   *timers.Timer
-	element *list.Element // in its queue
+	sequence uint64        // increases with the order of arrival
+	timer    *timers.Timer // rejects the request at its timeout
+	element  *list.Element // in its queue
 }
 
-// queueKey names a queue of an endpoint. Reads and writes have queues of their
-// own, since a write must not wait behind reads that the reserve holds back.
+// queueKey identifies a queue of an endpoint. Reads and writes have separate
+// queues, since a write must not wait behind reads that the reserve for writes
+// holds back.
 type queueKey struct {
 	user     string
 	database string
@@ -93,38 +106,38 @@
 	return queueKey{user: r.Key.User, database: r.Key.Database, write: r.Write}
 }
 
-// endpointState is one endpoint's connections and queues.
+// endpointState holds the connection counts and request queues of one endpoint.
 type endpointState struct {
 	id          uint32
 	connections int
 	opening     int
 	leased      int
-	queues      map[queueKey]*list.List // of *queuedRequest in order of arrival, none empty
-	queueOrder  []queueKey              // the keys of queues, in order of their creation
-	perUser     map[string]int          // connections, also those that open
+	queues      map[queueKey]*list.List // of *queuedRequest in order of arrival; no list is empty
+	queueOrder  []queueKey              // keys of queues in order of creation
+	perUser     map[string]int          // connections, including those being opened
 	draining    bool
 }
 
-// Leases decides which client gets which connection, and when connections are
-// opened and closed. It is not safe for concurrent use. Times are Unix
-// milliseconds.
+// Leases assigns pooled connections to clients and decides when connections are
+// opened and closed. It queues requests that cannot be granted at once. It is
+// not safe for concurrent use. Times are Unix milliseconds.
 type Leases struct {
 	limits      Limits
 	actions     LeaseActions
 	rand        *rand.Rand
 	connections map[uint64]*serverConn
-	idle        map[PoolKey]*list.List // of *serverConn, the one used last at the back; none empty
+	idle        map[PoolKey]*list.List // of *serverConn, most recently used last; no list is empty
 	endpoints   map[uint32]*endpointState
 	opening     map[PoolKey]int
-	perUser     map[string]int
-	perDatabase map[string]int
+	perUser     map[string]int            // connections, including those being opened
+	perDatabase map[string]int            // connections, including those being opened
 	requests    map[uint64]*queuedRequest // by client
 	timers      timers.Heap
-	lastID      uint64 // of connections and queued requests
+	lastID      uint64 // last connection ID or request sequence number assigned
 }
 
-// NewLeases returns Leases without connections. The seed decides its random
-// draws.
+// NewLeases returns Leases without connections. The seed makes its random draws
+// reproducible.
 func NewLeases(limits Limits, seed uint64, actions LeaseActions) *Leases {
 	return &Leases{
 		limits:      limits,
@@ -140,13 +153,14 @@
 	}
 }
 
-// Next returns when Tick is due, if it is.
+// Next returns the time at which Tick is due. The second result is false if no
+// timer is set.
 func (l *Leases) Next() (float64, bool) { return l.timers.Next() }
 
 // Tick runs the timers that are due.
 func (l *Leases) Tick(now float64) { l.timers.Tick(now) }
 
-// endpoint returns an endpoint's state, which it creates if there is none.
+// endpoint returns an endpoint's state and creates it at first use.
 func (l *Leases) endpoint(id uint32) *endpointState {
 	endpoint := l.endpoints[id]
 	if endpoint == nil {
@@ -156,15 +170,16 @@
 	return endpoint
 }
 
-// Acquire takes a request. It ends in one Grant or Reject, unless Cancel comes
-// before. A client's second request is ignored while its first is queued.
+// Acquire requests a connection. The request ends in exactly one Grant or
+// Reject, unless it is cancelled before. While a client's request is queued,
+// further requests of that client are ignored.
 func (l *Leases) Acquire(now float64, request ConnectionRequest) {
 	if l.requests[request.Client] != nil {
 		return
 	}
 	endpoint := l.endpoint(request.Key.Endpoint)
-	// Queued requests go first: a new one must not overtake its own user's, and
-	// a connection is idle only if no queued request can use it.
+	// A new request must not overtake those in its queue. No request of another
+	// queue can use an idle connection: it would have been granted.
 	noneAhead := endpoint.queues[request.queueKey()] == nil
 	if noneAhead && !endpoint.draining && l.grantIdle(endpoint, &request) {
 		return
@@ -178,10 +193,10 @@
 	l.dispatch(endpoint)
 }
 
-// enqueue adds a request to its queue until it is granted or its time is over.
+// enqueue adds a request to its queue and sets the timer that rejects it.
 func (l *Leases) enqueue(now float64, endpoint *endpointState, request ConnectionRequest) {
 	l.lastID++
-	queued := &queuedRequest{ConnectionRequest: request, seq: l.lastID}
+	queued := &queuedRequest{ConnectionRequest: request, sequence: l.lastID}
 	l.requests[request.Client] = queued
 	key := request.queueKey()
 	queue := endpoint.queues[key]
@@ -201,20 +216,20 @@
 	})
 }
 
-// retryAfter draws when a rejected client may retry, in milliseconds. Retries
-// are spread over as long as a request may be queued.
+// retryAfter draws the time after which a rejected client may retry, in
+// milliseconds. Retries are spread over half of the longest time in the queue.
 func (l *Leases) retryAfter() float64 {
-	return max(l.limits.MaxQueueTimeout, 100) * (0.5 + 0.5*l.rand.Float64())
+	return max(l.limits.MaxQueueTimeout, minRetryAfterBoundMs) * (0.5 + 0.5*l.rand.Float64())
 }
 
-// Cancel ends a client's queued request, if there is one.
+// Cancel removes a client's queued request, if there is one.
 func (l *Leases) Cancel(client uint64) {
 	if queued := l.requests[client]; queued != nil {
 		l.dequeue(queued)
 	}
 }
 
-// dequeue removes a request from its queue.
+// dequeue removes a request from its queue and cancels its timer.
 func (l *Leases) dequeue(queued *queuedRequest) {
 	l.timers.Cancel(queued.timer)
 	delete(l.requests, queued.Client)
@@ -239,7 +254,7 @@
 		return
 	}
 	for _, conn := range l.idleConnections(id) {
-		l.close(conn)
+		l.closeConnection(conn)
 	}
 	for len(endpoint.queueOrder) > 0 {
 		queue := endpoint.queues[endpoint.queueOrder[0]]
@@ -250,8 +265,7 @@
 	l.dispatchOthers(endpoint)
 }
 
-// idleConnections returns an endpoint's idle connections in the order of their
-// ids.
+// idleConnections returns an endpoint's idle connections ordered by ID.
 func (l *Leases) idleConnections(endpoint uint32) []*serverConn {
 	var idle []*serverConn
 	for key, pool := range l.idle {
--- a/internal/pooling/lease_dispatch.go
+++ b/internal/pooling/lease_dispatch.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// dispatch grants connections to an endpoint's queued requests as far as it
-// can, and opens connections for the others within the limits. Among the users
-// it serves the one with the fewest connections there first, and of a user the
-// request that was queued first.
+// dispatch grants idle connections to an endpoint's queued requests and opens
+// connections for the others within the limits. It serves the user with the
+// fewest connections to the endpoint first, and among a user's requests the one
+// that was queued first.
 func (l *Leases) dispatch(endpoint *endpointState) {
-	opened := map[queueKey]bool{} // queues for which open was tried
+	opened := map[queueKey]bool{} // queues for which openConnection was called
 	for {
 		queued := l.nextQueued(endpoint, opened)
 		if queued == nil {
@@ -20,13 +20,13 @@
 			l.dequeue(queued)
 			continue
 		}
-		l.open(endpoint, queued)
+		l.openConnection(endpoint, queued)
 		opened[queued.queueKey()] = true
 	}
 }
 
-// nextQueued selects among the first requests of an endpoint's queues, without
-// the queues to skip; nil if there is none.
+// nextQueued returns the request to serve next among the first ones of an
+// endpoint's queues, except the queues in skip; nil if there is none.
 func (l *Leases) nextQueued(endpoint *endpointState, skip map[queueKey]bool) *queuedRequest {
 	var best *queuedRequest
 	bestUsage := 0
@@ -36,7 +36,7 @@
 		}
 		first := endpoint.queues[key].Front().Value.(*queuedRequest)
 		usage := l.usage(endpoint, first)
-		if best == nil || usage < bestUsage || usage == bestUsage && first.seq < best.seq {
+		if best == nil || usage < bestUsage || usage == bestUsage && first.sequence < best.sequence {
 			best = first
 			bestUsage = usage
 		}
@@ -44,10 +44,10 @@
 	return best
 }
 
-// usage is how many connections a request's user has at an endpoint, in halves.
-// An idle connection that the request could use counts as one and a half fewer:
-// otherwise two users with equally many would evict each other's connections in
-// turn.
+// usage returns the number of connections to an endpoint of a request's user, in
+// units of half a connection. It is one and a half connections lower if there is
+// an idle connection that the request could use: otherwise two users with equal
+// numbers of connections would evict each other's in turn.
 func (l *Leases) usage(endpoint *endpointState, queued *queuedRequest) int {
 	halves := 2 * endpoint.perUser[queued.Key.User]
 	if l.idle[queued.Key] != nil {
@@ -56,8 +56,8 @@
 	return halves
 }
 
-// grantIdle leases an idle connection to a request, if there is one that it may
-// use.
+// grantIdle leases an idle connection to a request and reports true, if there is
+// one that the request may use.
 func (l *Leases) grantIdle(endpoint *endpointState, request *ConnectionRequest) bool {
 	pool := l.idle[request.Key]
 	if pool == nil || !request.Write && l.onlyReserveLeft(endpoint) {
@@ -72,8 +72,9 @@
 	return true
 }
 
-// selectIdle prefers the connection that the client used last, since it has the
-// client's session state already, and otherwise the one that was used last.
+// selectIdle returns a connection of a pool that the client was the last to use,
+// since it still has the client's session state, or else the most recently used
+// one.
 func selectIdle(pool *list.List, client uint64) *serverConn {
 	for element := pool.Back(); element != nil; element = element.Prev() {
 		if conn := element.Value.(*serverConn); conn.client == client {
@@ -83,8 +84,8 @@
 	return pool.Back().Value.(*serverConn)
 }
 
-// onlyReserveLeft reports whether reads must leave an endpoint's remaining
-// connections to writes.
+// onlyReserveLeft reports whether an endpoint's remaining connections are
+// reserved for writes.
 func (l *Leases) onlyReserveLeft(endpoint *endpointState) bool {
 	if l.limits.WriteReserve == 0 || l.limits.PerEndpoint == 0 {
 		return false
@@ -92,12 +93,12 @@
 	return endpoint.leased+endpoint.opening >= l.limits.PerEndpoint-l.limits.WriteReserve
 }
 
-// open opens a connection for a request, if the limits allow one more or
-// evicting idle connections makes them.
-func (l *Leases) open(endpoint *endpointState, queued *queuedRequest) {
+// openConnection opens a connection for a request if the limits allow it,
+// evicting idle connections where that is needed.
+func (l *Leases) openConnection(endpoint *endpointState, queued *queuedRequest) {
 	key := queued.Key
-	if l.opening[key] >= queuedFor(endpoint, key) {
-		return // each request that waits for this key has a connection that opens
+	if l.opening[key] >= countQueued(endpoint, key) {
+		return // a connection is being opened for each request queued for this key
 	}
 	if l.limits.MaxOpening > 0 && endpoint.opening >= l.limits.MaxOpening {
 		return
@@ -106,7 +107,7 @@
 		return
 	}
 	for !l.hasCapacity(endpoint, key) {
-		if !l.evict(endpoint, key) {
+		if !l.evictIdle(endpoint, key) {
 			return
 		}
 	}
@@ -122,8 +123,8 @@
 	l.actions.Open(conn.id, key)
 }
 
-// queuedFor counts the requests that wait for a connection of a key.
-func queuedFor(endpoint *endpointState, key PoolKey) int {
+// countQueued returns the number of requests queued for connections of a key.
+func countQueued(endpoint *endpointState, key PoolKey) int {
 	count := 0
 	for _, write := range []bool{false, true} {
 		queue := endpoint.queues[queueKey{user: key.User, database: key.Database, write: write}]
@@ -134,21 +135,23 @@
 	return count
 }
 
-// hasCapacity reports whether one more connection is within every limit.
+// hasCapacity reports whether every limit allows one more connection.
 func (l *Leases) hasCapacity(endpoint *endpointState, key PoolKey) bool {
-	return !reached(len(l.connections), l.limits.Total) &&
-		!reached(endpoint.connections, l.limits.PerEndpoint) &&
-		!reached(l.perUser[key.User], l.limits.PerUser) &&
-		!reached(l.perDatabase[key.Database], l.limits.PerDatabase)
+	return !limitReached(len(l.connections), l.limits.Total) &&
+		!limitReached(endpoint.connections, l.limits.PerEndpoint) &&
+		!limitReached(l.perUser[key.User], l.limits.PerUser) &&
+		!limitReached(l.perDatabase[key.Database], l.limits.PerDatabase)
 }
 
-// reached reports whether a count is at its limit. A zero limit sets no bound.
-func reached(count, limit int) bool { return limit > 0 && count >= limit }
+// limitReached reports whether a count is at or above its limit. A zero limit
+// sets no bound.
+func limitReached(count, limit int) bool { return limit > 0 && count >= limit }
 
-// evict closes an idle connection that takes from a limit which a new one of
-// this key would exceed. Of the longest idle connections of all pools it takes
-// the one with the lowest id, the one that was opened first.
-func (l *Leases) evict(endpoint *endpointState, key PoolKey) bool {
+// evictIdle closes an idle connection that counts towards a limit which a new
+// connection of this key would exceed, and reports whether there was one. Among the
+// least recently used connections of all pools it selects the one with the
+// lowest ID, which was opened first.
+func (l *Leases) evictIdle(endpoint *endpointState, key PoolKey) bool {
 	var victim *serverConn
 	for _, pool := range l.idle {
 		conn := pool.Front().Value.(*serverConn)
@@ -159,33 +162,34 @@
 	if victim == nil {
 		return false
 	}
-	l.close(victim)
+	l.closeConnection(victim)
 	return true
 }
 
-// evictionHelps reports whether a connection counts in a limit that is reached
-// for a new connection of this key.
+// evictionHelps reports whether a connection counts towards a limit that is
+// reached for a new connection of this key.
 func (l *Leases) evictionHelps(endpoint *endpointState, key PoolKey, conn *serverConn) bool {
 	switch {
-	case reached(len(l.connections), l.limits.Total):
+	case limitReached(len(l.connections), l.limits.Total):
 		return true
-	case reached(endpoint.connections, l.limits.PerEndpoint) && conn.key.Endpoint == endpoint.id:
+	case limitReached(endpoint.connections, l.limits.PerEndpoint) && conn.key.Endpoint == endpoint.id:
 		return true
-	case reached(l.perUser[key.User], l.limits.PerUser) && conn.key.User == key.User:
+	case limitReached(l.perUser[key.User], l.limits.PerUser) && conn.key.User == key.User:
 		return true
 	default:
-		return reached(l.perDatabase[key.Database], l.limits.PerDatabase) && conn.key.Database == key.Database
+		return limitReached(l.perDatabase[key.Database], l.limits.PerDatabase) &&
+			conn.key.Database == key.Database
 	}
 }
 
-// dispatchAll dispatches at every endpoint after a connection has ended, since
-// their common limits allow another now. The given endpoint comes first.
+// dispatchAll dispatches at every endpoint, the given one first, after a
+// connection has ended: the limits across endpoints may allow a new one anywhere.
 func (l *Leases) dispatchAll(endpoint *endpointState) {
 	l.dispatch(endpoint)
 	l.dispatchOthers(endpoint)
 }
 
-// dispatchOthers dispatches at all other endpoints, in the order of their ids.
+// dispatchOthers dispatches at all other endpoints, ordered by ID.
 func (l *Leases) dispatchOthers(endpoint *endpointState) {
 	if len(l.requests) == 0 {
 		return
--- a/internal/pooling/pipeline.go
+++ b/internal/pooling/pipeline.go
@@ -2,16 +2,16 @@
 
 import "strings"
 
-// The kinds of the protocol's messages that the pipeline sends or knows. Some
-// letters mean one thing from clients and another from servers.
+// Message types of the frontend/backend protocol. The same letter may stand for
+// different messages from clients and from servers.
 const (
-	msgParse    = 'P' // answered by ParseComplete
-	msgBind     = 'B' // answered by BindComplete
+	msgParse    = 'P' // response: ParseComplete
+	msgBind     = 'B' // response: BindComplete
 	msgDescribe = 'D'
 	msgExecute  = 'E'
-	msgClose    = 'C' // answered by CloseComplete
-	msgFlush    = 'H' // not answered
-	msgSync     = 'S' // answered by ReadyForQuery
+	msgClose    = 'C' // response: CloseComplete
+	msgFlush    = 'H' // no response
+	msgSync     = 'S' // response: ReadyForQuery
 
 	msgParseComplete = '1'
 	msgBindComplete  = '2'
@@ -22,160 +22,174 @@
 
 // ClientMessage is one message of the extended protocol from a client.
 type ClientMessage struct {
-	Kind byte // 'P', 'B', 'D', 'E', 'C', 'H' or 'S', as on the wire
-	// Statement is the client's name of a prepared statement: of Parse, Bind,
-	// and Describe and Close where Portal is false.
+	Kind byte // message type on the wire: 'P', 'B', 'D', 'E', 'C', 'H' or 'S'
+	// Statement is the client's name of a prepared statement, in Parse, Bind and
+	// in Describe and Close if Portal is false.
 	Statement string
-	Portal    bool     // Describe or Close of a portal
-	Text      string   // of Parse
-	Types     []uint32 // of Parse, OIDs
-	Raw       any      // what the caller needs to encode it again
+	Portal    bool     // whether Describe or Close refers to a portal
+	Text      string   // SQL text, in Parse
+	Types     []uint32 // OIDs of the parameter types, in Parse
+	Raw       any      // for the caller's use, such as the encoded message
 }
 
-// ServerMessage is one message for the server: the client's own under another
-// statement name, or one of the pool's.
+// ServerMessage is one message for the server: a client's message with the
+// server-side statement name, or one that the pool generates.
 type ServerMessage struct {
-	Kind          byte
-	Name          string         // server-side statement of Parse, Bind, Describe and Close
-	Text          string         // of the pool's own Parse
-	Types         []uint32       // of the pool's own Parse, OIDs
-	ClientMessage *ClientMessage // the client's, nil for the pool's own
+	Kind          byte           // message type on the wire
+	Name          string         // server-side statement name, in Parse, Bind, Describe and Close
+	Text          string         // SQL text, in a Parse that the pool generates
+	Types         []uint32       // OIDs of the parameter types, in a Parse that the pool generates
+	ClientMessage *ClientMessage // nil if the pool generates the message
 }
 
-// ReplyAction says what becomes of one message from the server.
+// ReplyAction describes how to handle one message from the server.
 type ReplyAction struct {
-	Forward bool // to the client
-	// Synthesized are the pool's own answers for the client after it, by their
-	// kinds: '1' for ParseComplete, '3' for CloseComplete.
+	Forward bool // whether the client receives the message
+	// Synthesized holds the types of the responses that the pool generates for
+	// the client after this message: '1' for ParseComplete, '3' for
+	// CloseComplete.
 	Synthesized []byte
 }
 
-// expectedAnswer is an answer that is pending.
-type expectedAnswer struct {
-	kind        byte               // of the message that is answered
-	portal      bool               // it is about a portal
-	internal    bool               // answers the pool's own message: not for the client
-	synthesized byte               // nothing was sent; the pool gives this answer in its turn
-	parsed      *PreparedStatement // what a Parse adds to the connection
-	// undo reverts the message's effects after an error: failed if the error
-	// answers the message itself, otherwise the server skips it.
+// expectedResponse is the pending response to one message.
+type expectedResponse struct {
+	kind        byte               // type of the message that is answered
+	portal      bool               // whether the message refers to a portal
+	internal    bool               // the pool generated the message: only an error is forwarded
+	synthesized byte               // response that the pool generates, as nothing was sent; 0 for none
+	parsed      *PreparedStatement // statement that a Parse adds to the connection; nil for none
+	// undo reverts the message's effects after an error; nil if there are none.
+	// failed is true if the message itself failed, false if the server skipped
+	// it.
 	undo func(failed bool)
 }
 
-// Pipeline is the extended protocol of one client on one connection. It is
+// Pipeline tracks the extended protocol of one client on one connection. It is
 // empty between a ReadyForQuery and the next message, and not safe for
 // concurrent use.
 //
-// The protocol lets a client send many messages before it reads an answer, and
-// answers come in the order of the messages (PostgreSQL 15, section 55.2.3).
-// After an error the server skips everything up to the next Sync. Behind a pool
-// some messages are not sent as they came: a statement that the connection has
-// is not parsed again, and one that it lacks is parsed first. Pipeline keeps
-// the order of the answers, so that the client cannot tell.
+// A client may send many messages before it reads a response, and the responses
+// come in the order of the messages (PostgreSQL 15, section 55.2.3). After an
+// error the server skips all messages up to the next Sync. A pool changes some
+// messages: it does not parse a statement again that the connection already has,
+// and first parses one that the connection lacks. Pipeline keeps the order of
+// the responses, so that the client sees no difference.
 type Pipeline struct {
-	catalog    *StatementCatalog
-	names      *ClientStatements
-	statements *ConnectionStatements
-	pending    []expectedAnswer
-	failed     bool // the server skips everything up to the next Sync
+	catalog              *StatementCatalog
+	clientStatements     *ClientStatements
+	connectionStatements *ConnectionStatements
+	pending              []expectedResponse
+	skipping             bool // the server skips everything up to the next Sync
 }
 
 // NewPipeline returns an empty pipeline of a client on a connection.
-func NewPipeline(catalog *StatementCatalog, names *ClientStatements, statements *ConnectionStatements) *Pipeline {
-	return &Pipeline{catalog: catalog, names: names, statements: statements}
+func NewPipeline(
+	catalog *StatementCatalog,
+	clientStatements *ClientStatements,
+	connectionStatements *ConnectionStatements,
+) *Pipeline {
+	return &Pipeline{
+		catalog:              catalog,
+		clientStatements:     clientStatements,
+		connectionStatements: connectionStatements,
+	}
 }
 
-// Idle reports whether every message has been answered.
+// Idle reports whether no response is pending.
 func (p *Pipeline) Idle() bool { return len(p.pending) == 0 }
 
-// Ready reports whether FromClient may be called. Behind a Sync that is not
-// answered yet the next message must wait if an error before that Sync would
-// undo something: until then it is not known what the connection has and what a
-// name means. Otherwise clients may send ahead as far as they like.
+// Ready reports whether FromClient may be called. It is false while the response
+// to a Sync is pending if an error before that Sync would undo changes: until
+// then it is not known which statements the connection has and to which
+// statements the client's names refer. Otherwise a client may send any number of
+// messages ahead.
 func (p *Pipeline) Ready() bool {
 	undoable := false
 	for i := range p.pending {
-		answer := &p.pending[i]
-		if answer.kind == msgSync && undoable {
+		response := &p.pending[i]
+		if response.kind == msgSync && undoable {
 			return false
 		}
-		undoable = undoable || answer.parsed != nil || answer.undo != nil
+		undoable = undoable || response.parsed != nil || response.undo != nil
 	}
 	return true
 }
 
-// FromClient takes a client's message, if the pipeline is Ready. It returns
-// what must be sent to the server for it, and the kinds of the pool's own
-// answers that the client gets now since none are pending before them.
+// FromClient processes a client's message; Ready must have reported true. It
+// returns the messages to send to the server, and the types of the responses
+// that the pool generates for the client at once, since no other response is
+// pending before them.
 func (p *Pipeline) FromClient(m *ClientMessage) (send []ServerMessage, now []byte) {
-	if p.failed && m.Kind != msgSync {
+	if p.skipping && m.Kind != msgSync {
 		return nil, nil
 	}
-	p.failed = false
+	p.skipping = false
 	switch {
 	case m.Kind == msgFlush:
 		return []ServerMessage{{Kind: msgFlush, ClientMessage: m}}, nil
 	case m.Kind == msgParse:
-		send = p.parse(m)
+		send = p.handleParse(m)
 	case m.Kind == msgBind, m.Kind == msgDescribe && !m.Portal:
 		send = p.useStatement(m)
 	case m.Kind == msgClose && !m.Portal:
-		p.closeName(m)
+		p.handleClose(m)
 	default: // Execute and Sync, and Describe and Close of a portal
 		send = p.passThrough(m, "")
 	}
 	return send, p.takeSynthesized()
 }
 
-// passThrough sends a client's message under a server-side statement name.
+// passThrough returns a client's message with a server-side statement name.
 func (p *Pipeline) passThrough(m *ClientMessage, name string) []ServerMessage {
-	p.expect(expectedAnswer{kind: m.Kind, portal: m.Portal})
+	p.expect(expectedResponse{kind: m.Kind, portal: m.Portal})
 	return []ServerMessage{{Kind: m.Kind, Name: name, ClientMessage: m}}
 }
 
-func (p *Pipeline) expect(answer expectedAnswer) { p.pending = append(p.pending, answer) }
+func (p *Pipeline) expect(response expectedResponse) { p.pending = append(p.pending, response) }
 
-// parse names a statement for the client. If the connection has it, the Parse
-// is not sent and the pool answers it.
-func (p *Pipeline) parse(m *ClientMessage) []ServerMessage {
+// handleParse records a statement under the client's name. If the connection
+// already has the statement, the Parse is not sent and the pool generates the
+// response.
+func (p *Pipeline) handleParse(m *ClientMessage) []ServerMessage {
 	var replaced *PreparedStatement
 	if m.Statement == "" {
-		replaced, _ = p.names.Get("")
+		replaced, _ = p.clientStatements.Get("")
 	}
-	prepared, err := p.names.Parse(p.catalog, m.Statement, m.Text, m.Types)
+	prepared, err := p.clientStatements.Parse(p.catalog, m.Statement, m.Text, m.Types)
 	if err != nil {
-		return p.failParse(m)
+		return p.forceParseError(m)
 	}
 	undo := func(failed bool) {
-		p.names.Close(p.catalog, m.Statement)
-		if replaced != nil && !failed { // a Parse that fails has ended the unnamed statement
-			_, _ = p.names.Parse(p.catalog, "", replaced.Text, replaced.Types)
+		p.clientStatements.Close(p.catalog, m.Statement)
+		if replaced != nil && !failed { // a Parse that fails still closes the unnamed statement
+			_, _ = p.clientStatements.Parse(p.catalog, "", replaced.Text, replaced.Types)
 		}
 	}
-	steps := p.statements.Ensure(p.catalog, prepared)
-	send := p.closeStatements(steps.Close)
+	steps := p.connectionStatements.Ensure(p.catalog, prepared)
+	send := p.closeOnServer(steps.Close)
 	if !steps.Parse {
-		p.expect(expectedAnswer{kind: msgParse, synthesized: msgParseComplete, undo: undo})
+		p.expect(expectedResponse{kind: msgParse, synthesized: msgParseComplete, undo: undo})
 		return send
 	}
-	p.expect(expectedAnswer{kind: msgParse, parsed: prepared, undo: undo})
+	p.expect(expectedResponse{kind: msgParse, parsed: prepared, undo: undo})
 	return append(send, ServerMessage{Kind: msgParse, Name: prepared.ServerName, ClientMessage: m})
 }
 
-// failParse sends what makes the server fail where the client's names do not
-// allow a Parse: otherwise the server's transaction would go on.
-func (p *Pipeline) failParse(m *ClientMessage) []ServerMessage {
-	duplicate, _ := p.names.Get(m.Statement)
-	if duplicate == nil { // too many statements: bind one that the server cannot have
-		p.expect(expectedAnswer{kind: msgBind})
+// forceParseError returns messages that cause an error on the server, for a
+// Parse that the client's statement names or their number do not allow. The
+// server must report the error so that its transaction fails, too.
+func (p *Pipeline) forceParseError(m *ClientMessage) []ServerMessage {
+	duplicate, _ := p.clientStatements.Get(m.Statement)
+	if duplicate == nil { // too many statements: bind a name that the server does not have
+		p.expect(expectedResponse{kind: msgBind})
 		return []ServerMessage{{Kind: msgBind, Name: escapeUnknownName(m.Statement)}}
 	}
-	send := p.ensure(duplicate)
-	p.expect(expectedAnswer{kind: msgParse})
+	send := p.ensureParsed(duplicate)
+	p.expect(expectedResponse{kind: msgParse})
 	return append(send, parseMessage(duplicate))
 }
 
-// parseMessage is the pool's own Parse of a statement.
+// parseMessage returns a Parse of a statement that the pool generates.
 func parseMessage(prepared *PreparedStatement) ServerMessage {
 	return ServerMessage{
 		Kind:  msgParse,
@@ -185,61 +199,65 @@
 	}
 }
 
-// useStatement sends a message that names a prepared statement, after what the
-// connection lacks for it. An unknown name is sent as it is: no statement on
-// the server has it, so that the server itself answers with the error.
+// useStatement returns a message that refers to a prepared statement, after the
+// messages that prepare the statement on the connection. An unknown name is sent
+// without translation: the server has no statement of that name and responds
+// with the error.
 func (p *Pipeline) useStatement(m *ClientMessage) []ServerMessage {
-	prepared, err := p.names.Get(m.Statement)
+	prepared, err := p.clientStatements.Get(m.Statement)
 	if err != nil {
 		return p.passThrough(m, escapeUnknownName(m.Statement))
 	}
-	send := p.ensure(prepared)
+	send := p.ensureParsed(prepared)
 	return append(send, p.passThrough(m, prepared.ServerName)...)
 }
 
-// escapeUnknownName changes a client's unknown name that could be one of the
-// pool's on the server.
+// escapeUnknownName changes an unknown name of a client if it could match one of
+// the pool's server-side names.
 func escapeUnknownName(name string) string {
-	if strings.HasPrefix(name, serverPrefix) {
+	if strings.HasPrefix(name, serverNamePrefix) {
 		return "-" + name
 	}
 	return name
 }
 
-// ensure sends what the connection lacks for a statement.
-func (p *Pipeline) ensure(prepared *PreparedStatement) []ServerMessage {
-	steps := p.statements.Ensure(p.catalog, prepared)
-	send := p.closeStatements(steps.Close)
+// ensureParsed returns the messages that prepare a statement on the connection,
+// none if it is prepared there.
+func (p *Pipeline) ensureParsed(prepared *PreparedStatement) []ServerMessage {
+	steps := p.connectionStatements.Ensure(p.catalog, prepared)
+	send := p.closeOnServer(steps.Close)
 	if !steps.Parse {
 		return send
 	}
-	p.expect(expectedAnswer{kind: msgParse, internal: true, parsed: prepared})
+	p.expect(expectedResponse{kind: msgParse, internal: true, parsed: prepared})
 	return append(send, parseMessage(prepared))
 }
 
-// closeStatements closes statements on the server.
-func (p *Pipeline) closeStatements(names []string) (send []ServerMessage) {
+// closeOnServer returns messages that close statements on the server.
+func (p *Pipeline) closeOnServer(names []string) (send []ServerMessage) {
 	for _, name := range names {
-		undo := func(bool) { p.statements.Restore(name) }
-		p.expect(expectedAnswer{kind: msgClose, internal: true, undo: undo})
+		undo := func(bool) { p.connectionStatements.Restore(name) }
+		p.expect(expectedResponse{kind: msgClose, internal: true, undo: undo})
 		send = append(send, ServerMessage{Kind: msgClose, Name: name})
 	}
 	return send
 }
 
-// closeName frees a client's name. The server keeps the statement for others.
-func (p *Pipeline) closeName(m *ClientMessage) {
-	answer := expectedAnswer{kind: msgClose, synthesized: msgCloseComplete}
-	if prepared, err := p.names.Get(m.Statement); err == nil {
-		p.names.Close(p.catalog, m.Statement)
-		answer.undo = func(bool) {
-			_, _ = p.names.Parse(p.catalog, m.Statement, prepared.Text, prepared.Types)
+// handleClose deletes a client's statement name. The statement stays on the
+// server, where other clients may use it.
+func (p *Pipeline) handleClose(m *ClientMessage) {
+	response := expectedResponse{kind: msgClose, synthesized: msgCloseComplete}
+	if prepared, err := p.clientStatements.Get(m.Statement); err == nil {
+		p.clientStatements.Close(p.catalog, m.Statement)
+		response.undo = func(bool) {
+			_, _ = p.clientStatements.Parse(p.catalog, m.Statement, prepared.Text, prepared.Types)
 		}
 	}
-	p.expect(answer)
+	p.expect(response)
 }
 
-// takeSynthesized returns the pool's own answers whose turn has come.
+// takeSynthesized removes the responses that the pool generates from the front
+// of the pending ones, and returns their types.
 func (p *Pipeline) takeSynthesized() (kinds []byte) {
 	for len(p.pending) > 0 && p.pending[0].synthesized != 0 {
 		kinds = append(kinds, p.pending[0].synthesized)
--- a/internal/pooling/pipeline_answer.go
+++ b/internal/pooling/pipeline_answer.go
@@ -1,9 +1,9 @@
 package pooling
 
-// FromServer takes the kind of a message from the server and returns what
-// becomes of it. ok is false if it answers nothing that is pending: then the
-// connection must be closed.
-func (p *Pipeline) FromServer(kind byte) (reply ReplyAction, ok bool) {
+// FromServer processes a message from the server, given by its type, and returns
+// how to handle it. ok is false if no pending response may contain the message;
+// the connection must be closed then.
+func (p *Pipeline) FromServer(kind byte) (action ReplyAction, ok bool) {
 	switch kind {
 	case 'N', 'S', 'A': // NoticeResponse, ParameterStatus, NotificationResponse come at any time
 		return ReplyAction{Forward: true}, true
@@ -11,31 +11,31 @@
 	if len(p.pending) == 0 {
 		return ReplyAction{}, false
 	}
-	answer := p.pending[0]
+	response := p.pending[0]
 	if kind == msgError {
-		// An error that answers a Sync is a commit that failed: ReadyForQuery
-		// follows it, and nothing is skipped.
-		if answer.kind != msgSync {
-			p.skip()
+		// An error in response to a Sync is a failed commit: ReadyForQuery
+		// follows, and the server skips nothing.
+		if response.kind != msgSync {
+			p.skipToSync()
 		}
 		return ReplyAction{Forward: true}, true
 	}
-	last, expected := answer.accepts(kind)
+	last, expected := response.accepts(kind)
 	if !expected {
 		return ReplyAction{}, false
 	}
-	reply.Forward = !answer.internal
+	action.Forward = !response.internal
 	if last {
 		p.pending = p.pending[1:]
-		reply.Synthesized = p.takeSynthesized()
+		action.Synthesized = p.takeSynthesized()
 	}
-	return reply, true
+	return action, true
 }
 
-// accepts reports whether a server's message may belong to the answer, and
-// whether it is the last one that does.
-func (a *expectedAnswer) accepts(kind byte) (last, expected bool) {
-	switch a.kind {
+// accepts reports whether a message from the server may belong to the response,
+// and whether it is the last one of the response.
+func (r *expectedResponse) accepts(kind byte) (last, expected bool) {
+	switch r.kind {
 	case msgParse:
 		return true, kind == msgParseComplete
 	case msgBind:
@@ -43,7 +43,7 @@
 	case msgClose:
 		return true, kind == msgCloseComplete
 	case msgDescribe:
-		if kind == 't' && !a.portal { // ParameterDescription
+		if kind == 't' && !r.portal { // ParameterDescription
 			return false, true
 		}
 		return true, kind == 'T' || kind == 'n' // RowDescription, NoData
@@ -58,23 +58,24 @@
 	return true, kind == msgReadyForQuery
 }
 
-// skip drops the answers that do not come after an error: all up to the next
-// Sync, that of the failed message included. They are undone in reverse, so
-// that names get back what they meant.
-func (p *Pipeline) skip() {
+// skipToSync removes the pending responses that an error cancels, from that of
+// the failed message up to the next Sync, and undoes the effects of their
+// messages. It does so in reverse order, so that names regain their previous
+// statements.
+func (p *Pipeline) skipToSync() {
 	skipped := 0
 	for skipped < len(p.pending) && p.pending[skipped].kind != msgSync {
 		skipped++
 	}
 	for i := skipped - 1; i >= 0; i-- {
-		answer := &p.pending[i]
-		if answer.parsed != nil {
-			p.statements.Forget(answer.parsed)
+		response := &p.pending[i]
+		if response.parsed != nil {
+			p.connectionStatements.Forget(response.parsed)
 		}
-		if answer.undo != nil {
-			answer.undo(i == 0)
+		if response.undo != nil {
+			response.undo(i == 0)
 		}
 	}
 	p.pending = p.pending[skipped:]
-	p.failed = len(p.pending) == 0 // the Sync is still to come
+	p.skipping = len(p.pending) == 0 // the client has not sent the Sync yet
 }
--- a/internal/pooling/prepared.go
+++ b/internal/pooling/prepared.go
@@ -8,54 +8,54 @@
 	"slices"
 )
 
-// Errors of prepared statements. The text begins with the SQLSTATE for the
-// client.
+// Errors of ClientStatements. The text begins with the SQLSTATE that the client
+// receives.
 var (
 	ErrDuplicateStatement = errors.New("42P05: a prepared statement of this name exists")
 	ErrUnknownStatement   = errors.New("26000: there is no prepared statement of this name")
 	ErrTooManyStatements  = errors.New("53400: too many prepared statements")
 )
 
-// serverPrefix begins the names of prepared statements on servers.
-const serverPrefix = "lb_"
+// serverNamePrefix is the prefix of the names of prepared statements on servers.
+const serverNamePrefix = "lb_"
 
-// preparedKey is the digest of a statement's text and parameter types.
+// preparedKey is the SHA-256 digest of a statement's text and parameter types.
 type preparedKey [sha256.Size]byte
 
-// PreparedStatement is a statement's text with its parameter types, shared by all
-// clients that prepared it.
+// PreparedStatement is a statement's text and parameter types, shared by all
+// clients that have prepared it.
 type PreparedStatement struct {
 	Text       string
 	Types      []uint32 // OIDs as the client gave them; 0 for an unspecified type
-	ServerName string   // its name on every server
-	uses       int      // names of clients that stand for it
+	ServerName string   // name on every server
+	references int      // number of client names that refer to it
 	key        preparedKey
 }
 
-// StatementCatalog holds the prepared statements of all clients. A change of the schema
-// makes those on servers stale: they are parsed again before their next use,
-// since a cached plan may no longer return the same columns. The zero StatementCatalog
-// is empty. It is not safe for concurrent use.
+// StatementCatalog holds the prepared statements of all clients. A change of the
+// schema makes the statements on servers stale: they are parsed again before
+// their next use, since a cached plan may no longer return the same columns. The
+// zero StatementCatalog is empty. It is not safe for concurrent use.
 type StatementCatalog struct {
 	statements map[preparedKey]*PreparedStatement
-	generation uint64 // of the schema
+	generation uint64 // number of schema changes
 }
 
-// SchemaChanged reports that a statement changed the schema.
+// SchemaChanged records that a statement has changed the schema.
 func (c *StatementCatalog) SchemaChanged() { c.generation++ }
 
 // Len returns the number of statements.
 func (c *StatementCatalog) Len() int { return len(c.statements) }
 
-// use returns the statement of a text and types for one more name.
-func (c *StatementCatalog) use(text string, types []uint32) *PreparedStatement {
+// acquire returns the statement with a text and types, with one more reference.
+func (c *StatementCatalog) acquire(text string, types []uint32) *PreparedStatement {
 	key := newPreparedKey(text, types)
 	prepared := c.statements[key]
 	if prepared == nil {
 		prepared = &PreparedStatement{
 			Text:       text,
 			Types:      slices.Clone(types),
-			ServerName: serverPrefix + hex.EncodeToString(key[:16]),
+			ServerName: serverNamePrefix + hex.EncodeToString(key[:16]),
 			key:        key,
 		}
 		if c.statements == nil {
@@ -63,7 +63,7 @@
 		}
 		c.statements[key] = prepared
 	}
-	prepared.uses++
+	prepared.references++
 	return prepared
 }
 
@@ -75,25 +75,30 @@
 	return sha256.Sum256(append(data, text...))
 }
 
-// release takes back one use.
+// release drops one reference and deletes the statement with the last one.
 func (c *StatementCatalog) release(prepared *PreparedStatement) {
-	prepared.uses--
-	if prepared.uses == 0 {
+	prepared.references--
+	if prepared.references == 0 {
 		delete(c.statements, prepared.key)
 	}
 }
 
-// ClientStatements are one client's prepared statements by its own names, which
-// may have any length. The unnamed statement is "". The zero value has none and
-// no bound. It is not safe for concurrent use.
+// ClientStatements holds one client's prepared statements by the client's names,
+// which may have any length. The unnamed statement has the name "". The zero
+// value is empty and has no limit. It is not safe for concurrent use.
 type ClientStatements struct {
-	Max    int // statements, 0 for no bound
+	Max    int // largest number of statements, 0 for no limit
 	byName map[string]*PreparedStatement
 }
 
-// Parse names a statement. The error is ErrDuplicateStatement if the name is in use,
-// except that the unnamed statement is replaced, or ErrTooManyStatements.
-func (s *ClientStatements) Parse(catalog *StatementCatalog, name, text string, types []uint32) (*PreparedStatement, error) {
+// Parse adds a statement under a name. It replaces the unnamed statement; for
+// any other name in use the error is ErrDuplicateStatement. Beyond Max it is
+// ErrTooManyStatements.
+func (s *ClientStatements) Parse(
+	catalog *StatementCatalog,
+	name, text string,
+	types []uint32,
+) (*PreparedStatement, error) {
 	old := s.byName[name]
 	if old != nil && name != "" {
 		return nil, ErrDuplicateStatement
@@ -101,7 +106,7 @@
 	if old == nil && s.Max > 0 && len(s.byName) >= s.Max {
 		return nil, ErrTooManyStatements
 	}
-	prepared := catalog.use(text, types)
+	prepared := catalog.acquire(text, types)
 	if old != nil {
 		catalog.release(old)
 	}
@@ -112,7 +117,7 @@
 	return prepared, nil
 }
 
-// Get returns the statement of a name, or ErrUnknownStatement.
+// Get returns the statement with a name, or ErrUnknownStatement.
 func (s *ClientStatements) Get(name string) (*PreparedStatement, error) {
 	if prepared := s.byName[name]; prepared != nil {
 		return prepared, nil
@@ -120,7 +125,7 @@
 	return nil, ErrUnknownStatement
 }
 
-// Close frees a name. As in PostgreSQL, an unknown name is no error.
+// Close deletes a name. As in PostgreSQL, an unknown name is not an error.
 func (s *ClientStatements) Close(catalog *StatementCatalog, name string) {
 	if prepared := s.byName[name]; prepared != nil {
 		catalog.release(prepared)
@@ -128,8 +133,8 @@
 	}
 }
 
-// Clear frees every name: after DEALLOCATE ALL, DISCARD ALL or the client's
-// disconnection.
+// Clear deletes all names. It is called after DEALLOCATE ALL, DISCARD ALL or the
+// client's disconnection.
 func (s *ClientStatements) Clear(catalog *StatementCatalog) {
 	for _, prepared := range s.byName {
 		catalog.release(prepared)
--- a/internal/pooling/prepared_test.go
+++ b/internal/pooling/prepared_test.go
@@ -21,7 +21,7 @@
 	p3, _ := b.Parse(&catalog, "t", "select 1", nil)
 	p4, _ := b.Parse(&catalog, "u", "select 1", []uint32{23})
 	sameNames := p1.ServerName == p2.ServerName || p1.ServerName == p4.ServerName
-	if p1 != p3 || p1 == p2 || p1 == p4 || sameNames || len(p1.ServerName) > maxName {
+	if p1 != p3 || p1 == p2 || p1 == p4 || sameNames || len(p1.ServerName) > maxIdentifierBytes {
 		t.Errorf("%v %v %v %v", p1, p2, p3, p4)
 	}
 	if _, err := a.Parse(&catalog, "s", "select 3", nil); !errors.Is(err, ErrDuplicateStatement) {
--- a/internal/pooling/scan.go
+++ b/internal/pooling/scan.go
@@ -13,45 +13,46 @@
 	quotedIdentifier                  // without its quotes
 	stringConstant                    // its value, without quotes and escapes
 	number
-	symbol    // one character
-	parameter // $1
+	symbol    // a single character
+	parameter // such as $1
 )
 
 // token is one lexical element of a query string.
 type token struct {
 	kind   tokenKind
 	text   string
-	offset int // of its first byte in the query string
+	offset int // of its first byte in the query string, bytes
 }
 
-// is reports whether a token is this key word, given in lower case.
+// is reports whether the token is the given key word, which is in lower case.
 func (t token) is(keyword string) bool { return t.kind == identifier && t.text == keyword }
 
-// isSymbol reports whether a token is this character.
+// isSymbol reports whether the token is the given character.
 func (t token) isSymbol(character string) bool { return t.kind == symbol && t.text == character }
 
-// isIdentifier reports whether a token may be an identifier.
+// isIdentifier reports whether the token is an identifier, quoted or not, or a
+// key word.
 func (t token) isIdentifier() bool { return t.kind == identifier || t.kind == quotedIdentifier }
 
-// isTemporary reports whether a token is TEMP or TEMPORARY.
+// isTemporary reports whether the token is TEMP or TEMPORARY.
 func (t token) isTemporary() bool { return t.is("temp") || t.is("temporary") }
 
-// Errors of query strings that cannot be scanned.
+// Errors of query strings that cannot be tokenized.
 var (
-	errString  = errors.New("pooling: a string or quoted name without its end")
-	errComment = errors.New("pooling: a comment without its end")
+	errUnterminatedString  = errors.New("pooling: unterminated string constant or quoted identifier")
+	errUnterminatedComment = errors.New("pooling: unterminated comment")
 )
 
 // scanner splits a query string into tokens.
 type scanner struct {
-	input    string
-	offset   int
-	standard bool // standard_conforming_strings: backslashes in plain strings mean themselves
+	input           string
+	offset          int  // of the next byte to read
+	standardStrings bool // standard_conforming_strings: backslashes in plain strings are literal
 }
 
 // next returns the next token; ok is false at the end of the input.
 func (s *scanner) next() (t token, ok bool, err error) {
-	if err := s.skipBlanks(); err != nil {
+	if err := s.skipSpaceAndComments(); err != nil {
 		return t, false, err
 	}
 	if s.offset >= len(s.input) {
@@ -62,12 +63,12 @@
 	switch {
 	case first == '\'':
 		t.kind = stringConstant
-		t.text, err = s.stringConstant(!s.standard)
+		t.text, err = s.stringConstant(!s.standardStrings)
 	case first == '"':
 		t.kind = quotedIdentifier
 		t.text, err = s.quotedIdentifier()
 	case first == '$':
-		t, err = s.dollar()
+		t, err = s.dollarToken()
 	case strings.IndexByte("eEbBxXnN", first) >= 0 && s.peek(1) == '\'':
 		s.offset++
 		t.kind = stringConstant
@@ -102,7 +103,7 @@
 	return 0
 }
 
-// takeWhile returns the bytes ahead that belong to a class.
+// takeWhile consumes and returns the bytes ahead that belong to a class.
 func (s *scanner) takeWhile(belongs func(byte) bool) string {
 	start := s.offset
 	for s.offset < len(s.input) && belongs(s.input[s.offset]) {
@@ -111,6 +112,8 @@
 	return s.input[start:s.offset]
 }
 
+// isLetter reports whether a byte may begin an unquoted identifier, as all bytes
+// beyond ASCII may.
 func isLetter(b byte) bool {
 	return b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || b == '_' || b >= 0x80
 }
@@ -121,15 +124,15 @@
 
 func isNumberByte(b byte) bool { return isDigit(b) || b == '.' || isLetter(b) }
 
-func isBlank(b byte) bool { return strings.IndexByte(" \t\n\r\f\v", b) >= 0 }
+func isSpace(b byte) bool { return strings.IndexByte(" \t\n\r\f\v", b) >= 0 }
 
 func isNotLineEnd(b byte) bool { return b != '\n' && b != '\r' }
 
-// skipBlanks skips white space and comments.
-func (s *scanner) skipBlanks() error {
+// skipSpaceAndComments advances to the next token or the end of the input.
+func (s *scanner) skipSpaceAndComments() error {
 	for s.offset < len(s.input) {
 		switch {
-		case isBlank(s.input[s.offset]):
+		case isSpace(s.input[s.offset]):
 			s.offset++
 		case s.peek(0) == '-' && s.peek(1) == '-':
 			s.takeWhile(isNotLineEnd)
@@ -144,13 +147,13 @@
 	return nil
 }
 
-// skipBlockComment skips a comment between slashes and stars; these nest.
+// skipBlockComment skips a comment delimited by /* and */. Block comments nest.
 func (s *scanner) skipBlockComment() error {
 	s.offset += 2
 	for depth := 1; depth > 0; {
 		switch {
 		case s.offset >= len(s.input):
-			return errComment
+			return errUnterminatedComment
 		case s.peek(0) == '/' && s.peek(1) == '*':
 			depth++
 			s.offset += 2
@@ -164,8 +167,9 @@
 	return nil
 }
 
-// stringConstant reads a string constant from its first quote. With escapes a
-// backslash takes the next character as it is.
+// stringConstant reads a string constant, starting at its opening quote, and
+// returns its value. With escapes, a backslash is dropped and the character
+// after it is taken literally.
 func (s *scanner) stringConstant(escapes bool) (string, error) {
 	var value strings.Builder
 	for s.offset++; s.offset < len(s.input); s.offset++ {
@@ -174,12 +178,12 @@
 		case b == '\\' && escapes:
 			s.offset++
 			if s.offset >= len(s.input) {
-				return "", errString
+				return "", errUnterminatedString
 			}
 			value.WriteByte(s.input[s.offset])
 		case b != '\'':
 			value.WriteByte(b)
-		case s.peek(1) == '\'': // a doubled quote is one
+		case s.peek(1) == '\'': // a doubled quote stands for one
 			s.offset++
 			value.WriteByte('\'')
 		default:
@@ -187,10 +191,11 @@
 			return value.String(), nil
 		}
 	}
-	return "", errString
+	return "", errUnterminatedString
 }
 
-// quotedIdentifier reads an identifier from its first quote.
+// quotedIdentifier reads a quoted identifier, starting at its opening quote, and
+// returns the name.
 func (s *scanner) quotedIdentifier() (string, error) {
 	var name strings.Builder
 	for s.offset++; s.offset < len(s.input); s.offset++ {
@@ -200,16 +205,16 @@
 				s.offset++
 				return name.String(), nil
 			}
-			s.offset++ // a doubled quote is one
+			s.offset++ // a doubled quote stands for one
 		}
 		name.WriteByte(b)
 	}
-	return "", errString
+	return "", errUnterminatedString
 }
 
-// dollar reads a parameter or a dollar-quoted string; any other dollar sign is
-// a symbol.
-func (s *scanner) dollar() (token, error) {
+// dollarToken reads a token that starts with a dollar sign: a parameter, a
+// dollar-quoted string, or otherwise the sign itself as a symbol.
+func (s *scanner) dollarToken() (token, error) {
 	start := s.offset
 	s.offset++
 	if digits := s.takeWhile(isDigit); digits != "" {
@@ -224,7 +229,7 @@
 	tag := s.input[start:s.offset]
 	body, _, closed := strings.Cut(s.input[s.offset:], tag)
 	if !closed {
-		return token{}, errString
+		return token{}, errUnterminatedString
 	}
 	s.offset += len(body) + len(tag)
 	return token{kind: stringConstant, text: body, offset: start}, nil
@@ -232,34 +237,34 @@
 
 // statement is one statement of a query string.
 type statement struct {
-	tokens []token
-	text   string // without the semicolon
+	tokens []token // at least one
+	text   string  // without the semicolon
 }
 
 // splitStatements splits a query string into its statements, without the empty
 // ones.
-func splitStatements(sql string, standard bool) ([]statement, error) {
-	s := &scanner{input: sql, standard: standard}
+func splitStatements(sql string, standardStrings bool) ([]statement, error) {
+	s := &scanner{input: sql, standardStrings: standardStrings}
 	var statements []statement
 	var tokens []token // of the statement being read
-	finish := func(end int) {
+	finishStatement := func(end int) {
 		if len(tokens) > 0 {
 			statements = append(statements, statement{tokens: tokens, text: sql[tokens[0].offset:end]})
 		}
 		tokens = nil
 	}
-	depth := 0 // of BEGIN ATOMIC bodies, whose semicolons end no statement
+	depth := 0 // of BEGIN ATOMIC and CASE; a semicolon inside does not end the statement
 	for {
 		t, ok, err := s.next()
 		if err != nil {
 			return nil, err
 		}
 		if !ok {
-			finish(len(sql))
+			finishStatement(len(sql))
 			return statements, nil
 		}
 		if depth == 0 && t.isSymbol(";") {
-			finish(t.offset)
+			finishStatement(t.offset)
 			continue
 		}
 		switch {
--- a/internal/pooling/session.go
+++ b/internal/pooling/session.go
@@ -7,58 +7,61 @@
 	"unicode/utf8"
 )
 
-// maxName bounds identifiers in statements, in bytes (NAMEDATALEN - 1). Names in
-// protocol messages have no such bound.
-const maxName = 63
+// maxIdentifierBytes is the longest identifier in a statement (NAMEDATALEN - 1).
+// Names in protocol messages have no such limit.
+const maxIdentifierBytes = 63
 
-// TruncateIdentifier shortens an identifier as PostgreSQL does, to whole characters.
+// TruncateIdentifier shortens an identifier to 63 bytes at most without splitting
+// a character, as PostgreSQL does.
 func TruncateIdentifier(name string) string {
-	if len(name) <= maxName {
+	if len(name) <= maxIdentifierBytes {
 		return name
 	}
-	n := maxName
+	n := maxIdentifierBytes
 	for n > 0 && !utf8.RuneStart(name[n]) {
 		n--
 	}
 	return name[:n]
 }
 
-// Session is the state of a client's session, independent of the connection
-// that serves it. The zero Session is new. It is not safe for concurrent use.
+// Session holds the state of a client's session, independent of the connection
+// that serves it. The zero Session is that of a new client. It is not safe for
+// concurrent use.
 type Session struct {
 	Settings
-	// Position is the replication position of its last write, in Unix
-	// milliseconds. Its next read must see it, on whichever endpoint.
-	Position float64
-	pins     Pin
-	unpins   Pin               // of pins, those that end when the transaction commits
-	prepared map[string]string // texts of PREPARE statements by name
+	// Position is the replication position of the session's last write, in Unix
+	// milliseconds. The session's next read must see this write on any endpoint.
+	Position      float64
+	pins          Pin
+	pendingUnpins Pin               // pins that end when the transaction commits
+	prepared      map[string]string // texts of PREPARE statements by name
 }
 
-// Pins returns why the session must keep its connection, 0 if it need not. It
-// must keep it in any case inside a transaction.
+// Pins returns the reasons why the session must keep its connection outside a
+// transaction, 0 if there are none. Inside a transaction it must always keep its
+// connection.
 func (s *Session) Pins() Pin { return s.pins }
 
-// Apply takes the effect of a statement that succeeded.
+// Apply applies the effect of a statement that has succeeded.
 func (s *Session) Apply(effect Effect) {
 	wasFailed := s.Failed()
 	wasInTransaction := s.InTransaction()
 	s.Settings.Apply(effect)
 	if wasFailed {
 		if !s.Failed() && effect.Kind != RollbackTo {
-			s.unpins = 0 // the statements that would have ended pins were rolled back
+			s.pendingUnpins = 0 // the statements that removed pins were rolled back
 		}
 		return
 	}
-	// A pin holds from now on, even if the transaction is rolled back: a
-	// rollback is not always seen.
+	// A pin takes effect at once and stays if the transaction is rolled back,
+	// since a rollback is not always observed.
 	s.pins |= effect.Pins
-	s.unpins &^= effect.Pins
+	s.pendingUnpins &^= effect.Pins
 	switch effect.Kind {
 	case DiscardAll:
 		if !wasInTransaction { // PostgreSQL rejects it inside a transaction
 			s.pins = 0
-			s.unpins = 0
+			s.pendingUnpins = 0
 			s.prepared = nil
 		}
 		return
@@ -72,12 +75,12 @@
 	case DeallocateAll:
 		s.prepared = nil
 	case Rollback, RollbackTo:
-		s.unpins = 0
+		s.pendingUnpins = 0
 	}
-	s.unpins |= effect.Unpins
+	s.pendingUnpins |= effect.Unpins
 	if !s.InTransaction() || effect.Kind == Commit {
-		s.pins &^= s.unpins
-		s.unpins = 0
+		s.pins &^= s.pendingUnpins
+		s.pendingUnpins = 0
 	}
 }
 
@@ -85,17 +88,18 @@
 // milliseconds.
 func (s *Session) RecordWrite(position float64) { s.Position = max(s.Position, position) }
 
-// ConnectionState is the session state on a server's connection. The zero ConnectionState
-// is new and has none. It is not safe for concurrent use.
+// ConnectionState records the session state on a server connection. The zero
+// ConnectionState is that of a new connection. It is not safe for concurrent use.
 type ConnectionState struct {
 	settings   map[string]string
 	prepared   map[string]string // texts of PREPARE statements by name
 	Statements ConnectionStatements
 }
 
-// Release records what a session leaves behind on its connection. The
-// connection is reusable if the session is outside a transaction and pins
-// nothing; otherwise it must be closed, or reset by DISCARD ALL and Reset.
+// Release records the state that a session leaves on its connection. The
+// connection is reusable if the session is outside a transaction and not pinned.
+// Otherwise nothing is recorded, and the connection must be closed, or reset by
+// DISCARD ALL and Reset.
 func (c *ConnectionState) Release(s *Session) (reusable bool) {
 	if s.InTransaction() || s.pins != 0 {
 		return false
@@ -104,18 +108,19 @@
 	return true
 }
 
-// Reset records that DISCARD ALL succeeded on the connection.
+// Reset records that DISCARD ALL has succeeded on the connection.
 func (c *ConnectionState) Reset() {
 	c.settings = nil
 	c.prepared = nil
 	c.Statements.Clear()
 }
 
-// HandoverSQL returns one query string, hence one round trip, that gives the
-// connection the state of a session; "" if it has it already.
+// HandoverSQL returns a query string that gives the connection the state of a
+// session, "" if it has that state already. It is one string so that the
+// handover takes one round trip.
 func (c *ConnectionState) HandoverSQL(s *Session) string {
 	var statements []string
-	if sql := SettingsDifference(c.settings, s.base); sql != "" {
+	if sql := SettingsDifference(c.settings, s.committed); sql != "" {
 		statements = append(statements, sql)
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.prepared)) {
@@ -131,7 +136,7 @@
 	return strings.Join(statements, "; ")
 }
 
-// RecordHandover records that the statements of HandoverSQL succeeded.
+// RecordHandover records that the statements of HandoverSQL have succeeded.
 func (c *ConnectionState) RecordHandover(s *Session) {
 	c.settings = s.Session()
 	c.prepared = maps.Clone(s.prepared)
--- a/internal/pooling/settings.go
+++ b/internal/pooling/settings.go
@@ -5,32 +5,34 @@
 	"slices"
 )
 
-// value is a setting's value, or its default.
-type value struct {
+// assignment gives a setting a value or resets it to its default.
+type assignment struct {
 	text  string // as SQL
-	reset bool   // to the default
+	reset bool   // whether to reset the setting to its default
 }
 
-// change is how a transaction, or the part of it since a savepoint, has changed
-// a setting. A nil value is unchanged.
+// change holds the changes of one setting in a transactionFrame. A nil
+// assignment means no change.
 type change struct {
-	session *value // by SET, which outlives the transaction if it commits
-	local   *value // by SET LOCAL
+	session *assignment // by SET or RESET: persists if the transaction commits
+	local   *assignment // by SET LOCAL: ends with the transaction
 }
 
-// frame holds the changes of a transaction, or those since a savepoint.
-type frame struct {
-	savepoint string
-	changes   map[string]change
+// transactionFrame holds the changes since the beginning of a transaction or
+// since a savepoint, up to the next savepoint.
+type transactionFrame struct {
+	savepoint string            // "" for the beginning of the transaction
+	changes   map[string]change // by setting
 }
 
-// Settings are the settings of a session by PostgreSQL's rules on transactions:
-// a rollback undoes a SET, and SET LOCAL ends with its transaction. The zero
-// Settings are those of a new connection. They are not safe for concurrent use.
+// Settings holds the settings of a session and follows PostgreSQL's rules on
+// transactions: a rollback undoes a SET, and a SET LOCAL ends with its
+// transaction. The zero Settings is that of a new connection. It is not safe for
+// concurrent use.
 type Settings struct {
-	base   map[string]string // set for the session outside a transaction, or committed
-	frames []frame           // of the open transaction, the innermost last
-	failed bool              // the transaction can only be rolled back
+	committed map[string]string  // values as SQL, set outside a transaction or committed
+	frames    []transactionFrame // of the open transaction, innermost last
+	failed    bool               // whether the transaction can only be rolled back
 }
 
 // InTransaction reports whether a transaction is open.
@@ -39,8 +41,9 @@
 // Failed reports whether the open transaction can only be rolled back.
 func (s *Settings) Failed() bool { return s.failed }
 
-// Apply takes the effect of a statement that succeeded. In a failed transaction
-// only the end of the transaction or a rollback to a savepoint has an effect.
+// Apply applies the effect of a statement that has succeeded. In a failed
+// transaction only the end of the transaction and a rollback to a savepoint have
+// an effect.
 func (s *Settings) Apply(effect Effect) {
 	if s.failed && effect.Kind != Rollback && effect.Kind != RollbackTo && effect.Kind != Commit {
 		return
@@ -49,24 +52,24 @@
 	case Begin, Commit, Rollback, Savepoint, Release, RollbackTo:
 		s.applyTransaction(effect)
 	case Set:
-		s.set(effect.Name, value{text: effect.Value})
+		s.setSession(effect.Name, assignment{text: effect.Value})
 	case SetLocal:
 		s.setLocal(effect.Name, effect.Value)
 	case Reset:
-		s.set(effect.Name, value{reset: true})
+		s.setSession(effect.Name, assignment{reset: true})
 	case ResetAll:
 		for _, name := range s.names() {
-			s.set(name, value{reset: true})
+			s.setSession(name, assignment{reset: true})
 		}
 	case DiscardAll:
 		if !s.InTransaction() { // PostgreSQL rejects it inside a transaction
-			s.base = nil
+			s.committed = nil
 		}
 	}
 }
 
-// applyTransaction takes the effect of a statement that begins, ends or parts a
-// transaction.
+// applyTransaction applies the effect of a statement that begins or ends a
+// transaction, or of one on savepoints.
 func (s *Settings) applyTransaction(effect Effect) {
 	switch effect.Kind {
 	case Begin:
@@ -81,16 +84,19 @@
 		}
 	case Savepoint:
 		if s.InTransaction() {
-			s.frames = append(s.frames, frame{savepoint: effect.Name, changes: map[string]change{}})
+			s.frames = append(s.frames, transactionFrame{
+				savepoint: effect.Name,
+				changes:   map[string]change{},
+			})
 		}
 	case Release:
-		if depth := s.find(effect.Name); depth > 0 {
+		if depth := s.findSavepoint(effect.Name); depth > 0 {
 			for len(s.frames) > depth {
-				s.merge()
+				s.mergeInnermost()
 			}
 		}
 	case RollbackTo:
-		if depth := s.find(effect.Name); depth > 0 { // the savepoint itself stays
+		if depth := s.findSavepoint(effect.Name); depth > 0 { // the savepoint remains defined
 			s.frames = s.frames[:depth+1]
 			s.frames[depth].changes = map[string]change{}
 			s.failed = false
@@ -98,21 +104,22 @@
 	}
 }
 
-// Fail reports that a statement failed: the open transaction, if there is one,
-// can only be rolled back.
+// Fail records that a statement has failed: the open transaction, if any, can
+// only be rolled back.
 func (s *Settings) Fail() { s.failed = s.InTransaction() }
 
-func (s *Settings) begin() { s.frames = []frame{{changes: map[string]change{}}} }
+func (s *Settings) begin() { s.frames = []transactionFrame{{changes: map[string]change{}}} }
 
-// end ends the transaction, if one is open.
+// end ends the open transaction, if any, and keeps its session-level changes if
+// it commits.
 func (s *Settings) end(commit bool) {
 	if commit && s.InTransaction() {
 		for len(s.frames) > 1 {
-			s.merge()
+			s.mergeInnermost()
 		}
 		for name, changed := range s.frames[0].changes {
 			if changed.session != nil {
-				s.setBase(name, *changed.session)
+				s.setCommitted(name, *changed.session)
 			}
 		}
 	}
@@ -120,14 +127,15 @@
 	s.failed = false
 }
 
-// merge adds the changes of the innermost frame to the one around it.
-func (s *Settings) merge() {
+// mergeInnermost merges the changes of the innermost frame into the next outer
+// one.
+func (s *Settings) mergeInnermost() {
 	inner := s.frames[len(s.frames)-1]
 	s.frames = s.frames[:len(s.frames)-1]
 	outer := s.frames[len(s.frames)-1].changes
 	for name, changed := range inner.changes {
 		merged := outer[name]
-		if changed.session != nil { // a later SET replaces a SET LOCAL, too
+		if changed.session != nil { // a later SET also overrides a SET LOCAL
 			merged = change{session: changed.session}
 		}
 		if changed.local != nil {
@@ -137,9 +145,9 @@
 	}
 }
 
-// find returns the index of the frame of the innermost savepoint of a name, 0
-// if there is none.
-func (s *Settings) find(name string) int {
+// findSavepoint returns the index of the frame of the innermost savepoint with a
+// name, 0 if there is none.
+func (s *Settings) findSavepoint(name string) int {
 	for i := len(s.frames) - 1; i > 0; i-- {
 		if s.frames[i].savepoint == name {
 			return i
@@ -148,42 +156,45 @@
 	return 0
 }
 
-// set changes a setting for the session.
-func (s *Settings) set(name string, to value) {
+// setSession changes a setting for the session. Inside a transaction the change
+// persists only if the transaction commits.
+func (s *Settings) setSession(name string, to assignment) {
 	if !s.InTransaction() {
-		s.setBase(name, to)
+		s.setCommitted(name, to)
 		return
 	}
 	s.frames[len(s.frames)-1].changes[name] = change{session: &to}
 }
 
-// setLocal changes a setting for the transaction. It has no effect outside one.
+// setLocal changes a setting for the open transaction. It has no effect outside
+// a transaction.
 func (s *Settings) setLocal(name, text string) {
 	if !s.InTransaction() {
 		return
 	}
 	changes := s.frames[len(s.frames)-1].changes
 	changed := changes[name]
-	changed.local = &value{text: text, reset: text == "DEFAULT"}
+	changed.local = &assignment{text: text, reset: text == "DEFAULT"}
 	changes[name] = changed
 }
 
-// setBase changes a setting for the session outside any transaction.
-func (s *Settings) setBase(name string, to value) {
+// setCommitted changes a setting for the session, independent of any
+// transaction.
+func (s *Settings) setCommitted(name string, to assignment) {
 	if to.reset {
-		delete(s.base, name)
+		delete(s.committed, name)
 		return
 	}
-	if s.base == nil {
-		s.base = map[string]string{}
+	if s.committed == nil {
+		s.committed = map[string]string{}
 	}
-	s.base[name] = to.text
+	s.committed[name] = to.text
 }
 
-// names returns the names of all settings that have a value or a change.
+// names returns the sorted names of all settings that have a value or a change.
 func (s *Settings) names() []string {
 	all := map[string]bool{}
-	for name := range s.base {
+	for name := range s.committed {
 		all[name] = true
 	}
 	for _, frame := range s.frames {
@@ -194,20 +205,21 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// Get returns a setting's current value as SQL; ok is false for the default.
+// Get returns a setting's current value as SQL. ok is false if it has its
+// default.
 func (s *Settings) Get(name string) (text string, ok bool) {
 	for i := len(s.frames) - 1; i >= 0; i-- {
 		changed := s.frames[i].changes[name]
-		for _, current := range []*value{changed.local, changed.session} {
+		for _, current := range []*assignment{changed.local, changed.session} {
 			if current != nil {
 				return current.text, !current.reset
 			}
 		}
 	}
-	text, ok = s.base[name]
+	text, ok = s.committed[name]
 	return text, ok
 }
 
-// Session returns the session's settings outside any transaction, as SQL by
-// name.
-func (s *Settings) Session() map[string]string { return maps.Clone(s.base) }
+// Session returns a copy of the settings that apply to the session outside any
+// transaction: values as SQL by name.
+func (s *Settings) Session() map[string]string { return maps.Clone(s.committed) }
--- a/internal/pooling/settings_difference.go
+++ b/internal/pooling/settings_difference.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// SettingsDifference returns the statements, in one query string, that change a
-// connection's settings from one state to another; "" if these are equal. Both
-// are outside any transaction. Changes of the session's user come first, then
-// changes of the role, since the others depend on these.
+// SettingsDifference returns a query string with the statements that change a
+// connection's settings from one state to another, "" if the states are equal.
+// Both map names to values as SQL, outside any transaction. The session's user is
+// changed first and then the role, since the other settings depend on them.
 func SettingsDifference(from, to map[string]string) string {
 	names := changedNames(from, to)
 	slices.SortFunc(names, func(a, b string) int {
@@ -30,7 +30,8 @@
 	return strings.Join(statements, "; ")
 }
 
-// changedNames returns the names of the settings that differ, in no order.
+// changedNames returns the names of the settings that differ, in unspecified
+// order.
 func changedNames(from, to map[string]string) (names []string) {
 	for name, value := range to {
 		if old, ok := from[name]; !ok || old != value {
@@ -45,7 +46,8 @@
 	return names
 }
 
-// settingRank orders settings by which depend on which.
+// settingRank orders settings so that each comes after those on which it
+// depends.
 func settingRank(name string) int {
 	switch name {
 	case "session_authorization":
@@ -56,8 +58,8 @@
 	return 2
 }
 
-// setStatement returns the statement that sets a setting to a value, given as
-// SQL.
+// setStatement returns the statement that sets a setting to a value, which is
+// given as SQL.
 func setStatement(name, value string) string {
 	switch name {
 	case "session_authorization":
@@ -70,7 +72,7 @@
 	return "SET " + settingSQL(name) + " TO " + value
 }
 
-// settingSQL returns a setting's name as it may stand in a statement.
+// settingSQL returns a setting's name as SQL.
 func settingSQL(name string) string {
 	if name == "session_authorization" {
 		return "SESSION AUTHORIZATION"
--- a/internal/pooling/settings_test.go
+++ b/internal/pooling/settings_test.go
@@ -203,7 +203,7 @@
 		if maps.Equal(has, must) != (diff == "") {
 			t.Fatalf("%v to %v: %q", has, must, diff)
 		}
-		s := Settings{base: maps.Clone(has)}
+		s := Settings{committed: maps.Clone(has)}
 		for _, e := range r.Analyze(diff) {
 			if e.Kind != Set && e.Kind != Reset {
 				t.Fatalf("%q: %+v", diff, e)
--- a/internal/pooling/statement.go
+++ b/internal/pooling/statement.go
@@ -1,9 +1,10 @@
 package pooling
 
-// tokenCursor is what is left of a statement's tokens.
+// tokenCursor holds the tokens of a statement that are not parsed yet.
 type tokenCursor []token
 
-// take skips these key words, if they come next.
+// take consumes the given key words and reports true if they come next, in this
+// order.
 func (c *tokenCursor) take(keywords ...string) bool {
 	if len(*c) < len(keywords) {
 		return false
@@ -17,7 +18,8 @@
 	return true
 }
 
-// takeAny skips one of several key words, if one comes next.
+// takeAny consumes the next token and reports true if it is one of the key
+// words.
 func (c *tokenCursor) takeAny(keywords ...string) bool {
 	for _, keyword := range keywords {
 		if c.take(keyword) {
@@ -27,7 +29,8 @@
 	return false
 }
 
-// takeIdentifier returns the identifier that comes next, "" if there is none.
+// takeIdentifier consumes and returns the next token if it is an identifier, and
+// returns "" otherwise.
 func (c *tokenCursor) takeIdentifier() string {
 	if len(*c) == 0 || !(*c)[0].isIdentifier() {
 		return ""
@@ -37,24 +40,25 @@
 	return name
 }
 
-// takeChain reports whether AND CHAIN follows COMMIT or ROLLBACK.
+// takeChain reports whether AND CHAIN comes next, after an optional WORK or
+// TRANSACTION.
 func takeChain(c tokenCursor) bool {
 	c.takeAny("work", "transaction")
 	return c.take("and", "chain")
 }
 
-// statement returns what one statement does. What no group of statements knows
-// is Opaque: DO, CALL, LOAD and whatever else there is.
-func (r Analyzer) statement(tokens []token) Effect {
+// statement returns the effect of one statement. A statement that belongs to no
+// group, such as DO, CALL or LOAD, is Opaque.
+func (a Analyzer) statement(tokens []token) Effect {
 	groups := []func(tokenCursor) (Effect, bool){
-		r.transactionStatement,
-		r.settingStatement,
-		r.discardStatement,
-		r.preparedStatement,
-		r.notificationStatement,
-		r.writeStatement,
-		r.schemaStatement,
-		r.query,
+		a.transactionStatement,
+		a.settingStatement,
+		a.discardStatement,
+		a.preparedStatement,
+		a.notificationStatement,
+		a.writeStatement,
+		a.schemaStatement,
+		a.queryStatement,
 	}
 	for _, group := range groups {
 		if effect, known := group(tokenCursor(tokens)); known {
@@ -64,20 +68,21 @@
 	return opaqueEffect()
 }
 
-// transactionStatement reads statements that begin, end or part transactions.
-func (r Analyzer) transactionStatement(c tokenCursor) (effect Effect, known bool) {
+// transactionStatement parses statements that begin or end transactions and
+// those on savepoints.
+func (a Analyzer) transactionStatement(c tokenCursor) (effect Effect, known bool) {
 	switch {
 	case c.take("begin"), c.take("start", "transaction"):
 		return Effect{Kind: Begin}, true
 	case c.take("commit", "prepared"), c.take("rollback", "prepared"):
 		return Effect{Writes: true}, true
 	case c.take("prepare", "transaction"):
-		// The session is left without the transaction, as after a commit.
+		// The session is outside the transaction afterwards, as after a commit.
 		return Effect{Kind: Commit, Writes: true}, true
 	case c.takeAny("commit", "end"):
 		return Effect{Kind: Commit, Chain: takeChain(c)}, true
 	case c.takeAny("rollback", "abort"):
-		return rollback(c), true
+		return readRollback(c), true
 	case c.take("savepoint"):
 		return Effect{Kind: Savepoint, Name: c.takeIdentifier()}, true
 	case c.take("release"):
@@ -87,8 +92,8 @@
 	return Effect{}, false
 }
 
-// rollback reads what follows ROLLBACK.
-func rollback(c tokenCursor) Effect {
+// readRollback parses the rest of a statement after ROLLBACK.
+func readRollback(c tokenCursor) Effect {
 	c.takeAny("work", "transaction")
 	if c.take("to") {
 		c.take("savepoint")
@@ -97,8 +102,8 @@
 	return Effect{Kind: Rollback, Chain: takeChain(c)}
 }
 
-// settingStatement reads SET and RESET.
-func (r Analyzer) settingStatement(c tokenCursor) (effect Effect, known bool) {
+// settingStatement parses SET and RESET.
+func (a Analyzer) settingStatement(c tokenCursor) (effect Effect, known bool) {
 	switch {
 	case c.take("set"):
 		return readSet(c), true
@@ -112,8 +117,8 @@
 	return Effect{}, false
 }
 
-// discardStatement reads DISCARD.
-func (r Analyzer) discardStatement(c tokenCursor) (effect Effect, known bool) {
+// discardStatement parses DISCARD.
+func (a Analyzer) discardStatement(c tokenCursor) (effect Effect, known bool) {
 	if !c.take("discard") {
 		return Effect{}, false
 	}
@@ -130,16 +135,16 @@
 	return Effect{}, false
 }
 
-// preparedStatement reads PREPARE, EXECUTE and DEALLOCATE.
-func (r Analyzer) preparedStatement(c tokenCursor) (effect Effect, known bool) {
+// preparedStatement parses PREPARE, EXECUTE and DEALLOCATE.
+func (a Analyzer) preparedStatement(c tokenCursor) (effect Effect, known bool) {
 	switch {
 	case c.take("prepare"):
-		effect = r.body(c)
+		effect = a.analyzeQuery(c)
 		effect.Kind = Prepare
 		effect.Name = TruncateIdentifier(c.takeIdentifier())
 		return effect, true
 	case c.take("execute"):
-		effect = r.body(c) // of the arguments; the statement's own effects were those of PREPARE
+		effect = a.analyzeQuery(c) // of the arguments; PREPARE has reported that of the statement itself
 		effect.Kind = Execute
 		effect.Name = TruncateIdentifier(c.takeIdentifier())
 		return effect, true
@@ -153,8 +158,8 @@
 	return Effect{}, false
 }
 
-// notificationStatement reads LISTEN and UNLISTEN.
-func (r Analyzer) notificationStatement(c tokenCursor) (effect Effect, known bool) {
+// notificationStatement parses LISTEN and UNLISTEN.
+func (a Analyzer) notificationStatement(c tokenCursor) (effect Effect, known bool) {
 	switch {
 	case c.take("listen"):
 		return Effect{Pins: PinListen}, true
@@ -162,25 +167,25 @@
 		if len(c) == 1 && c[0].isSymbol("*") {
 			return Effect{Unpins: PinListen}, true
 		}
-		return Effect{}, true // other channels may still be listened to
+		return Effect{}, true // the session may still listen on other channels
 	}
 	return Effect{}, false
 }
 
-// writeStatement reads statements that only a primary runs and that leave the
-// schema as it is.
-func (r Analyzer) writeStatement(c tokenCursor) (effect Effect, known bool) {
+// writeStatement parses statements that only a primary can run and that do not
+// change the schema.
+func (a Analyzer) writeStatement(c tokenCursor) (effect Effect, known bool) {
 	if !c.takeAny("notify", "truncate", "lock", "vacuum", "analyze", "cluster", "reindex", "refresh",
 		"checkpoint", "insert", "update", "delete", "merge", "copy") {
 		return Effect{}, false
 	}
-	effect = r.body(c)
+	effect = a.analyzeQuery(c)
 	effect.Writes = true
 	return effect, true
 }
 
-// schemaStatement reads statements that change the schema.
-func (r Analyzer) schemaStatement(c tokenCursor) (effect Effect, known bool) {
+// schemaStatement parses statements that change the schema.
+func (a Analyzer) schemaStatement(c tokenCursor) (effect Effect, known bool) {
 	if !c.takeAny("create", "alter", "drop", "grant", "revoke", "comment", "security", "import", "reassign") {
 		return Effect{}, false
 	}
@@ -191,17 +196,17 @@
 		}
 	}
 	if len(c) > 0 && (c[0].is("table") || c[0].is("materialized")) {
-		effect.Pins |= r.body(c).Pins // CREATE TABLE AS runs a query
+		effect.Pins |= a.analyzeQuery(c).Pins // CREATE TABLE AS runs a query
 	}
 	return effect, true
 }
 
-// query reads statements that return rows, and cursors.
-func (r Analyzer) query(c tokenCursor) (effect Effect, known bool) {
+// queryStatement parses statements that return rows and statements on cursors.
+func (a Analyzer) queryStatement(c tokenCursor) (effect Effect, known bool) {
 	rest := c
 	switch {
 	case rest.take("declare"):
-		effect = r.body(rest)
+		effect = a.analyzeQuery(rest)
 		for i := 1; i < len(rest); i++ {
 			if rest[i].is("hold") && rest[i-1].is("with") {
 				effect.Pins |= PinHold
@@ -210,7 +215,7 @@
 		return effect, true
 	case rest.takeAny("select", "with", "values", "table", "explain", "show", "fetch", "move", "close"),
 		len(rest) > 0 && rest[0].isSymbol("("):
-		return r.body(c), true
+		return a.analyzeQuery(c), true
 	}
 	return Effect{}, false
 }
--- a/internal/pooling/statement_set.go
+++ b/internal/pooling/statement_set.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// settingName takes a setting's name, which may have dots or consist of several
-// key words.
+// settingName consumes a setting's name, which may contain dots or consist of
+// several key words, and returns it in lower case; "" if there is none.
 func settingName(c *tokenCursor) string {
 	switch {
 	case c.take("time", "zone"):
@@ -23,20 +23,20 @@
 	return strings.ToLower(name)
 }
 
-// readSet reads what follows SET.
+// readSet parses the rest of a statement after SET.
 func readSet(c tokenCursor) Effect {
 	kind := Set
 	switch {
 	case c.takeAny("constraints", "transaction"):
-		return Effect{} // of the transaction alone
+		return Effect{} // applies only to the current transaction
 	case c.take("session", "characteristics", "as", "transaction"):
-		return opaqueSetting() // several settings at once
+		return opaqueSetting() // may change several settings
 	case c.take("local"):
 		kind = SetLocal
 	case len(c) > 1 && c[0].is("session") && !c[1].is("authorization"):
 		c = c[1:]
 	}
-	// Settings with a syntax of their own need neither TO nor an equals sign.
+	// Settings with special syntax need neither TO nor an equals sign.
 	ownSyntax := len(c) > 0 && (c[0].is("time") || c[0].is("names") || c[0].is("session") || c[0].is("role"))
 	name := settingName(&c)
 	if name == "" {
@@ -63,11 +63,12 @@
 	return Effect{Kind: kind, Name: name, Value: value}
 }
 
-// opaqueSetting is the effect of a SET that is not understood. It changes
-// settings of its session, but neither data nor schema.
+// opaqueSetting returns the effect of a SET that cannot be parsed. It changes
+// settings of its session, but neither data nor the schema.
 func opaqueSetting() Effect { return Effect{Kind: Opaque, Pins: PinUnknown} }
 
-// isDefault reports whether a value stands for the setting's default.
+// isDefault reports whether the value that follows restores the setting's
+// default.
 func isDefault(c tokenCursor, name string, ownSyntax bool) bool {
 	if len(c) != 1 {
 		return false
@@ -75,8 +76,8 @@
 	return c[0].is("default") || ownSyntax && c[0].is("local") || name == "role" && c[0].is("none")
 }
 
-// settingValue returns a value as SQL. ok is false if it has a parameter, whose
-// value is not known.
+// settingValue returns the remaining tokens as SQL. ok is false if they contain
+// a parameter, whose value is unknown.
 func settingValue(c tokenCursor) (value string, ok bool) {
 	var sql strings.Builder
 	for i, t := range c {
@@ -97,13 +98,13 @@
 	return sql.String(), true
 }
 
-// quoteIdentifier returns an identifier in double quotes.
+// quoteIdentifier returns a quoted identifier with the given name.
 func quoteIdentifier(name string) string {
 	return `"` + strings.ReplaceAll(name, `"`, `""`) + `"`
 }
 
-// QuoteLiteral returns a string constant that means the given value under either
-// setting of standard_conforming_strings.
+// QuoteLiteral returns an SQL string constant with the given value. It has the
+// same value whether standard_conforming_strings is on or off.
 func QuoteLiteral(value string) string {
 	quoted := "'" + strings.ReplaceAll(value, "'", "''") + "'"
 	if strings.Contains(value, `\`) {
