--- a/internal/pooling/characterization_test.go
+++ b/internal/pooling/characterization_test.go
@@ -18,15 +18,15 @@
 	"lotusbend/internal/pooling"
 )
 
-// update rewrites the expected values. They may change only with a deliberate
-// change of behaviour, which the commit has to name.
+// update rewrites the expected values. They may change only with an intended
+// change of behaviour, which the commit must name.
 var update = flag.Bool("update", false, "rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
 
 const expectedFile = "testdata/characterization.txt"
 
-// TestCharacterization pins what the package does under long streams of events.
-// Only numbers, positions and bytes are hashed, so that a renaming leaves the
-// expected values as they are.
+// TestCharacterization compares the behaviour of the package under long streams
+// of events with recorded hashes. Only numbers, positions and bytes are hashed,
+// so that renaming identifiers does not change the expected values.
 func TestCharacterization(t *testing.T) {
 	got := map[string]string{}
 	for name, limits := range leaseLimits {
@@ -49,8 +49,8 @@
 	compareExpected(t, got)
 }
 
-// compareExpected compares the scenarios with the expected values, or rewrites
-// these with -update.
+// compareExpected compares the scenarios' hashes with the expected values, or
+// rewrites the expected values with -update.
 func compareExpected(t *testing.T, got map[string]string) {
 	t.Helper()
 	if *update {
@@ -97,8 +97,8 @@
 	}
 }
 
-// milliseconds hashes a time in whole microseconds: the last bits of a float
-// may depend on the machine.
+// milliseconds hashes a time rounded to microseconds, since the last bits of a
+// float may depend on the machine.
 func (d digest) milliseconds(ms float64) { d.numbers(int(math.Round(ms * 1000))) }
 
 func (d digest) flags(values ...bool) {
@@ -111,6 +111,7 @@
 	}
 }
 
+// texts hashes strings with their lengths.
 func (d digest) texts(values ...string) {
 	for _, v := range values {
 		d.numbers(len(v))
@@ -120,11 +121,11 @@
 
 func (d digest) sum() string { return hex.EncodeToString(d.hash.Sum(nil)) }
 
-// pick returns one of several values.
+// pick returns one of several values at random.
 func pick[T any](random *rand.Rand, values ...T) T { return values[random.IntN(len(values))] }
 
-// leaseLimits are the limits of the streams of leases, one for each kind of
-// limit and some together.
+// leaseLimits holds the limits of the lease scenarios: each limit alone, and
+// combinations.
 var leaseLimits = map[string]pooling.Limits{
 	"unlimited":    {},
 	"total":        {Total: 5, MaxQueueTimeout: 400},
@@ -145,171 +146,172 @@
 	leaseEndpoints = 3
 )
 
-// leaseWorld is the clients and endpoints around a pool's leases. It hashes every
-// action that the leases ask for.
-type leaseWorld struct {
+// leaseSimulation simulates the clients and endpoints of Leases and hashes every
+// action.
+type leaseSimulation struct {
 	digest  digest
 	random  *rand.Rand
 	leases  *pooling.Leases
 	now     float64
-	client  uint64
-	waiting []uint64 // clients
+	client  uint64   // highest number of a client so far
+	waiting []uint64 // clients with a queued request
 	opening []uint64 // connections
 	leased  []uint64 // connections
 	all     []uint64 // connections
 	drained [leaseEndpoints + 1]bool
 }
 
-func without(values []uint64, gone uint64) []uint64 {
-	return slices.DeleteFunc(values, func(v uint64) bool { return v == gone })
+func remove(values []uint64, removed uint64) []uint64 {
+	return slices.DeleteFunc(values, func(v uint64) bool { return v == removed })
 }
 
-func (w *leaseWorld) Open(conn uint64, key pooling.PoolKey) {
-	w.digest.numbers(1, int(conn), int(key.Endpoint))
-	w.digest.texts(key.User, key.Database)
-	w.opening = append(w.opening, conn)
-	w.all = append(w.all, conn)
+func (sim *leaseSimulation) Open(conn uint64, key pooling.PoolKey) {
+	sim.digest.numbers(1, int(conn), int(key.Endpoint))
+	sim.digest.texts(key.User, key.Database)
+	sim.opening = append(sim.opening, conn)
+	sim.all = append(sim.all, conn)
 }
 
-func (w *leaseWorld) Grant(client, conn uint64) {
-	w.digest.numbers(2, int(client), int(conn))
-	w.waiting = without(w.waiting, client)
-	w.leased = append(w.leased, conn)
+func (sim *leaseSimulation) Grant(client, conn uint64) {
+	sim.digest.numbers(2, int(client), int(conn))
+	sim.waiting = remove(sim.waiting, client)
+	sim.leased = append(sim.leased, conn)
 }
 
-func (w *leaseWorld) Reject(client uint64, retryAfter float64) {
-	w.digest.numbers(3, int(client))
-	w.digest.milliseconds(retryAfter)
-	w.waiting = without(w.waiting, client)
+func (sim *leaseSimulation) Reject(client uint64, retryAfter float64) {
+	sim.digest.numbers(3, int(client))
+	sim.digest.milliseconds(retryAfter)
+	sim.waiting = remove(sim.waiting, client)
 }
 
-func (w *leaseWorld) Close(conn uint64) {
-	w.digest.numbers(4, int(conn))
-	w.gone(conn)
+func (sim *leaseSimulation) Close(conn uint64) {
+	sim.digest.numbers(4, int(conn))
+	sim.removeConnection(conn)
 }
 
-func (w *leaseWorld) gone(conn uint64) {
-	w.opening = without(w.opening, conn)
-	w.leased = without(w.leased, conn)
-	w.all = without(w.all, conn)
+func (sim *leaseSimulation) removeConnection(conn uint64) {
+	sim.opening = remove(sim.opening, conn)
+	sim.leased = remove(sim.leased, conn)
+	sim.all = remove(sim.all, conn)
 }
 
 // leaseStream runs a stream of events and returns the digest of all actions.
 func leaseStream(t *testing.T, limits pooling.Limits) string {
 	t.Helper()
-	w := &leaseWorld{digest: newDigest(), random: rand.New(rand.NewPCG(1, 2)), now: 1e6}
-	w.leases = pooling.NewLeases(limits, 3, w)
+	sim := &leaseSimulation{digest: newDigest(), random: rand.New(rand.NewPCG(1, 2)), now: 1e6}
+	sim.leases = pooling.NewLeases(limits, 3, sim)
 	for range leaseEvents {
-		w.event()
-		due, ok := w.leases.Next()
-		w.digest.flags(ok)
-		w.digest.milliseconds(due)
+		sim.randomEvent()
+		due, ok := sim.leases.Next()
+		sim.digest.flags(ok)
+		sim.digest.milliseconds(due)
 	}
-	w.advance(1e6) // what is still queued is rejected
-	if len(w.waiting) != 0 {
-		t.Errorf("%d clients are still queued", len(w.waiting))
+	sim.advance(1e6) // past the timeouts of all queued requests
+	if len(sim.waiting) != 0 {
+		t.Errorf("%d clients are still queued", len(sim.waiting))
 	}
-	return w.digest.sum()
+	return sim.digest.sum()
 }
 
-// event is one event of a stream, by its weight of a hundred.
-func (w *leaseWorld) event() {
-	switch n := w.random.IntN(100); {
+// randomEvent runs one event; the bounds of n are cumulative percentages.
+func (sim *leaseSimulation) randomEvent() {
+	switch n := sim.random.IntN(100); {
 	case n < 32:
-		w.acquire()
+		sim.acquire()
 	case n < 52:
-		if conn, ok := w.one(w.opening); ok {
-			w.opening = without(w.opening, conn)
-			w.leases.Opened(w.now, conn)
+		if conn, ok := sim.pickFrom(sim.opening); ok {
+			sim.opening = remove(sim.opening, conn)
+			sim.leases.Opened(sim.now, conn)
 		}
 	case n < 76:
-		if conn, ok := w.one(w.leased); ok {
-			w.leased = without(w.leased, conn)
-			w.leases.Released(w.now, conn, w.random.IntN(6) > 0)
+		if conn, ok := sim.pickFrom(sim.leased); ok {
+			sim.leased = remove(sim.leased, conn)
+			sim.leases.Released(sim.now, conn, sim.random.IntN(6) > 0)
 		}
 	case n < 82:
-		if conn, ok := w.one(w.all); ok {
-			w.gone(conn)
-			w.leases.Closed(conn)
+		if conn, ok := sim.pickFrom(sim.all); ok {
+			sim.removeConnection(conn)
+			sim.leases.Closed(conn)
 		}
 	case n < 87:
-		if client, ok := w.one(w.waiting); ok {
-			w.waiting = without(w.waiting, client)
-			w.leases.Cancel(client)
+		if client, ok := sim.pickFrom(sim.waiting); ok {
+			sim.waiting = remove(sim.waiting, client)
+			sim.leases.Cancel(client)
 		}
 	case n < 89:
-		host := 1 + w.random.IntN(leaseEndpoints)
-		w.drained[host] = !w.drained[host]
-		w.leases.SetDraining(uint32(host), w.drained[host])
+		endpoint := 1 + sim.random.IntN(leaseEndpoints)
+		sim.drained[endpoint] = !sim.drained[endpoint]
+		sim.leases.SetDraining(uint32(endpoint), sim.drained[endpoint])
 	case n < 92:
-		w.outOfOrder()
+		sim.unexpectedEvent()
 	default:
-		w.advance(w.random.Float64() * 120)
+		sim.advance(sim.random.Float64() * 120)
 	}
 }
 
-func (w *leaseWorld) one(values []uint64) (value uint64, ok bool) {
+func (sim *leaseSimulation) pickFrom(values []uint64) (value uint64, ok bool) {
 	if len(values) == 0 {
 		return 0, false
 	}
-	return pick(w.random, values...), true
+	return pick(sim.random, values...), true
 }
 
-// acquire requests a connection: mostly for a new client, sometimes for one that
-// has been here before, or that is queued already.
-func (w *leaseWorld) acquire() {
-	client := w.client + 1
-	if w.random.IntN(4) == 0 && w.client > 0 {
-		client = 1 + w.random.Uint64N(w.client)
+// acquire requests a connection, usually for a new client and sometimes for a
+// previous one, which may have a queued request already.
+func (sim *leaseSimulation) acquire() {
+	client := sim.client + 1
+	if sim.random.IntN(4) == 0 && sim.client > 0 {
+		client = 1 + sim.random.Uint64N(sim.client)
 	}
-	w.client = max(w.client, client)
-	if !slices.Contains(w.waiting, client) {
-		w.waiting = append(w.waiting, client)
+	sim.client = max(sim.client, client)
+	if !slices.Contains(sim.waiting, client) {
+		sim.waiting = append(sim.waiting, client)
 	}
-	w.leases.Acquire(w.now, pooling.ConnectionRequest{
+	sim.leases.Acquire(sim.now, pooling.ConnectionRequest{
 		Client: client,
 		Key: pooling.PoolKey{
-			Endpoint: uint32(1 + w.random.IntN(leaseEndpoints)),
-			User:     pick(w.random, "ann", "ben", "cleo"),
-			Database: pick(w.random, "shop", "shop", "park"),
+			Endpoint: uint32(1 + sim.random.IntN(leaseEndpoints)),
+			User:     pick(sim.random, "ann", "ben", "cleo"),
+			Database: pick(sim.random, "shop", "shop", "park"),
 		},
-		Write:        w.random.IntN(3) == 0,
-		QueueTimeout: pick(w.random, 0.0, 50, 250, 1000),
+		Write:        sim.random.IntN(3) == 0,
+		QueueTimeout: pick(sim.random, 0.0, 50, 250, 1000),
 	})
 }
 
-// outOfOrder sends events that the leases have to pass over.
-func (w *leaseWorld) outOfOrder() {
-	switch conn := w.random.Uint64N(1 << 20); w.random.IntN(5) {
+// unexpectedEvent reports an event that Leases must ignore: for an unknown
+// connection, or in the wrong state.
+func (sim *leaseSimulation) unexpectedEvent() {
+	switch conn := sim.random.Uint64N(1 << 20); sim.random.IntN(5) {
 	case 0:
-		w.leases.Opened(w.now, conn|1<<30)
+		sim.leases.Opened(sim.now, conn|1<<30)
 	case 1:
-		w.leases.Released(w.now, conn|1<<30, true)
+		sim.leases.Released(sim.now, conn|1<<30, true)
 	case 2:
-		w.leases.Closed(conn | 1<<30)
+		sim.leases.Closed(conn | 1<<30)
 	case 3:
-		w.leases.Cancel(conn | 1<<30)
+		sim.leases.Cancel(conn | 1<<30)
 	default:
-		if leased, ok := w.one(w.leased); ok {
-			w.leases.Opened(w.now, leased)
+		if leased, ok := sim.pickFrom(sim.leased); ok {
+			sim.leases.Opened(sim.now, leased)
 		}
-		if opening, ok := w.one(w.opening); ok {
-			w.leases.Released(w.now, opening, true)
+		if opening, ok := sim.pickFrom(sim.opening); ok {
+			sim.leases.Released(sim.now, opening, true)
 		}
 	}
 }
 
-// advance moves the clock and runs the timers that are due meanwhile.
-func (w *leaseWorld) advance(ms float64) {
-	end := w.now + ms
-	for due, ok := w.leases.Next(); ok && due <= end; due, ok = w.leases.Next() {
-		w.now = max(w.now, due)
-		w.leases.Tick(w.now)
+// advance moves the clock forward and runs the timers that become due.
+func (sim *leaseSimulation) advance(ms float64) {
+	end := sim.now + ms
+	for due, ok := sim.leases.Next(); ok && due <= end; due, ok = sim.leases.Next() {
+		sim.now = max(sim.now, due)
+		sim.leases.Tick(sim.now)
 	}
-	w.now = end
+	sim.now = end
 }
 
-// statementGroups are statements whose effects are pinned.
+// statementGroups holds statements whose effects are hashed, by scenario.
 var statementGroups = map[string][]string{
 	"transactions": {
 		"begin", "BEGIN WORK", "begin isolation level serializable", "start transaction", "start transaction read only",
@@ -436,8 +438,8 @@
 	},
 }
 
-// generatedStatements puts statements together from parts, many of which no
-// server would take.
+// generatedStatements returns random combinations of statement parts, many of
+// which are invalid SQL.
 func generatedStatements() (statements []string) {
 	random := rand.New(rand.NewPCG(4, 5))
 	heads := []string{"select", "SELECT", "insert into a", "update a set", "delete from a where", "with x as", "create",
@@ -461,8 +463,8 @@
 	return statements
 }
 
-// cutStatements are prefixes of statements in which a string, a comment or a
-// name may be open.
+// cutStatements returns all prefixes of a query string, some of which end inside
+// a string constant, a comment or a quoted identifier.
 func cutStatements() (statements []string) {
 	whole := "select E'a\\'b', 'c''d', \"e\"\"f\", $g$ $ $$ $g$, U&'h', u&\"i\" " +
 		"/* j /* k */ */ -- l\n from m.n(1, .5); set o.p = -q, 'r\\s'"
@@ -472,16 +474,16 @@
 	return statements
 }
 
-// statementEffects hashes what several readers make of statements.
+// statementEffects hashes the effects of statements under several Analyzers.
 func statementEffects(statements []string) string {
 	d := newDigest()
 	safe := func(name string) bool {
 		d.texts(name)
 		return name == "safe" || name == "part.safe"
 	}
-	for _, reader := range []pooling.Analyzer{{}, {StandardConformingStrings: true}, {StandardConformingStrings: true, SafeFunction: safe}} {
+	for _, analyzer := range []pooling.Analyzer{{}, {StandardConformingStrings: true}, {StandardConformingStrings: true, SafeFunction: safe}} {
 		for _, statement := range statements {
-			effects := reader.Analyze(statement)
+			effects := analyzer.Analyze(statement)
 			d.numbers(len(effects))
 			for _, effect := range effects {
 				hashEffect(d, effect)
@@ -497,7 +499,7 @@
 	d.flags(e.Schema, e.Writes, e.Chain)
 }
 
-// sessionStatements are what the clients of sessionStream send.
+// sessionStatements holds the statements that clients of sessionStream run.
 var sessionStatements = []string{
 	"begin", "begin", "begin", "commit", "commit", "commit and chain", "rollback", "rollback and chain", "savepoint a",
 	"savepoint b", "savepoint a", "release a", "release b",
@@ -513,26 +515,27 @@
 	"discard plans",
 }
 
-// sessionStream lets sessions run statements on connections that they share.
+// sessionStream runs statements of several sessions on shared connections and
+// hashes the session states and handovers.
 func sessionStream() string {
 	const events = 6000
 	d := newDigest()
 	random := rand.New(rand.NewPCG(6, 7))
-	reader := pooling.Analyzer{StandardConformingStrings: true}
+	analyzer := pooling.Analyzer{StandardConformingStrings: true}
 	var sessions [4]pooling.Session
 	var connections [3]pooling.ConnectionState
 	for range events {
 		session, connection := &sessions[random.IntN(len(sessions))], &connections[random.IntN(len(connections))]
 		switch n := random.IntN(100); {
 		case n < 70:
-			for _, effect := range reader.Analyze(pick(random, sessionStatements...)) {
+			for _, effect := range analyzer.Analyze(pick(random, sessionStatements...)) {
 				session.Apply(effect)
 			}
 		case n < 78:
 			session.Fail()
 		case n < 82:
 			session.RecordWrite(float64(random.IntN(1000)))
-		case n < 84: // its client has gone, another comes
+		case n < 84: // a new client replaces the session's client
 			*session = pooling.Session{}
 		case n < 87:
 			connection.Reset()
@@ -549,11 +552,11 @@
 	return d.sum()
 }
 
-// sessionScripts runs sequences in which the order of statements matters. An
-// exclamation mark stands for an error.
+// sessionScripts hashes the session state during sequences in which the order of
+// statements matters. An exclamation mark stands for a failed statement.
 func sessionScripts() string {
 	d := newDigest()
-	reader := pooling.Analyzer{StandardConformingStrings: true}
+	analyzer := pooling.Analyzer{StandardConformingStrings: true}
 	for _, script := range []string{
 		"create temp table t () | begin | discard temp | commit",
 		"create temp table t () | begin | discard temp | rollback",
@@ -586,7 +589,7 @@
 			if statement == "!" {
 				session.Fail()
 			} else {
-				for _, effect := range reader.Analyze(statement) {
+				for _, effect := range analyzer.Analyze(statement) {
 					session.Apply(effect)
 				}
 			}
@@ -613,7 +616,7 @@
 	}
 }
 
-// differences hashes the statements between random settings.
+// differences hashes SettingsDifference of random settings.
 func differences() string {
 	d := newDigest()
 	random := rand.New(rand.NewPCG(8, 9))
@@ -657,147 +660,150 @@
 	return d.sum()
 }
 
-// preparedBounds bound the prepared statements of clients and connections.
+// preparedBounds holds the largest numbers of prepared statements, 0 for no
+// limit.
 type preparedBounds struct{ perClient, perConnection int }
 
 var preparedLimits = map[string]preparedBounds{
 	"unlimited": {}, "clients": {perClient: 2}, "connections": {perConnection: 2}, "both": {perClient: 3, perConnection: 1},
 }
 
-// extendedClient is one client of the extended protocol, and the server that
-// answers it meanwhile.
+// extendedClient is one client of the extended protocol and the state of the
+// server connection that it uses.
 type extendedClient struct {
-	names    pooling.ClientStatements
-	pipeline *pooling.Pipeline
-	unsent   []pooling.ServerMessage // not answered by the server
-	skipping bool                    // the server passes over all up to the next Sync
+	names      pooling.ClientStatements
+	pipeline   *pooling.Pipeline
+	unanswered []pooling.ServerMessage // messages sent to the server, oldest first
+	skipping   bool                    // the server skips all messages up to the next Sync
 }
 
-// extendedWorld is several clients on connections that they share in turn.
-type extendedWorld struct {
-	digest     digest
-	random     *rand.Rand
-	catalog    pooling.StatementCatalog
-	statements []*pooling.ConnectionStatements // of each connection
-	clients    []*extendedClient
-	count      int // of messages
+// extendedSimulation simulates several clients of the extended protocol that
+// exchange their connections.
+type extendedSimulation struct {
+	digest       digest
+	random       *rand.Rand
+	catalog      pooling.StatementCatalog
+	statements   []*pooling.ConnectionStatements // of each connection
+	clients      []*extendedClient
+	messageCount int
 }
 
-// pipelineStream runs clients' messages and a server's answers, and hashes what
-// is sent either way.
+// pipelineStream simulates clients' messages and a server's responses, and
+// hashes what is sent in both directions.
 func pipelineStream(limits preparedBounds) string {
 	const events = 6000
-	w := &extendedWorld{digest: newDigest(), random: rand.New(rand.NewPCG(12, 13))}
+	sim := &extendedSimulation{digest: newDigest(), random: rand.New(rand.NewPCG(12, 13))}
 	for range 3 {
-		w.statements = append(w.statements, &pooling.ConnectionStatements{Max: limits.perConnection})
-		w.clients = append(w.clients, &extendedClient{names: pooling.ClientStatements{Max: limits.perClient}})
+		sim.statements = append(sim.statements, &pooling.ConnectionStatements{Max: limits.perConnection})
+		sim.clients = append(sim.clients, &extendedClient{names: pooling.ClientStatements{Max: limits.perClient}})
 	}
-	for n, c := range w.clients {
-		c.pipeline = pooling.NewPipeline(&w.catalog, &c.names, w.statements[n])
+	for n, c := range sim.clients {
+		c.pipeline = pooling.NewPipeline(&sim.catalog, &c.names, sim.statements[n])
 	}
 	for range events {
-		n := w.random.IntN(len(w.clients))
-		w.event(n, w.clients[n])
-		w.digest.numbers(w.catalog.Len(), w.statements[n].Len())
-		w.digest.flags(w.clients[n].pipeline.Idle(), w.clients[n].pipeline.Ready())
+		n := sim.random.IntN(len(sim.clients))
+		sim.randomEvent(n, sim.clients[n])
+		sim.digest.numbers(sim.catalog.Len(), sim.statements[n].Len())
+		sim.digest.flags(sim.clients[n].pipeline.Idle(), sim.clients[n].pipeline.Ready())
 	}
-	return w.digest.sum()
+	return sim.digest.sum()
 }
 
-func (w *extendedWorld) event(n int, c *extendedClient) {
-	switch share := w.random.IntN(200); {
-	case share < 100:
+func (sim *extendedSimulation) randomEvent(n int, c *extendedClient) {
+	switch roll := sim.random.IntN(200); {
+	case roll < 100:
 		if c.pipeline.Ready() {
-			w.message(c)
+			sim.sendMessage(c)
 		}
-	case share < 188:
-		w.answer(n, c)
-	case share < 190:
-		w.catalog.SchemaChanged()
-	case share < 192 && c.pipeline.Idle():
-		c.names.Clear(&w.catalog)
-	case share < 194 && c.pipeline.Idle():
-		w.statements[n].Clear()
-	case share < 198 && c.pipeline.Idle() && len(c.unsent) == 0: // its client goes to another connection
-		other := w.random.IntN(len(w.clients))
-		if o := w.clients[other]; o.pipeline.Idle() && len(o.unsent) == 0 {
-			w.statements[n], w.statements[other] = w.statements[other], w.statements[n]
-			o.pipeline = pooling.NewPipeline(&w.catalog, &o.names, w.statements[other])
-			c.pipeline = pooling.NewPipeline(&w.catalog, &c.names, w.statements[n])
+	case roll < 188:
+		sim.answerOldest(n, c)
+	case roll < 190:
+		sim.catalog.SchemaChanged()
+	case roll < 192 && c.pipeline.Idle():
+		c.names.Clear(&sim.catalog)
+	case roll < 194 && c.pipeline.Idle():
+		sim.statements[n].Clear()
+	case roll < 198 && c.pipeline.Idle() && len(c.unanswered) == 0: // exchange connections with another client
+		other := sim.random.IntN(len(sim.clients))
+		if o := sim.clients[other]; o.pipeline.Idle() && len(o.unanswered) == 0 {
+			sim.statements[n], sim.statements[other] = sim.statements[other], sim.statements[n]
+			o.pipeline = pooling.NewPipeline(&sim.catalog, &o.names, sim.statements[other])
+			c.pipeline = pooling.NewPipeline(&sim.catalog, &c.names, sim.statements[n])
 		}
 	default:
-		w.reply(n, c, pick(w.random, byte('N'), 'S', 'A'))
+		sim.receive(n, c, pick(sim.random, byte('N'), 'S', 'A'))
 	}
 }
 
-// message sends one message of the client.
-func (w *extendedWorld) message(c *extendedClient) {
-	w.count++
-	m := &pooling.ClientMessage{Kind: pick(w.random, []byte("PPPBBDDEECHSSS")...), Raw: w.count}
+// sendMessage sends one random message of the client.
+func (sim *extendedSimulation) sendMessage(c *extendedClient) {
+	sim.messageCount++
+	m := &pooling.ClientMessage{Kind: pick(sim.random, []byte("PPPBBDDEECHSSS")...), Raw: sim.messageCount}
 	switch m.Kind {
 	case 'D', 'C':
-		m.Portal = w.random.IntN(3) == 0
+		m.Portal = sim.random.IntN(3) == 0
 	}
 	if !m.Portal {
-		m.Statement = pick(w.random, "", "", "s", "t", "u", "lb_forged", strings.Repeat("long", 30))
+		m.Statement = pick(sim.random, "", "", "s", "t", "u", "lb_forged", strings.Repeat("long", 30))
 	}
 	if m.Kind == 'P' {
-		m.Text = pick(w.random, "select 1", "select $1", "select 2", "")
-		m.Types = pick(w.random, nil, []uint32{23}, []uint32{0, 25})
+		m.Text = pick(sim.random, "select 1", "select $1", "select 2", "")
+		m.Types = pick(sim.random, nil, []uint32{23}, []uint32{0, 25})
 	}
 	sent, now := c.pipeline.FromClient(m)
-	w.digest.numbers(len(sent))
+	sim.digest.numbers(len(sent))
 	for _, s := range sent {
-		w.hashSent(s)
+		sim.hashSent(s)
 	}
-	w.digest.texts(string(now))
-	c.unsent = append(c.unsent, sent...)
+	sim.digest.texts(string(now))
+	c.unanswered = append(c.unanswered, sent...)
 }
 
-func (w *extendedWorld) hashSent(s pooling.ServerMessage) {
-	w.digest.numbers(int(s.Kind), len(s.Types))
+func (sim *extendedSimulation) hashSent(s pooling.ServerMessage) {
+	sim.digest.numbers(int(s.Kind), len(s.Types))
 	for _, oid := range s.Types {
-		w.digest.numbers(int(oid))
+		sim.digest.numbers(int(oid))
 	}
-	w.digest.texts(s.Name, s.Text)
+	sim.digest.texts(s.Name, s.Text)
 	if s.ClientMessage != nil {
-		w.digest.numbers(s.ClientMessage.Raw.(int))
+		sim.digest.numbers(s.ClientMessage.Raw.(int))
 	}
 }
 
-// answer has the server answer the client's oldest message.
-func (w *extendedWorld) answer(n int, c *extendedClient) {
-	if len(c.unsent) == 0 {
-		if w.random.IntN(20) == 0 { // what answers nothing
-			w.reply(n, c, 'Z')
+// answerOldest simulates the server's response to the client's oldest message.
+func (sim *extendedSimulation) answerOldest(n int, c *extendedClient) {
+	if len(c.unanswered) == 0 {
+		if sim.random.IntN(20) == 0 { // a response to no message
+			sim.receive(n, c, 'Z')
 		}
 		return
 	}
-	kind := c.unsent[0].Kind
-	portal := c.unsent[0].ClientMessage != nil && c.unsent[0].ClientMessage.Portal
-	c.unsent = c.unsent[1:]
+	kind := c.unanswered[0].Kind
+	portal := c.unanswered[0].ClientMessage != nil && c.unanswered[0].ClientMessage.Portal
+	c.unanswered = c.unanswered[1:]
 	switch {
 	case kind == 'S':
-		if !c.skipping && w.random.IntN(15) == 0 { // a commit that failed
-			w.reply(n, c, 'E')
+		if !c.skipping && sim.random.IntN(15) == 0 { // failed commit
+			sim.receive(n, c, 'E')
 		}
 		c.skipping = false
-		w.reply(n, c, 'Z')
+		sim.receive(n, c, 'Z')
 	case kind == 'H', c.skipping:
-	case w.random.IntN(8) == 0:
+	case sim.random.IntN(8) == 0:
 		c.skipping = true
-		w.reply(n, c, 'E')
-	case w.random.IntN(300) == 0:
-		w.reply(n, c, pick(w.random, []byte("x123Z")...)) // perhaps the answer to another message
+		sim.receive(n, c, 'E')
+	case sim.random.IntN(300) == 0:
+		sim.receive(n, c, pick(sim.random, []byte("x123Z")...)) // may not belong to the response
 	default:
-		for _, b := range w.answers(kind, portal) {
-			w.reply(n, c, b)
+		for _, b := range sim.responseTypes(kind, portal) {
+			sim.receive(n, c, b)
 		}
 	}
 }
 
-// answers returns the kinds of the messages that answer one.
-func (w *extendedWorld) answers(kind byte, portal bool) []byte {
+// responseTypes returns the types of the messages in a successful response to a
+// message.
+func (sim *extendedSimulation) responseTypes(kind byte, portal bool) []byte {
 	switch kind {
 	case 'P':
 		return []byte("1")
@@ -807,29 +813,29 @@
 		return []byte("3")
 	case 'D':
 		if portal {
-			return []byte{pick(w.random, byte('T'), 'n')}
+			return []byte{pick(sim.random, byte('T'), 'n')}
 		}
-		return []byte{'t', pick(w.random, byte('T'), 'n')}
+		return []byte{'t', pick(sim.random, byte('T'), 'n')}
 	}
-	return append([]byte(pick(w.random, "", "D", "DDD", "GWd", "Hc")), pick(w.random, []byte("CIs")...))
+	return append([]byte(pick(sim.random, "", "D", "DDD", "GWd", "Hc")), pick(sim.random, []byte("CIs")...))
 }
 
-// reply takes one message from the server. Where it fits nothing the
-// connection ends and the client gets a new one.
-func (w *extendedWorld) reply(n int, c *extendedClient, kind byte) {
+// receive passes one message from the server to the pipeline. If the pipeline
+// rejects it, the client gets a new connection.
+func (sim *extendedSimulation) receive(n int, c *extendedClient, kind byte) {
 	r, ok := c.pipeline.FromServer(kind)
-	w.digest.flags(r.Forward, ok)
-	w.digest.texts(string(r.Synthesized))
+	sim.digest.flags(r.Forward, ok)
+	sim.digest.texts(string(r.Synthesized))
 	if ok {
 		return
 	}
-	w.statements[n] = &pooling.ConnectionStatements{Max: w.statements[n].Max}
-	c.pipeline = pooling.NewPipeline(&w.catalog, &c.names, w.statements[n])
-	c.unsent = nil
+	sim.statements[n] = &pooling.ConnectionStatements{Max: sim.statements[n].Max}
+	c.pipeline = pooling.NewPipeline(&sim.catalog, &c.names, sim.statements[n])
+	c.unanswered = nil
 	c.skipping = false
 }
 
-// catalogStream uses prepared statements without a pipeline around them.
+// catalogStream hashes operations on prepared statements without a Pipeline.
 func catalogStream() string {
 	const events = 4000
 	d := newDigest()
@@ -876,7 +882,7 @@
 	return d.sum()
 }
 
-// hashPrepared hashes a statement, or the SQLSTATE of the error.
+// hashPrepared hashes a prepared statement, or the SQLSTATE of the error.
 func hashPrepared(d digest, p *pooling.PreparedStatement, err error) {
 	if err != nil {
 		state, _, _ := strings.Cut(err.Error(), ":")
--- a/internal/pooling/effect_test.go
+++ b/internal/pooling/effect_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// describeEffect returns an effect in one line.
+// describeEffect formats an effect as one line.
 func describeEffect(e Effect) string {
-	kinds := [...]string{"ordinary", "begin", "commit", "rollback", "savepoint", "release", "rollback-to", "set", "set-local",
+	kindNames := [...]string{"ordinary", "begin", "commit", "rollback", "savepoint", "release", "rollback-to", "set", "set-local",
 		"reset", "reset-all",
 		"discard-all", "discard-plans", "discard-temp", "discard-sequences", "prepare", "execute", "deallocate",
 		"deallocate-all", "opaque"}
-	out := kinds[e.Kind]
+	out := kindNames[e.Kind]
 	if e.Name != "" {
 		out += " " + e.Name
 	}
@@ -34,7 +34,7 @@
 }
 
 func TestAnalyzeEffects(t *testing.T) {
-	r := Analyzer{StandardConformingStrings: true, SafeFunction: func(name string) bool { return name == "park_total" || name == "billing.fee" }}
+	analyzer := Analyzer{StandardConformingStrings: true, SafeFunction: func(name string) bool { return name == "park_total" || name == "billing.fee" }}
 	for _, test := range []struct{ sql, want string }{
 		{"", ""},
 		{" ; ;; ", ""},
@@ -108,15 +108,15 @@
 		{"frobnicate", "opaque pins(unknown function) schema writes"},
 	} {
 		var got []string
-		for _, e := range r.Analyze(test.sql) {
+		for _, e := range analyzer.Analyze(test.sql) {
 			got = append(got, describeEffect(e))
 		}
 		if s := strings.Join(got, " | "); s != test.want {
-			t.Errorf("%s\n got %s\nwant %s", test.sql, s, test.want)
+			t.Errorf("Analyze(%q):\n got %s\nwant %s", test.sql, s, test.want)
 		}
 	}
 	if got := fmt.Sprint(len(Analyzer{}.Analyze(`select 'a\'; set c to 2'`))); got != "1" {
-		t.Errorf("with backslashes that escape: %s statements", got)
+		t.Errorf("Analyze of a string with a backslash escape returned %s effects, want 1", got)
 	}
 }
 
@@ -124,17 +124,17 @@
 	f.Add("select E'a\\'' ; set a.b = $$x$$ -- y\n; /* /* */ */ commit and chain")
 	f.Add("create function f() begin atomic select 1; end")
 	f.Fuzz(func(t *testing.T, sql string) {
-		for _, r := range []Analyzer{{}, {StandardConformingStrings: true}} {
-			for _, e := range r.Analyze(sql) {
+		for _, analyzer := range []Analyzer{{}, {StandardConformingStrings: true}} {
+			for _, e := range analyzer.Analyze(sql) {
 				if e.Kind > Opaque {
-					t.Errorf("%+v", e)
+					t.Errorf("Analyze(%q) returned an unknown kind: %+v", sql, e)
 				}
-				// A value that was read must read back as itself.
+				// The SQL of a value must be read back as the same value.
 				if e.Kind == Set && e.Name != "session_authorization" && e.Name != "role" {
-					again := r.Analyze(SettingsDifference(nil, map[string]string{e.Name: e.Value}))
+					again := analyzer.Analyze(SettingsDifference(nil, map[string]string{e.Name: e.Value}))
 					kindKept := len(again) == 1 && (again[0].Kind == Set || again[0].Kind == Reset)
 					if !kindKept || again[0].Kind == Set && (again[0].Value != e.Value || again[0].Name != e.Name) {
-						t.Errorf("%q: %+v came back as %+v", sql, e, again)
+						t.Errorf("Analyze(%q): %+v was read back as %+v", sql, e, again)
 					}
 				}
 			}
--- a/internal/pooling/lease_test.go
+++ b/internal/pooling/lease_test.go
@@ -9,24 +9,25 @@
 	"pgregory.net/rapid"
 )
 
-// leaseModel takes the actions of Leases and checks each of them.
+// leaseModel implements LeaseActions, records the actions of Leases and checks
+// each of them.
 type leaseModel struct {
 	fail     func(format string, args ...any)
 	leases   *Leases
-	lim      Limits
+	limits   Limits
 	now      float64
 	actions  []string
 	conns    map[uint64]PoolKey
 	opening  map[uint64]bool
 	leased   map[uint64]uint64            // connection to client
-	requests map[uint64]ConnectionRequest // that wait
-	drained  map[uint32]bool
+	requests map[uint64]ConnectionRequest // queued, by client
+	draining map[uint32]bool
 }
 
-func newLeaseModel(lim Limits, fail func(string, ...any)) *leaseModel {
-	model := &leaseModel{fail: fail, lim: lim, now: 1e6, conns: map[uint64]PoolKey{}, opening: map[uint64]bool{},
-		leased: map[uint64]uint64{}, requests: map[uint64]ConnectionRequest{}, drained: map[uint32]bool{}}
-	model.leases = NewLeases(lim, 1, model)
+func newLeaseModel(limits Limits, fail func(string, ...any)) *leaseModel {
+	model := &leaseModel{fail: fail, limits: limits, now: 1e6, conns: map[uint64]PoolKey{}, opening: map[uint64]bool{},
+		leased: map[uint64]uint64{}, requests: map[uint64]ConnectionRequest{}, draining: map[uint32]bool{}}
+	model.leases = NewLeases(limits, 1, model)
 	return model
 }
 
@@ -39,36 +40,37 @@
 	return n
 }
 
-func (m *leaseModel) Open(conn uint64, at PoolKey) {
+func (m *leaseModel) Open(conn uint64, key PoolKey) {
 	m.actions = append(m.actions, fmt.Sprintf("open%d", conn))
-	m.conns[conn], m.opening[conn] = at, true
-	over := func(what string, n, most int) {
-		if most > 0 && n > most {
-			m.fail("%d connections of %s, %d allowed", n, what, most)
+	m.conns[conn], m.opening[conn] = key, true
+	checkLimit := func(scope string, n, limit int) {
+		if limit > 0 && n > limit {
+			m.fail("%d open connections %s, want at most %d", n, scope, limit)
 		}
 	}
-	over("all", len(m.conns), m.lim.Total)
-	over("an endpoint", m.count(func(p PoolKey) bool { return p.Endpoint == at.Endpoint }), m.lim.PerEndpoint)
-	over("a user", m.count(func(p PoolKey) bool { return p.User == at.User }), m.lim.PerUser)
-	over("a database", m.count(func(p PoolKey) bool { return p.Database == at.Database }), m.lim.PerDatabase)
+	checkLimit("in total", len(m.conns), m.limits.Total)
+	checkLimit("to one endpoint", m.count(func(p PoolKey) bool { return p.Endpoint == key.Endpoint }), m.limits.PerEndpoint)
+	checkLimit("of one user", m.count(func(p PoolKey) bool { return p.User == key.User }), m.limits.PerUser)
+	checkLimit("to one database", m.count(func(p PoolKey) bool { return p.Database == key.Database }), m.limits.PerDatabase)
 	n := 0
 	for c := range m.opening {
-		if m.conns[c].Endpoint == at.Endpoint {
+		if m.conns[c].Endpoint == key.Endpoint {
 			n++
 		}
 	}
-	over("those that open", n, m.lim.MaxOpening)
-	if m.drained[at.Endpoint] {
-		m.fail("opened to a draining endpoint")
+	checkLimit("in state opening", n, m.limits.MaxOpening)
+	if m.draining[key.Endpoint] {
+		m.fail("connection %d was opened to draining endpoint %d", conn, key.Endpoint)
 	}
 }
 
 func (m *leaseModel) Grant(client, conn uint64) {
 	m.actions = append(m.actions, fmt.Sprintf("grant%d:%d", client, conn))
-	w, waits := m.requests[client]
-	if _, taken := m.leased[conn]; taken || m.opening[conn] || m.conns[conn] != w.Key || !waits || m.drained[w.Key.Endpoint] {
-		m.fail("connection %d at %v was granted to %d, which wants %v (waits: %t, taken: %t)", conn, m.conns[conn], client,
-			w.Key, waits, taken)
+	request, queued := m.requests[client]
+	if _, taken := m.leased[conn]; taken || m.opening[conn] || m.conns[conn] != request.Key || !queued ||
+		m.draining[request.Key.Endpoint] {
+		m.fail("Grant(%d, %d) of %v for a request of %v (queued %t, already leased %t)", client, conn, m.conns[conn],
+			request.Key, queued, taken)
 	}
 	delete(m.requests, client)
 	m.leased[conn] = client
@@ -77,7 +79,7 @@
 func (m *leaseModel) Reject(client uint64, after float64) {
 	m.actions = append(m.actions, fmt.Sprintf("reject%d", client))
 	if _, ok := m.requests[client]; !ok || after <= 0 {
-		m.fail("%d was rejected and is not queued, retry after %v", client, after)
+		m.fail("Reject(%d, %v) with queued %t, want a queued request and a positive time", client, after, ok)
 	}
 	delete(m.requests, client)
 }
@@ -85,7 +87,7 @@
 func (m *leaseModel) Close(conn uint64) {
 	m.actions = append(m.actions, fmt.Sprintf("close%d", conn))
 	if _, ok := m.conns[conn]; !ok {
-		m.fail("connection %d was closed and does not exist", conn)
+		m.fail("Close(%d) of a connection that does not exist", conn)
 	}
 	delete(m.conns, conn)
 	delete(m.opening, conn)
@@ -94,15 +96,15 @@
 
 func (m *leaseModel) acquire(client uint64, endpoint uint32, user string, write bool) {
 	user, database, _ := strings.Cut(user, "@")
-	w := ConnectionRequest{client, PoolKey{endpoint, user, database}, write, 1000}
-	m.requests[client] = w
-	m.leases.Acquire(m.now, w)
+	request := ConnectionRequest{client, PoolKey{endpoint, user, database}, write, 1000}
+	m.requests[client] = request
+	m.leases.Acquire(m.now, request)
 }
 
 func (m *leaseModel) advance(ms float64) {
 	end := m.now + ms
-	for at, ok := m.leases.Next(); ok && at <= end; at, ok = m.leases.Next() {
-		m.now = max(at, m.now)
+	for due, ok := m.leases.Next(); ok && due <= end; due, ok = m.leases.Next() {
+		m.now = max(due, m.now)
 		m.leases.Tick(m.now)
 	}
 	m.now = end
@@ -118,10 +120,10 @@
 	m.leases.Released(m.now, conn, clean)
 }
 
-func (m *leaseModel) expect(t *testing.T, words string) {
+func (m *leaseModel) expect(t *testing.T, want string) {
 	t.Helper()
-	if got := strings.Join(m.actions, " "); got != words {
-		t.Fatalf("got %q, want %q", got, words)
+	if got := strings.Join(m.actions, " "); got != want {
+		t.Fatalf("actions %q, want %q", got, want)
 	}
 	m.actions = nil
 }
@@ -135,19 +137,20 @@
 	return out
 }
 
-// No limit is exceeded, no connection has two clients, each request ends once,
-// and none is queued while a connection that it may have is idle.
+// Under random events no limit is exceeded, no connection is leased to two
+// clients, each request ends once, and none is queued while a connection of its
+// pool is idle.
 func TestLeasesRespectLimitsAndEndEveryRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := func(what string) int { return rapid.IntRange(0, 5).Draw(t, what) }
-		lim := Limits{Total: limit("total"), PerEndpoint: limit("per host"), PerUser: limit("per user"),
+		limit := func(label string) int { return rapid.IntRange(0, 5).Draw(t, label) }
+		limits := Limits{Total: limit("total"), PerEndpoint: limit("per endpoint"), PerUser: limit("per user"),
 			PerDatabase: limit("per database"), MaxQueued: limit("queue"),
 			MaxQueueTimeout: 500, MaxOpening: limit("opening"), IdleTimeout: 300, MaxLifetime: 2000}
-		model := newLeaseModel(lim, t.Fatalf)
+		model := newLeaseModel(limits, t.Fatalf)
 		for n := range rapid.IntRange(1, 120).Draw(t, "steps") {
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "operation") {
 			case 0, 1, 2:
-				model.acquire(uint64(1000+n), uint32(rapid.IntRange(1, 2).Draw(t, "host")),
+				model.acquire(uint64(1000+n), uint32(rapid.IntRange(1, 2).Draw(t, "endpoint")),
 					rapid.SampledFrom([]string{"a", "b", "c", "a@other"}).Draw(t, "user"), rapid.Bool().Draw(t, "write"))
 			case 3, 4:
 				if all := keys(model.opening); len(all) > 0 {
@@ -159,7 +162,7 @@
 					model.release(rapid.SampledFrom(all).Draw(t, "released"), rapid.IntRange(0, 3).Draw(t, "clean") > 0)
 				}
 			case 7:
-				if all := keys(model.conns); len(all) > 0 { // it breaks
+				if all := keys(model.conns); len(all) > 0 { // the connection breaks
 					c := rapid.SampledFrom(all).Draw(t, "broken")
 					delete(model.conns, c)
 					delete(model.opening, c)
@@ -168,31 +171,31 @@
 				}
 			case 8:
 				if all := keys(model.requests); len(all) > 0 {
-					c := rapid.SampledFrom(all).Draw(t, "gone")
+					c := rapid.SampledFrom(all).Draw(t, "cancelled client")
 					delete(model.requests, c)
 					model.leases.Cancel(c)
 				}
 			default:
 				if rapid.IntRange(0, 3).Draw(t, "drain") == 0 {
-					endpoint := uint32(rapid.IntRange(1, 2).Draw(t, "drained"))
-					model.drained[endpoint] = !model.drained[endpoint]
-					model.leases.SetDraining(endpoint, model.drained[endpoint])
+					endpoint := uint32(rapid.IntRange(1, 2).Draw(t, "draining endpoint"))
+					model.draining[endpoint] = !model.draining[endpoint]
+					model.leases.SetDraining(endpoint, model.draining[endpoint])
 				}
-				model.advance(rapid.Float64Range(0, 200).Draw(t, "pass"))
+				model.advance(rapid.Float64Range(0, 200).Draw(t, "advance in ms"))
 			}
-			for _, w := range model.requests {
-				if model.leases.idle[w.Key] != nil {
-					t.Fatalf("%v is queued beside an idle connection", w)
+			for _, request := range model.requests {
+				if model.leases.idle[request.Key] != nil {
+					t.Fatalf("%v is queued while a connection of its pool is idle", request)
 				}
 			}
 			if len(model.leases.connections) != len(model.conns) || len(model.leases.requests) != len(model.requests) {
-				t.Fatalf("%d connections and %d requests recorded, %d and %d there", len(model.leases.connections),
+				t.Fatalf("Leases has %d connections and %d requests, want %d and %d", len(model.leases.connections),
 					len(model.leases.requests), len(model.conns), len(model.requests))
 			}
 		}
 		model.advance(1000)
 		if len(model.requests) > 0 {
-			t.Fatalf("%v are still queued", model.requests)
+			t.Fatalf("requests %v are queued past their timeouts", model.requests)
 		}
 		for _, c := range keys(model.opening) {
 			model.opened(c)
@@ -205,7 +208,8 @@
 		left := len(l.connections) + len(l.idle) + len(l.perUser) + len(l.perDatabase) + len(l.opening) + l.timers.Len()
 		first := l.endpoints[1]
 		if left != 0 || first != nil && (first.leased != 0 || first.opening != 0) {
-			t.Fatalf("left: %d connections, %d idle, %d timers", len(l.connections), len(l.idle), l.timers.Len())
+			t.Fatalf("at the end %d connections, %d idle pools and %d timers are left, want 0",
+				len(l.connections), len(l.idle), l.timers.Len())
 		}
 	})
 }
@@ -221,7 +225,7 @@
 	conns := keys(model.conns)
 	for i := range conns {
 		if model.leased[conns[i]] != uint64(i+1) {
-			t.Fatalf("%v", model.leased)
+			t.Fatalf("leases %v, want connection %d for client %d", model.leased, conns[i], i+1)
 		}
 		model.release(conns[i], true)
 	}
@@ -230,12 +234,12 @@
 	model.expect(t, fmt.Sprintf("grant1:%d", conns[0]))
 	model.acquire(9, 1, "a", false)
 	model.expect(t, fmt.Sprintf("grant9:%d", conns[2]))
-	model.release(conns[2], false) // not clean: no client gets it
+	model.release(conns[2], false) // not clean: must not be granted again
 	model.expect(t, fmt.Sprintf("close%d", conns[2]))
 }
 
-// A user with many clients leaves the others a fair part, without a connection
-// being evicted for each statement.
+// A user with many clients must not keep other users from a fair share of the
+// connections, and sharing must not evict a connection for each statement.
 func TestUsersShareEndpointFairly(t *testing.T) {
 	model := newLeaseModel(Limits{PerEndpoint: 10}, t.Fatalf)
 	client := uint64(0)
@@ -273,7 +277,8 @@
 	}
 	used := model.count(func(p PoolKey) bool { return p.User == "few" })
 	if used < 4 || used > 6 || closed > 12 {
-		t.Errorf("few has %d of 10, %d connections were closed, %v", used, closed, granted)
+		t.Errorf("user few has %d of 10 connections, want 4 to 6; %d were closed, want at most 12; granted %v",
+			used, closed, granted)
 	}
 }
 
@@ -286,13 +291,13 @@
 		model.opened(c)
 	}
 	if len(model.leased) != 2 || len(model.requests) != 2 {
-		t.Fatalf("%d reads have a connection, %d wait", len(model.leased), len(model.requests))
+		t.Fatalf("%d reads have a connection and %d are queued, want 2 and 2", len(model.leased), len(model.requests))
 	}
 	model.acquire(9, 1, "a", true)
 	for _, c := range keys(model.opening) {
 		model.opened(c)
 	}
-	if _, waits := model.requests[9]; waits {
+	if _, queued := model.requests[9]; queued {
 		t.Error("a write is queued behind reads that the reserve holds back")
 	}
 	model.advance(101)
@@ -310,10 +315,10 @@
 		model.opened(c)
 	}
 	conns := keys(model.conns)
-	model.release(conns[1], true) // the third has it now
+	model.release(conns[1], true) // granted to client 3
 	model.actions = nil
 	model.acquire(4, 1, "a", false)
-	model.drained[1] = true
+	model.draining[1] = true
 	model.leases.SetDraining(1, true)
 	model.expect(t, "reject4")
 	model.release(conns[0], true)
@@ -322,8 +327,8 @@
 	model.expect(t, "reject5")
 }
 
-// An idle connection is evicted for a request that is queued at another
-// endpoint.
+// With the total limit reached, an idle connection is evicted for a request that
+// is queued at another endpoint.
 func TestIdleConnectionIsEvictedForAnotherEndpoint(t *testing.T) {
 	model := newLeaseModel(Limits{Total: 1}, t.Fatalf)
 	model.acquire(1, 1, "a", false)
@@ -333,6 +338,6 @@
 	model.actions = nil
 	model.release(c, true)
 	if got := strings.Join(model.actions, " "); !strings.HasPrefix(got, fmt.Sprintf("close%d open", c)) {
-		t.Errorf("%q", got)
+		t.Errorf("actions %q, want close%d and an open", got, c)
 	}
 }
--- a/internal/pooling/pipeline_test.go
+++ b/internal/pooling/pipeline_test.go
@@ -9,19 +9,19 @@
 	"pgregory.net/rapid"
 )
 
-// backend is a small server of the extended protocol, by PostgreSQL's rules: a
-// message fails by its statement's text.
+// backend simulates a PostgreSQL server of the extended protocol. The text of a
+// statement determines which of its messages fail.
 type backend struct {
 	statements map[string]string
 	portals    map[string]string
-	skipping   bool
+	skipping   bool // skips all messages up to the next Sync
 }
 
 func newBackend() *backend {
 	return &backend{statements: map[string]string{}, portals: map[string]string{}}
 }
 
-// wireMessage is what a server gets.
+// wireMessage is a message that a server receives.
 type wireMessage struct {
 	kind            byte
 	statement, text string
@@ -29,8 +29,9 @@
 	isPortal        bool
 }
 
-// take runs a message and returns its answers, each a kind and what it says.
-func (b *backend) take(m wireMessage) []string {
+// handle processes a message and returns the responses, each as its message type
+// and an optional content.
+func (b *backend) handle(m wireMessage) []string {
 	if m.kind == 'S' {
 		b.skipping = false
 		clear(b.portals)
@@ -39,9 +40,9 @@
 	if b.skipping || m.kind == 'H' {
 		return nil
 	}
-	fail := func(why string) []string {
+	fail := func(sqlState string) []string {
 		b.skipping = true
-		return []string{"E:" + why}
+		return []string{"E:" + sqlState}
 	}
 	switch m.kind {
 	case 'P':
@@ -97,13 +98,13 @@
 	return nil
 }
 
-// Several clients' pipelines over one connection: each client gets the answers
-// that it would get on a connection of its own.
+// Several clients use one connection in turn: each must receive the responses
+// that it would receive on a connection of its own.
 func TestPipelineMatchesPrivateConnection(t *testing.T) {
 	texts := []string{"select 1", "select 2", "select 3", "a syntax error", "nobind 1", "noexec 1"}
 	rapid.Check(t, func(t *rapid.T) {
 		var catalog StatementCatalog
-		onServer := &ConnectionStatements{Max: rapid.IntRange(1, 4).Draw(t, "most")}
+		onServer := &ConnectionStatements{Max: rapid.IntRange(1, 4).Draw(t, "max statements")}
 		shared := newBackend()
 		type client struct {
 			names   *ClientStatements
@@ -123,16 +124,16 @@
 			var inTransit []wireMessage
 			deliver := func(n int) {
 				for ; n > 0 && len(inTransit) > 0; n-- {
-					for _, reply := range shared.take(inTransit[0]) {
-						r, ok := pipeline.FromServer(reply[0])
+					for _, response := range shared.handle(inTransit[0]) {
+						action, ok := pipeline.FromServer(response[0])
 						if !ok {
-							t.Fatalf("%q answers nothing", reply)
+							t.Fatalf("FromServer rejected %q", response)
 						}
-						if r.Forward {
-							got = append(got, reply)
+						if action.Forward {
+							got = append(got, response)
 						}
-						for _, own := range r.Synthesized {
-							got = append(got, string(own))
+						for _, synthesized := range action.Synthesized {
+							got = append(got, string(synthesized))
 						}
 					}
 					inTransit = inTransit[1:]
@@ -142,7 +143,7 @@
 			for n := range steps {
 				m := &ClientMessage{Kind: rapid.SampledFrom([]byte("PPBBEEDCSH")).Draw(t, "kind")}
 				if n == steps-1 {
-					m.Kind = 'S' // a turn ends with it
+					m.Kind = 'S' // a turn ends with a Sync
 				}
 				m.Statement = rapid.SampledFrom([]string{"", "s", "t"}).Draw(t, "statement")
 				m.Portal = rapid.Bool().Draw(t, "portal")
@@ -150,46 +151,46 @@
 				for !pipeline.Ready() {
 					deliver(1)
 				}
-				w := wireMessage{m.Kind, m.Statement, m.Text, "", m.Portal}
-				want = append(want, c.private.take(w)...)
+				direct := wireMessage{m.Kind, m.Statement, m.Text, "", m.Portal}
+				want = append(want, c.private.handle(direct)...)
 				send, now := pipeline.FromClient(m)
 				for _, s := range send {
-					x := wireMessage{kind: s.Kind, statement: s.Name, text: s.Text, isPortal: m.Portal && s.ClientMessage != nil}
+					sent := wireMessage{kind: s.Kind, statement: s.Name, text: s.Text, isPortal: m.Portal && s.ClientMessage != nil}
 					if s.ClientMessage != nil {
-						x.text = s.ClientMessage.Text
+						sent.text = s.ClientMessage.Text
 					}
-					inTransit = append(inTransit, x)
+					inTransit = append(inTransit, sent)
 				}
-				for _, own := range now {
-					got = append(got, string(own))
+				for _, synthesized := range now {
+					got = append(got, string(synthesized))
 				}
 				deliver(rapid.IntRange(0, 3).Draw(t, "delivered"))
 			}
 			deliver(len(inTransit))
 			if !slices.Equal(got, want) {
-				t.Fatalf("the client got %q, alone it would get %q", got, want)
+				t.Fatalf("client received %q, want %q as on a private connection", got, want)
 			}
 			if !pipeline.Idle() {
-				t.Fatalf("%d messages are still pending", len(pipeline.pending))
+				t.Fatalf("%d responses are pending after a Sync, want 0", len(pipeline.pending))
 			}
 			for name, text := range c.private.statements {
-				if st, err := c.names.Get(name); err != nil || st.Text != text {
-					t.Fatalf("%q is %v, want %q", name, st, text)
+				if prepared, err := c.names.Get(name); err != nil || prepared.Text != text {
+					t.Fatalf("Get(%q) = %v, %v, want text %q", name, prepared, err, text)
 				}
 			}
 			if len(c.names.byName) != len(c.private.statements) {
-				t.Fatalf("%d names, want %d", len(c.names.byName), len(c.private.statements))
+				t.Fatalf("client has %d statement names, want %d", len(c.names.byName), len(c.private.statements))
 			}
 			if len(shared.statements) != onServer.Len() {
-				t.Fatalf("the server has %d statements, %d are recorded", len(shared.statements), onServer.Len())
+				t.Fatalf("ConnectionStatements has %d statements, want %d as on the server", onServer.Len(), len(shared.statements))
 			}
 		}
 	})
 }
 
-// A pipeline of 100 Executes whose 50th fails: 49 are answered, then the error,
-// then nothing but the Sync's own answer.
-func TestPipelineErrorInTheMiddle(t *testing.T) {
+// The 50th of 100 Executes in one pipeline fails: the client must receive 49
+// results, the error and then only the response to the Sync.
+func TestPipelineSkipsToSyncAfterError(t *testing.T) {
 	var catalog StatementCatalog
 	pipeline := NewPipeline(&catalog, &ClientStatements{}, &ConnectionStatements{})
 	server := newBackend()
@@ -207,35 +208,35 @@
 	}
 	s, _ := pipeline.FromClient(&ClientMessage{Kind: 'S'})
 	for _, s := range append(sends, s...) {
-		for _, reply := range server.take(wireMessage{kind: s.Kind, statement: s.Name, text: s.ClientMessage.Text}) {
-			if r, ok := pipeline.FromServer(reply[0]); !ok || !r.Forward {
-				t.Fatalf("%q: %+v %t", reply, r, ok)
+		for _, response := range server.handle(wireMessage{kind: s.Kind, statement: s.Name, text: s.ClientMessage.Text}) {
+			if action, ok := pipeline.FromServer(response[0]); !ok || !action.Forward {
+				t.Fatalf("FromServer(%q) = %+v, %t, want it forwarded", response, action, ok)
 			}
-			counts[reply[0]]++
+			counts[response[0]]++
 		}
 	}
 	if counts['C'] != 49 || counts['E'] != 1 || counts['Z'] != 1 || !pipeline.Idle() {
-		t.Errorf("%v", counts)
+		t.Errorf("messages by type %v, idle %t, want C: 49, E: 1, Z: 1 and an idle pipeline", counts, pipeline.Idle())
 	}
 }
 
 func TestPipelineRejectsUnexpectedAnswer(t *testing.T) {
 	var catalog StatementCatalog
-	for _, c := range []struct{ sent, came byte }{{'B', '1'}, {'E', 'Z'}, {'S', 'C'}, {'D', '2'}} {
+	for _, c := range []struct{ sent, received byte }{{'B', '1'}, {'E', 'Z'}, {'S', 'C'}, {'D', '2'}} {
 		pipeline := NewPipeline(&catalog, &ClientStatements{}, &ConnectionStatements{})
 		pipeline.FromClient(&ClientMessage{Kind: c.sent, Portal: true})
-		if _, ok := pipeline.FromServer(c.came); ok {
-			t.Errorf("%c was answered by %c", c.sent, c.came)
+		if _, ok := pipeline.FromServer(c.received); ok {
+			t.Errorf("FromServer(%c) was accepted as response to %c", c.received, c.sent)
 		}
 	}
 	if _, ok := NewPipeline(&catalog, &ClientStatements{}, &ConnectionStatements{}).FromServer('Z'); ok {
-		t.Error("an answer to nothing was taken")
+		t.Error("FromServer(Z) was accepted by an empty pipeline")
 	}
 }
 
-// Messages behind a Sync wait where an error before it would take back what
-// they rest on: here a Close that the server passed over.
-func TestPipelineWaitsBehindUncertainSync(t *testing.T) {
+// Messages after a Sync must wait if an error before the Sync would undo changes
+// on which they depend, here a Close that the server skipped.
+func TestPipelineWaitsForSyncThatMayUndoChanges(t *testing.T) {
 	var catalog StatementCatalog
 	pipeline := NewPipeline(&catalog, &ClientStatements{}, &ConnectionStatements{Max: 1})
 	server := newBackend()
@@ -247,16 +248,16 @@
 			if s.ClientMessage != nil {
 				text = s.ClientMessage.Text
 			}
-			for _, reply := range server.take(wireMessage{kind: s.Kind, statement: s.Name, text: text}) {
-				r, ok := pipeline.FromServer(reply[0])
+			for _, response := range server.handle(wireMessage{kind: s.Kind, statement: s.Name, text: text}) {
+				action, ok := pipeline.FromServer(response[0])
 				if !ok {
-					t.Fatalf("%q answers nothing", reply)
+					t.Fatalf("FromServer rejected %q", response)
 				}
-				if r.Forward {
-					received = append(received, reply)
+				if action.Forward {
+					received = append(received, response)
 				}
-				for _, own := range r.Synthesized {
-					received = append(received, string(own))
+				for _, synthesized := range action.Synthesized {
+					received = append(received, string(synthesized))
 				}
 			}
 		}
@@ -272,12 +273,12 @@
 		}
 		send, now := pipeline.FromClient(m)
 		inTransit = append(inTransit, send...)
-		for _, own := range now {
-			received = append(received, string(own))
+		for _, synthesized := range now {
+			received = append(received, string(synthesized))
 		}
 	}
 	deliver()
 	if got := strings.Join(received, " "); got != "1 1 E:42P05 Z 1 Z" || waited != 1 {
-		t.Errorf("received %q, waited %d times", got, waited)
+		t.Errorf("received %q and waited %d times, want %q and 1", got, waited, "1 1 E:42P05 Z 1 Z")
 	}
 }
--- a/internal/pooling/prepared_test.go
+++ b/internal/pooling/prepared_test.go
@@ -8,7 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// The same name with two texts by two clients on one connection.
+// Two clients use the same statement name with different texts, and different
+// names with the same text: the statements on the connection must not be mixed
+// up and must be shared.
 func TestClientsSharePreparedStatementsByText(t *testing.T) {
 	var catalog StatementCatalog
 	var a, b ClientStatements
@@ -22,55 +24,56 @@
 	p4, _ := b.Parse(&catalog, "u", "select 1", []uint32{23})
 	sameNames := p1.ServerName == p2.ServerName || p1.ServerName == p4.ServerName
 	if p1 != p3 || p1 == p2 || p1 == p4 || sameNames || len(p1.ServerName) > maxIdentifierBytes {
-		t.Errorf("%v %v %v %v", p1, p2, p3, p4)
+		t.Errorf("prepared %v, %v, %v, %v; want the first and the third to be the same and the others distinct",
+			p1, p2, p3, p4)
 	}
 	if _, err := a.Parse(&catalog, "s", "select 3", nil); !errors.Is(err, ErrDuplicateStatement) {
-		t.Error(err)
+		t.Errorf("Parse of a name in use: error %v, want ErrDuplicateStatement", err)
 	}
-	if s := onServer.Ensure(&catalog, p1); !s.Parse || len(s.Close) > 0 {
-		t.Errorf("%+v", s)
+	if steps := onServer.Ensure(&catalog, p1); !steps.Parse || len(steps.Close) > 0 {
+		t.Errorf("Ensure on an empty connection = %+v, want only a Parse", steps)
 	}
-	if s := onServer.Ensure(&catalog, p3); s.Parse {
-		t.Errorf("prepared twice: %+v", s)
+	if steps := onServer.Ensure(&catalog, p3); steps.Parse {
+		t.Errorf("Ensure of a prepared statement = %+v, want no Parse", steps)
 	}
 	onServer.Ensure(&catalog, p2)
 	leastRecentlyUsed := []string{p1.ServerName}
-	if s := onServer.Ensure(&catalog, p4); !s.Parse || fmt.Sprint(s.Close) != fmt.Sprint(leastRecentlyUsed) {
-		t.Errorf("%+v", s)
+	if steps := onServer.Ensure(&catalog, p4); !steps.Parse || fmt.Sprint(steps.Close) != fmt.Sprint(leastRecentlyUsed) {
+		t.Errorf("Ensure beyond Max = %+v, want a Parse and a Close of %v", steps, leastRecentlyUsed)
 	}
-	catalog.SchemaChanged() // DDL: the statements on the server are stale
-	if s := onServer.Ensure(&catalog, p2); !s.Parse || fmt.Sprint(s.Close) != fmt.Sprint([]string{p2.ServerName}) {
-		t.Errorf("%+v", s)
+	catalog.SchemaChanged() // the statements on the server are stale
+	if steps := onServer.Ensure(&catalog, p2); !steps.Parse || fmt.Sprint(steps.Close) != fmt.Sprint([]string{p2.ServerName}) {
+		t.Errorf("Ensure after a schema change = %+v, want a Parse and a Close of %q", steps, p2.ServerName)
 	}
-	onServer.Forget(p2) // its Parse failed there
-	if s := onServer.Ensure(&catalog, p2); !s.Parse {
-		t.Errorf("%+v", s)
+	onServer.Forget(p2) // its Parse failed
+	if steps := onServer.Ensure(&catalog, p2); !steps.Parse {
+		t.Errorf("Ensure after Forget = %+v, want a Parse", steps)
 	}
 	a.Close(&catalog, "s")
 	a.Close(&catalog, "s")
 	b.Clear(&catalog)
 	if _, err := a.Get("s"); !errors.Is(err, ErrUnknownStatement) || catalog.Len() != 0 {
-		t.Errorf("%v, %d left", err, catalog.Len())
+		t.Errorf("after all names were closed: error %v, %d statements, want ErrUnknownStatement and 0", err, catalog.Len())
 	}
-	for range 2 { // the unnamed one is replaced
+	for range 2 { // the unnamed statement is replaced
 		if _, err := a.Parse(&catalog, "", fmt.Sprint("select ", catalog.Len()), nil); err != nil || catalog.Len() != 1 {
-			t.Errorf("%v, %d", err, catalog.Len())
+			t.Errorf("Parse of the unnamed statement: error %v, %d statements, want none and 1", err, catalog.Len())
 		}
 	}
-	few := ClientStatements{Max: 1}
-	_, _ = few.Parse(&catalog, "x", "select 1", nil)
-	if _, err := few.Parse(&catalog, "y", "select 1", nil); !errors.Is(err, ErrTooManyStatements) {
-		t.Error(err)
+	limited := ClientStatements{Max: 1}
+	_, _ = limited.Parse(&catalog, "x", "select 1", nil)
+	if _, err := limited.Parse(&catalog, "y", "select 1", nil); !errors.Is(err, ErrTooManyStatements) {
+		t.Errorf("Parse beyond Max: error %v, want ErrTooManyStatements", err)
 	}
 }
 
-// The statements on a connection stay within their bound, and Ensure always
-// agrees with what the server has.
+// Under random operations the statements on a connection stay within Max, and
+// Ensure agrees with the statements that the server has.
 func TestConnectionStatementsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var catalog StatementCatalog
 		var names ClientStatements
-		onServer := ConnectionStatements{Max: rapid.IntRange(1, 4).Draw(t, "most")}
+		onServer := ConnectionStatements{Max: rapid.IntRange(1, 4).Draw(t, "max statements")}
 		var all []*PreparedStatement
 		for i := range 6 {
 			p, _ := names.Parse(&catalog, fmt.Sprint(i), fmt.Sprint("select ", i), nil)
@@ -79,7 +82,7 @@
 		server := map[string]uint64{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			p := rapid.SampledFrom(all).Draw(t, "statement")
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "operation") {
 			case 0:
 				catalog.SchemaChanged()
 			case 1:
@@ -89,25 +92,25 @@
 				onServer.Forget(p)
 				delete(server, p.ServerName)
 			default:
-				s := onServer.Ensure(&catalog, p)
-				for _, name := range s.Close {
+				steps := onServer.Ensure(&catalog, p)
+				for _, name := range steps.Close {
 					if _, ok := server[name]; !ok {
-						t.Fatalf("closed a statement that the server does not have")
+						t.Fatalf("Ensure closes %q, which the server does not have", name)
 					}
 					delete(server, name)
 				}
-				if _, ok := server[p.ServerName]; ok == s.Parse {
-					t.Fatalf("parse %t, there %t", s.Parse, ok)
+				if _, ok := server[p.ServerName]; ok == steps.Parse {
+					t.Fatalf("Ensure(%v) has Parse %t, statement on the server %t", p, steps.Parse, ok)
 				}
-				if s.Parse {
+				if steps.Parse {
 					server[p.ServerName] = catalog.generation
 				}
 				if server[p.ServerName] != catalog.generation {
-					t.Fatal("bound a stale plan")
+					t.Fatalf("Ensure(%v) leaves schema generation %d, want %d", p, server[p.ServerName], catalog.generation)
 				}
 			}
 			if onServer.Len() > onServer.Max || onServer.Len() != len(server) {
-				t.Fatalf("%d recorded, %d on the server, %d allowed", onServer.Len(), len(server), onServer.Max)
+				t.Fatalf("Len() = %d, want %d as on the server and at most %d", onServer.Len(), len(server), onServer.Max)
 			}
 		}
 	})
--- a/internal/pooling/session_test.go
+++ b/internal/pooling/session_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// applySQL applies the effects of the statements of a query string to a session.
 func applySQL(s *Session, sql string) {
 	for _, e := range (Analyzer{StandardConformingStrings: true}).Analyze(sql) {
 		s.Apply(e)
@@ -33,15 +34,15 @@
 		s := &Session{}
 		applySQL(s, sql)
 		if s.Pins() != want {
-			t.Errorf("%s: pinned by %v, want %v", sql, s.Pins(), want)
+			t.Errorf("Pins() after %q = %v, want %v", sql, s.Pins(), want)
 		}
 	}
 	s := &Session{}
 	applySQL(s, "listen a; begin; unlisten *")
 	s.Fail()
-	applySQL(s, "commit") // of a failed transaction
+	applySQL(s, "commit") // rolls the failed transaction back
 	if s.Pins() != PinListen {
-		t.Errorf("pinned by %v", s.Pins())
+		t.Errorf("Pins() after COMMIT of a failed transaction = %v, want %v", s.Pins(), PinListen)
 	}
 }
 
@@ -51,16 +52,17 @@
 		var connection ConnectionState
 		s := &Session{}
 		if applySQL(s, sql); connection.Release(s) != want {
-			t.Errorf("%s: reusable %t", sql, !want)
+			t.Errorf("Release after %q = %t, want %t", sql, !want, want)
 		}
 	}
 }
 
-// server is a private session for the model: it applies what it is sent.
+// server models the session on the server, which applies the statements that it
+// receives.
 type server struct{ Session }
 
-// Many sessions share one connection: each finds its own settings and prepared
-// statements, and none of another session.
+// Several sessions share one connection: each must find its own settings and
+// prepared statements there, and none of another session.
 func TestHandoverNeverLeaksState(t *testing.T) {
 	statements := []string{"set a to 1", "set a to 'two'", "set b.c to 3", "reset a", "reset all",
 		"begin; set a to 4; commit", "begin; set a to 5; rollback",
@@ -68,50 +70,50 @@
 		"deallocate all", "discard all", "select 1"}
 	rapid.Check(t, func(t *rapid.T) {
 		var connection ConnectionState
-		real := &server{} // the session on the server
+		real := &server{}
 		clients := make([]*Session, rapid.IntRange(2, 4).Draw(t, "clients"))
 		for i := range clients {
 			clients[i] = &Session{}
 		}
-		trips := 0
+		roundTrips := 0
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			s := rapid.SampledFrom(clients).Draw(t, "client")
-			if q := connection.HandoverSQL(s); q != "" {
-				trips++
-				applySQL(&real.Session, q)
+			if query := connection.HandoverSQL(s); query != "" {
+				roundTrips++
+				applySQL(&real.Session, query)
 			}
 			connection.RecordHandover(s)
 			if again := connection.HandoverSQL(s); again != "" {
-				t.Fatalf("states agree, and yet %q", again)
+				t.Fatalf("HandoverSQL after RecordHandover = %q, want none", again)
 			}
 			onServer := real.Session.Session()
 			if !maps.Equal(onServer, s.Session()) && fmt.Sprint(onServer) != fmt.Sprint(s.Session()) {
-				t.Fatalf("the server has %v, the client %v", real.Session.Session(), s.Session())
+				t.Fatalf("settings on the server %v, want %v", real.Session.Session(), s.Session())
 			}
 			if fmt.Sprint(real.prepared) != fmt.Sprint(s.prepared) && len(real.prepared)+len(s.prepared) > 0 {
-				t.Fatalf("the server has prepared %v, the client %v", real.prepared, s.prepared)
+				t.Fatalf("prepared statements on the server %v, want %v", real.prepared, s.prepared)
 			}
 			sql := rapid.SampledFrom(statements).Draw(t, "statement")
 			if strings.HasPrefix(sql, "prepare") && s.prepared[(Analyzer{}).Analyze(sql)[0].Name] != "" {
-				continue // refused by the host: the name is taken
+				continue // the server would reject the name, which is in use
 			}
 			applySQL(s, sql)
 			applySQL(&real.Session, sql)
 			if !connection.Release(s) {
-				t.Fatalf("%s left something open", sql)
+				t.Fatalf("Release after %q = false, want true", sql)
 			}
 		}
 	})
 }
 
-func TestTruncateFollowsPostgreSQL(t *testing.T) {
+func TestTruncateIdentifierFollowsPostgreSQL(t *testing.T) {
 	long := strings.Repeat("a", 62) + "åäö"
 	if got := TruncateIdentifier(long); got != strings.Repeat("a", 62) {
-		t.Errorf("%q", got)
+		t.Errorf("TruncateIdentifier(%q) = %q, want 62 letters a", long, got)
 	}
 	s := &Session{}
 	applySQL(s, "prepare "+strings.Repeat("x", 70)+" as select 1; deallocate "+strings.Repeat("x", 63))
 	if len(s.prepared) != 0 {
-		t.Errorf("%v", s.prepared)
+		t.Errorf("prepared statements after DEALLOCATE of the truncated name: %v, want none", s.prepared)
 	}
 }
--- a/internal/pooling/settings_test.go
+++ b/internal/pooling/settings_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// snapshotModel implements the same rules by copies: every setting is copied at
-// each savepoint, and restored.
+// snapshotModel implements the rules of Settings with snapshots: it copies all
+// settings at each savepoint and restores them at a rollback.
 type snapshotModel struct {
-	session, local map[string]string // "" in local: the default
+	session, local map[string]string // in local, "" stands for the default
 	stack          []snapshot
 	failed         bool
 }
@@ -21,7 +21,9 @@
 	session, local map[string]string
 }
 
-func (m *snapshotModel) keep(name string) {
+// push saves the settings under a savepoint's name, "" at the beginning of a
+// transaction.
+func (m *snapshotModel) push(name string) {
 	m.stack = append(m.stack, snapshot{name, maps.Clone(m.session), maps.Clone(m.local)})
 }
 
@@ -40,7 +42,7 @@
 	switch e.Kind {
 	case Begin:
 		if len(m.stack) == 0 {
-			m.keep("")
+			m.push("")
 		}
 	case Commit, Rollback:
 		if len(m.stack) > 0 && (e.Kind == Rollback || m.failed) {
@@ -48,11 +50,11 @@
 		}
 		m.local, m.stack, m.failed = map[string]string{}, nil, false
 		if e.Chain {
-			m.keep("")
+			m.push("")
 		}
 	case Savepoint:
 		if len(m.stack) > 0 {
-			m.keep(e.Name)
+			m.push(e.Name)
 		}
 	case Release:
 		if i := last(e.Name); i > 0 {
@@ -96,7 +98,8 @@
 
 var settingNames = []string{"a", "b", "c.d"}
 
-func anyEffect(t *rapid.T) Effect {
+// drawEffect returns a random effect on settings or transactions.
+func drawEffect(t *rapid.T) Effect {
 	e := Effect{Kind: rapid.SampledFrom([]Kind{Begin, Commit, Rollback, Savepoint, Savepoint, Release, RollbackTo, Set, Set,
 		Set, SetLocal, SetLocal,
 		Reset, ResetAll, DiscardAll, Ordinary}).Draw(t, "kind")}
@@ -117,7 +120,8 @@
 	return e
 }
 
-// After any statements a setting is what PostgreSQL's rules on transactions make it.
+// After random statements, each setting has the value that PostgreSQL's rules on
+// transactions require.
 func TestSettingsFollowTransactions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Settings
@@ -127,11 +131,12 @@
 				s.Fail()
 				m.failed = len(m.stack) > 0
 			}
-			e := anyEffect(t)
+			e := drawEffect(t)
 			s.Apply(e)
 			m.apply(e)
 			if s.InTransaction() != (len(m.stack) > 0) || s.Failed() != m.failed {
-				t.Fatalf("in a transaction %t, failed %t", s.InTransaction(), s.Failed())
+				t.Fatalf("after %+v: in a transaction %t, failed %t; want %t, %t", e, s.InTransaction(), s.Failed(),
+					len(m.stack) > 0, m.failed)
 			}
 			if s.Failed() {
 				continue
@@ -139,29 +144,30 @@
 			for _, name := range settingNames {
 				v, ok := s.Get(name)
 				if w, set := m.get(name); ok != set || ok && v != w {
-					t.Fatalf("%s is %q, %t; want %q, %t", name, v, ok, w, set)
+					t.Fatalf("Get(%q) after %+v = %q, %t; want %q, %t", name, e, v, ok, w, set)
 				}
 			}
 			if !s.InTransaction() && !maps.Equal(s.Session(), m.session) {
-				t.Fatalf("the session has %v, want %v", s.Session(), m.session)
+				t.Fatalf("Session() after %+v = %v, want %v", e, s.Session(), m.session)
 			}
 		}
 	})
 }
 
-// SET LOCAL, an error, then ROLLBACK TO: what was before the savepoint is back.
+// ROLLBACK TO after SET LOCAL and an error restores the value that a setting had
+// before the savepoint.
 func TestSetLocalThenErrorThenRollbackTo(t *testing.T) {
 	var s Settings
-	r := Analyzer{StandardConformingStrings: true}
+	analyzer := Analyzer{StandardConformingStrings: true}
 	run := func(sql string) {
-		for _, e := range r.Analyze(sql) {
+		for _, e := range analyzer.Analyze(sql) {
 			s.Apply(e)
 		}
 	}
 	want := func(text string) {
 		t.Helper()
 		if v, _ := s.Get("work_mem"); v != text {
-			t.Errorf("%q, want %q", v, text)
+			t.Errorf("work_mem is %q, want %q", v, text)
 		}
 	}
 	run("set work_mem to '1MB'; begin; set work_mem to '2MB'; savepoint s; set local work_mem to '3MB'")
@@ -174,19 +180,19 @@
 	run("commit")
 	want("'2MB'")
 	run("begin; set local work_mem to '6MB'; savepoint t; set work_mem to '7MB'; release t")
-	want("'7MB'") // what is set for the session covers what was set for the transaction
+	want("'7MB'") // the later SET overrides the SET LOCAL
 	run("rollback")
 	want("'2MB'")
 	run("begin; set work_mem to '5MB'")
 	s.Fail()
-	run("commit") // of a failed transaction
+	run("commit") // rolls the failed transaction back
 	want("'2MB'")
 }
 
-// The difference of two sessions makes the one the other, and says nothing
-// where they agree.
-func TestDifferenceMakesSessionsEqual(t *testing.T) {
-	r := Analyzer{StandardConformingStrings: true}
+// The statements of SettingsDifference turn one session's settings into the
+// other's, and there are none if the settings are equal.
+func TestSettingsDifferenceMakesSessionsEqual(t *testing.T) {
+	analyzer := Analyzer{StandardConformingStrings: true}
 	session := rapid.Custom(func(t *rapid.T) map[string]string {
 		m := map[string]string{}
 		for _, name := range []string{"a", "my.own", "search_path", "timezone", "role", "session_authorization", "We Ird.x"} {
@@ -194,19 +200,19 @@
 				m[name] = rapid.SampledFrom([]string{"'x'", "app", "'it''s'", " E'back\\\\slash'"}).Draw(t, "value")
 			}
 		}
-		delete(m, "We Ird.x") // names are small letters once they were read
+		delete(m, "We Ird.x") // settingName returns names in lower case only
 		return m
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		has, must := session.Draw(t, "has"), session.Draw(t, "must")
-		diff := SettingsDifference(has, must)
-		if maps.Equal(has, must) != (diff == "") {
-			t.Fatalf("%v to %v: %q", has, must, diff)
+		from, to := session.Draw(t, "from"), session.Draw(t, "to")
+		diff := SettingsDifference(from, to)
+		if maps.Equal(from, to) != (diff == "") {
+			t.Fatalf("SettingsDifference(%v, %v) = %q, want statements only if they differ", from, to, diff)
 		}
-		s := Settings{committed: maps.Clone(has)}
-		for _, e := range r.Analyze(diff) {
+		s := Settings{committed: maps.Clone(from)}
+		for _, e := range analyzer.Analyze(diff) {
 			if e.Kind != Set && e.Kind != Reset {
-				t.Fatalf("%q: %+v", diff, e)
+				t.Fatalf("effect of %q: %+v, want Set or Reset", diff, e)
 			}
 			s.Apply(e)
 		}
@@ -214,14 +220,14 @@
 		for name, v := range s.Session() {
 			got[name] = v
 		}
-		for name, v := range must {
-			// A constant reads back as it means: with or without the E before it.
-			if fmt.Sprint(r.Analyze("set q to "+v)) != fmt.Sprint(r.Analyze("set q to "+got[name])) {
-				t.Fatalf("%q made %s %q, want %q", diff, name, got[name], v)
+		for name, v := range to {
+			// A constant may be read back with another quoting, such as a prefix E.
+			if fmt.Sprint(analyzer.Analyze("set q to "+v)) != fmt.Sprint(analyzer.Analyze("set q to "+got[name])) {
+				t.Fatalf("after %q: setting %s is %q, want %q", diff, name, got[name], v)
 			}
 		}
-		if len(got) != len(must) {
-			t.Fatalf("%q made %v, want %v", diff, got, must)
+		if len(got) != len(to) {
+			t.Fatalf("after %q: settings %v, want %v", diff, got, to)
 		}
 	})
 }
