--- a/internal/pooling/session.go
+++ b/internal/pooling/session.go
@@ -7,8 +7,8 @@
 	"unicode/utf8"
 )
 
-// maxIdentifierBytes is the longest identifier in a statement (NAMEDATALEN - 1).
-// Names in protocol messages have no such limit.
+// maxIdentifierBytes is the length of the longest identifier in a statement, in
+// bytes (NAMEDATALEN - 1). Names in protocol messages have no such limit.
 const maxIdentifierBytes = 63
 
 // TruncateIdentifier shortens an identifier to 63 bytes at most without splitting
--- a/internal/pooling/statement_set.go
+++ b/internal/pooling/statement_set.go
@@ -103,8 +103,10 @@
 	return `"` + strings.ReplaceAll(name, `"`, `""`) + `"`
 }
 
-// QuoteLiteral returns an SQL string constant with the given value. It has the
-// same value whether standard_conforming_strings is on or off.
+// QuoteLiteral returns an SQL string constant with the given value, which is the
+// same whether standard_conforming_strings is on or off. A constant with
+// backslashes has the prefix E, after a space that separates it from a preceding
+// word.
 func QuoteLiteral(value string) string {
 	quoted := "'" + strings.ReplaceAll(value, "'", "''") + "'"
 	if strings.Contains(value, `\`) {
