--- a/internal/edge/batch/batch.go
+++ b/internal/edge/batch/batch.go
@@ -109,8 +109,8 @@
 // Validate returns what is wrong with a Batch, nil for nothing.
 func (b *Batch) Validate() error {
 	switch {
-	case len(b.Device) == 0 || len(b.Device) > intake.MaxDevice:
-		return fmt.Errorf("%w: a device's name has 1 to %d bytes", errInvalid, intake.MaxDevice)
+	case len(b.Device) == 0 || len(b.Device) > intake.MaxDeviceNameBytes:
+		return fmt.Errorf("%w: a device's name has 1 to %d bytes", errInvalid, intake.MaxDeviceNameBytes)
 	case len(b.Readings) == 0 || len(b.Readings) > MaxReadings:
 		return fmt.Errorf("%w: 1 to %d readings are taken", errInvalid, MaxReadings)
 	case b.Elapsed != nil && !(*b.Elapsed >= 0 && *b.Elapsed < maxElapsedMs):
--- a/internal/edge/coap/block.go
+++ b/internal/edge/coap/block.go
@@ -103,7 +103,7 @@
 // addTransferBytes accounts for a block's bytes, which may evict the slowest
 // transfers. It returns the code to respond with.
 func (s *Server) addTransferBytes(now float64, transfer *blockTransfer, blockBytes int) codes.Code {
-	for _, owner := range s.unfinished.Grow(now, transfer.owner, blockBytes) {
+	for _, owner := range s.unfinished.Add(now, transfer.owner, blockBytes) {
 		s.stats.Stalled++
 		s.endTransfer(s.transferByOwner[owner])
 	}
--- a/internal/edge/coap/coap.go
+++ b/internal/edge/coap/coap.go
@@ -94,7 +94,7 @@
 
 	transfers       map[string]*blockTransfer // by transferKey
 	transferByOwner map[uint64]*blockTransfer
-	unfinished      *progress.Ledger // progress of the transfers
+	unfinished      *progress.Tracker // progress of the transfers
 }
 
 // Stats counts events since the start.
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -55,7 +55,7 @@
 	mqtt       *mqtt.Server
 	frames     *frames.Server
 	coap       *coap.Server
-	unfinished *progress.Ledger // partially received messages over TCP
+	unfinished *progress.Tracker // partially received messages over TCP
 
 	udp             *datagramSocket // nil if there is no CoAP address
 	listeners       []*listener
--- a/internal/edge/input.go
+++ b/internal/edge/input.go
@@ -168,7 +168,7 @@
 		newBytes = len(rest)
 		conn.unfinished = append([]byte(nil), rest...)
 	}
-	for _, evicted := range e.unfinished.Grow(now, conn.handle.ID(), newBytes) {
+	for _, evicted := range e.unfinished.Add(now, conn.handle.ID(), newBytes) {
 		e.closeStalled(evicted)
 	}
 }
--- a/internal/edge/intake/characterization_test.go
+++ b/internal/edge/intake/characterization_test.go
@@ -117,8 +117,8 @@
 	} {
 		d.float(v)
 	}
-	d.int(intake.MaxDevice)
-	d.int(intake.MaxValue)
+	d.int(intake.MaxDeviceNameBytes)
+	d.int(intake.MaxValueBytes)
 	for status := range 8 {
 		d.bool(intake.Status(status).Done())
 	}
@@ -321,11 +321,11 @@
 	case 0:
 		reading.Device = ""
 	case 1:
-		reading.Device = strings.Repeat("x", intake.MaxDevice+r.random.IntN(2))
+		reading.Device = strings.Repeat("x", intake.MaxDeviceNameBytes+r.random.IntN(2))
 	case 2:
 		reading.Value = nil
 	case 3:
-		reading.Value = make([]byte, intake.MaxValue+r.random.IntN(2))
+		reading.Value = make([]byte, intake.MaxValueBytes+r.random.IntN(2))
 	case 4:
 		reading.Route = -1
 	case 5:
@@ -444,13 +444,13 @@
 func (r *router) known() {
 	device := r.random.IntN(r.devices)
 	for epoch := range r.epochs[device] + 1 {
-		known := r.intake.Known(fmt.Sprint("meter-", device), epoch)
+		known := r.intake.RecordedSequences(fmt.Sprint("meter-", device), epoch)
 		r.digest.int(len(known))
 		for _, seq := range known {
 			r.digest.uint(seq)
 		}
 	}
-	r.digest.int(len(r.intake.Known("nobody", 0)))
+	r.digest.int(len(r.intake.RecordedSequences("nobody", 0)))
 }
 
 // observe adds to the digest what can be asked for at any time.
--- a/internal/edge/intake/intake.go
+++ b/internal/edge/intake/intake.go
@@ -190,9 +190,9 @@
 	in.dispatch(now, reading.group)
 }
 
-// Known returns the sequence numbers of the named device's epoch that are
+// RecordedSequences returns the sequence numbers of the named device's epoch that are
 // recorded, in ascending order, as far as this router remembers.
-func (in *Intake) Known(name string, epoch uint64) []uint64 {
+func (in *Intake) RecordedSequences(name string, epoch uint64) []uint64 {
 	device := in.devices[name]
 	if device == nil {
 		return nil
--- a/internal/edge/intake/reading.go
+++ b/internal/edge/intake/reading.go
@@ -20,8 +20,8 @@
 
 // The longest name of a device and the largest value, in bytes.
 const (
-	MaxDevice = 64
-	MaxValue  = 32 << 10
+	MaxDeviceNameBytes = 64
+	MaxValueBytes      = 32 << 10
 )
 
 // Reading is one reading as a device sent it.
@@ -33,8 +33,8 @@
 }
 
 func (reading *Reading) valid(routes int) bool {
-	validDevice := len(reading.Device) > 0 && len(reading.Device) <= MaxDevice
-	validValue := len(reading.Value) > 0 && len(reading.Value) <= MaxValue
+	validDevice := len(reading.Device) > 0 && len(reading.Device) <= MaxDeviceNameBytes
+	validValue := len(reading.Value) > 0 && len(reading.Value) <= MaxValueBytes
 	return validDevice && validValue && reading.Route >= 0 && reading.Route < routes
 }
 
--- a/internal/edge/intake/reading_test.go
+++ b/internal/edge/intake/reading_test.go
@@ -9,9 +9,9 @@
 func TestInvalidReadings(t *testing.T) {
 	script := newScript(t, nil)
 	script.offer("", 1, true)
-	script.offer(strings.Repeat("x", MaxDevice+1), 2, true)
+	script.offer(strings.Repeat("x", MaxDeviceNameBytes+1), 2, true)
 	script.offerValue("a", 1, 3, "", true)
-	script.offerValue("a", 1, 4, strings.Repeat("x", MaxValue+1), true)
+	script.offerValue("a", 1, 4, strings.Repeat("x", MaxValueBytes+1), true)
 	unknownRoute := Reading{ID: ID{"a", 1, 5}, Route: 1, Value: []byte("v")}
 	script.in.Offer(script.now, unknownRoute, DeclaredHistory{}, Origin{Index: 5}, netip.Prefix{})
 	script.want("invalid1 invalid2 invalid3 invalid4 invalid5")
--- a/internal/edge/progress/progress.go
+++ b/internal/edge/progress/progress.go
@@ -21,8 +21,8 @@
 	TotalBytes int     // of all unfinished messages together, with overhead
 }
 
-// Ledger accounts for unfinished messages, one for each owner.
-type Ledger struct {
+// Tracker accounts for unfinished messages, one for each owner.
+type Tracker struct {
 	limits   Limits
 	messages map[uint64]*unfinishedMessage // by owner
 	byWindow list.List                     // messages by the end of their windows, which have one length
@@ -40,20 +40,20 @@
 }
 
 // New returns an empty Ledger.
-func New(limits Limits) *Ledger {
-	return &Ledger{limits: limits, messages: map[uint64]*unfinishedMessage{}}
+func New(limits Limits) *Tracker {
+	return &Tracker{limits: limits, messages: map[uint64]*unfinishedMessage{}}
 }
 
 // Bytes returns the memory of all unfinished messages, in bytes.
-func (l *Ledger) Bytes() int { return l.bytes }
+func (l *Tracker) Bytes() int { return l.bytes }
 
 // Len returns how many unfinished messages there are.
-func (l *Ledger) Len() int { return len(l.messages) }
+func (l *Tracker) Len() int { return len(l.messages) }
 
-// Grow adds n bytes to the owner's unfinished message, which starts with its
+// Add adds n bytes to the owner's unfinished message, which starts with its
 // first ones. The messages of the returned owners are removed to keep the limit,
 // and must be ended: the slowest, which may be the owner itself.
-func (l *Ledger) Grow(now float64, owner uint64, n int) (evicted []uint64) {
+func (l *Tracker) Add(now float64, owner uint64, n int) (evicted []uint64) {
 	message := l.messages[owner]
 	if message == nil {
 		message = &unfinishedMessage{owner: owner, startedAt: now, windowAt: now}
@@ -73,7 +73,7 @@
 }
 
 // slowest returns the message with the lowest rate, among equals the oldest.
-func (l *Ledger) slowest(now float64) (slowest *unfinishedMessage) {
+func (l *Tracker) slowest(now float64) (slowest *unfinishedMessage) {
 	var lowest float64
 	for element := l.byWindow.Front(); element != nil; element = element.Next() {
 		message := element.Value.(*unfinishedMessage)
@@ -93,7 +93,7 @@
 }
 
 // End removes the owner's message: it is complete, or its owner has gone.
-func (l *Ledger) End(owner uint64) {
+func (l *Tracker) End(owner uint64) {
 	message := l.messages[owner]
 	if message == nil {
 		return
@@ -104,7 +104,7 @@
 }
 
 // Next returns when Tick is due, in Unix milliseconds; false if it is not.
-func (l *Ledger) Next() (float64, bool) {
+func (l *Tracker) Next() (float64, bool) {
 	first := l.byWindow.Front()
 	if first == nil {
 		return 0, false
@@ -112,13 +112,13 @@
 	return l.windowEnd(first.Value.(*unfinishedMessage)), true
 }
 
-func (l *Ledger) windowEnd(message *unfinishedMessage) float64 {
+func (l *Tracker) windowEnd(message *unfinishedMessage) float64 {
 	return message.windowAt + l.limits.WindowMs
 }
 
 // Tick ends windows. It removes the messages that made too little progress, and
 // returns their owners, which must be ended.
-func (l *Ledger) Tick(now float64) (stalled []uint64) {
+func (l *Tracker) Tick(now float64) (stalled []uint64) {
 	for {
 		first := l.byWindow.Front()
 		if first == nil {
--- a/internal/edge/progress/progress_test.go
+++ b/internal/edge/progress/progress_test.go
@@ -18,9 +18,9 @@
 		slow = slow || slices.Contains(ended, 1)
 		steady = steady || slices.Contains(ended, 2)
 		if !slow {
-			l.Grow(now, 1, 1)
+			l.Add(now, 1, 1)
 		}
-		l.Grow(now, 2, 20)
+		l.Add(now, 2, 20)
 		if slow && second > 10 {
 			break
 		}
@@ -32,13 +32,13 @@
 
 func TestSlowestIsEvictedFirst(t *testing.T) {
 	l := New(Limits{WindowMs: 60000, MinBytes: 1, TotalBytes: 4*overhead + 400})
-	l.Grow(0, 1, 10)
-	l.Grow(5000, 2, 100)
-	l.Grow(5000, 3, 100)
-	if out := l.Grow(6000, 4, 300); !slices.Equal(out, []uint64{1, 2}) && !slices.Equal(out, []uint64{1}) {
+	l.Add(0, 1, 10)
+	l.Add(5000, 2, 100)
+	l.Add(5000, 3, 100)
+	if out := l.Add(6000, 4, 300); !slices.Equal(out, []uint64{1, 2}) && !slices.Equal(out, []uint64{1}) {
 		t.Errorf("%v went", out)
 	}
-	if out := l.Grow(6000, 4, 900); !slices.Contains(out, 4) {
+	if out := l.Add(6000, 4, 900); !slices.Contains(out, 4) {
 		t.Errorf("one beyond the whole limit stayed: %v", out)
 	}
 	if l.Bytes() != 0 && l.Len() == 0 {
@@ -69,7 +69,7 @@
 			default:
 				n := rapid.IntRange(1, 500).Draw(t, "n")
 				expected[owner] += n
-				out = l.Grow(now, owner, n)
+				out = l.Add(now, owner, n)
 			}
 			for _, o := range out {
 				if expected[o] == 0 {
--- a/internal/edge/store/characterization_test.go
+++ b/internal/edge/store/characterization_test.go
@@ -147,7 +147,7 @@
 	bare.Value, twice.Value = nil, []byte("the first value")
 	binary := reading("\x00\xff\x00a\x00", 1, 1)
 	binary.Value = []byte{0, 1, 0xfe, 0xff}
-	long := reading(strings.Repeat("n", intake.MaxDevice), 1, 1)
+	long := reading(strings.Repeat("n", intake.MaxDeviceNameBytes), 1, 1)
 	recorded, aside := reading("meter-1", 1, 1), reading("meter-1", 1, 2)
 	for _, r := range []*intake.Reading{
 		recorded, aside, reading("meter-1", 1, 3), reading("meter-1", 2, 1), reading("meter-1", 1, 256), urgent,
