--- a/internal/edge/intake/admission.go
+++ b/internal/edge/intake/admission.go
@@ -8,7 +8,7 @@
 	if atDeviceLimit || in.networks[reading.network] >= in.cfg.MaxPerNetwork {
 		return false
 	}
-	for in.inProgress >= in.cfg.MaxReadings || in.bytes+reading.cost() > in.cfg.MaxBytes {
+	for in.inProgress >= in.cfg.MaxReadings || in.bytes+reading.memoryBytes() > in.cfg.MaxBytes {
 		victim := in.victim(reading)
 		if victim == nil {
 			return false
@@ -53,7 +53,7 @@
 	}
 	device.inProgress[reading.ID.local()] = reading
 	in.inProgress++
-	in.bytes += reading.cost()
+	in.bytes += reading.memoryBytes()
 	if reading.network.IsValid() {
 		in.networks[reading.network]++
 	}
@@ -69,7 +69,7 @@
 	reading.removed = true
 	delete(device.inProgress, reading.ID.local())
 	in.inProgress--
-	in.bytes -= reading.cost()
+	in.bytes -= reading.memoryBytes()
 	if reading.network.IsValid() {
 		in.networks[reading.network]--
 		if in.networks[reading.network] <= 0 {
--- a/internal/edge/intake/admission_test.go
+++ b/internal/edge/intake/admission_test.go
@@ -41,7 +41,7 @@
 		script.offer(fmt.Sprint("d", i), uint64(i), false)
 		script.want(want)
 	}
-	script = newScript(t, func(c *Config) { c.MaxBytes = 3 * (entryCost + 100) })
+	script = newScript(t, func(c *Config) { c.MaxBytes = 3 * (readingOverheadBytes + 100) })
 	for i, want := range []string{"check0", "check1", "check2", "rejected3"} {
 		script.offerValue(fmt.Sprint("d", i), 1, uint64(i), strings.Repeat("x", 90), false)
 		script.want(want)
--- a/internal/edge/intake/config.go
+++ b/internal/edge/intake/config.go
@@ -54,6 +54,6 @@
 	}
 }
 
-// minWriteTimeout is the shortest timeout with which a write is sent, in
+// minWriteTimeoutMs is the shortest timeout with which a write is sent, in
 // milliseconds.
-const minWriteTimeout = 250
+const minWriteTimeoutMs = 250
--- a/internal/edge/intake/device.go
+++ b/internal/edge/intake/device.go
@@ -16,23 +16,23 @@
 type trackedDevice struct {
 	name  string
 	epoch uint64 // the highest seen
-	// confirmed is set once a reading of this epoch was recorded or found
+	// epochConfirmed is set once a reading of this epoch was recorded or found
 	// recorded here, conflicted once another value was found under an ID of it.
-	confirmed   bool
-	conflicted  bool
-	trustedFrom uint64 // the first sequence number of the epoch above all forgotten ones
+	epochConfirmed  bool
+	epochConflicted bool
+	trustedFromSeq  uint64 // the first sequence number of the epoch above all forgotten ones
 
 	inProgress  map[localID]*trackedReading
 	recent      []recordedReading // a ring
-	recentNext  int               // the place in it that is overwritten next
+	nextRecent  int               // the place in it that is overwritten next
 	queues      []*deviceQueue    // one for each replica group that it has readings for
 	evictable   int               // readings that may be evicted: queued, never submitted, not stored
 	heapIndex   int               // in Intake.evictable, -1 if evictable is 0
 	idleElement *list.Element     // in Intake.idleDevices, nil while readings are in progress
 }
 
-// recall returns the digest of the recorded value, if the reading is remembered.
-func (device *trackedDevice) recall(id localID) (digest uint64, ok bool) {
+// recordedDigest returns the digest of the recorded value, if the reading is remembered.
+func (device *trackedDevice) recordedDigest(id localID) (digest uint64, ok bool) {
 	for _, recorded := range device.recent {
 		if recorded.epoch == id.epoch && recorded.seq == id.seq {
 			return recorded.digest, true
@@ -41,30 +41,30 @@
 	return 0, false
 }
 
-// remember adds a recorded reading, in place of the oldest beyond limit.
-func (device *trackedDevice) remember(id localID, sum uint64, limit int) {
+// addRecorded adds a recorded reading, in place of the oldest beyond limit.
+func (device *trackedDevice) addRecorded(id localID, sum uint64, limit int) {
 	recorded := recordedReading{epoch: id.epoch, seq: id.seq, digest: sum}
 	if len(device.recent) < limit {
 		device.recent = append(device.recent, recorded)
 		return
 	}
-	if oldest := device.recent[device.recentNext]; oldest.epoch == device.epoch {
-		device.trustedFrom = max(device.trustedFrom, oldest.seq+1)
+	if oldest := device.recent[device.nextRecent]; oldest.epoch == device.epoch {
+		device.trustedFromSeq = max(device.trustedFromSeq, oldest.seq+1)
 	}
-	device.recent[device.recentNext] = recorded
-	device.recentNext = (device.recentNext + 1) % limit
+	device.recent[device.nextRecent] = recorded
+	device.nextRecent = (device.nextRecent + 1) % limit
 }
 
-// observeEpoch takes note of an epoch. Declarations of a new one are not
+// advanceEpoch takes note of an epoch. Declarations of a new one are not
 // trusted at first.
-func (device *trackedDevice) observeEpoch(epoch uint64) {
+func (device *trackedDevice) advanceEpoch(epoch uint64) {
 	if epoch <= device.epoch {
 		return
 	}
 	device.epoch = epoch
-	device.confirmed = false
-	device.conflicted = false
-	device.trustedFrom = 0
+	device.epochConfirmed = false
+	device.epochConflicted = false
+	device.trustedFromSeq = 0
 }
 
 // trustsFirstCopy reports whether a device's declaration that a reading was
@@ -73,11 +73,11 @@
 // therefore not trusted for the first reading of an epoch seen here, nor at or
 // below a forgotten sequence number, nor after a conflict.
 func (device *trackedDevice) trustsFirstCopy(id localID) bool {
-	return id.epoch == device.epoch && device.confirmed && !device.conflicted && id.seq >= device.trustedFrom
+	return id.epoch == device.epoch && device.epochConfirmed && !device.epochConflicted && id.seq >= device.trustedFromSeq
 }
 
-// lru lists devices without readings in progress, least recently used first.
-type lru struct{ list.List }
+// lruList lists devices without readings in progress, least recently used first.
+type lruList struct{ list.List }
 
 // device returns a device by its name. An unknown one is added; at MaxDevices
 // it replaces the one idle for longest, whose next reading will be checked
--- a/internal/edge/intake/intake.go
+++ b/internal/edge/intake/intake.go
@@ -33,7 +33,7 @@
 	actions     Actions
 	rand        *rand.Rand
 	devices     map[string]*trackedDevice
-	idleDevices lru          // devices without readings in progress, least recently used first
+	idleDevices lruList      // devices without readings in progress, least recently used first
 	evictable   evictionHeap // devices with readings that may be evicted
 	networks    map[netip.Prefix]int
 	groups      map[int]*replicaGroup
@@ -45,7 +45,7 @@
 	inProgress  int     // readings
 	bytes       int     // of the readings in progress, with overhead
 	completions rate    // of readings
-	nextReturn  float64 // when the last rejected device was asked to return, Unix milliseconds
+	nextRetryAt float64 // when the last rejected device was asked to return, Unix milliseconds
 	stats       Stats
 }
 
@@ -68,7 +68,7 @@
 }
 
 func validateRoutes(cfg *Config, routes []Route) error {
-	shortest := cfg.MaxOverrun + cfg.ClockMargin + minWriteTimeout
+	shortest := cfg.MaxOverrun + cfg.ClockMargin + minWriteTimeoutMs
 	for i, route := range routes {
 		if route.IdempotencyWindow <= shortest {
 			return fmt.Errorf("route %d: its class drops repeats for %g ms; "+
@@ -112,12 +112,12 @@
 		in.reject(now, from)
 		return
 	}
-	sum := digest(received.Value)
+	sum := valueDigest(received.Value)
 	if reading := device.inProgress[received.local()]; reading != nil {
 		in.coalesce(now, reading, sum, from)
 		return
 	}
-	if recorded, ok := device.recall(received.local()); ok {
+	if recorded, ok := device.recordedDigest(received.local()); ok {
 		in.answerDuplicate(sum == recorded, from)
 		in.markIdle(device)
 		return
@@ -132,7 +132,7 @@
 	if received.Epoch < device.epoch {
 		in.stats.PastEpoch++
 	}
-	device.observeEpoch(received.Epoch)
+	device.advanceEpoch(received.Epoch)
 	if in.writesWithoutCheck(reading, declared) {
 		reading.safeUntil = min(declared.NotBefore, now) + in.routes[received.Route].IdempotencyWindow
 	}
@@ -177,10 +177,10 @@
 		// A stored reading was acknowledged: MaxDevices bounds only new ones.
 		device = in.newDevice(received.Device)
 	}
-	device.observeEpoch(received.Epoch)
+	device.advanceEpoch(received.Epoch)
 	reading := &trackedReading{
 		Reading:   received,
-		digest:    digest(received.Value),
+		digest:    valueDigest(received.Value),
 		device:    device,
 		arrivedAt: now,
 		stored:    true,
--- a/internal/edge/intake/queue.go
+++ b/internal/edge/intake/queue.go
@@ -7,9 +7,9 @@
 	urgent  []*trackedReading
 	routine []*trackedReading
 
-	inUrgent  bool // listed in group.urgent
-	inRoutine bool // listed in group.routine
-	busy      bool // a durable reading is in progress: the next waits for its end
+	listedUrgent  bool // listed in group.urgent
+	listedRoutine bool // listed in group.routine
+	busy          bool // a durable reading is in progress: the next waits for its end
 }
 
 // remove takes out an entry that was not submitted.
@@ -24,9 +24,9 @@
 	}
 }
 
-// next takes out the first urgent reading, else the first routine one; nil if
+// pop takes out the first urgent reading, else the first routine one; nil if
 // there is none.
-func (queue *deviceQueue) next() *trackedReading {
+func (queue *deviceQueue) pop() *trackedReading {
 	entries := &queue.urgent
 	if len(*entries) == 0 {
 		entries = &queue.routine
@@ -66,23 +66,23 @@
 	if reading.evictable() {
 		in.countEvictable(reading.device, 1)
 	}
-	in.schedule(reading.queue)
+	in.scheduleQueue(reading.queue)
 }
 
-// schedule lists a queue for its turns in its group, unless it is listed.
-func (in *Intake) schedule(queue *deviceQueue) {
+// scheduleQueue lists a queue for its turns in its group, unless it is listed.
+func (in *Intake) scheduleQueue(queue *deviceQueue) {
 	if queue.busy {
 		return
 	}
 	// A stored urgent reading is delivered in order: it gives its queue an
 	// urgent turn only once it is the first.
 	urgentFirst := len(queue.routine) > 0 && queue.routine[0].Urgent
-	if !queue.inUrgent && (len(queue.urgent) > 0 || urgentFirst) {
-		queue.inUrgent = true
+	if !queue.listedUrgent && (len(queue.urgent) > 0 || urgentFirst) {
+		queue.listedUrgent = true
 		queue.group.urgent = append(queue.group.urgent, queue)
 	}
-	if !queue.inRoutine && len(queue.routine) > 0 && !urgentFirst {
-		queue.inRoutine = true
+	if !queue.listedRoutine && len(queue.routine) > 0 && !urgentFirst {
+		queue.listedRoutine = true
 		queue.group.routine = append(queue.group.routine, queue)
 	}
 }
@@ -91,28 +91,28 @@
 // those whose backoff is over, then urgent ones, then routine ones, device by
 // device.
 func (in *Intake) nextReading(group *replicaGroup) *trackedReading {
-	if reading := group.nextRetry(); reading != nil {
+	if reading := group.popRetry(); reading != nil {
 		return reading
 	}
 	for len(group.urgent)+len(group.routine) > 0 {
-		queue := group.nextQueue()
+		queue := group.popQueue()
 		// Its readings were evicted, or submitted by its other turn.
 		if len(queue.urgent)+len(queue.routine) == 0 || queue.busy {
 			continue
 		}
-		reading := queue.next()
+		reading := queue.pop()
 		if reading.evictable() {
 			in.countEvictable(reading.device, -1)
 		}
 		queue.busy = in.cfg.Durable
-		in.schedule(queue)
+		in.scheduleQueue(queue)
 		return reading
 	}
 	return nil
 }
 
-// nextRetry takes out the first reading whose backoff is over; nil if none is.
-func (group *replicaGroup) nextRetry() *trackedReading {
+// popRetry takes out the first reading whose backoff is over; nil if none is.
+func (group *replicaGroup) popRetry() *trackedReading {
 	for len(group.retries) > 0 {
 		reading := group.retries[0]
 		group.retries[0] = nil // for the garbage collector
@@ -124,18 +124,18 @@
 	return nil
 }
 
-// nextQueue takes out the queue whose turn it is. There must be one.
-func (group *replicaGroup) nextQueue() *deviceQueue {
-	group.turn++
-	routineTurn := len(group.routine) > 0 && group.turn%routineInterval == 0
+// popQueue takes out the queue whose turn it is. There must be one.
+func (group *replicaGroup) popQueue() *deviceQueue {
+	group.turns++
+	routineTurn := len(group.routine) > 0 && group.turns%routineTurnInterval == 0
 	if len(group.urgent) == 0 || routineTurn {
 		queue := group.routine[0]
 		group.routine = group.routine[1:]
-		queue.inRoutine = false
+		queue.listedRoutine = false
 		return queue
 	}
 	queue := group.urgent[0]
 	group.urgent = group.urgent[1:]
-	queue.inUrgent = false
+	queue.listedUrgent = false
 	return queue
 }
--- a/internal/edge/intake/ratelimit.go
+++ b/internal/edge/intake/ratelimit.go
@@ -13,25 +13,25 @@
 	failures    int     // rejected or failed submissions in a row
 	rampStart   float64 // of the recovery from an outage, 0 if there is none
 	pausedUntil float64 // nothing is submitted before
-	resume      *timers.Timer
+	resumeTimer *timers.Timer
 
 	retries []*trackedReading // whose backoff is over: they go before queued ones
 	urgent  []*deviceQueue    // round robin
 	routine []*deviceQueue    // round robin
-	turn    int               // counts the submissions from urgent and routine
+	turns   int               // counts the submissions from urgent and routine
 }
 
 const (
 	initialWindow = 4
-	// minHalvingInterval keeps simultaneous failures from halving the window
+	// minHalvingIntervalMs keeps simultaneous failures from halving the window
 	// again and again, in milliseconds.
-	minHalvingInterval = 250
+	minHalvingIntervalMs = 250
 	// outageFailures is the number of failures in a row after which the next
 	// success starts a recovery ramp: endpoints that come back are warming up.
 	outageFailures = 5
-	// routineInterval gives one in that many turns to a routine reading, so
+	// routineTurnInterval gives one in that many turns to a routine reading, so
 	// that urgent ones never starve the rest.
-	routineInterval = 8
+	routineTurnInterval = 8
 )
 
 func (in *Intake) group(number int) *replicaGroup {
@@ -58,8 +58,8 @@
 	return max(int(window), 1)
 }
 
-// succeeded grows the window after a submission that was served.
-func (group *replicaGroup) succeeded(now float64, cfg *Config) {
+// recordSuccess grows the window after a submission that was served.
+func (group *replicaGroup) recordSuccess(now float64, cfg *Config) {
 	if group.failures >= outageFailures {
 		group.rampStart = now
 	}
@@ -67,10 +67,10 @@
 	group.window = min(group.window+1/group.window, float64(cfg.MaxWindow))
 }
 
-// failed halves the window after a submission that was rejected or failed.
-func (group *replicaGroup) failed(now float64) {
+// recordFailure halves the window after a submission that was rejected or recordFailure.
+func (group *replicaGroup) recordFailure(now float64) {
 	group.failures++
-	if now >= group.halvedAt+minHalvingInterval {
+	if now >= group.halvedAt+minHalvingIntervalMs {
 		group.window = max(group.window/2, 1)
 		group.halvedAt = now
 	}
@@ -79,7 +79,7 @@
 // dispatch submits as many queued readings as the group's limit allows.
 func (in *Intake) dispatch(now float64, group *replicaGroup) {
 	if now < group.pausedUntil {
-		in.armResume(group)
+		in.armResumeTimer(group)
 		return
 	}
 	for group.inFlight < group.limit(now, &in.cfg) {
@@ -91,13 +91,13 @@
 	}
 }
 
-// armResume sets the timer for the end of a group's pause.
-func (in *Intake) armResume(group *replicaGroup) {
-	if group.resume != nil {
+// armResumeTimer sets the timer for the end of a group's pause.
+func (in *Intake) armResumeTimer(group *replicaGroup) {
+	if group.resumeTimer != nil {
 		return
 	}
-	group.resume = in.timers.At(group.pausedUntil, func(now float64) {
-		group.resume = nil
+	group.resumeTimer = in.timers.At(group.pausedUntil, func(now float64) {
+		group.resumeTimer = nil
 		in.dispatch(now, group)
 	})
 }
--- a/internal/edge/intake/reading.go
+++ b/internal/edge/intake/reading.go
@@ -65,8 +65,8 @@
 
 func (id ID) local() localID { return localID{epoch: id.Epoch, seq: id.Seq} }
 
-// digest distinguishes values.
-func digest(value []byte) uint64 {
+// valueDigest distinguishes values.
+func valueDigest(value []byte) uint64 {
 	sum := sha256.Sum256(value)
 	return binary.BigEndian.Uint64(sum[:])
 }
@@ -79,19 +79,19 @@
 	return groups[xxhash.Sum64String(name)%uint64(len(groups))]
 }
 
-type phase uint8
+type readingPhase uint8
 
 const (
-	queued     phase = iota // in its device's queue
-	retryReady              // its backoff is over: it goes before queued ones
-	storing                 // on its way to the disk
-	writing                 // a write is in flight
-	checking                // a check is in flight
-	backingOff              // until retryTimer
+	queued     readingPhase = iota // in its device's queue
+	retryReady                     // its backoff is over: it goes before queued ones
+	storing                        // on its way to the disk
+	writing                        // a write is in flight
+	checking                       // a check is in flight
+	backingOff                     // until retryTimer
 )
 
-// entryCost is the memory of an entry beside its value and name, in bytes.
-const entryCost = 512
+// readingOverheadBytes is the memory of an entry beside its value and name, in bytes.
+const readingOverheadBytes = 512
 
 // entry is a reading in progress. Times are Unix milliseconds.
 type trackedReading struct {
@@ -102,7 +102,7 @@
 	group     *replicaGroup
 	queue     *deviceQueue
 	waiters   []Origin // copies that are not answered yet
-	phase     phase
+	phase     readingPhase
 	stored    bool // on the disk
 	removed   bool
 	arrivedAt float64
@@ -120,14 +120,14 @@
 	answerTimer *timers.Timer // for the waiters
 }
 
-// cost is the entry's part of MaxBytes, in bytes.
-func (reading *trackedReading) cost() int {
-	return len(reading.Value) + len(reading.Device) + entryCost
+// memoryBytes is the entry's part of MaxBytes, in bytes.
+func (reading *trackedReading) memoryBytes() int {
+	return len(reading.Value) + len(reading.Device) + readingOverheadBytes
 }
 
-// unwanted reports whether nobody depends on the entry: no copy waits, so that
+// abandoned reports whether nobody depends on the entry: no copy waits, so that
 // the device will send it again, and it is not stored.
-func (reading *trackedReading) unwanted() bool { return len(reading.waiters) == 0 && !reading.stored }
+func (reading *trackedReading) abandoned() bool { return len(reading.waiters) == 0 && !reading.stored }
 
 // evictable reports whether a reading may be rejected although it was admitted.
 func (reading *trackedReading) evictable() bool {
--- a/internal/edge/intake/retryafter.go
+++ b/internal/edge/intake/retryafter.go
@@ -8,18 +8,18 @@
 // spread at random over its second half.
 func (in *Intake) retryAfter(now float64) float64 {
 	interval := 1000 / max(in.completions.perSecond(now), 1)
-	in.nextReturn = max(in.nextReturn, now+in.cfg.MinRetryAfter) + interval
-	wait := (in.nextReturn - now) * (0.8 + 0.2*in.rand.Float64())
+	in.nextRetryAt = max(in.nextRetryAt, now+in.cfg.MinRetryAfter) + interval
+	wait := (in.nextRetryAt - now) * (0.8 + 0.2*in.rand.Float64())
 	if wait > in.cfg.MaxRetryAfter {
-		in.nextReturn = min(in.nextReturn, now+2*in.cfg.MaxRetryAfter)
+		in.nextRetryAt = min(in.nextRetryAt, now+2*in.cfg.MaxRetryAfter)
 		wait = in.cfg.MaxRetryAfter * (0.5 + 0.5*in.rand.Float64())
 	}
 	return max(wait, in.cfg.MinRetryAfter)
 }
 
-// rateWindow is the time constant over which a rate is smoothed, in
+// rateTimeConstantMs is the time constant over which a rate is smoothed, in
 // milliseconds.
-const rateWindow = 10000
+const rateTimeConstantMs = 10000
 
 // rate is an exponentially decaying count of events.
 type rate struct {
@@ -29,7 +29,7 @@
 
 func (r *rate) perSecond(now float64) float64 {
 	r.decay(now)
-	return r.count * 1000 / rateWindow
+	return r.count * 1000 / rateTimeConstantMs
 }
 
 func (r *rate) add(now float64) {
@@ -39,7 +39,7 @@
 
 func (r *rate) decay(now float64) {
 	if now > r.decayedAt {
-		r.count *= math.Exp((r.decayedAt - now) / rateWindow)
+		r.count *= math.Exp((r.decayedAt - now) / rateTimeConstantMs)
 		r.decayedAt = now
 	}
 }
--- a/internal/edge/intake/submission.go
+++ b/internal/edge/intake/submission.go
@@ -51,7 +51,7 @@
 // submitNext sends the reading's next submission, a write if that is safe.
 func (in *Intake) submitNext(now float64, reading *trackedReading) {
 	timeout := min(in.cfg.WriteTimeout, reading.safeUntil-in.cfg.ClockMargin-now)
-	if timeout >= minWriteTimeout {
+	if timeout >= minWriteTimeoutMs {
 		in.submit(now, reading, Write, timeout)
 		return
 	}
@@ -89,9 +89,9 @@
 	in.actions.Submit(reading.ID, reading.submission, operation, &reading.Reading, group, timeout)
 }
 
-// takeSubmission ends a submission and returns its reading, nil if it is not in
+// endSubmission ends a submission and returns its reading, nil if it is not in
 // flight.
-func (in *Intake) takeSubmission(submission uint64) *trackedReading {
+func (in *Intake) endSubmission(submission uint64) *trackedReading {
 	reading := in.submissions[submission]
 	if reading != nil {
 		delete(in.submissions, submission)
@@ -104,16 +104,16 @@
 // write what is recorded under the key, after a check nothing if there is no
 // such row.
 func (in *Intake) Served(now float64, submission uint64, value []byte) {
-	reading := in.takeSubmission(submission)
+	reading := in.endSubmission(submission)
 	if reading == nil {
 		return
 	}
 	group := reading.group
-	group.succeeded(now, &in.cfg)
-	sum := digest(value)
+	group.recordSuccess(now, &in.cfg)
+	sum := valueDigest(value)
 	switch {
 	case reading.phase == checking && len(value) == 0:
-		in.absent(now, reading)
+		in.rowAbsent(now, reading)
 	case sum == reading.digest:
 		if reading.phase == checking {
 			in.stats.FoundRecorded++
@@ -125,13 +125,13 @@
 	in.dispatch(now, group)
 }
 
-// absent handles a check that found no row.
-func (in *Intake) absent(now float64, reading *trackedReading) {
+// rowAbsent handles a check that found no row.
+func (in *Intake) rowAbsent(now float64, reading *trackedReading) {
 	// Absent as of submittedAt. An execution that the check did not see began
 	// less than MaxOverrun before that, or later: its key holds until then.
 	reading.safeUntil = reading.submittedAt - in.cfg.MaxOverrun + in.routes[reading.Route].IdempotencyWindow
 	reading.failures = 0
-	if reading.unwanted() {
+	if reading.abandoned() {
 		in.finish(now, reading)
 		return
 	}
@@ -142,10 +142,10 @@
 func (in *Intake) complete(now float64, reading *trackedReading, sum uint64, status Status) {
 	in.completions.add(now)
 	device := reading.device
-	device.remember(reading.ID.local(), sum, in.cfg.MaxRecent)
+	device.addRecorded(reading.ID.local(), sum, in.cfg.MaxRecent)
 	if reading.Epoch == device.epoch {
-		device.confirmed = true
-		device.conflicted = device.conflicted || status == Conflict
+		device.epochConfirmed = true
+		device.epochConflicted = device.epochConflicted || status == Conflict
 	}
 	for _, waiter := range reading.waiters {
 		in.answer(waiter, Answer{Status: status})
@@ -168,7 +168,7 @@
 	in.remove(reading)
 	if queue.busy {
 		queue.busy = false
-		in.schedule(queue)
+		in.scheduleQueue(queue)
 		in.dispatch(now, queue.group)
 	}
 }
@@ -176,12 +176,12 @@
 // Rejected reports that the router rejected a submission, with the advice to
 // retry after that many milliseconds, 0 for none.
 func (in *Intake) Rejected(now float64, submission uint64, retryAfter float64) {
-	reading := in.takeSubmission(submission)
+	reading := in.endSubmission(submission)
 	if reading == nil {
 		return
 	}
 	group := reading.group
-	group.failed(now)
+	group.recordFailure(now)
 	if retryAfter > 0 {
 		group.pausedUntil = max(group.pausedUntil, now+min(retryAfter, in.cfg.MaxRetryAfter))
 	}
@@ -191,31 +191,31 @@
 
 // Failed reports that a submission failed; a write may have run, or may yet.
 func (in *Intake) Failed(now float64, submission uint64) {
-	reading := in.takeSubmission(submission)
+	reading := in.endSubmission(submission)
 	if reading == nil {
 		return
 	}
-	reading.group.failed(now)
+	reading.group.recordFailure(now)
 	in.scheduleRetry(now, reading)
 	in.dispatch(now, reading.group)
 }
 
-// The backoff before a retry doubles from minBackoff to maxBackoff, in
+// The backoff before a retry doubles from minBackoffMs to maxBackoffMs, in
 // milliseconds, and is drawn between half of it and all.
 const (
-	minBackoff   = 100
-	maxBackoff   = 2000
-	maxDoublings = 6
+	minBackoffMs        = 100
+	maxBackoffMs        = 2000
+	maxBackoffDoublings = 6
 )
 
 // scheduleRetry lets a reading back off before its next submission.
 func (in *Intake) scheduleRetry(now float64, reading *trackedReading) {
-	if reading.unwanted() {
+	if reading.abandoned() {
 		in.finish(now, reading)
 		return
 	}
-	doublings := min(reading.failures, maxDoublings)
-	backoff := min(minBackoff*float64(uint(1)<<doublings), maxBackoff)
+	doublings := min(reading.failures, maxBackoffDoublings)
+	backoff := min(minBackoffMs*float64(uint(1)<<doublings), maxBackoffMs)
 	reading.failures++
 	in.backOff(reading, now+backoff*(0.5+0.5*in.rand.Float64()))
 }
--- a/internal/edge/progress/progress.go
+++ b/internal/edge/progress/progress.go
@@ -7,8 +7,8 @@
 
 import "container/list"
 
-// overhead is the memory of an unfinished message beside its bytes, in bytes.
-const overhead = 256
+// overheadBytes is the memory of an unfinished message beside its bytes, in bytes.
+const overheadBytes = 256
 
 // startAllowanceMs is added to a message's age for its rate, so that one that
 // has just started has a finite rate.
@@ -31,12 +31,12 @@
 
 // message is an unfinished message.
 type unfinishedMessage struct {
-	owner       uint64
-	startedAt   float64
-	bytes       int
-	windowAt    float64 // when its window began
-	windowBytes int     // received in the window
-	element     *list.Element
+	owner           uint64
+	startedAt       float64
+	bytes           int
+	windowStartedAt float64 // when its window began
+	windowBytes     int     // received in the window
+	element         *list.Element
 }
 
 // New returns an empty Ledger.
@@ -56,10 +56,10 @@
 func (l *Tracker) Add(now float64, owner uint64, n int) (evicted []uint64) {
 	message := l.messages[owner]
 	if message == nil {
-		message = &unfinishedMessage{owner: owner, startedAt: now, windowAt: now}
+		message = &unfinishedMessage{owner: owner, startedAt: now, windowStartedAt: now}
 		message.element = l.byWindow.PushBack(message)
 		l.messages[owner] = message
-		l.bytes += overhead
+		l.bytes += overheadBytes
 	}
 	message.bytes += n
 	message.windowBytes += n
@@ -100,7 +100,7 @@
 	}
 	delete(l.messages, owner)
 	l.byWindow.Remove(message.element)
-	l.bytes -= message.bytes + overhead
+	l.bytes -= message.bytes + overheadBytes
 }
 
 // Next returns when Tick is due, in Unix milliseconds; false if it is not.
@@ -113,7 +113,7 @@
 }
 
 func (l *Tracker) windowEnd(message *unfinishedMessage) float64 {
-	return message.windowAt + l.limits.WindowMs
+	return message.windowStartedAt + l.limits.WindowMs
 }
 
 // Tick ends windows. It removes the messages that made too little progress, and
@@ -133,7 +133,7 @@
 			stalled = append(stalled, message.owner)
 			continue
 		}
-		message.windowAt = now
+		message.windowStartedAt = now
 		message.windowBytes = 0
 		l.byWindow.MoveToBack(first)
 	}
--- a/internal/edge/progress/progress_test.go
+++ b/internal/edge/progress/progress_test.go
@@ -31,7 +31,7 @@
 }
 
 func TestSlowestIsEvictedFirst(t *testing.T) {
-	l := New(Limits{WindowMs: 60000, MinBytes: 1, TotalBytes: 4*overhead + 400})
+	l := New(Limits{WindowMs: 60000, MinBytes: 1, TotalBytes: 4*overheadBytes + 400})
 	l.Add(0, 1, 10)
 	l.Add(5000, 2, 100)
 	l.Add(5000, 3, 100)
@@ -79,7 +79,7 @@
 			}
 			sum := 0
 			for _, n := range expected {
-				sum += n + overhead
+				sum += n + overheadBytes
 			}
 			if l.Bytes() != sum || sum > limits.TotalBytes || l.Len() != len(expected) {
 				t.Fatalf("%d bytes of %d owners, want %d of %d", l.Bytes(), l.Len(), sum, len(expected))
--- a/internal/edge/store/codec.go
+++ b/internal/edge/store/codec.go
@@ -13,26 +13,26 @@
 // number. Its value is the urgency, the route, the reading's value and a
 // checksum of these. Numbers are big-endian. Sizes are in bytes.
 const (
-	nameEndSize  = 2 // 0x00 0x01
-	numberSize   = 8 // an epoch, a sequence number
-	keyTailSize  = nameEndSize + 2*numberSize
-	urgencySize  = 1
-	routeSize    = 2
-	headerSize   = urgencySize + routeSize
-	checksumSize = 8
+	deviceEndSize = 2 // 0x00 0x01
+	numberSize    = 8 // an epoch, a sequence number
+	keyTailSize   = deviceEndSize + 2*numberSize
+	urgencySize   = 1
+	routeSize     = 2
+	headerSize    = urgencySize + routeSize
+	checksumSize  = 8
 
-	// escape follows a zero byte in the device's name, so that names may hold
+	// escapeByte follows a zero byte in the device's name, so that names may hold
 	// any bytes and keys keep the order of names.
-	escape = 0xff
+	escapeByte = 0xff
 )
 
-// key orders readings by device, epoch and sequence number.
-func key(id intake.ID) []byte {
+// encodeKey orders readings by device, epoch and sequence number.
+func encodeKey(id intake.ID) []byte {
 	b := make([]byte, 0, len(id.Device)+keyTailSize)
 	for i := range len(id.Device) {
 		b = append(b, id.Device[i])
 		if id.Device[i] == 0 {
-			b = append(b, escape)
+			b = append(b, escapeByte)
 		}
 	}
 	b = append(b, 0, 1)
@@ -40,8 +40,8 @@
 	return binary.BigEndian.AppendUint64(b, id.Seq)
 }
 
-// encode returns an entry's value.
-func encode(r *intake.Reading) []byte {
+// encodeReading returns an entry's value.
+func encodeReading(r *intake.Reading) []byte {
 	b := make([]byte, 0, headerSize+len(r.Value)+checksumSize)
 	var urgent byte
 	if r.Urgent {
@@ -53,8 +53,8 @@
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b)) // bbolt's pages have no checksum
 }
 
-// decode returns a copy of the reading in an entry.
-func decode(k, v []byte) (r intake.Reading, err error) {
+// decodeReading returns a copy of the reading in an entry.
+func decodeReading(k, v []byte) (r intake.Reading, err error) {
 	if len(k) < keyTailSize || len(v) < headerSize+checksumSize {
 		return r, fmt.Errorf("%w: an entry of %d and %d bytes is no reading", errDamaged, len(k), len(v))
 	}
@@ -66,7 +66,7 @@
 	name := k[:len(k)-keyTailSize]
 	numbers := k[len(k)-2*numberSize:]
 	r.ID = intake.ID{
-		Device: unescape(name),
+		Device: unescapeDevice(name),
 		Epoch:  binary.BigEndian.Uint64(numbers),
 		Seq:    binary.BigEndian.Uint64(numbers[numberSize:]),
 	}
@@ -76,7 +76,7 @@
 	return r, nil
 }
 
-func unescape(name []byte) string {
+func unescapeDevice(name []byte) string {
 	var device []byte
 	for i := 0; i < len(name); i++ {
 		device = append(device, name[i])
--- a/internal/edge/store/file.go
+++ b/internal/edge/store/file.go
@@ -28,8 +28,8 @@
 )
 
 var (
-	errForeign = errors.New("the file is no store of readings of this program")
-	errDamaged = errors.New("the file is damaged")
+	errNotStore = errors.New("the file is no store of readings of this program")
+	errDamaged  = errors.New("the file is damaged")
 )
 
 // openFile opens or creates the file, after a check of its contents.
@@ -77,12 +77,12 @@
 	metadata := tx.Bucket([]byte(metadataBucket))
 	if metadata == nil {
 		if first, _ := tx.Cursor().First(); first != nil {
-			return errForeign
+			return errNotStore
 		}
 		return nil
 	}
 	if string(metadata.Get([]byte(formatKey))) != formatName {
-		return errForeign
+		return errNotStore
 	}
 	return nil
 }
@@ -100,7 +100,7 @@
 func loadReadings(db *bbolt.DB) (readings []intake.Reading, bytes int, err error) {
 	err = db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket([]byte(readingsBucket)).ForEach(func(k, v []byte) error {
-			reading, err := decode(k, v)
+			reading, err := decodeReading(k, v)
 			if err != nil {
 				return err
 			}
--- a/internal/edge/store/page.go
+++ b/internal/edge/store/page.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// page is a branch or a leaf of bbolt's, which may also be inside a value.
-type page struct {
+// treePage is a branch or a leaf of bbolt's, which may also be inside a value.
+type treePage struct {
 	name   string // for errors
 	bytes  []byte
 	branch bool
@@ -15,9 +15,9 @@
 
 func pageFlags(b []byte) uint16 { return binary.LittleEndian.Uint16(b[pageFlagsOffset:]) }
 
-func newPage(name string, b []byte) (page, error) {
+func parsePage(name string, b []byte) (treePage, error) {
 	flags := pageFlags(b)
-	p := page{
+	p := treePage{
 		name:   name,
 		bytes:  b,
 		branch: flags == branchPage,
@@ -31,8 +31,8 @@
 	return p, nil
 }
 
-// entry is one element of a page with its key and value.
-type entry struct {
+// pageEntry is one element of a page with its key and value.
+type pageEntry struct {
 	key    []byte
 	child  uint64 // page, of a branch's element
 	value  []byte // of a leaf's
@@ -42,11 +42,11 @@
 // entry reads an element: in a branch position, key size and child; in a leaf
 // flags, position, key size and value size. The position counts from the
 // element's beginning.
-func (p page) entry(index int) (entry, error) {
+func (p treePage) entry(index int) (pageEntry, error) {
 	start := pageHeaderSize + index*elementSize
 	element := p.bytes[start : start+elementSize]
 	word := func(offset int) uint64 { return uint64(binary.LittleEndian.Uint32(element[offset:])) }
-	var e entry
+	var e pageEntry
 	var position, keySize, valueSize uint64
 	if p.branch {
 		position = word(0)
@@ -61,7 +61,7 @@
 	keyStart := uint64(start) + position
 	valueStart := keyStart + keySize
 	if position < elementSize || valueStart+valueSize > uint64(len(p.bytes)) {
-		return entry{}, fmt.Errorf("%s: an entry beyond its end", p.name)
+		return pageEntry{}, fmt.Errorf("%s: an entry beyond its end", p.name)
 	}
 	e.key = p.bytes[keyStart:valueStart]
 	e.value = p.bytes[valueStart : valueStart+valueSize]
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -20,10 +20,10 @@
 // once, except Conflicts and Close. Changes are made in the order of the calls,
 // many in one commit, by one goroutine that Close ends.
 type Store struct {
-	db      *bbolt.DB
-	limit   int           // bytes of readings
-	wake    chan struct{} // signals the committing goroutine
-	stopped chan struct{} // closed when it has ended
+	db           *bbolt.DB
+	maxBytes     int           // bytes of readings
+	commitSignal chan struct{} // signals the committing goroutine
+	stopped      chan struct{} // closed when it has ended
 
 	mu     sync.Mutex // guards what follows
 	queue  []change
@@ -62,30 +62,30 @@
 		return nil, nil, fmt.Errorf("store %s: %w", path, err)
 	}
 	s = &Store{
-		db:      db,
-		limit:   limit,
-		wake:    make(chan struct{}, 1),
-		stopped: make(chan struct{}),
+		db:           db,
+		maxBytes:     limit,
+		commitSignal: make(chan struct{}, 1),
+		stopped:      make(chan struct{}),
 	}
 	readings, s.bytes, err = loadReadings(db)
 	if err != nil {
 		return nil, nil, errors.Join(fmt.Errorf("store %s: %w", path, err), db.Close())
 	}
-	go s.run()
+	go s.commitLoop()
 	return s, readings, nil
 }
 
 // Put stores a reading. done is called once from another goroutine: with nil
 // when the reading is on the disk, with an error if it is not.
 func (s *Store) Put(r *intake.Reading, done func(error)) {
-	encoded := encode(r)
+	encoded := encodeReading(r)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	size := len(key(r.ID)) + len(encoded)
+	size := len(encodeKey(r.ID)) + len(encoded)
 	switch {
 	case s.closed:
 		go done(errClosed)
-	case s.bytes+size > s.limit || len(s.queue) >= maxQueuedChanges:
+	case s.bytes+size > s.maxBytes || len(s.queue) >= maxQueuedChanges:
 		go done(ErrFull)
 	default:
 		s.bytes += size
@@ -108,7 +108,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.closed {
-		s.enqueue(change{kind: quarantineReading, id: r.ID, encoded: encode(r)})
+		s.enqueue(change{kind: quarantineReading, id: r.ID, encoded: encodeReading(r)})
 	}
 }
 
@@ -124,7 +124,7 @@
 func (s *Store) Conflicts() (readings []intake.Reading, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket([]byte(conflictsBucket)).ForEach(func(k, v []byte) error {
-			reading, err := decode(k, v)
+			reading, err := decodeReading(k, v)
 			readings = append(readings, reading)
 			return err
 		})
@@ -140,7 +140,7 @@
 		return nil
 	}
 	s.closed = true
-	s.signal()
+	s.signalCommit()
 	s.mu.Unlock()
 	<-s.stopped
 	return s.db.Close()
@@ -149,20 +149,20 @@
 // enqueue requires s.mu.
 func (s *Store) enqueue(c change) {
 	s.queue = append(s.queue, c)
-	s.signal()
+	s.signalCommit()
 }
 
-func (s *Store) signal() {
+func (s *Store) signalCommit() {
 	select {
-	case s.wake <- struct{}{}:
+	case s.commitSignal <- struct{}{}:
 	default: // it is signalled already
 	}
 }
 
-// run commits the queue, all of it at once, until the store is closed.
-func (s *Store) run() {
+// commitLoop commits the queue, all of it at once, until the store is closed.
+func (s *Store) commitLoop() {
 	defer close(s.stopped)
-	for range s.wake {
+	for range s.commitSignal {
 		for {
 			queue, closed := s.takeQueue()
 			if len(queue) > 0 {
@@ -216,7 +216,7 @@
 func putBytes(queue []change) (bytes int) {
 	for _, c := range queue {
 		if c.kind == putReading {
-			bytes += len(key(c.id)) + len(c.encoded)
+			bytes += len(encodeKey(c.id)) + len(c.encoded)
 		}
 	}
 	return bytes
@@ -226,7 +226,7 @@
 // replaced.
 func (c *change) apply(tx *bbolt.Tx) (freed int, err error) {
 	readings := tx.Bucket([]byte(readingsBucket))
-	k := key(c.id)
+	k := encodeKey(c.id)
 	old := readings.Get(k)
 	if old != nil {
 		freed = len(k) + len(old)
--- a/internal/edge/store/store_test.go
+++ b/internal/edge/store/store_test.go
@@ -110,7 +110,7 @@
 	const size = 4096
 	store := func(rs ...*intake.Reading) (queue []change) {
 		for _, r := range rs {
-			queue = append(queue, change{kind: putReading, id: r.ID, encoded: encode(r)})
+			queue = append(queue, change{kind: putReading, id: r.ID, encoded: encodeReading(r)})
 		}
 		return queue
 	}
@@ -119,7 +119,7 @@
 		many = append(many, reading("e", seq, strings.Repeat("v", 100)))
 	}
 	deletion := change{kind: deleteReading, id: intake.ID{Device: "a", Epoch: 1, Seq: 1}}
-	quarantine := change{kind: quarantineReading, id: many[7].ID, encoded: encode(many[7])}
+	quarantine := change{kind: quarantineReading, id: many[7].ID, encoded: encodeReading(many[7])}
 	for step, queue := range [][]change{ // each one commit
 		store(reading("c", 1, "three")),
 		store(reading("d", 1, strings.Repeat("long", 3000))),
@@ -281,14 +281,14 @@
 				Seq: rapid.Uint64().Draw(t, "seq")}
 		})
 		a, b := id.Draw(t, "a"), id.Draw(t, "b")
-		got, err := decode(key(a), encode(&intake.Reading{ID: a, Value: []byte("v")}))
+		got, err := decodeReading(encodeKey(a), encodeReading(&intake.Reading{ID: a, Value: []byte("v")}))
 		if err != nil || got.ID != a {
 			t.Fatalf("%v came back as %v, %v", a, got.ID, err)
 		}
-		if (a == b) != bytes.Equal(key(a), key(b)) {
+		if (a == b) != bytes.Equal(encodeKey(a), encodeKey(b)) {
 			t.Fatalf("%v and %v", a, b)
 		}
-		if a.Device == b.Device && a.Epoch == b.Epoch && a.Seq < b.Seq && bytes.Compare(key(a), key(b)) >= 0 {
+		if a.Device == b.Device && a.Epoch == b.Epoch && a.Seq < b.Seq && bytes.Compare(encodeKey(a), encodeKey(b)) >= 0 {
 			t.Fatalf("%v is not before %v", a, b)
 		}
 	})
--- a/internal/edge/store/verify.go
+++ b/internal/edge/store/verify.go
@@ -49,20 +49,20 @@
 	}
 	newest, found := newestMeta(file)
 	if !found {
-		return errForeign
+		return errNotStore
 	}
 	if uint64(len(file)) < newest.pages*uint64(newest.pageSize) {
 		return fmt.Errorf("%w: it ends before page %d", errDamaged, newest.pages)
 	}
 	v := &verifier{file: file, meta: newest, visited: map[uint64]bool{}}
-	if err := v.tree(newest.root, keyRange{}, 0); err != nil {
+	if err := v.verifyTree(newest.root, keyRange{}, 0); err != nil {
 		return fmt.Errorf("%w: %w", errDamaged, err)
 	}
 	return nil
 }
 
-// meta is the content of a meta page.
-type meta struct {
+// metaPage is the content of a metaPage page.
+type metaPage struct {
 	pageSize int    // bytes
 	root     uint64 // page of the root bucket
 	pages    uint64 // in the file
@@ -71,7 +71,7 @@
 
 // newestMeta finds the valid meta page of the last transaction. The second one
 // follows the first by a page size, which only they state.
-func newestMeta(file []byte) (newest meta, found bool) {
+func newestMeta(file []byte) (newest metaPage, found bool) {
 	for _, offset := range []int{0, 4096, 8192, 16384, 65536} {
 		m, ok := readMeta(file, offset)
 		if !ok || offset != 0 && offset != m.pageSize {
@@ -86,7 +86,7 @@
 }
 
 // readMeta reads a meta page, if a valid one is at the offset.
-func readMeta(file []byte, offset int) (m meta, ok bool) {
+func readMeta(file []byte, offset int) (m metaPage, ok bool) {
 	if len(file) < offset+pageHeaderSize+metaSize {
 		return m, false
 	}
@@ -99,7 +99,7 @@
 	if !valid {
 		return m, false
 	}
-	m = meta{
+	m = metaPage{
 		pageSize: int(binary.LittleEndian.Uint32(b[metaPageSizeOffset:])),
 		root:     binary.LittleEndian.Uint64(b[metaRootOffset:]),
 		pages:    binary.LittleEndian.Uint64(b[metaPagesOffset:]),
@@ -126,12 +126,12 @@
 // verifier walks the trees of a file.
 type verifier struct {
 	file    []byte
-	meta    meta
+	meta    metaPage
 	visited map[uint64]bool // pages
 }
 
-// tree verifies the page and all below it.
-func (v *verifier) tree(id uint64, keys keyRange, depth int) error {
+// verifyTree verifies the page and all below it.
+func (v *verifier) verifyTree(id uint64, keys keyRange, depth int) error {
 	if id < firstTreePage || id >= v.meta.pages || depth > maxDepth {
 		return fmt.Errorf("page %d is out of range", id)
 	}
@@ -148,15 +148,15 @@
 		v.visited[n] = true
 	}
 	end := start + int(overflow+1)*v.meta.pageSize
-	p, err := newPage(fmt.Sprint("page ", id), v.file[start:end])
+	p, err := parsePage(fmt.Sprint("page ", id), v.file[start:end])
 	if err != nil {
 		return err
 	}
-	return v.page(p, keys, depth)
+	return v.verifyPage(p, keys, depth)
 }
 
-// page verifies the entries of a page and all below them.
-func (v *verifier) page(p page, keys keyRange, depth int) error {
+// verifyPage verifies the entries of a verifyPage and all below them.
+func (v *verifier) verifyPage(p treePage, keys keyRange, depth int) error {
 	var last []byte
 	for i := range p.count {
 		e, err := p.entry(i)
@@ -169,9 +169,9 @@
 		last = e.key
 		switch {
 		case p.branch:
-			err = v.child(p, i, e, keys, depth)
+			err = v.verifyChild(p, i, e, keys, depth)
 		case e.bucket:
-			err = v.bucket(e.value, depth)
+			err = v.verifyBucket(e.value, depth)
 		}
 		if err != nil {
 			return err
@@ -180,9 +180,9 @@
 	return nil
 }
 
-// child verifies the subtree of a branch's entry. Its keys lie before those of
+// verifyChild verifies the subtree of a branch's entry. Its keys lie before those of
 // the next entry.
-func (v *verifier) child(p page, index int, e entry, keys keyRange, depth int) error {
+func (v *verifier) verifyChild(p treePage, index int, e pageEntry, keys keyRange, depth int) error {
 	below := keyRange{from: e.key, before: keys.before}
 	if index+1 < p.count {
 		next, err := p.entry(index + 1)
@@ -191,25 +191,25 @@
 		}
 		below.before = next.key
 	}
-	return v.tree(e.child, below, depth+1)
+	return v.verifyTree(e.child, below, depth+1)
 }
 
-// bucket verifies a tree within a tree: the value holds its root's number, or
+// verifyBucket verifies a tree within a tree: the value holds its root's number, or
 // all of it inline.
-func (v *verifier) bucket(value []byte, depth int) error {
+func (v *verifier) verifyBucket(value []byte, depth int) error {
 	if len(value) < bucketHeaderSize {
 		return errors.New("a bucket without its root")
 	}
 	if root := binary.LittleEndian.Uint64(value); root != 0 {
-		return v.tree(root, keyRange{}, depth+1)
+		return v.verifyTree(root, keyRange{}, depth+1)
 	}
 	inline := value[bucketHeaderSize:]
 	if len(inline) < pageHeaderSize || pageFlags(inline) != leafPage || depth > maxDepth {
 		return errors.New("a bucket without its page")
 	}
-	p, err := newPage("an inline page", inline)
+	p, err := parsePage("an inline page", inline)
 	if err != nil {
 		return err
 	}
-	return v.page(p, keyRange{}, depth+1)
+	return v.verifyPage(p, keyRange{}, depth+1)
 }
