--- a/internal/edge/intake/admission.go
+++ b/internal/edge/intake/admission.go
@@ -1,8 +1,9 @@
 package intake
 
-// admit decides whether there is capacity for a reading. Each device and each
-// network has its limit. At the limits of the whole, a device with fewer
-// readings than another displaces the other's newest routine one.
+// admit reports whether there is capacity for a reading. Each device and each
+// network has a limit of its own. At the total limits it evicts queued readings
+// until the new one fits: a device with fewer evictable readings displaces the
+// newest routine reading of the device with the most.
 func (in *Intake) admit(now float64, reading *trackedReading) bool {
 	atDeviceLimit := len(reading.device.inProgress) >= in.cfg.MaxPerDevice
 	if atDeviceLimit || in.networks[reading.network] >= in.cfg.MaxPerNetwork {
@@ -19,10 +20,11 @@
 	return true
 }
 
-// victim returns the reading that is evicted for another, nil if none is. It was
-// never submitted and is not stored, so that rejecting it is harmless. An urgent
-// reading displaces a routine one of any device; a routine one only that of a
-// device which has more than its own would.
+// victim returns the reading to evict in favour of the given one, nil if there
+// is none. The victim was never submitted and is not stored, so it can be
+// rejected safely. An urgent reading displaces a routine one of any device; a
+// routine reading displaces only one of a device that has more evictable
+// readings than its own device would have with it.
 func (in *Intake) victim(reading *trackedReading) *trackedReading {
 	if len(in.evictable) == 0 {
 		return nil
@@ -44,7 +46,8 @@
 	return newest
 }
 
-// register adds a reading to those in progress.
+// register adds a reading to those in progress and, unless it is stored, sets
+// its answer timeout.
 func (in *Intake) register(now float64, reading *trackedReading) {
 	device := reading.device
 	in.markBusy(device)
@@ -63,7 +66,7 @@
 	}
 }
 
-// remove takes a reading off those in progress.
+// remove takes a reading out of those in progress and cancels its timers.
 func (in *Intake) remove(reading *trackedReading) {
 	device := reading.device
 	reading.removed = true
@@ -83,7 +86,8 @@
 	in.markIdle(device)
 }
 
-// evict rejects a queued reading that was never submitted.
+// evict removes a queued reading that was never submitted and rejects its
+// copies.
 func (in *Intake) evict(now float64, reading *trackedReading) {
 	reading.queue.remove(reading)
 	in.countEvictable(reading.device, -1)
@@ -94,12 +98,12 @@
 	in.remove(reading)
 }
 
-// reject answers a copy that was not submitted.
+// reject answers Rejected to a copy whose reading was not submitted.
 func (in *Intake) reject(now float64, to Origin) {
 	in.answer(to, Answer{Status: Rejected, RetryAfter: in.retryAfter(now)})
 }
 
-// answer gives one copy its final answer and counts it.
+// answer sends one copy its final answer and counts it.
 func (in *Intake) answer(to Origin, answer Answer) {
 	switch answer.Status {
 	case Recorded:
--- a/internal/edge/intake/device.go
+++ b/internal/edge/intake/device.go
@@ -9,29 +9,33 @@
 type recordedReading struct {
 	epoch  uint64
 	seq    uint64
-	digest uint64 // of the recorded value
+	digest uint64 // valueDigest of the recorded value
 }
 
-// device is what is remembered of one device.
+// trackedDevice is the state that the router keeps of one device.
 type trackedDevice struct {
 	name  string
-	epoch uint64 // the highest seen
+	epoch uint64 // the highest epoch received
 	// epochConfirmed is set once a reading of this epoch was recorded or found
-	// recorded here, conflicted once another value was found under an ID of it.
+	// recorded by this router, epochConflicted once another value was found under
+	// the ID of one.
 	epochConfirmed  bool
 	epochConflicted bool
-	trustedFromSeq  uint64 // the first sequence number of the epoch above all forgotten ones
+	// trustedFromSeq is above every sequence number of the epoch that was dropped
+	// from recent.
+	trustedFromSeq uint64
 
 	inProgress  map[localID]*trackedReading
-	recent      []recordedReading // a ring
-	nextRecent  int               // the place in it that is overwritten next
-	queues      []*deviceQueue    // one for each replica group that it has readings for
-	evictable   int               // readings that may be evicted: queued, never submitted, not stored
-	heapIndex   int               // in Intake.evictable, -1 if evictable is 0
-	idleElement *list.Element     // in Intake.idleDevices, nil while readings are in progress
+	recent      []recordedReading // ring buffer of the latest recorded readings
+	nextRecent  int               // index in recent that is overwritten next
+	queues      []*deviceQueue    // one for each replica group that the device has readings for
+	evictable   int               // number of readings for which trackedReading.evictable holds
+	heapIndex   int               // index in Intake.evictable, -1 if evictable is 0
+	idleElement *list.Element     // element of Intake.idleDevices, nil while readings are in progress
 }
 
-// recordedDigest returns the digest of the recorded value, if the reading is remembered.
+// recordedDigest returns the digest of a reading's recorded value; ok is false
+// if the reading is not among the recent ones.
 func (device *trackedDevice) recordedDigest(id localID) (digest uint64, ok bool) {
 	for _, recorded := range device.recent {
 		if recorded.epoch == id.epoch && recorded.seq == id.seq {
@@ -41,9 +45,11 @@
 	return 0, false
 }
 
-// addRecorded adds a recorded reading, in place of the oldest beyond limit.
-func (device *trackedDevice) addRecorded(id localID, sum uint64, limit int) {
-	recorded := recordedReading{epoch: id.epoch, seq: id.seq, digest: sum}
+// addRecorded adds a recorded reading to the recent ones. At limit readings it
+// replaces the oldest, up to whose sequence number first copies are no longer
+// trusted.
+func (device *trackedDevice) addRecorded(id localID, digest uint64, limit int) {
+	recorded := recordedReading{epoch: id.epoch, seq: id.seq, digest: digest}
 	if len(device.recent) < limit {
 		device.recent = append(device.recent, recorded)
 		return
@@ -55,8 +61,9 @@
 	device.nextRecent = (device.nextRecent + 1) % limit
 }
 
-// advanceEpoch takes note of an epoch. Declarations of a new one are not
-// trusted at first.
+// advanceEpoch moves the device to an epoch if that is higher than its present
+// one. Declarations in the new epoch are not trusted until a reading of it is
+// recorded.
 func (device *trackedDevice) advanceEpoch(epoch uint64) {
 	if epoch <= device.epoch {
 		return
@@ -67,21 +74,24 @@
 	device.trustedFromSeq = 0
 }
 
-// trustsFirstCopy reports whether a device's declaration that a reading was
-// never sent before may be trusted. A device that lost its counter, or a second
-// one of the same name, declares it of readings that are long recorded. It is
-// therefore not trusted for the first reading of an epoch seen here, nor at or
-// below a forgotten sequence number, nor after a conflict.
+// trustsFirstCopy reports whether to trust a device's declaration that a reading
+// was never sent before. A device that lost its counter, or a second device of
+// the same name, declares this wrongly of readings that are already recorded.
+// The declaration is therefore not trusted for the first reading of an epoch at
+// this router, nor at or below a sequence number that was dropped from the
+// recent ones, nor after a conflict.
 func (device *trackedDevice) trustsFirstCopy(id localID) bool {
-	return id.epoch == device.epoch && device.epochConfirmed && !device.epochConflicted && id.seq >= device.trustedFromSeq
+	return id.epoch == device.epoch && device.epochConfirmed && !device.epochConflicted &&
+		id.seq >= device.trustedFromSeq
 }
 
 // lruList lists devices without readings in progress, least recently used first.
 type lruList struct{ list.List }
 
-// device returns a device by its name. An unknown one is added; at MaxDevices
-// it replaces the one idle for longest, whose next reading will be checked
-// rather than recalled. It returns nil if no device is idle.
+// device returns the state of the named device, adding it if it is unknown. At
+// MaxDevices the new device replaces the least recently used idle one, whose
+// next reading will be checked because its recorded ones are forgotten. It
+// returns nil if no device is idle.
 func (in *Intake) device(name string) *trackedDevice {
 	if device := in.devices[name]; device != nil {
 		return device
@@ -97,13 +107,15 @@
 	return in.newDevice(name)
 }
 
+// newDevice adds a device, regardless of MaxDevices.
 func (in *Intake) newDevice(name string) *trackedDevice {
 	device := &trackedDevice{name: name, heapIndex: -1}
 	in.devices[name] = device
 	return device
 }
 
-// markIdle lists a device as idle if it has no readings in progress.
+// markIdle lists a device as the most recently used idle one if it has no
+// readings in progress.
 func (in *Intake) markIdle(device *trackedDevice) {
 	if len(device.inProgress) > 0 || in.devices[device.name] != device {
 		return
@@ -117,7 +129,7 @@
 	}
 }
 
-// markBusy takes a device off the idle ones.
+// markBusy takes a device off the list of idle ones, so that it is not replaced.
 func (in *Intake) markBusy(device *trackedDevice) {
 	if device.idleElement != nil {
 		in.idleDevices.Remove(device.idleElement)
@@ -125,11 +137,12 @@
 	}
 }
 
-// evictionHeap orders devices by their number of evictable readings, the
-// largest first. It implements heap.Interface.
+// evictionHeap orders devices by their number of evictable readings, largest
+// first, and equal ones by name. It implements heap.Interface.
 type evictionHeap []*trackedDevice
 
-// countEvictable changes a device's number of evictable readings.
+// countEvictable adds change to a device's number of evictable readings and
+// updates its position in the heap.
 func (in *Intake) countEvictable(device *trackedDevice, change int) {
 	device.evictable += change
 	listed := device.heapIndex >= 0
@@ -167,7 +180,7 @@
 func (h *evictionHeap) Pop() any {
 	last := len(*h) - 1
 	device := (*h)[last]
-	(*h)[last] = nil // for the garbage collector
+	(*h)[last] = nil // so that the garbage collector can free the device
 	*h = (*h)[:last]
 	device.heapIndex = -1
 	return device
--- a/internal/edge/intake/intake.go
+++ b/internal/edge/intake/intake.go
@@ -1,16 +1,19 @@
-// Package intake holds the rules by which readings from devices are recorded
-// exactly once. It has no I/O, no clock and no goroutines: every method is an
-// event with its time in Unix milliseconds, and its effects go out through
-// Actions. The same events give the same actions. An Intake is not safe for
-// concurrent use.
+// Package intake records readings from devices exactly once. It admits readings,
+// queues them, detects duplicates, submits writes and checks to the database,
+// retries these, and tells rejected devices when to retry.
 //
-// Exactly-once delivery rests on one invariant. A shard drops a duplicate of an
-// idempotency key for Route.IdempotencyWindow from the moment at which it began
-// the first execution. A write may therefore be sent at time t only if every
-// earlier execution of the same reading, by this router or any other, either
-// began after t - IdempotencyWindow, or would have been seen by a check that was
-// sent before. entry.safeUntil is the time up to which that is known to hold;
-// past it, a check comes first.
+// The package has no I/O, no clock and no goroutines: every method is an event
+// with its time in Unix milliseconds, and its effects go out through Actions.
+// The same events with the same seed give the same actions. An Intake is not
+// safe for concurrent use.
+//
+// Exactly-once recording rests on one invariant. A shard drops duplicates of an
+// idempotency key for Route.IdempotencyWindow from the start of the first
+// execution. A write may therefore be sent at time t only if every earlier
+// execution of the same reading, by this router or any other, either began after
+// t - IdempotencyWindow, or would have been seen by a check that was sent before
+// the write. trackedReading.safeUntil is the time up to which this is known to
+// hold; after it, the reading is checked first.
 package intake
 
 import (
@@ -25,32 +28,34 @@
 // seedStream is the second half of the random generator's seed.
 const seedStream = 0x1a7a4e
 
-// Intake is the state of the rules: the readings in progress, the devices that
-// are remembered and the rate limit of each replica group.
+// Intake tracks the readings in progress, the known devices and the rate limit
+// of each replica group.
 type Intake struct {
 	cfg         Config
 	routes      []Route
 	actions     Actions
 	rand        *rand.Rand
 	devices     map[string]*trackedDevice
-	idleDevices lruList      // devices without readings in progress, least recently used first
-	evictable   evictionHeap // devices with readings that may be evicted
-	networks    map[netip.Prefix]int
-	groups      map[int]*replicaGroup
+	idleDevices lruList               // devices without readings in progress, least recently used first
+	evictable   evictionHeap          // devices with readings that may be evicted
+	networks    map[netip.Prefix]int  // readings in progress by network
+	groups      map[int]*replicaGroup // by number
 	timers      timers.Heap
 
 	submissions    map[uint64]*trackedReading // in flight, by number
-	lastSubmission uint64                     // the number given last
+	lastSubmission uint64                     // number of the latest submission
 
-	inProgress  int     // readings
-	bytes       int     // of the readings in progress, with overhead
-	completions rate    // of readings
-	nextRetryAt float64 // when the last rejected device was asked to return, Unix milliseconds
+	inProgress  int     // number of readings in progress
+	bytes       int     // memory of the readings in progress, with overhead
+	completions rate    // readings whose recorded value became known
+	nextRetryAt float64 // when the last rejected device was told to retry, in Unix milliseconds
 	stats       Stats
 }
 
-// New returns an empty Intake. An error names the setting that makes
-// exactly-once delivery impossible.
+// New returns an Intake without readings. seed determines its random backoffs
+// and retry times. It returns an error that names the route if a route's
+// idempotency window is too short for recording exactly once, or if a route has
+// no groups.
 func New(cfg Config, routes []Route, seed uint64, actions Actions) (*Intake, error) {
 	if err := validateRoutes(&cfg, routes); err != nil {
 		return nil, err
@@ -67,22 +72,24 @@
 	}, nil
 }
 
+// validateRoutes checks that after a check there is time for a write within the
+// idempotency window of every route.
 func validateRoutes(cfg *Config, routes []Route) error {
-	shortest := cfg.MaxOverrun + cfg.ClockMargin + minWriteTimeoutMs
+	minWindowMs := cfg.MaxOverrun + cfg.ClockMargin + minWriteTimeoutMs
 	for i, route := range routes {
-		if route.IdempotencyWindow <= shortest {
-			return fmt.Errorf("route %d: its class drops repeats for %g ms; "+
-				"with may_run_ms and clock_margin_ms over %g ms are needed",
-				i+1, route.IdempotencyWindow, shortest)
+		if route.IdempotencyWindow <= minWindowMs {
+			return fmt.Errorf("route %d: its class has an idempotency window of %g ms; "+
+				"with may_run_ms and clock_margin_ms it must be longer than %g ms",
+				i+1, route.IdempotencyWindow, minWindowMs)
 		}
 		if len(route.Groups) == 0 {
-			return fmt.Errorf("route %d has no groups", i+1)
+			return fmt.Errorf("route %d has no replica groups", i+1)
 		}
 	}
 	return nil
 }
 
-// Stats returns the counters since the start and the present gauges.
+// Stats returns the counters since the start and the current gauges.
 func (in *Intake) Stats() Stats {
 	stats := in.stats
 	stats.InProgress = in.inProgress
@@ -91,14 +98,16 @@
 	return stats
 }
 
-// Next returns when Tick is due, in Unix milliseconds; false if no timer is set.
+// Next returns when the next Tick is due, in Unix milliseconds, and false if no
+// timer is set.
 func (in *Intake) Next() (float64, bool) { return in.timers.Next() }
 
-// Tick runs the timers that are due.
+// Tick runs the timers that are due at now.
 func (in *Intake) Tick(now float64) { in.timers.Tick(now) }
 
-// Offer takes one copy of a reading from a device in a network. The copy is
-// answered exactly once through Actions.Answer, at once or later.
+// Offer handles one copy of a reading that a device in a network sent; an
+// invalid prefix means that no limit per network applies. Exactly one call of
+// Actions.Answer answers the copy, before Offer returns or later.
 func (in *Intake) Offer(
 	now float64, received Reading, declared DeclaredHistory, from Origin, network netip.Prefix,
 ) {
@@ -112,19 +121,19 @@
 		in.reject(now, from)
 		return
 	}
-	sum := valueDigest(received.Value)
+	digest := valueDigest(received.Value)
 	if reading := device.inProgress[received.local()]; reading != nil {
-		in.coalesce(now, reading, sum, from)
+		in.coalesce(now, reading, digest, from)
 		return
 	}
 	if recorded, ok := device.recordedDigest(received.local()); ok {
-		in.answerDuplicate(sum == recorded, from)
+		in.answerDuplicate(digest == recorded, from)
 		in.markIdle(device)
 		return
 	}
 	reading := &trackedReading{
 		Reading:   received,
-		digest:    sum,
+		digest:    digest,
 		device:    device,
 		network:   network,
 		arrivedAt: now,
@@ -152,7 +161,8 @@
 	in.dispatch(now, reading.group)
 }
 
-// answerDuplicate answers a copy of a reading that is known to be recorded.
+// answerDuplicate answers a copy of a reading that is known to be recorded:
+// Recorded if it has the recorded value, else Conflict.
 func (in *Intake) answerDuplicate(sameValue bool, from Origin) {
 	if !sameValue {
 		in.answer(from, Answer{Status: Conflict})
@@ -163,18 +173,20 @@
 }
 
 // writesWithoutCheck reports whether a new reading may be written without a
-// check, because its device declares that this is the first copy.
+// check, because its device declares that this is the first copy and the
+// declaration is trusted.
 func (in *Intake) writesWithoutCheck(reading *trackedReading, declared DeclaredHistory) bool {
 	return in.cfg.TrustFirstCopies && declared.FirstCopy && declared.NotBefore > 0 &&
 		reading.device.trustsFirstCopy(reading.local())
 }
 
-// Recover takes a reading that the store contained at the start. Whether it was
-// submitted before is not known, so it is checked first.
+// Recover resumes a reading that the store contained at startup. It is checked
+// first, because it may have been submitted before the restart.
 func (in *Intake) Recover(now float64, received Reading) {
 	device := in.device(received.Device)
 	if device == nil {
-		// A stored reading was acknowledged: MaxDevices bounds only new ones.
+		// A stored reading was acknowledged and must be recorded, so MaxDevices
+		// does not apply to its device.
 		device = in.newDevice(received.Device)
 	}
 	device.advanceEpoch(received.Epoch)
@@ -190,8 +202,9 @@
 	in.dispatch(now, reading.group)
 }
 
-// RecordedSequences returns the sequence numbers of the named device's epoch that are
-// recorded, in ascending order, as far as this router remembers.
+// RecordedSequences returns the sequence numbers of the named device's epoch
+// that this router knows to be recorded, in ascending order. At most
+// Config.MaxRecent are known of a device; nil means none.
 func (in *Intake) RecordedSequences(name string, epoch uint64) []uint64 {
 	device := in.devices[name]
 	if device == nil {
--- a/internal/edge/intake/queue.go
+++ b/internal/edge/intake/queue.go
@@ -1,46 +1,47 @@
 package intake
 
-// deviceQueue is one device's readings for one replica group, in their order.
+// deviceQueue holds one device's queued readings for one replica group, in order
+// of arrival.
 type deviceQueue struct {
 	device  *trackedDevice
 	group   *replicaGroup
 	urgent  []*trackedReading
 	routine []*trackedReading
 
-	listedUrgent  bool // listed in group.urgent
-	listedRoutine bool // listed in group.routine
-	busy          bool // a durable reading is in progress: the next waits for its end
+	listedUrgent  bool // the queue is in group.urgent
+	listedRoutine bool // the queue is in group.routine
+	busy          bool // a durable reading was taken out; the next waits until it is finished
 }
 
-// remove takes out an entry that was not submitted.
+// remove takes a given reading out of the queue.
 func (queue *deviceQueue) remove(reading *trackedReading) {
-	for _, entries := range []*[]*trackedReading{&queue.urgent, &queue.routine} {
-		for i, candidate := range *entries {
+	for _, readings := range []*[]*trackedReading{&queue.urgent, &queue.routine} {
+		for i, candidate := range *readings {
 			if candidate == reading {
-				*entries = append((*entries)[:i:i], (*entries)[i+1:]...)
+				*readings = append((*readings)[:i:i], (*readings)[i+1:]...)
 				return
 			}
 		}
 	}
 }
 
-// pop takes out the first urgent reading, else the first routine one; nil if
-// there is none.
+// pop takes out and returns the first urgent reading, else the first routine
+// one, or nil if the queue is empty.
 func (queue *deviceQueue) pop() *trackedReading {
-	entries := &queue.urgent
-	if len(*entries) == 0 {
-		entries = &queue.routine
+	readings := &queue.urgent
+	if len(*readings) == 0 {
+		readings = &queue.routine
 	}
-	if len(*entries) == 0 {
+	if len(*readings) == 0 {
 		return nil
 	}
-	reading := (*entries)[0]
-	(*entries)[0] = nil // for the garbage collector
-	*entries = (*entries)[1:]
+	reading := (*readings)[0]
+	(*readings)[0] = nil // so that the garbage collector can free the reading
+	*readings = (*readings)[1:]
 	return reading
 }
 
-// queueOf returns the device's queue for a group, a new one if there is none.
+// queueOf returns the device's queue for a group, creating it if needed.
 func (device *trackedDevice) queueOf(group *replicaGroup) *deviceQueue {
 	for _, queue := range device.queues {
 		if queue.group == group {
@@ -52,13 +53,13 @@
 	return queue
 }
 
-// enqueue puts e into its device's queue.
+// enqueue puts a reading into its device's queue.
 func (in *Intake) enqueue(reading *trackedReading) {
 	reading.phase = queued
 	if reading.queue == nil {
 		reading.queue = reading.device.queueOf(reading.group)
 	}
-	if reading.Urgent && !in.cfg.Durable { // stored readings are delivered in order
+	if reading.Urgent && !in.cfg.Durable { // durable readings are submitted in order
 		reading.queue.urgent = append(reading.queue.urgent, reading)
 	} else {
 		reading.queue.routine = append(reading.queue.routine, reading)
@@ -69,13 +70,14 @@
 	in.scheduleQueue(reading.queue)
 }
 
-// scheduleQueue lists a queue for its turns in its group, unless it is listed.
+// scheduleQueue adds a queue to its group's round-robin lists, unless it is
+// there already or busy.
 func (in *Intake) scheduleQueue(queue *deviceQueue) {
 	if queue.busy {
 		return
 	}
-	// A stored urgent reading is delivered in order: it gives its queue an
-	// urgent turn only once it is the first.
+	// Durable urgent readings are in the routine list, because they are submitted
+	// in order: the queue is treated as urgent once its first reading is urgent.
 	urgentFirst := len(queue.routine) > 0 && queue.routine[0].Urgent
 	if !queue.listedUrgent && (len(queue.urgent) > 0 || urgentFirst) {
 		queue.listedUrgent = true
@@ -87,16 +89,18 @@
 	}
 }
 
-// nextReading returns the reading to submit next, nil if there is none: first
-// those whose backoff is over, then urgent ones, then routine ones, device by
-// device.
+// nextReading takes out and returns the reading to submit next, or nil if there
+// is none: first those whose backoff is over, then urgent ones, then routine
+// ones, round robin among devices. Every routineTurnInterval-th turn goes to a
+// routine one.
 func (in *Intake) nextReading(group *replicaGroup) *trackedReading {
 	if reading := group.popRetry(); reading != nil {
 		return reading
 	}
 	for len(group.urgent)+len(group.routine) > 0 {
 		queue := group.popQueue()
-		// Its readings were evicted, or submitted by its other turn.
+		// Its readings may have been evicted, or taken out by a turn in the other
+		// list.
 		if len(queue.urgent)+len(queue.routine) == 0 || queue.busy {
 			continue
 		}
@@ -111,11 +115,12 @@
 	return nil
 }
 
-// popRetry takes out the first reading whose backoff is over; nil if none is.
+// popRetry takes out and returns the first reading in progress whose backoff is
+// over, or nil if there is none.
 func (group *replicaGroup) popRetry() *trackedReading {
 	for len(group.retries) > 0 {
 		reading := group.retries[0]
-		group.retries[0] = nil // for the garbage collector
+		group.retries[0] = nil // so that the garbage collector can free the reading
 		group.retries = group.retries[1:]
 		if !reading.removed {
 			return reading
@@ -124,7 +129,8 @@
 	return nil
 }
 
-// popQueue takes out the queue whose turn it is. There must be one.
+// popQueue takes out and returns the queue whose turn it is. At least one queue
+// must be listed.
 func (group *replicaGroup) popQueue() *deviceQueue {
 	group.turns++
 	routineTurn := len(group.routine) > 0 && group.turns%routineTurnInterval == 0
--- a/internal/edge/intake/ratelimit.go
+++ b/internal/edge/intake/ratelimit.go
@@ -2,38 +2,42 @@
 
 import "lotusbend/internal/edge/timers"
 
-// group is one replica group: the rate limit of its submissions and the
-// readings that are queued for it. Times are Unix milliseconds.
+// replicaGroup holds the concurrency limit of the submissions to one replica
+// group and the readings queued for it. Times are Unix milliseconds.
 type replicaGroup struct {
 	number int
 
-	window      float64 // submissions that may be in flight
+	window      float64 // number of submissions that may be in flight; grows and shrinks by fractions
 	inFlight    int
-	halvedAt    float64 // when the window was last halved
-	failures    int     // rejected or failed submissions in a row
-	rampStart   float64 // of the recovery from an outage, 0 if there is none
-	pausedUntil float64 // nothing is submitted before
-	resumeTimer *timers.Timer
+	halvedAt    float64       // when the window was last halved
+	failures    int           // consecutive rejected or failed submissions
+	rampStart   float64       // start of the recovery after an outage, 0 outside a recovery
+	pausedUntil float64       // nothing is submitted before this time
+	resumeTimer *timers.Timer // for the end of the pause, nil if not set
 
-	retries []*trackedReading // whose backoff is over: they go before queued ones
-	urgent  []*deviceQueue    // round robin
-	routine []*deviceQueue    // round robin
-	turns   int               // counts the submissions from urgent and routine
+	retries []*trackedReading // readings whose backoff is over; they precede the queued ones
+	urgent  []*deviceQueue    // queues with an urgent reading, in round-robin order
+	routine []*deviceQueue    // queues with a routine reading, in round-robin order
+	turns   int               // number of queues taken from urgent and routine
 }
 
 const (
+	// initialWindow is the number of submissions that may be in flight to a group
+	// before any of them was served.
 	initialWindow = 4
 	// minHalvingIntervalMs keeps simultaneous failures from halving the window
-	// again and again, in milliseconds.
+	// more than once.
 	minHalvingIntervalMs = 250
-	// outageFailures is the number of failures in a row after which the next
-	// success starts a recovery ramp: endpoints that come back are warming up.
+	// outageFailures is the number of consecutive failures after which the next
+	// success starts a recovery ramp, because endpoints that come back are still
+	// warming up.
 	outageFailures = 5
-	// routineTurnInterval gives one in that many turns to a routine reading, so
-	// that urgent ones never starve the rest.
+	// routineTurnInterval is the number of turns of which one goes to a routine
+	// reading, so that urgent readings cannot starve routine ones.
 	routineTurnInterval = 8
 )
 
+// group returns the state of a replica group, creating it if needed.
 func (in *Intake) group(number int) *replicaGroup {
 	group := in.groups[number]
 	if group == nil {
@@ -43,9 +47,9 @@
 	return group
 }
 
-// limit returns how many submissions may be in flight now. After an outage it
-// rises slowly: the backlog of all devices waits just then, while the endpoints
-// are warming up.
+// limit returns how many submissions may be in flight at now, at least 1. After
+// an outage it rises linearly over cfg.RecoveryRamp, because all devices have a
+// backlog then while the endpoints are still warming up.
 func (group *replicaGroup) limit(now float64, cfg *Config) int {
 	window := min(group.window, float64(cfg.MaxWindow))
 	if group.rampStart > 0 {
@@ -58,7 +62,8 @@
 	return max(int(window), 1)
 }
 
-// recordSuccess grows the window after a submission that was served.
+// recordSuccess widens the window after a served submission, and starts a
+// recovery ramp if an outage preceded it.
 func (group *replicaGroup) recordSuccess(now float64, cfg *Config) {
 	if group.failures >= outageFailures {
 		group.rampStart = now
@@ -67,7 +72,8 @@
 	group.window = min(group.window+1/group.window, float64(cfg.MaxWindow))
 }
 
-// recordFailure halves the window after a submission that was rejected or recordFailure.
+// recordFailure halves the window after a rejected or failed submission, at most
+// once in minHalvingIntervalMs.
 func (group *replicaGroup) recordFailure(now float64) {
 	group.failures++
 	if now >= group.halvedAt+minHalvingIntervalMs {
@@ -76,7 +82,8 @@
 	}
 }
 
-// dispatch submits as many queued readings as the group's limit allows.
+// dispatch submits as many queued readings as the group's limit allows, unless
+// the group is paused.
 func (in *Intake) dispatch(now float64, group *replicaGroup) {
 	if now < group.pausedUntil {
 		in.armResumeTimer(group)
@@ -91,7 +98,8 @@
 	}
 }
 
-// armResumeTimer sets the timer for the end of a group's pause.
+// armResumeTimer sets the timer that dispatches at the end of a group's pause,
+// unless it is set already.
 func (in *Intake) armResumeTimer(group *replicaGroup) {
 	if group.resumeTimer != nil {
 		return
--- a/internal/edge/intake/retryafter.go
+++ b/internal/edge/intake/retryafter.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// retryAfter returns after how many milliseconds a rejected device should
-// return. Each gets the next place at the rate at which readings complete, so
-// that they do not return together. Where that is past MaxRetryAfter they are
-// spread at random over its second half.
+// retryAfter returns how long a rejected device should wait before it retries,
+// in milliseconds. Successive devices are spaced at the rate at which readings
+// complete, so that they do not retry together. Waits that would exceed
+// MaxRetryAfter are spread at random over its upper half.
 func (in *Intake) retryAfter(now float64) float64 {
 	interval := 1000 / max(in.completions.perSecond(now), 1)
 	in.nextRetryAt = max(in.nextRetryAt, now+in.cfg.MinRetryAfter) + interval
@@ -17,26 +17,28 @@
 	return max(wait, in.cfg.MinRetryAfter)
 }
 
-// rateTimeConstantMs is the time constant over which a rate is smoothed, in
-// milliseconds.
+// rateTimeConstantMs is the time constant of a rate's exponential decay.
 const rateTimeConstantMs = 10000
 
-// rate is an exponentially decaying count of events.
+// rate estimates the rate of events by an exponentially decaying count.
 type rate struct {
 	count     float64
 	decayedAt float64 // Unix milliseconds
 }
 
+// perSecond returns the events per second, averaged over rateTimeConstantMs.
 func (r *rate) perSecond(now float64) float64 {
 	r.decay(now)
 	return r.count * 1000 / rateTimeConstantMs
 }
 
+// add counts one event.
 func (r *rate) add(now float64) {
 	r.decay(now)
 	r.count++
 }
 
+// decay reduces the count by the time since the last call.
 func (r *rate) decay(now float64) {
 	if now > r.decayedAt {
 		r.count *= math.Exp((r.decayedAt - now) / rateTimeConstantMs)
--- a/internal/edge/intake/submission.go
+++ b/internal/edge/intake/submission.go
@@ -1,8 +1,9 @@
 package intake
 
-// coalesce lets another copy of a reading in progress wait for the same answer.
-func (in *Intake) coalesce(now float64, reading *trackedReading, sum uint64, from Origin) {
-	if sum != reading.digest { // two devices with one name, or one that lost its counter
+// coalesce handles another copy of a reading in progress, which waits for the
+// same answer. At MaxWaiters the oldest copy is answered Unknown.
+func (in *Intake) coalesce(now float64, reading *trackedReading, digest uint64, from Origin) {
+	if digest != reading.digest { // two devices have one name, or one lost its counter without a new epoch
 		in.answer(from, Answer{Status: Conflict})
 		return
 	}
@@ -11,7 +12,7 @@
 		in.answer(from, Answer{Status: Stored})
 		return
 	}
-	if len(reading.waiters) >= in.cfg.MaxWaiters { // the oldest copy's sender has most likely timed out
+	if len(reading.waiters) >= in.cfg.MaxWaiters { // the sender of the oldest copy has most likely timed out
 		in.answer(reading.waiters[0], Answer{Status: Unknown, RetryAfter: in.retryAfter(now)})
 		reading.waiters = append(reading.waiters[:0:0], reading.waiters[1:]...)
 	}
@@ -19,7 +20,7 @@
 	in.armAnswerTimer(now, reading)
 }
 
-// armAnswerTimer sets the time by which the reading's waiters are answered.
+// armAnswerTimer restarts the answer timeout of the reading's waiters.
 func (in *Intake) armAnswerTimer(now float64, reading *trackedReading) {
 	in.timers.Cancel(reading.answerTimer)
 	reading.answerTimer = in.timers.At(now+in.cfg.AnswerTimeout, func(now float64) {
@@ -27,9 +28,9 @@
 	})
 }
 
-// answerTimedOut answers Unknown to all waiters: the device keeps the reading
-// and sends it again. A submission in flight goes on and its result is
-// remembered; a reading that is queued is removed.
+// answerTimedOut answers Unknown to all waiters, so that the device keeps the
+// reading and sends it again. A submission in flight goes on and its result is
+// kept for later copies; a reading without one is removed.
 func (in *Intake) answerTimedOut(now float64, reading *trackedReading) {
 	reading.answerTimer = nil
 	for _, waiter := range reading.waiters {
@@ -48,15 +49,16 @@
 	}
 }
 
-// submitNext sends the reading's next submission, a write if that is safe.
+// submitNext sends the reading's next submission: a write if one that ends
+// within safeUntil has enough time, else a check.
 func (in *Intake) submitNext(now float64, reading *trackedReading) {
 	timeout := min(in.cfg.WriteTimeout, reading.safeUntil-in.cfg.ClockMargin-now)
 	if timeout >= minWriteTimeoutMs {
 		in.submit(now, reading, Write, timeout)
 		return
 	}
-	// While an attempt of our own may still be running, its row may not be
-	// there yet, so that a check would prove nothing.
+	// While an attempt of this router may still be running, its row may not exist
+	// yet, so the absence of a row would not mean that it can be written.
 	if now < reading.attemptsEndBy {
 		in.backOff(reading, reading.attemptsEndBy)
 		return
@@ -64,7 +66,8 @@
 	in.submit(now, reading, Check, in.cfg.CheckTimeout)
 }
 
-// submit takes a place of the group's window; timeout is in milliseconds.
+// submit sends a write or a check, which counts against the group's window until
+// it ends; timeout is in milliseconds.
 func (in *Intake) submit(now float64, reading *trackedReading, operation Operation, timeout float64) {
 	in.lastSubmission++
 	reading.submission = in.lastSubmission
@@ -78,7 +81,7 @@
 		if reading.writeSent {
 			in.stats.WriteRetries++
 		}
-		// Assumed from here on, so that it does not depend on an answer.
+		// The write may run from now on, whether or not an answer arrives.
 		reading.writeSent = true
 		reading.attemptsEndBy = max(reading.attemptsEndBy, reading.deadline+in.cfg.MaxOverrun)
 	} else {
@@ -89,8 +92,8 @@
 	in.actions.Submit(reading.ID, reading.submission, operation, &reading.Reading, group, timeout)
 }
 
-// endSubmission ends a submission and returns its reading, nil if it is not in
-// flight.
+// endSubmission ends a submission and returns its reading, or nil if the
+// submission is not in flight.
 func (in *Intake) endSubmission(submission uint64) *trackedReading {
 	reading := in.submissions[submission]
 	if reading != nil {
@@ -100,9 +103,9 @@
 	return reading
 }
 
-// Served takes the value that the database holds in the reading's row: after a
-// write what is recorded under the key, after a check nothing if there is no
-// such row.
+// Served reports that a submission was served. value is the content of the
+// reading's row: after a write the value that is recorded under the key, after a
+// check empty if there is no row.
 func (in *Intake) Served(now float64, submission uint64, value []byte) {
 	reading := in.endSubmission(submission)
 	if reading == nil {
@@ -110,25 +113,27 @@
 	}
 	group := reading.group
 	group.recordSuccess(now, &in.cfg)
-	sum := valueDigest(value)
+	digest := valueDigest(value)
 	switch {
 	case reading.phase == checking && len(value) == 0:
 		in.rowAbsent(now, reading)
-	case sum == reading.digest:
+	case digest == reading.digest:
 		if reading.phase == checking {
 			in.stats.FoundRecorded++
 		}
-		in.complete(now, reading, sum, Recorded)
+		in.complete(now, reading, digest, Recorded)
 	default:
-		in.complete(now, reading, sum, Conflict)
+		in.complete(now, reading, digest, Conflict)
 	}
 	in.dispatch(now, group)
 }
 
-// rowAbsent handles a check that found no row.
+// rowAbsent handles a check that found no row: the reading is submitted again,
+// unless it is abandoned.
 func (in *Intake) rowAbsent(now float64, reading *trackedReading) {
-	// Absent as of submittedAt. An execution that the check did not see began
-	// less than MaxOverrun before that, or later: its key holds until then.
+	// The row was absent at submittedAt. An execution that the check did not see
+	// began less than MaxOverrun before that, or later, so that its key is held at
+	// least until safeUntil.
 	reading.safeUntil = reading.submittedAt - in.cfg.MaxOverrun + in.routes[reading.Route].IdempotencyWindow
 	reading.failures = 0
 	if reading.abandoned() {
@@ -138,11 +143,12 @@
 	in.submitNext(now, reading)
 }
 
-// complete ends a reading whose recorded value is known; sum is its digest.
-func (in *Intake) complete(now float64, reading *trackedReading, sum uint64, status Status) {
+// complete ends a reading whose recorded value is known. digest is that of the
+// recorded value; status is Recorded or Conflict.
+func (in *Intake) complete(now float64, reading *trackedReading, digest uint64, status Status) {
 	in.completions.add(now)
 	device := reading.device
-	device.addRecorded(reading.ID.local(), sum, in.cfg.MaxRecent)
+	device.addRecorded(reading.ID.local(), digest, in.cfg.MaxRecent)
 	if reading.Epoch == device.epoch {
 		device.epochConfirmed = true
 		device.epochConflicted = device.epochConflicted || status == Conflict
@@ -162,7 +168,8 @@
 	in.finish(now, reading)
 }
 
-// finish removes a reading and lets the next of its device's queue go out.
+// finish removes a reading and releases its queue if it was busy, so that the
+// next durable reading is submitted.
 func (in *Intake) finish(now float64, reading *trackedReading) {
 	queue := reading.queue
 	in.remove(reading)
@@ -173,8 +180,8 @@
 	}
 }
 
-// Rejected reports that the router rejected a submission, with the advice to
-// retry after that many milliseconds, 0 for none.
+// Rejected reports that the router rejected a submission.
+// retryAfter is how long to pause the group, in milliseconds; 0 means no pause.
 func (in *Intake) Rejected(now float64, submission uint64, retryAfter float64) {
 	reading := in.endSubmission(submission)
 	if reading == nil {
@@ -189,7 +196,8 @@
 	in.dispatch(now, group)
 }
 
-// Failed reports that a submission failed; a write may have run, or may yet.
+// Failed reports that a submission failed. A write may have run, or may run
+// until its deadline plus MaxOverrun.
 func (in *Intake) Failed(now float64, submission uint64) {
 	reading := in.endSubmission(submission)
 	if reading == nil {
@@ -200,15 +208,17 @@
 	in.dispatch(now, reading.group)
 }
 
-// The backoff before a retry doubles from minBackoffMs to maxBackoffMs, in
-// milliseconds, and is drawn between half of it and all.
+// The backoff before a retry doubles with each failure from minBackoffMs to
+// maxBackoffMs. The wait is drawn at random between half of the backoff and all
+// of it.
 const (
 	minBackoffMs        = 100
 	maxBackoffMs        = 2000
 	maxBackoffDoublings = 6
 )
 
-// scheduleRetry lets a reading back off before its next submission.
+// scheduleRetry makes a reading back off before its next submission, and removes
+// it if it is abandoned.
 func (in *Intake) scheduleRetry(now float64, reading *trackedReading) {
 	if reading.abandoned() {
 		in.finish(now, reading)
@@ -220,7 +230,8 @@
 	in.backOff(reading, now+backoff*(0.5+0.5*in.rand.Float64()))
 }
 
-// backOff keeps a reading from being submitted until then.
+// backOff keeps a reading from being submitted before until, in Unix
+// milliseconds.
 func (in *Intake) backOff(reading *trackedReading, until float64) {
 	reading.phase = backingOff
 	reading.retryTimer = in.timers.At(until, func(now float64) {
@@ -231,7 +242,9 @@
 	})
 }
 
-// Persisted reports whether a reading is on the disk for good.
+// Persisted reports the result of Actions.Persist: ok if the reading is durably
+// on disk. If so its copies are answered Stored and it is queued, else they are
+// rejected. It is ignored for a reading that is not being stored.
 func (in *Intake) Persisted(now float64, id ID, ok bool) {
 	device := in.devices[id.Device]
 	if device == nil {
