--- a/internal/edge/batch/characterization_test.go
+++ b/internal/edge/batch/characterization_test.go
@@ -19,14 +19,14 @@
 )
 
 // update rewrites the expected values. They may change only with a deliberate
-// change of behaviour, which the commit has to name.
+// change of behaviour, which the commit message must name.
 var update = flag.Bool("update", false,
 	"rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
 
 const expectedFile = "testdata/characterization.txt"
 
-// TestCharacterization pins the bytes of batches and replies, and what is read
-// of correct and of broken ones.
+// TestCharacterization compares the encoded bytes of batches and replies, and
+// what is decoded from valid and from mutated batches, with the expected values.
 func TestCharacterization(t *testing.T) {
 	codec := batch.NewCodec()
 	got := map[string]string{}
@@ -77,7 +77,7 @@
 	}
 }
 
-// digest hashes numbers and bytes.
+// digest is a running hash of numbers and bytes.
 type digest struct{ hash hash.Hash }
 
 func newDigest() digest { return digest{sha256.New()} }
@@ -107,7 +107,8 @@
 
 func (d digest) sum() string { return hex.EncodeToString(d.hash.Sum(nil)) }
 
-// shortened writes bytes in hex digits, and long ones as their digest.
+// shortened returns up to 256 bytes as hexadecimal digits, and longer ones as
+// their digest.
 func shortened(b []byte) string {
 	if len(b) <= 256 {
 		return hex.EncodeToString(b)
@@ -157,7 +158,8 @@
 	}
 }
 
-// mutated returns b with a few bytes changed, added or taken out.
+// mutated returns a copy of b with one or two random bytes inserted, removed or
+// changed, or with the end cut off.
 func mutated(random *rand.Rand, b []byte) []byte {
 	out := slices.Clone(b)
 	for range 1 + random.IntN(2) {
@@ -178,31 +180,33 @@
 	return out
 }
 
-// readMutated reads a batch and broken forms of it.
+// readMutated decodes an encoded batch and mutated copies of it, and returns the
+// digest of the results.
 func readMutated(codec *batch.Codec, whole []byte) string {
-	const each = 200
+	const mutations = 200
 	d := newDigest()
 	random := rand.New(rand.NewPCG(1, 2))
 	hashBatch(d, codec, whole)
-	for range each {
+	for range mutations {
 		hashBatch(d, codec, mutated(random, whole))
 	}
 	return d.sum()
 }
 
+// hashBatch adds the result of decoding b to a digest.
 func hashBatch(d digest, codec *batch.Codec, b []byte) {
-	m, err := codec.DecodeBatch(b)
-	d.flags(m != nil, err != nil)
-	if m == nil {
+	decoded, err := codec.DecodeBatch(b)
+	d.flags(decoded != nil, err != nil)
+	if decoded == nil {
 		return
 	}
-	d.texts([]byte(m.Device))
-	d.flags(m.Elapsed != nil)
-	if m.Elapsed != nil {
-		d.numbers(int(math.Float64bits(*m.Elapsed)))
+	d.texts([]byte(decoded.Device))
+	d.flags(decoded.Elapsed != nil)
+	if decoded.Elapsed != nil {
+		d.numbers(int(math.Float64bits(*decoded.Elapsed)))
 	}
-	d.numbers(int(m.Epoch), len(m.Readings))
-	for _, r := range m.Readings {
+	d.numbers(int(decoded.Epoch), len(decoded.Readings))
+	for _, r := range decoded.Readings {
 		d.numbers(int(r.Seq), int(r.Sent))
 		d.flags(r.Urgent)
 		d.texts(r.Value)
--- a/internal/edge/progress/progress.go
+++ b/internal/edge/progress/progress.go
@@ -1,81 +1,83 @@
-// Package progress holds the rules for messages that are received in part.
-// Silence alone says little on a slow link: what counts is how many bytes come
-// in a window. All unfinished messages together have a limit, and past it the
-// slowest is evicted. The package has no I/O and no clock; times are Unix
-// milliseconds. A Ledger is not safe for concurrent use.
+// Package progress tracks messages that are received only in part, to detect
+// stalled senders and to bound memory. Silence alone is no sign of a stall on a
+// slow link, so a message must receive a minimum of bytes in each window. All
+// unfinished messages together have a limit, past which the slowest is evicted.
+// The package has no I/O and no clock; times are Unix milliseconds.
 package progress
 
 import "container/list"
 
-// overheadBytes is the memory of an unfinished message beside its bytes, in bytes.
+// overheadBytes is the memory of an unfinished message apart from its content.
 const overheadBytes = 256
 
-// startAllowanceMs is added to a message's age for its rate, so that one that
-// has just started has a finite rate.
+// startAllowanceMs is added to a message's age when its rate is computed, so that
+// a message that has just started has a finite rate.
 const startAllowanceMs = 1000
 
-// Limits bound unfinished messages.
+// Limits bounds the time and the memory of unfinished messages.
 type Limits struct {
-	WindowMs   float64 // over which progress is measured
-	MinBytes   int     // that must come in each window
-	TotalBytes int     // of all unfinished messages together, with overhead
+	WindowMs   float64 // length of a window in which progress is measured
+	MinBytes   int     // bytes that a message must receive in each window
+	TotalBytes int     // memory of all unfinished messages together, with overhead
 }
 
-// Tracker accounts for unfinished messages, one for each owner.
+// Tracker tracks unfinished messages, at most one for each owner. The caller
+// chooses the numbers of the owners. A Tracker is not safe for concurrent use.
 type Tracker struct {
 	limits   Limits
 	messages map[uint64]*unfinishedMessage // by owner
-	byWindow list.List                     // messages by the end of their windows, which have one length
-	bytes    int                           // of all messages, with overhead
+	byWindow list.List                     // messages ordered by the start of their windows
+	bytes    int                           // memory of all messages, with overhead
 }
 
-// message is an unfinished message.
+// unfinishedMessage is a message of which only a part was received.
 type unfinishedMessage struct {
 	owner           uint64
 	startedAt       float64
 	bytes           int
-	windowStartedAt float64 // when its window began
-	windowBytes     int     // received in the window
-	element         *list.Element
+	windowStartedAt float64
+	windowBytes     int           // bytes received in the window
+	element         *list.Element // of Tracker.byWindow
 }
 
-// New returns an empty Ledger.
+// New returns an empty Tracker.
 func New(limits Limits) *Tracker {
 	return &Tracker{limits: limits, messages: map[uint64]*unfinishedMessage{}}
 }
 
-// Bytes returns the memory of all unfinished messages, in bytes.
-func (l *Tracker) Bytes() int { return l.bytes }
+// Bytes returns the memory of all unfinished messages, in bytes with overhead.
+func (t *Tracker) Bytes() int { return t.bytes }
 
-// Len returns how many unfinished messages there are.
-func (l *Tracker) Len() int { return len(l.messages) }
+// Len returns the number of unfinished messages.
+func (t *Tracker) Len() int { return len(t.messages) }
 
-// Add adds n bytes to the owner's unfinished message, which starts with its
-// first ones. The messages of the returned owners are removed to keep the limit,
-// and must be ended: the slowest, which may be the owner itself.
-func (l *Tracker) Add(now float64, owner uint64, n int) (evicted []uint64) {
-	message := l.messages[owner]
+// Add counts n received bytes for the owner's unfinished message, and starts a
+// message if the owner has none. If that exceeds Limits.TotalBytes, the slowest
+// messages are removed from the Tracker and their owners returned, perhaps with
+// owner itself; the caller must abort their messages.
+func (t *Tracker) Add(now float64, owner uint64, n int) (evicted []uint64) {
+	message := t.messages[owner]
 	if message == nil {
 		message = &unfinishedMessage{owner: owner, startedAt: now, windowStartedAt: now}
-		message.element = l.byWindow.PushBack(message)
-		l.messages[owner] = message
-		l.bytes += overheadBytes
+		message.element = t.byWindow.PushBack(message)
+		t.messages[owner] = message
+		t.bytes += overheadBytes
 	}
 	message.bytes += n
 	message.windowBytes += n
-	l.bytes += n
-	for l.bytes > l.limits.TotalBytes {
-		slowest := l.slowest(now)
-		l.End(slowest.owner)
+	t.bytes += n
+	for t.bytes > t.limits.TotalBytes {
+		slowest := t.slowest(now)
+		t.End(slowest.owner)
 		evicted = append(evicted, slowest.owner)
 	}
 	return evicted
 }
 
-// slowest returns the message with the lowest rate, among equals the oldest.
-func (l *Tracker) slowest(now float64) (slowest *unfinishedMessage) {
+// slowest returns the message with the lowest rate, the oldest among equal ones.
+func (t *Tracker) slowest(now float64) (slowest *unfinishedMessage) {
 	var lowest float64
-	for element := l.byWindow.Front(); element != nil; element = element.Next() {
+	for element := t.byWindow.Front(); element != nil; element = element.Next() {
 		message := element.Value.(*unfinishedMessage)
 		rate := message.rate(now)
 		older := rate == lowest && slowest != nil && message.startedAt < slowest.startedAt
@@ -87,54 +89,58 @@
 	return slowest
 }
 
-// rate is in bytes per millisecond.
+// rate returns the message's average rate in bytes per millisecond.
 func (message *unfinishedMessage) rate(now float64) float64 {
 	return float64(message.bytes) / (now - message.startedAt + startAllowanceMs)
 }
 
-// End removes the owner's message: it is complete, or its owner has gone.
-func (l *Tracker) End(owner uint64) {
-	message := l.messages[owner]
+// End removes the owner's message, if there is one. It is called when the message
+// is complete or its owner has disconnected.
+func (t *Tracker) End(owner uint64) {
+	message := t.messages[owner]
 	if message == nil {
 		return
 	}
-	delete(l.messages, owner)
-	l.byWindow.Remove(message.element)
-	l.bytes -= message.bytes + overheadBytes
+	delete(t.messages, owner)
+	t.byWindow.Remove(message.element)
+	t.bytes -= message.bytes + overheadBytes
 }
 
-// Next returns when Tick is due, in Unix milliseconds; false if it is not.
-func (l *Tracker) Next() (float64, bool) {
-	first := l.byWindow.Front()
+// Next returns when the next Tick is due, in Unix milliseconds, and false if
+// there are no messages.
+func (t *Tracker) Next() (float64, bool) {
+	first := t.byWindow.Front()
 	if first == nil {
 		return 0, false
 	}
-	return l.windowEnd(first.Value.(*unfinishedMessage)), true
+	return t.windowEnd(first.Value.(*unfinishedMessage)), true
 }
 
-func (l *Tracker) windowEnd(message *unfinishedMessage) float64 {
-	return message.windowStartedAt + l.limits.WindowMs
+// windowEnd returns when the message's window ends.
+func (t *Tracker) windowEnd(message *unfinishedMessage) float64 {
+	return message.windowStartedAt + t.limits.WindowMs
 }
 
-// Tick ends windows. It removes the messages that made too little progress, and
-// returns their owners, which must be ended.
-func (l *Tracker) Tick(now float64) (stalled []uint64) {
+// Tick ends the windows that are due. Messages that received fewer than
+// Limits.MinBytes in theirs are removed from the Tracker and their owners
+// returned; the caller must abort these messages. The others start a new window.
+func (t *Tracker) Tick(now float64) (stalled []uint64) {
 	for {
-		first := l.byWindow.Front()
+		first := t.byWindow.Front()
 		if first == nil {
 			return stalled
 		}
 		message := first.Value.(*unfinishedMessage)
-		if l.windowEnd(message) > now {
+		if t.windowEnd(message) > now {
 			return stalled
 		}
-		if message.windowBytes < l.limits.MinBytes {
-			l.End(message.owner)
+		if message.windowBytes < t.limits.MinBytes {
+			t.End(message.owner)
 			stalled = append(stalled, message.owner)
 			continue
 		}
 		message.windowStartedAt = now
 		message.windowBytes = 0
-		l.byWindow.MoveToBack(first)
+		t.byWindow.MoveToBack(first)
 	}
 }
--- a/internal/edge/store/characterization_test.go
+++ b/internal/edge/store/characterization_test.go
@@ -22,22 +22,23 @@
 )
 
 // update rewrites the expected values. They may change only with a deliberate
-// change of behaviour, which the commit has to name.
+// change of behaviour, which the commit message must name.
 var update = flag.Bool("update", false,
 	"rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
 
 const expectedFile = "testdata/characterization.txt"
 
-// storeFile was written by an earlier version of the program. It is never
-// written again: whatever changes, the readings of a router's disk have to be
-// found. -update makes it only where there is none.
+// storeFile was written by an earlier version of the program and is never
+// rewritten: every later version must find the readings in it, as a router finds
+// those on its disk after an upgrade. -update creates it only if it is missing.
 const storeFile = "testdata/store.db"
 
-// limit is the most bytes of readings in the stores of these tests.
-const limit = 1 << 20
+// maxBytes limits the readings in the stores of these tests.
+const maxBytes = 1 << 20
 
-// TestCharacterization pins what is read of a file of an earlier version, what
-// an intake makes of it, and what is written today.
+// TestCharacterization compares with the expected values what is read from a
+// file of an earlier version, what an Intake does with its readings, and what
+// this version writes.
 func TestCharacterization(t *testing.T) {
 	got := map[string]string{}
 	if _, err := os.Stat(storeFile); *update && os.IsNotExist(err) {
@@ -47,7 +48,7 @@
 	readings := readStore(t, got, "old", path)
 	recoverReadings(t, got, readings)
 
-	writeStore(t, path) // behind what is there
+	writeStore(t, path) // adds to the readings in the file
 	readStore(t, got, "old-and-new", path)
 
 	path = filepath.Join(t.TempDir(), "store")
@@ -96,6 +97,7 @@
 	}
 }
 
+// copyOfStore copies storeFile to a temporary file and returns its path.
 func copyOfStore(t *testing.T) (path string) {
 	t.Helper()
 	file, err := os.ReadFile(storeFile)
@@ -111,7 +113,7 @@
 
 func open(t *testing.T, path string) (*store.Store, []intake.Reading) {
 	t.Helper()
-	s, readings, err := store.Open(path, limit)
+	s, readings, err := store.Open(path, maxBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,15 +127,15 @@
 	}
 }
 
-// reading returns a reading whose value tells which it is.
+// reading returns a reading on route 1 whose value names its ID.
 func reading(device string, epoch, seq uint64) *intake.Reading {
 	id := intake.ID{Device: device, Epoch: epoch, Seq: seq}
 	return &intake.Reading{ID: id, Route: 1, Value: fmt.Appendf(nil, "%s/%d/%d", device, epoch, seq)}
 }
 
-// writeStore leaves readings in every state: stored, urgent or not, at the bounds
-// of their numbers and names, written twice, recorded, and quarantined as a
-// conflict while they were stored and while they were not.
+// writeStore leaves readings in every state in the store at path: stored, urgent
+// or not, with the least and greatest numbers and names, written twice, deleted
+// because they are recorded, and quarantined, both stored ones and others.
 func writeStore(t *testing.T, path string) {
 	t.Helper()
 	s, _ := open(t, path)
@@ -143,15 +145,15 @@
 	first.Route = 0
 	last := reading("meter-3", math.MaxUint64, math.MaxUint64)
 	last.Route = math.MaxUint16
-	bare, twice := reading("meter-4", 1, 1), reading("meter-4", 1, 2)
-	bare.Value, twice.Value = nil, []byte("the first value")
+	withoutValue, replaced := reading("meter-4", 1, 1), reading("meter-4", 1, 2)
+	withoutValue.Value, replaced.Value = nil, []byte("the first value")
 	binary := reading("\x00\xff\x00a\x00", 1, 1)
 	binary.Value = []byte{0, 1, 0xfe, 0xff}
-	long := reading(strings.Repeat("n", intake.MaxDeviceNameBytes), 1, 1)
-	recorded, aside := reading("meter-1", 1, 1), reading("meter-1", 1, 2)
+	longest := reading(strings.Repeat("n", intake.MaxDeviceNameBytes), 1, 1)
+	recorded, quarantined := reading("meter-1", 1, 1), reading("meter-1", 1, 2)
 	for _, r := range []*intake.Reading{
-		recorded, aside, reading("meter-1", 1, 3), reading("meter-1", 2, 1), reading("meter-1", 1, 256), urgent,
-		first, last, bare, twice, reading("meter-4", 1, 2), binary, long,
+		recorded, quarantined, reading("meter-1", 1, 3), reading("meter-1", 2, 1), reading("meter-1", 1, 256), urgent,
+		first, last, withoutValue, replaced, reading("meter-4", 1, 2), binary, longest,
 		reading("m", 1, 1), reading("meter-10", 1, 1), reading("gone", 1, 1),
 	} {
 		put(t, s, r)
@@ -159,12 +161,13 @@
 	s.Delete(recorded.ID)
 	s.Delete(intake.ID{Device: "gone", Epoch: 1, Seq: 1})
 	s.Delete(intake.ID{Device: "never there", Epoch: 1, Seq: 1})
-	aside.Urgent = true
-	s.Quarantine(aside)
+	quarantined.Urgent = true
+	s.Quarantine(quarantined)
 	s.Quarantine(reading("meter-5", 3, 9))
 	closeStore(t, s)
 }
 
+// put stores a reading and waits until it is confirmed.
 func put(t *testing.T, s *store.Store, r *intake.Reading) {
 	t.Helper()
 	done := make(chan error, 1)
@@ -174,7 +177,8 @@
 	}
 }
 
-// readStore adds the readings in the store at path to the scenarios.
+// readStore adds to got the readings and conflicts in the store at path, under
+// names that begin with name, and returns the readings.
 func readStore(t *testing.T, got map[string]string, name, path string) (readings []intake.Reading) {
 	t.Helper()
 	s, readings := open(t, path)
@@ -193,13 +197,14 @@
 	return readings
 }
 
-// readingText writes a reading's device, epoch, sequence, route, urgency and
-// value.
+// readingText returns a reading's device, epoch, sequence number, route, urgency
+// and value as one line.
 func readingText(r *intake.Reading) string {
 	return fmt.Sprintf("%x %d %d %d %d =%x", r.Device, r.Epoch, r.Seq, r.Route, digit(r.Urgent), r.Value)
 }
 
-// readEntries adds every entry of the file at path, as it stands on the disk.
+// readEntries adds to got the key and the value of every entry in the file at
+// path, as they are on disk.
 func readEntries(t *testing.T, got map[string]string, path string) {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
@@ -222,11 +227,13 @@
 	}
 }
 
-// putErrors writes for each of some calls whether it failed, and with ErrFull.
+// putErrors returns two digits for each of four calls of Put: whether it failed,
+// and whether with ErrFull. The second and third exceed the limit, and the fourth
+// comes after Close.
 func putErrors(t *testing.T) (text string) {
 	t.Helper()
-	const limit = 60 // for one reading
-	s, _, err := store.Open(filepath.Join(t.TempDir(), "store"), limit)
+	const oneReadingBytes = 60 // enough for one reading, not for two
+	s, _, err := store.Open(filepath.Join(t.TempDir(), "store"), oneReadingBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -245,30 +252,31 @@
 	return strings.TrimSpace(text)
 }
 
-func digit(is bool) int {
-	if is {
+// digit returns 1 for true and 0 for false.
+func digit(condition bool) int {
+	if condition {
 		return 1
 	}
 	return 0
 }
 
-// corruptedFiles reads copies of the old file with a few bytes changed, and some
-// that were cut, and returns the digest of what was found.
+// corruptedFiles opens copies of storeFile with a few bytes changed, a tenth of
+// them also truncated, and returns the digest of the results.
 func corruptedFiles(t *testing.T) string {
 	t.Helper()
 	const copies = 250
-	whole, err := os.ReadFile(storeFile)
+	original, err := os.ReadFile(storeFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	random := rand.New(rand.NewPCG(1, 2))
 	path := filepath.Join(t.TempDir(), "store")
-	found := sha256.New()
+	results := sha256.New()
 	for n := range copies {
-		file := slices.Clone(whole)
+		file := slices.Clone(original)
 		for range 1 + random.IntN(3) {
 			at := random.IntN(len(file))
-			if random.IntN(2) == 0 { // the beginning of a page, which says what it holds
+			if random.IntN(2) == 0 { // the beginning of a page, where its header and elements are
 				at = at&^4095 + random.IntN(160)
 			}
 			file[at] ^= byte(1 + random.IntN(255))
@@ -279,26 +287,26 @@
 		if err := os.WriteFile(path, file, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, readings, err := store.Open(path, limit)
-		fmt.Fprintln(found, digit(err != nil), len(readings))
+		s, readings, err := store.Open(path, maxBytes)
+		fmt.Fprintln(results, digit(err != nil), len(readings))
 		for _, r := range readings {
-			fmt.Fprintln(found, readingText(&r))
+			fmt.Fprintln(results, readingText(&r))
 		}
 		if err == nil {
 			closeStore(t, s)
 		}
 	}
-	return hex.EncodeToString(found.Sum(nil))
+	return hex.EncodeToString(results.Sum(nil))
 }
 
-// database is the actions of an intake, answered in the order in which they
-// were submitted: no row is there yet, a write is done, and one is not, since
-// another value is there.
+// database implements intake.Actions. It records the actions and queues the
+// submissions, which recoverReadings serves in order.
 type database struct {
 	actions     []string
 	submissions []submission
 }
 
+// submission is the arguments of a call of Submit.
 type submission struct {
 	number    uint64
 	operation intake.Operation
@@ -306,16 +314,17 @@
 }
 
 func (d *database) Submit(id intake.ID, n uint64, operation intake.Operation, r *intake.Reading, group int, timeout float64) {
-	d.note(0, id, n, uint64(operation), uint64(group), uint64(timeout))
+	d.record(0, id, n, uint64(operation), uint64(group), uint64(timeout))
 	d.actions[len(d.actions)-1] += " " + id.Row() + " " + id.Key() + " " + readingText(r)
 	d.submissions = append(d.submissions, submission{n, operation, r})
 }
 func (d *database) Answer(intake.Origin, intake.Answer) { d.actions = append(d.actions, "1") }
-func (d *database) Persist(r *intake.Reading)           { d.note(2, r.ID) }
-func (d *database) Delete(id intake.ID)                 { d.note(3, id) }
-func (d *database) Quarantine(r *intake.Reading)        { d.note(4, r.ID) }
+func (d *database) Persist(r *intake.Reading)           { d.record(2, r.ID) }
+func (d *database) Delete(id intake.ID)                 { d.record(3, id) }
+func (d *database) Quarantine(r *intake.Reading)        { d.record(4, r.ID) }
 
-func (d *database) note(kind int, id intake.ID, numbers ...uint64) {
+// record adds an action: its kind, the reading's ID and further numbers.
+func (d *database) record(kind int, id intake.ID, numbers ...uint64) {
 	action := fmt.Sprintf("%d %x %d %d", kind, id.Device, id.Epoch, id.Seq)
 	for _, n := range numbers {
 		action += fmt.Sprintf(" %d", n)
@@ -323,13 +332,15 @@
 	d.actions = append(d.actions, action)
 }
 
-// recoverReadings adds the actions of an intake after a start with the readings.
+// recoverReadings adds to got the actions of an Intake that recovers the
+// readings. Checks find no row, and writes are recorded except those of the
+// device "m", for which another value is recorded already.
 func recoverReadings(t *testing.T, got map[string]string, readings []intake.Reading) {
 	t.Helper()
-	const now, window = 1.7e12, 60000
+	const now, windowMs = 1.7e12, 60000 // now is in Unix milliseconds
 	var routes [math.MaxUint16 + 1]intake.Route
 	for i := range routes {
-		routes[i] = intake.Route{IdempotencyWindow: window, Groups: []int{0, 1, 2}}
+		routes[i] = intake.Route{IdempotencyWindow: windowMs, Groups: []int{0, 1, 2}}
 	}
 	config := intake.Defaults()
 	config.Durable = true
--- a/internal/edge/store/file.go
+++ b/internal/edge/store/file.go
@@ -11,8 +11,8 @@
 	"lotusbend/internal/edge/intake"
 )
 
-// The file's buckets. The metadata holds the format's name, which distinguishes
-// a store from a foreign file.
+// The names of the file's buckets, and the entry of the metadata bucket that
+// distinguishes a store from other bbolt files.
 const (
 	metadataBucket  = "meta"
 	readingsBucket  = "readings"
@@ -23,18 +23,19 @@
 
 const (
 	filePermissions = 0o600
-	// lockTimeout is how long Open waits for another process to close the file.
+	// lockTimeout is how long Open waits for another process to unlock the file.
 	lockTimeout = time.Second
 )
 
 var (
-	errNotStore = errors.New("the file is no store of readings of this program")
-	errDamaged  = errors.New("the file is damaged")
+	errNotStore = errors.New("file is not a store of readings of this program")
+	errDamaged  = errors.New("file is damaged")
 )
 
-// openFile opens or creates the file, after a check of its contents.
+// openFile opens or creates the file. It verifies an existing one first and does
+// not change it if that fails.
 func openFile(path string) (db *bbolt.DB, err error) {
-	defer func() { // bbolt panics on damage that verify cannot see
+	defer func() { // bbolt panics on damage that verify does not detect
 		if panicked := recover(); panicked != nil {
 			db = nil
 			err = fmt.Errorf("%w: %v", errDamaged, panicked)
@@ -56,8 +57,8 @@
 	return db, nil
 }
 
-// verifyIfWritten verifies the file unless it is absent or empty, as after a
-// crash before its first write.
+// verifyIfWritten verifies the file unless it is absent or empty. It is empty
+// after a crash before the first write.
 func verifyIfWritten(path string) error {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -72,7 +73,8 @@
 	return verify(path)
 }
 
-// checkFormat accepts a store of readings and a database without any bucket.
+// checkFormat returns errNotStore unless the database is a store of readings or
+// has no bucket at all.
 func checkFormat(tx *bbolt.Tx) error {
 	metadata := tx.Bucket([]byte(metadataBucket))
 	if metadata == nil {
@@ -87,6 +89,8 @@
 	return nil
 }
 
+// createBuckets creates the buckets that are missing and writes the format's
+// name.
 func createBuckets(tx *bbolt.Tx) error {
 	for _, name := range []string{metadataBucket, readingsBucket, conflictsBucket} {
 		if _, err := tx.CreateBucketIfNotExists([]byte(name)); err != nil {
@@ -96,7 +100,8 @@
 	return tx.Bucket([]byte(metadataBucket)).Put([]byte(formatKey), []byte(formatName))
 }
 
-// loadReadings returns all stored readings and their size with their keys.
+// loadReadings returns all stored readings in the order of their keys, and the
+// size of their entries in bytes.
 func loadReadings(db *bbolt.DB) (readings []intake.Reading, bytes int, err error) {
 	err = db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket([]byte(readingsBucket)).ForEach(func(k, v []byte) error {
--- a/internal/edge/store/page.go
+++ b/internal/edge/store/page.go
@@ -5,16 +5,21 @@
 	"fmt"
 )
 
-// treePage is a branch or a leaf of bbolt's, which may also be inside a value.
+// treePage is a branch or leaf page of a bbolt tree. A small bucket is a leaf
+// page inside a value.
 type treePage struct {
-	name   string // for errors
+	name   string // for error messages
 	bytes  []byte
-	branch bool
-	count  int // of entries
+	branch bool // false for a leaf
+	count  int  // number of entries
 }
 
+// pageFlags returns the flags in a page's header.
 func pageFlags(b []byte) uint16 { return binary.LittleEndian.Uint16(b[pageFlagsOffset:]) }
 
+// parsePage reads the header of the page in b. It returns an error if that is
+// neither a branch nor a leaf, or if its elements exceed b. b must hold a page
+// header.
 func parsePage(name string, b []byte) (treePage, error) {
 	flags := pageFlags(b)
 	p := treePage{
@@ -26,7 +31,7 @@
 	known := flags == branchPage || flags == leafPage
 	emptyBranch := p.branch && p.count == 0
 	if !known || pageHeaderSize+p.count*elementSize > len(b) || emptyBranch {
-		return p, fmt.Errorf("%s is neither branch nor leaf", name)
+		return p, fmt.Errorf("%s: not a valid branch or leaf page", name)
 	}
 	return p, nil
 }
@@ -34,34 +39,34 @@
 // pageEntry is one element of a page with its key and value.
 type pageEntry struct {
 	key    []byte
-	child  uint64 // page, of a branch's element
-	value  []byte // of a leaf's
-	bucket bool   // the value is a bucket
+	child  uint64 // page number of the subtree, in a branch
+	value  []byte // in a leaf
+	bucket bool   // the value is a nested bucket, in a leaf
 }
 
-// entry reads an element: in a branch position, key size and child; in a leaf
-// flags, position, key size and value size. The position counts from the
-// element's beginning.
+// entry returns the entry at the given index. The element of a branch consists of
+// position, key size and child; that of a leaf of flags, position, key size and
+// value size. The position of the key is relative to the start of the element.
 func (p treePage) entry(index int) (pageEntry, error) {
 	start := pageHeaderSize + index*elementSize
 	element := p.bytes[start : start+elementSize]
-	word := func(offset int) uint64 { return uint64(binary.LittleEndian.Uint32(element[offset:])) }
+	uint32At := func(offset int) uint64 { return uint64(binary.LittleEndian.Uint32(element[offset:])) }
 	var e pageEntry
 	var position, keySize, valueSize uint64
 	if p.branch {
-		position = word(0)
-		keySize = word(4)
+		position = uint32At(0)
+		keySize = uint32At(4)
 		e.child = binary.LittleEndian.Uint64(element[8:])
 	} else {
-		e.bucket = word(0)&bucketElement != 0
-		position = word(4)
-		keySize = word(8)
-		valueSize = word(12)
+		e.bucket = uint32At(0)&bucketElement != 0
+		position = uint32At(4)
+		keySize = uint32At(8)
+		valueSize = uint32At(12)
 	}
 	keyStart := uint64(start) + position
 	valueStart := keyStart + keySize
 	if position < elementSize || valueStart+valueSize > uint64(len(p.bytes)) {
-		return pageEntry{}, fmt.Errorf("%s: an entry beyond its end", p.name)
+		return pageEntry{}, fmt.Errorf("%s: entry %d exceeds the page", p.name, index)
 	}
 	e.key = p.bytes[keyStart:valueStart]
 	e.value = p.bytes[valueStart : valueStart+valueSize]
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -1,6 +1,7 @@
-// Package store keeps readings on a disk until they are recorded, in one bbolt
-// file. A reading whose storing was confirmed survives the end of the process at
-// any moment, and of the machine if its disk flushes when asked to.
+// Package store keeps readings on disk, in one bbolt file, until they are
+// recorded in the database. A reading whose storing was confirmed survives a
+// crash of the process at any moment, and of the machine if its disk honors
+// flush requests.
 package store
 
 import (
@@ -13,32 +14,34 @@
 	"lotusbend/internal/edge/intake"
 )
 
-// maxQueuedChanges bounds the changes that wait for a commit.
+// maxQueuedChanges is the number of changes waiting for a commit past which Put
+// returns ErrFull.
 const maxQueuedChanges = 1 << 16
 
-// Store is an open file. Its methods are safe for concurrent use and return at
-// once, except Conflicts and Close. Changes are made in the order of the calls,
-// many in one commit, by one goroutine that Close ends.
+// Store is an open file of readings. Its methods are safe for concurrent use and
+// do not wait for the disk, except Conflicts and Close. Changes are applied in
+// the order of the calls, many in one commit, by one goroutine that Close ends.
 type Store struct {
 	db           *bbolt.DB
-	maxBytes     int           // bytes of readings
-	commitSignal chan struct{} // signals the committing goroutine
-	stopped      chan struct{} // closed when it has ended
+	maxBytes     int           // limit on bytes
+	commitSignal chan struct{} // wakes commitLoop; its buffer holds one signal
+	stopped      chan struct{} // closed when commitLoop has returned
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	queue  []change
-	bytes  int // of the readings in the file and in the queue
+	bytes  int // size of the entries in the file and of those queued, with their keys
 	closed bool
 }
 
-// change is one change of the file.
+// change is one change to the file.
 type change struct {
 	kind    changeKind
 	id      intake.ID
-	encoded []byte      // the reading, for put and quarantine
-	done    func(error) // called after the commit, unless nil
+	encoded []byte      // the encoded reading, for putReading and quarantineReading
+	done    func(error) // called with the result of the commit, unless nil
 }
 
+// changeKind is the kind of a change.
 type changeKind uint8
 
 const (
@@ -47,36 +50,39 @@
 	quarantineReading
 )
 
-// ErrFull reports that the store has as many bytes of readings as it may.
+// ErrFull is the error of Put when the store is at its limit of bytes, or when
+// too many changes wait for a commit.
 var ErrFull = errors.New("store: full")
 
 var errClosed = errors.New("store: closed")
 
 // Open opens or creates the file at path and returns the readings in it, ordered
-// by device, epoch and sequence number. limit is in bytes of readings. The whole
-// file is checked first: a damaged or foreign one is an error of one line, and
-// is not changed.
-func Open(path string, limit int) (s *Store, readings []intake.Reading, err error) {
+// by device, epoch and sequence number. maxBytes limits the size of the readings
+// with their keys; those already in the file are loaded even beyond it. The
+// whole file is verified first: one that is damaged or not a store is left
+// unchanged and gives an error of one line.
+func Open(path string, maxBytes int) (s *Store, readings []intake.Reading, err error) {
 	db, err := openFile(path)
 	if err != nil {
-		return nil, nil, fmt.Errorf("store %s: %w", path, err)
+		return nil, nil, fmt.Errorf("opening store %q: %w", path, err)
 	}
 	s = &Store{
 		db:           db,
-		maxBytes:     limit,
+		maxBytes:     maxBytes,
 		commitSignal: make(chan struct{}, 1),
 		stopped:      make(chan struct{}),
 	}
 	readings, s.bytes, err = loadReadings(db)
 	if err != nil {
-		return nil, nil, errors.Join(fmt.Errorf("store %s: %w", path, err), db.Close())
+		return nil, nil, errors.Join(fmt.Errorf("loading store %q: %w", path, err), db.Close())
 	}
 	go s.commitLoop()
 	return s, readings, nil
 }
 
-// Put stores a reading. done is called once from another goroutine: with nil
-// when the reading is on the disk, with an error if it is not.
+// Put stores a reading, replacing one of the same ID. done is called once from
+// another goroutine: with nil when the reading is on disk, else with ErrFull or
+// another error.
 func (s *Store) Put(r *intake.Reading, done func(error)) {
 	encoded := encodeReading(r)
 	s.mu.Lock()
@@ -93,8 +99,8 @@
 	}
 }
 
-// Delete removes a reading that is recorded. If it comes back after a crash, a
-// check finds it recorded.
+// Delete removes a recorded reading. A crash or a failed commit can undo this: a
+// check then finds the reading recorded.
 func (s *Store) Delete(id intake.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,7 +109,8 @@
 	}
 }
 
-// Quarantine moves a reading aside whose ID belongs to another value.
+// Quarantine moves a reading to the conflicts, because another value is recorded
+// under its ID.
 func (s *Store) Quarantine(r *intake.Reading) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,15 +119,16 @@
 	}
 }
 
-// Bytes returns the size of the readings in the store, with those that wait for
-// their commit.
+// Bytes returns the size of the stored readings with their keys, in bytes. It
+// includes those that wait for a commit.
 func (s *Store) Bytes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.bytes
 }
 
-// Conflicts returns the quarantined readings.
+// Conflicts returns the quarantined readings, ordered by device, epoch and
+// sequence number.
 func (s *Store) Conflicts() (readings []intake.Reading, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket([]byte(conflictsBucket)).ForEach(func(k, v []byte) error {
@@ -132,7 +140,8 @@
 	return readings, err
 }
 
-// Close commits what is queued and closes the file.
+// Close commits the queued changes and closes the file. Later changes are
+// ignored, except that Put reports an error.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
@@ -146,20 +155,22 @@
 	return s.db.Close()
 }
 
-// enqueue requires s.mu.
+// enqueue adds a change to the queue. The caller must hold s.mu.
 func (s *Store) enqueue(c change) {
 	s.queue = append(s.queue, c)
 	s.signalCommit()
 }
 
+// signalCommit wakes commitLoop.
 func (s *Store) signalCommit() {
 	select {
 	case s.commitSignal <- struct{}{}:
-	default: // it is signalled already
+	default: // a signal is already pending
 	}
 }
 
-// commitLoop commits the queue, all of it at once, until the store is closed.
+// commitLoop commits the queued changes, all of them at once, until the store is
+// closed and the queue is empty.
 func (s *Store) commitLoop() {
 	defer close(s.stopped)
 	for range s.commitSignal {
@@ -177,6 +188,8 @@
 	}
 }
 
+// takeQueue empties the queue and returns its changes, and whether the store is
+// closed.
 func (s *Store) takeQueue() (queue []change, closed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,9 +198,10 @@
 	return queue, s.closed
 }
 
-// commit makes all the changes or none, and reports the result.
+// commit applies all the changes or none, and reports the result to their done
+// functions.
 func (s *Store) commit(queue []change) {
-	freed := 0 // bytes of readings deleted or replaced
+	freed := 0 // bytes of entries deleted or replaced
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		for _, c := range queue {
 			bytes, err := c.apply(tx)
@@ -199,8 +213,8 @@
 		return nil
 	})
 	if err != nil {
-		// Nothing was changed. Readings that were to be deleted stay and will
-		// be checked; those that were to be stored are given up.
+		// Nothing was changed. Readings that were to be deleted stay in the file
+		// and are checked after a restart; those that were to be stored are lost.
 		freed = putBytes(queue)
 	}
 	s.mu.Lock()
@@ -213,6 +227,7 @@
 	}
 }
 
+// putBytes returns the size of the entries that a queue was to store.
 func putBytes(queue []change) (bytes int) {
 	for _, c := range queue {
 		if c.kind == putReading {
@@ -222,8 +237,8 @@
 	return bytes
 }
 
-// apply makes one change and returns the size of the reading that it deleted or
-// replaced.
+// apply applies the change and returns the size of the entry that it deleted or
+// replaced, in bytes.
 func (c *change) apply(tx *bbolt.Tx) (freed int, err error) {
 	readings := tx.Bucket([]byte(readingsBucket))
 	k := encodeKey(c.id)
--- a/internal/edge/store/store_test.go
+++ b/internal/edge/store/store_test.go
@@ -15,12 +15,13 @@
 	"lotusbend/internal/edge/intake"
 )
 
+// reading returns a reading of epoch 1, urgent if seq is even.
 func reading(device string, seq uint64, value string) *intake.Reading {
 	id := intake.ID{Device: device, Epoch: 1, Seq: seq}
 	return &intake.Reading{ID: id, Route: 2, Value: []byte(value), Urgent: seq%2 == 0}
 }
 
-// put stores readings in one commit or more, and waits for all.
+// put stores readings and waits until all are confirmed.
 func put(t *testing.T, s *Store, rs ...*intake.Reading) {
 	t.Helper()
 	done := make(chan error, len(rs))
@@ -34,15 +35,17 @@
 	}
 }
 
-func names(readings []intake.Reading) string {
-	var out []string
+// describe returns the device, sequence number and value of each reading.
+func describe(readings []intake.Reading) string {
+	var words []string
 	for _, r := range readings {
-		out = append(out, fmt.Sprintf("%s%d=%s", r.Device, r.Seq, r.Value))
+		words = append(words, fmt.Sprintf("%s%d=%s", r.Device, r.Seq, r.Value))
 	}
-	return strings.Join(out, " ")
+	return strings.Join(words, " ")
 }
 
-func reopen(t *testing.T, path string) (*Store, []intake.Reading) {
+// openStore opens a store, which the end of the test closes.
+func openStore(t *testing.T, path string) (*Store, []intake.Reading) {
 	t.Helper()
 	s, readings, err := Open(path, 1<<20)
 	if err != nil {
@@ -54,9 +57,9 @@
 
 func TestConfirmedReadingsSurviveReopening(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
-	s, readings := reopen(t, path)
+	s, readings := openStore(t, path)
 	if len(readings) != 0 {
-		t.Fatal(readings)
+		t.Fatalf("Open of a new store returned %v, want no readings", readings)
 	}
 	put(t, s, reading("b", 1, "x"), reading("a", 2, "y"), reading("a", 1, "z"), reading("a\x00", 1, "w"), reading("c", 1, "v"))
 	s.Delete(intake.ID{Device: "b", Epoch: 1, Seq: 1})
@@ -66,19 +69,19 @@
 	}
 	s.Put(reading("d", 1, "late"), func(err error) {
 		if err == nil {
-			t.Error("a closed store accepted a reading")
+			t.Error("Put on a closed store succeeded, want an error")
 		}
 	})
-	s, readings = reopen(t, path)
+	s, readings = openStore(t, path)
 	wrongFields := len(readings) < 2 || readings[1].Route != 2 || !readings[1].Urgent || readings[0].Urgent
-	if got := names(readings); got != "a1=z a2=y a\x001=w" || wrongFields {
-		t.Errorf("%q", got)
+	if got, want := describe(readings), "a1=z a2=y a\x001=w"; got != want || wrongFields {
+		t.Errorf("Open returned %q (%+v), want %q on route 2, urgent if the number is even", got, readings, want)
 	}
-	if conflicts, err := s.Conflicts(); err != nil || names(conflicts) != "c1=v" {
-		t.Errorf("%v, %v", conflicts, err)
+	if conflicts, err := s.Conflicts(); err != nil || describe(conflicts) != "c1=v" {
+		t.Errorf("Conflicts() = %v, %v, want c1=v", conflicts, err)
 	}
 	if want := 3*(18+11+1) + 4 + 1; s.Bytes() != want {
-		t.Errorf("%d bytes are counted, %d are there", s.Bytes(), want)
+		t.Errorf("Bytes() = %d, want %d", s.Bytes(), want)
 	}
 }
 
@@ -92,22 +95,23 @@
 	done := make(chan error, 1)
 	s.Put(reading("a", 3, "x"), func(err error) { done <- err })
 	if err := <-done; !errors.Is(err, ErrFull) {
-		t.Errorf("%v", err)
+		t.Errorf("Put beyond the limit: error %v, want %v", err, ErrFull)
 	}
 }
 
-// A process that is killed leaves the writes of its commit up to some page:
-// each such file must open, and contain either the state before or all of it.
+// A process that is killed during a commit has written only some of its pages,
+// perhaps the last of them in part. Each such file must open, with the readings
+// from either before or after the commit.
 func TestInterruptedCommitIsAtomic(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "store")
-	s, _ := reopen(t, path)
+	s, _ := openStore(t, path)
 	put(t, s, reading("a", 1, "one"), reading("b", 1, "two"))
 	before, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	const size = 4096
+	const pageSize = 4096
 	store := func(rs ...*intake.Reading) (queue []change) {
 		for _, r := range rs {
 			queue = append(queue, change{kind: putReading, id: r.ID, encoded: encodeReading(r)})
@@ -120,7 +124,7 @@
 	}
 	deletion := change{kind: deleteReading, id: intake.ID{Device: "a", Epoch: 1, Seq: 1}}
 	quarantine := change{kind: quarantineReading, id: many[7].ID, encoded: encodeReading(many[7])}
-	for step, queue := range [][]change{ // each one commit
+	for step, queue := range [][]change{ // each is one commit
 		store(reading("c", 1, "three")),
 		store(reading("d", 1, strings.Repeat("long", 3000))),
 		store(many...),
@@ -132,74 +136,77 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		old, whole := opened(t, dir, before), opened(t, dir, after)
+		readingsBefore, readingsAfter := readingsIn(t, dir, before), readingsIn(t, dir, after)
 		var changed []int
-		for at := 0; at < len(after); at += size {
-			newPage := after[at:min(at+size, len(after))]
-			if at >= len(before) || !bytes.Equal(before[at:min(at+size, len(before))], newPage) {
+		for at := 0; at < len(after); at += pageSize {
+			newPage := after[at:min(at+pageSize, len(after))]
+			if at >= len(before) || !bytes.Equal(before[at:min(at+pageSize, len(before))], newPage) {
 				changed = append(changed, at)
 			}
 		}
-		// The meta pages are the first two; they are written last.
-		slices.SortStableFunc(changed, func(a, b int) int { return isMeta(a) - isMeta(b) })
-		cuts := 0
+		// The first two pages are the meta pages, which bbolt writes last.
+		slices.SortStableFunc(changed, func(a, b int) int { return metaOrder(a) - metaOrder(b) })
+		interruptions := 0
 		for n := range len(changed) + 1 {
 			file := append([]byte(nil), before...)
 			if len(after) > len(file) { // the file grows before its pages are written
 				file = append(file, make([]byte, len(after)-len(file))...)
 			}
 			for _, at := range changed[:n] {
-				copy(file[at:], after[at:min(at+size, len(after))])
+				copy(file[at:], after[at:min(at+pageSize, len(after))])
 			}
 			variants := [][]byte{file}
-			if n < len(changed) { // and the next page torn in the middle
+			if n < len(changed) { // a variant in which the next page is written in part
 				torn := append([]byte(nil), file...)
-				copy(torn[changed[n]:], after[changed[n]:min(changed[n]+size/8, len(after))])
+				copy(torn[changed[n]:], after[changed[n]:min(changed[n]+pageSize/8, len(after))])
 				variants = append(variants, torn)
 			}
 			for _, v := range variants {
-				cuts++
-				if got := opened(t, dir, v); got != old && got != whole {
-					t.Fatalf("step %d, cut after page %d: %q, neither before nor after", step, n, got)
+				interruptions++
+				if got := readingsIn(t, dir, v); got != readingsBefore && got != readingsAfter {
+					t.Fatalf("commit %d, interrupted after page %d: readings %q, want %q or %q",
+						step, n, got, readingsBefore, readingsAfter)
 				}
 			}
 		}
-		if cuts < 4 {
-			t.Fatalf("step %d: only %d cuts", step, cuts)
+		if interruptions < 4 {
+			t.Fatalf("commit %d: tested %d interruptions, want at least 4", step, interruptions)
 		}
 		before = after
 	}
 }
 
-func isMeta(at int) int {
+// metaOrder returns 1 for the offset of a meta page and 0 for that of another.
+func metaOrder(at int) int {
 	if at < 2*4096 {
 		return 1
 	}
 	return 0
 }
 
-func opened(t *testing.T, dir string, file []byte) string {
+// readingsIn opens a store with the given content and describes its readings.
+func readingsIn(t *testing.T, dir string, file []byte) string {
 	t.Helper()
-	path := filepath.Join(dir, "cut")
+	path := filepath.Join(dir, "interrupted")
 	if err := os.WriteFile(path, file, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s, readings, err := Open(path, 1<<20)
 	if err != nil {
-		t.Fatalf("a cut file does not open: %v", err)
+		t.Fatalf("Open after an interrupted commit: %v", err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return names(readings)
+	return describe(readings)
 }
 
-// A damaged or foreign file ends in one line, never in a panic, and is left
-// as it is.
+// A file that is damaged or not a store gives an error, never a panic, and is
+// left unchanged.
 func TestOpenRejectsDamagedOrForeignFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "store")
-	s, _ := reopen(t, path)
+	s, _ := openStore(t, path)
 	for seq := range uint64(300) {
 		put(t, s, reading("a", seq, strings.Repeat("x", 50)))
 	}
@@ -215,7 +222,7 @@
 		corrupted[at] ^= 0x5a
 	}
 	bad := map[string][]byte{
-		"text": []byte(strings.Repeat("this is a letter\n", 1000)), "short": good[:5000], "corrupted pages": corrupted,
+		"text": []byte(strings.Repeat("this is a letter\n", 1000)), "truncated": good[:5000], "corrupted pages": corrupted,
 		"one meta page": good[:4096], "zeros": make([]byte, 20000),
 	}
 	for name, file := range bad {
@@ -225,20 +232,21 @@
 		s, _, err := Open(path, 1<<20)
 		if err == nil {
 			_ = s.Close()
-			t.Errorf("%s: it was accepted", name)
+			t.Errorf("%s: Open succeeded, want an error", name)
 			continue
 		}
 		if now, _ := os.ReadFile(path); !bytes.Equal(now, file) {
-			t.Errorf("%s: the file was changed", name)
+			t.Errorf("%s: Open changed the file", name)
 		}
 	}
 }
 
-// Whatever bytes are changed, the file is rejected or its readings are as stored.
+// Whatever bytes of the file are changed, Open returns an error or readings with
+// the values that were stored.
 func TestOpenOfCorruptedFileNeverPanics(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "store")
-	s, _ := reopen(t, path)
+	s, _ := openStore(t, path)
 	for seq := range uint64(40) {
 		put(t, s, reading("a", seq, strings.Repeat("x", 100)))
 	}
@@ -265,7 +273,7 @@
 		}
 		for _, r := range readings {
 			if string(r.Value) != strings.Repeat("x", 100) {
-				t.Fatalf("a reading came back as %q", r.Value)
+				t.Fatalf("Open returned a reading with the value %q, want 100 times x", r.Value)
 			}
 		}
 		if err := s.Close(); err != nil {
@@ -274,7 +282,7 @@
 	})
 }
 
-func TestKeysKeepOrderAndRoundTrip(t *testing.T) {
+func TestKeysSortBySequenceAndRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := rapid.Custom(func(t *rapid.T) intake.ID {
 			return intake.ID{Device: rapid.StringN(1, 8, 16).Draw(t, "device"), Epoch: rapid.Uint64Max(3).Draw(t, "epoch"),
@@ -283,13 +291,13 @@
 		a, b := id.Draw(t, "a"), id.Draw(t, "b")
 		got, err := decodeReading(encodeKey(a), encodeReading(&intake.Reading{ID: a, Value: []byte("v")}))
 		if err != nil || got.ID != a {
-			t.Fatalf("%v came back as %v, %v", a, got.ID, err)
+			t.Fatalf("decodeReading(encodeKey(%v)) = %v, %v", a, got.ID, err)
 		}
 		if (a == b) != bytes.Equal(encodeKey(a), encodeKey(b)) {
-			t.Fatalf("%v and %v", a, b)
+			t.Fatalf("encodeKey(%v) == encodeKey(%v) is %t, want %t", a, b, a != b, a == b)
 		}
 		if a.Device == b.Device && a.Epoch == b.Epoch && a.Seq < b.Seq && bytes.Compare(encodeKey(a), encodeKey(b)) >= 0 {
-			t.Fatalf("%v is not before %v", a, b)
+			t.Fatalf("encodeKey(%v) does not sort before encodeKey(%v)", a, b)
 		}
 	})
 }
--- a/internal/edge/store/verify.go
+++ b/internal/edge/store/verify.go
@@ -9,21 +9,21 @@
 	"os"
 )
 
-// The file's layout, as bbolt documents it: pages of one size, of which the
-// first two are meta pages; branches and leaves of B+ trees; numbers are
-// little-endian. Sizes and offsets are in bytes.
+// The layout of a bbolt file. It consists of pages of one size: two meta pages,
+// then branch and leaf pages of B+ trees. Numbers are little-endian. Sizes and
+// offsets are in bytes.
 const (
 	firstTreePage    = 2
 	pageHeaderSize   = 16
 	pageFlagsOffset  = 8
 	pageCountOffset  = 10
-	overflowOffset   = 12 // how many pages continue this one
+	overflowOffset   = 12 // of the number of pages that continue this one
 	elementSize      = 16
 	bucketHeaderSize = 16
 
 	branchPage    = 0x01
 	leafPage      = 0x02
-	bucketElement = 0x01 // flag of a leaf's element
+	bucketElement = 0x01 // flag of a leaf's element whose value is a bucket
 
 	metaMagic          = 0xED0CDAED
 	metaVersion        = 2
@@ -37,11 +37,12 @@
 
 	minPageSize = 1024
 	maxPageSize = 65536
-	maxDepth    = 32 // of a tree, against pages that refer to each other
+	maxDepth    = 32 // of nested pages; ends the recursion in a damaged file
 )
 
-// verify walks every page of the file's newest tree before bbolt opens it:
-// bbolt ends the process at a page that contradicts itself.
+// verify checks every page of the file's newest tree before bbolt opens it,
+// because bbolt can end the process at an inconsistent page. It returns
+// errNotStore if there is no valid meta page, and wraps errDamaged otherwise.
 func verify(path string) error {
 	file, err := os.ReadFile(path)
 	if err != nil {
@@ -52,7 +53,7 @@
 		return errNotStore
 	}
 	if uint64(len(file)) < newest.pages*uint64(newest.pageSize) {
-		return fmt.Errorf("%w: it ends before page %d", errDamaged, newest.pages)
+		return fmt.Errorf("%w: %d bytes are too few for %d pages", errDamaged, len(file), newest.pages)
 	}
 	v := &verifier{file: file, meta: newest, visited: map[uint64]bool{}}
 	if err := v.verifyTree(newest.root, keyRange{}, 0); err != nil {
@@ -61,16 +62,17 @@
 	return nil
 }
 
-// metaPage is the content of a metaPage page.
+// metaPage is the content of a meta page.
 type metaPage struct {
 	pageSize int    // bytes
-	root     uint64 // page of the root bucket
-	pages    uint64 // in the file
-	tx       uint64 // the transaction that wrote it
+	root     uint64 // page number of the root bucket's tree
+	pages    uint64 // number of pages up to the highest one in use
+	tx       uint64 // number of the transaction that wrote the meta page
 }
 
-// newestMeta finds the valid meta page of the last transaction. The second one
-// follows the first by a page size, which only they state.
+// newestMeta returns the valid meta page of the latest transaction. The second
+// meta page is at the offset of one page size, which only the meta pages state,
+// so the usual page sizes are tried.
 func newestMeta(file []byte) (newest metaPage, found bool) {
 	for _, offset := range []int{0, 4096, 8192, 16384, 65536} {
 		m, ok := readMeta(file, offset)
@@ -85,14 +87,15 @@
 	return newest, found
 }
 
-// readMeta reads a meta page, if a valid one is at the offset.
+// readMeta returns the meta page at the offset; ok is false if there is no valid
+// one.
 func readMeta(file []byte, offset int) (m metaPage, ok bool) {
 	if len(file) < offset+pageHeaderSize+metaSize {
 		return m, false
 	}
 	b := file[offset+pageHeaderSize : offset+pageHeaderSize+metaSize]
 	checksum := fnv.New64a()
-	_, _ = checksum.Write(b[:metaChecksumOffset]) // never fails
+	_, _ = checksum.Write(b[:metaChecksumOffset]) // a hash never returns an error
 	valid := binary.LittleEndian.Uint32(b) == metaMagic &&
 		binary.LittleEndian.Uint32(b[metaVersionOffset:]) == metaVersion &&
 		binary.LittleEndian.Uint64(b[metaChecksumOffset:]) == checksum.Sum64()
@@ -109,13 +112,15 @@
 	return m, m.pageSize >= minPageSize && m.pageSize <= maxPageSize && powerOfTwo
 }
 
-// keyRange is where a page's keys must lie, from its branch's entry to the next
-// one; nil for no bound.
+// keyRange is the half-open range of the keys of a page: from the key of its
+// entry in the parent branch up to the key of the next entry there. Nil means no
+// bound.
 type keyRange struct {
-	from   []byte
-	before []byte
+	from   []byte // inclusive
+	before []byte // exclusive
 }
 
+// contains reports whether a key is within the range.
 func (r keyRange) contains(key []byte) bool {
 	if bytes.Compare(key, r.from) < 0 {
 		return false
@@ -123,23 +128,23 @@
 	return r.before == nil || bytes.Compare(key, r.before) < 0
 }
 
-// verifier walks the trees of a file.
+// verifier verifies the trees of a file.
 type verifier struct {
 	file    []byte
 	meta    metaPage
-	visited map[uint64]bool // pages
+	visited map[uint64]bool // by page number
 }
 
-// verifyTree verifies the page and all below it.
+// verifyTree verifies the page with the given number and all pages below it.
 func (v *verifier) verifyTree(id uint64, keys keyRange, depth int) error {
 	if id < firstTreePage || id >= v.meta.pages || depth > maxDepth {
-		return fmt.Errorf("page %d is out of range", id)
+		return fmt.Errorf("page %d at depth %d is out of range", id, depth)
 	}
 	start := int(id) * v.meta.pageSize
 	header := v.file[start : start+pageHeaderSize]
 	overflow := uint64(binary.LittleEndian.Uint32(header[overflowOffset:]))
 	if binary.LittleEndian.Uint64(header) != id || overflow >= v.meta.pages-id {
-		return fmt.Errorf("page %d says it is another", id)
+		return fmt.Errorf("page %d: header has another page number or exceeds the file", id)
 	}
 	for n := id; n <= id+overflow; n++ {
 		if v.visited[n] {
@@ -155,7 +160,7 @@
 	return v.verifyPage(p, keys, depth)
 }
 
-// verifyPage verifies the entries of a verifyPage and all below them.
+// verifyPage verifies the entries of a page and all pages below them.
 func (v *verifier) verifyPage(p treePage, keys keyRange, depth int) error {
 	var last []byte
 	for i := range p.count {
@@ -164,7 +169,7 @@
 			return err
 		}
 		if i > 0 && bytes.Compare(last, e.key) >= 0 || !keys.contains(e.key) {
-			return fmt.Errorf("%s: entries out of order", p.name)
+			return fmt.Errorf("%s: key of entry %d is out of order or out of range", p.name, i)
 		}
 		last = e.key
 		switch {
@@ -180,8 +185,8 @@
 	return nil
 }
 
-// verifyChild verifies the subtree of a branch's entry. Its keys lie before those of
-// the next entry.
+// verifyChild verifies the subtree of a branch's entry, whose keys must be before
+// the key of the next entry.
 func (v *verifier) verifyChild(p treePage, index int, e pageEntry, keys keyRange, depth int) error {
 	below := keyRange{from: e.key, before: keys.before}
 	if index+1 < p.count {
@@ -194,20 +199,20 @@
 	return v.verifyTree(e.child, below, depth+1)
 }
 
-// verifyBucket verifies a tree within a tree: the value holds its root's number, or
-// all of it inline.
+// verifyBucket verifies a nested bucket. The value holds the page number of its
+// root, or 0 and the whole bucket as an inline page.
 func (v *verifier) verifyBucket(value []byte, depth int) error {
 	if len(value) < bucketHeaderSize {
-		return errors.New("a bucket without its root")
+		return fmt.Errorf("bucket of %d bytes is too short", len(value))
 	}
 	if root := binary.LittleEndian.Uint64(value); root != 0 {
 		return v.verifyTree(root, keyRange{}, depth+1)
 	}
 	inline := value[bucketHeaderSize:]
 	if len(inline) < pageHeaderSize || pageFlags(inline) != leafPage || depth > maxDepth {
-		return errors.New("a bucket without its page")
+		return errors.New("bucket has no valid inline page")
 	}
-	p, err := parsePage("an inline page", inline)
+	p, err := parsePage("inline page", inline)
 	if err != nil {
 		return err
 	}
