--- a/internal/edge/intake/admission_test.go
+++ b/internal/edge/intake/admission_test.go
@@ -7,35 +7,35 @@
 	"testing"
 )
 
-func TestEvictionFromDeviceWithMostReadings(t *testing.T) {
+func TestFullIntakeEvictsFromDeviceWithMostReadings(t *testing.T) {
 	script := newScript(t, func(c *Config) { c.MaxReadings, c.MaxWindow, c.MaxPerDevice = 6, 1, 5 })
 	for seq := uint64(1); seq <= 5; seq++ {
 		script.offer("greedy", seq, false)
 	}
 	script.want("check1")
 	script.offer("greedy", 6, false)
-	script.want("rejected6") // its own limit
+	script.want("rejected6") // the limit of one device
 	script.offer("b", 11, false)
 	script.want("")
 	script.offer("c", 12, false)
-	script.want("rejected5") // the newest of the device with the most
+	script.want("rejected5") // the newest reading of the device with the most
 	script.offer("b", 13, false)
 	script.want("rejected4")
-	script.offer("b", 14, false) // now b would have as many
+	script.offer("b", 14, false) // with it, b would have as many queued as greedy
 	script.want("rejected14")
-	if submission := script.in.Stats().Evicted; submission != 2 {
-		t.Errorf("%d evicted", submission)
+	if evicted := script.in.Stats().Evicted; evicted != 2 {
+		t.Errorf("Stats().Evicted = %d, want 2", evicted)
 	}
 	urgent := Reading{ID: ID{"b", 1, 15}, Value: []byte("v"), Urgent: true}
 	script.in.Offer(script.now, urgent, DeclaredHistory{}, Origin{Index: 15}, netip.Prefix{})
 	if script.want("rejected13"); script.in.Stats().InProgress != 6 {
-		t.Errorf("%+v", script.in.Stats())
+		t.Errorf("Stats() = %+v, want 6 readings in progress", script.in.Stats())
 	}
-	script.serve("v") // the urgent one goes first, though it came last
+	script.serve("v") // the urgent reading is submitted next, although it arrived last
 	script.want("recorded1 check15")
 }
 
-func TestLimitsPerNetworkAndOfBytes(t *testing.T) {
+func TestReadingsBeyondNetworkOrByteLimitAreRejected(t *testing.T) {
 	script := newScript(t, func(c *Config) { c.MaxPerNetwork = 2 })
 	for i, want := range []string{"check0", "check1", "rejected2"} {
 		script.offer(fmt.Sprint("d", i), uint64(i), false)
--- a/internal/edge/intake/characterization_test.go
+++ b/internal/edge/intake/characterization_test.go
@@ -19,24 +19,24 @@
 	"lotusbend/internal/edge/intake"
 )
 
-// update rewrites the golden file. Its values may change only together with a
-// deliberate change of behaviour, never with a renaming or a refactoring.
+// update rewrites the golden file. Its values may change only with a deliberate
+// change of behaviour, never with a renaming or a refactoring.
 var update = flag.Bool("update", false,
 	"rewrite testdata/characterization.txt; its values may change only with a deliberate change of behaviour")
 
 const goldenFile = "testdata/characterization.txt"
 
-// scenario is one router under a stream of random events.
+// scenario is a seeded stream of random events for one router.
 type scenario struct {
 	name     string
 	seed     uint64
-	events   int
-	devices  int // that send readings
-	urgent   float64
-	maxValue int     // bytes of a value
-	offers   float64 // fraction of the events that bring a reading, the other kinds make up the rest
-	config   func(*intake.Config)
-	restart  func(*intake.Config) // changes the settings for every incarnation but the first
+	events   int                  // number of events
+	devices  int                  // number of devices that send readings
+	urgent   float64              // fraction of the readings that are urgent
+	maxValue int                  // largest size of a value, in bytes
+	offers   float64              // fraction of the events that offer a reading
+	config   func(*intake.Config) // adapts the default configuration, unless nil
+	restart  func(*intake.Config) // changes the configuration at every restart, unless nil
 	routes   []intake.Route
 }
 
@@ -78,16 +78,17 @@
 		config: func(c *intake.Config) { smallConfig(c); c.AnswerTimeout = 700; c.MaxWaiters = 2 }},
 }
 
-// smallConfig has capacity for a few readings only, so that the bounds are met often.
+// smallConfig lowers the limits so that readings often reach them.
 func smallConfig(c *intake.Config) {
 	c.MaxReadings, c.MaxPerDevice, c.MaxDevices, c.MaxRecent, c.MaxWindow = 12, 8, 6, 4, 3
 	c.MaxRetryAfter, c.AnswerTimeout = 3000, 9000
 }
 
-// TestCharacterization replays seeded event streams and compares a digest of
-// the actions that followed. The digest covers numbers and bytes only, so that
-// it survives any renaming. It was taken on amd64: on other architectures Go
-// may fuse floating-point operations, whose last bits differ then.
+// TestCharacterization replays seeded event streams and compares a digest of the
+// resulting actions with the golden file. The digest covers only numbers and
+// bytes, so that renaming does not change it. The golden file was written on
+// amd64: on other architectures Go may fuse floating-point operations, which can
+// change the last bits of results.
 func TestCharacterization(t *testing.T) {
 	digests := map[string]string{
 		"settings":   settingsDigest(),
@@ -100,7 +101,8 @@
 	compareWithGolden(t, digests)
 }
 
-// settingsDigest covers the default settings and the constants.
+// settingsDigest covers the default configuration, the exported constants,
+// Status.Done and SentAfter.
 func settingsDigest() string {
 	d := newDigest()
 	c := intake.Defaults()
@@ -128,12 +130,12 @@
 	return d.sum()
 }
 
-// startDigest covers which routes are rejected at the start.
+// startDigest covers which routes New rejects.
 func startDigest() string {
 	d := newDigest()
-	for _, ttl := range []float64{0, 3400, 3449, 3450, math.Nextafter(3450, 4000), 5000} {
+	for _, windowMs := range []float64{0, 3400, 3449, 3450, math.Nextafter(3450, 4000), 5000} {
 		for _, groups := range [][]int{nil, {1}} {
-			routes := []intake.Route{oneRoute[0], {IdempotencyWindow: ttl, Groups: groups}}
+			routes := []intake.Route{oneRoute[0], {IdempotencyWindow: windowMs, Groups: groups}}
 			_, err := intake.New(intake.Defaults(), routes, 1, nil)
 			d.bool(err != nil)
 		}
@@ -141,8 +143,8 @@
 	return d.sum()
 }
 
-// identitiesDigest covers what is derived from names: every router and every
-// release must agree on it.
+// identitiesDigest covers the rows, keys and groups that are derived from IDs.
+// Every router and every release must derive the same ones.
 func identitiesDigest() string {
 	random := rand.New(rand.NewPCG(1, 1))
 	d := newDigest()
@@ -155,28 +157,28 @@
 	return d.sum()
 }
 
-// mode is how the hosts behave for a while.
+// mode is how the endpoints answer submissions for a while.
 type mode uint8
 
 const (
-	healthy mode = iota
-	outage       // every submission fails
-	rejecting
-	modes
+	healthy   mode = iota // few submissions fail
+	outage                // every submission fails
+	rejecting             // half of the submissions are rejected
+	modeCount
 )
 
-// submission is one that has not ended yet.
+// submission is a submission in flight.
 type submission struct {
-	number uint64
-	id     intake.ID
-	work   intake.Operation
-	value  []byte
-	until  float64
+	number    uint64
+	id        intake.ID
+	operation intake.Operation
+	value     []byte  // of the reading
+	deadline  float64 // Unix milliseconds
 }
 
-// router is one router under replay, and what surrounds it: a database, a
-// disk and devices. It implements intake.Actions. Nothing of it depends on the
-// order of a map.
+// router drives an Intake with random events and models what surrounds it: a
+// database, a disk and devices. It implements intake.Actions. Its behaviour does
+// not depend on the order of a map.
 type router struct {
 	scenario
 	t            *testing.T
@@ -184,27 +186,27 @@
 	digest       digest
 	intake       *intake.Intake
 	settings     intake.Config
-	incarnations uint64
-	now          float64
+	incarnations uint64  // number of starts
+	now          float64 // Unix milliseconds
 	mode         mode
 
-	out      []submission
-	storing  []intake.Reading // on their way to the disk
+	inFlight []submission
+	storing  []intake.Reading // being written to the disk
 	disk     []intake.Reading
-	rows     map[intake.ID][]byte
-	ended    uint64 // number of the last submission that ended
-	sent     []intake.Reading
-	epochs   []uint64 // of each device
-	next     []uint64 // each device's next sequence
-	messages uint32
+	rows     map[intake.ID][]byte // recorded values
+	ended    uint64               // number of the last submission that ended
+	sent     []intake.Reading     // all valid readings so far
+	epochs   []uint64             // epoch by device
+	nextSeqs []uint64             // next sequence number by device
+	messages uint32               // number of copies offered
 }
 
-// replay returns the digest of the scenario's stream.
+// replay replays the scenario and returns the digest of what happened.
 func (s scenario) replay(t *testing.T) string {
 	t.Helper()
 	r := &router{
 		scenario: s, t: t, random: rand.New(rand.NewPCG(s.seed, 1)), digest: newDigest(), settings: intake.Defaults(),
-		now: 1e6, rows: map[intake.ID][]byte{}, epochs: make([]uint64, s.devices), next: make([]uint64, s.devices),
+		now: 1e6, rows: map[intake.ID][]byte{}, epochs: make([]uint64, s.devices), nextSeqs: make([]uint64, s.devices),
 	}
 	if s.config != nil {
 		s.config(&r.settings)
@@ -212,17 +214,18 @@
 	r.start()
 	for n := range s.events {
 		if n%250 == 0 {
-			r.mode = mode(r.random.IntN(int(modes)))
+			r.mode = mode(r.random.IntN(int(modeCount)))
 		}
 		r.step()
 		r.observe()
 	}
-	r.pass(120e3) // all that is left is let go
+	r.pass(120e3) // long enough for every timer to run
 	r.observe()
 	return r.digest.sum()
 }
 
-// start begins a new incarnation, which recovers what the disk holds.
+// start replaces the Intake, as a restart does, by a new one that recovers the
+// readings on the disk. Submissions and writes to the disk in progress are lost.
 func (r *router) start() {
 	if r.incarnations++; r.incarnations > 1 && r.restart != nil {
 		r.restart(&r.settings)
@@ -231,13 +234,13 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.intake, r.out, r.storing = in, nil, nil
+	r.intake, r.inFlight, r.storing = in, nil, nil
 	for _, reading := range slices.Clone(r.disk) {
 		in.Recover(r.now, reading)
 	}
 }
 
-// step draws one event.
+// step executes one random event.
 func (r *router) step() {
 	if r.random.Float64() < r.offers {
 		r.offer()
@@ -251,7 +254,7 @@
 	case n < 950:
 		r.pass(40 * r.random.ExpFloat64())
 	case n < 980:
-		r.passToNext()
+		r.passToNextTimer()
 	case n < 985:
 		r.pass(3000 + 9000*r.random.Float64())
 	case n < 995:
@@ -259,29 +262,30 @@
 	case n < 998:
 		r.start()
 	default:
-		r.known()
+		r.observeRecorded()
 	}
 }
 
-// offer sends a new reading, a copy of an earlier one, or one at fault.
+// offer offers a new reading, a copy of an earlier one, another value under the
+// ID of an earlier one, or a reading that is invalid or of an earlier epoch.
 func (r *router) offer() {
 	var reading intake.Reading
 	declared := intake.DeclaredHistory{FirstCopy: true, NotBefore: r.now - 1000*r.random.Float64()}
 	switch n := r.random.IntN(100); {
 	case n < 60 || len(r.sent) == 0:
 		reading = r.newReading()
-	case n < 90: // a recent one, or rarely any
+	case n < 90: // a copy of one of the last 20, or in one of 5 cases of any
 		back := min(20, len(r.sent))
 		if r.random.IntN(5) == 0 {
 			back = len(r.sent)
 		}
 		reading = r.sent[len(r.sent)-1-r.random.IntN(back)]
 		declared.FirstCopy = false
-	case n < 96: // another value under the same identity, as by a second device of that name
+	case n < 96: // another value under the same ID, as from a second device of the name
 		reading = r.sent[len(r.sent)-1-r.random.IntN(min(50, len(r.sent)))]
 		reading.Value = append([]byte("other "), reading.Value...)
 	default:
-		reading = r.atFault(r.newReading())
+		reading = r.malformed(r.newReading())
 	}
 	if r.random.IntN(10) == 0 {
 		declared.NotBefore = []float64{0, r.now - 4400, r.now + 500}[r.random.IntN(3)]
@@ -291,32 +295,34 @@
 	r.intake.Offer(r.now, reading, declared, from, r.network())
 }
 
+// newReading returns the next reading of a random device.
 func (r *router) newReading() intake.Reading {
 	device := r.random.IntN(r.devices)
 	switch r.random.IntN(200) {
-	case 0: // the device lost its counter
+	case 0: // the device lost its sequence counter
 		r.epochs[device]++
-		r.next[device] = 0
-	case 1: // the device skips some
-		r.next[device] += uint64(r.random.IntN(5))
+		r.nextSeqs[device] = 0
+	case 1: // the device skips sequence numbers
+		r.nextSeqs[device] += uint64(r.random.IntN(5))
 	}
 	value := make([]byte, 1+r.random.IntN(r.maxValue))
 	for i := range value {
 		value[i] = byte(r.random.Uint32())
 	}
 	reading := intake.Reading{
-		ID:     intake.ID{Device: fmt.Sprint("meter-", device), Epoch: r.epochs[device], Seq: r.next[device]},
+		ID:     intake.ID{Device: fmt.Sprint("meter-", device), Epoch: r.epochs[device], Seq: r.nextSeqs[device]},
 		Route:  r.random.IntN(len(r.routes)),
 		Value:  value,
 		Urgent: r.random.Float64() < r.urgent,
 	}
-	r.next[device]++
+	r.nextSeqs[device]++
 	r.sent = append(r.sent, reading)
 	return reading
 }
 
-// atFault makes a reading one that can't be recorded, or one of a past epoch.
-func (r *router) atFault(reading intake.Reading) intake.Reading {
+// malformed makes a reading invalid, or one of an earlier epoch. Names and values
+// of exactly the largest size stay valid.
+func (r *router) malformed(reading intake.Reading) intake.Reading {
 	switch r.random.IntN(8) {
 	case 0:
 		reading.Device = ""
@@ -337,6 +343,7 @@
 	return reading
 }
 
+// network returns one of four networks, or an invalid prefix for an unknown one.
 func (r *router) network() netip.Prefix {
 	n := r.random.IntN(5)
 	if n == 0 {
@@ -345,43 +352,44 @@
 	return netip.PrefixFrom(netip.AddrFrom4([4]byte{10, 0, byte(n), 0}), 24)
 }
 
-// end ends a submission, one of the oldest more often than not.
+// end ends one of the three oldest submissions in flight.
 func (r *router) end() {
-	if len(r.out) == 0 {
+	if len(r.inFlight) == 0 {
 		return
 	}
-	i := r.random.IntN(min(3, len(r.out)))
-	s := r.out[i]
-	r.out = slices.Delete(r.out, i, i+1)
+	i := r.random.IntN(min(3, len(r.inFlight)))
+	s := r.inFlight[i]
+	r.inFlight = slices.Delete(r.inFlight, i, i+1)
 	r.ended = s.number
-	failed, rejected := 0.1, 0.05
+	failedShare, rejectedShare := 0.1, 0.05
 	switch r.mode {
 	case outage:
-		failed = 1
+		failedShare = 1
 	case rejecting:
-		rejected = 0.5
+		rejectedShare = 0.5
 	}
 	switch n := r.random.Float64(); {
-	case n < failed:
-		if s.work == intake.Write && r.random.IntN(2) == 0 {
+	case n < failedShare:
+		if s.operation == intake.Write && r.random.IntN(2) == 0 {
 			r.execute(s)
 		}
-		if r.random.IntN(2) == 0 { // it fails by its deadline, or else before
-			r.pass(max(s.until-r.now, 0))
+		if r.random.IntN(2) == 0 { // it fails at its deadline, else before
+			r.pass(max(s.deadline-r.now, 0))
 		}
 		r.intake.Failed(r.now, s.number)
-	case n < failed+rejected:
-		advice := []float64{0, 0, 50, 400, 1e6}[r.random.IntN(5)]
-		r.intake.Rejected(r.now, s.number, advice)
+	case n < failedShare+rejectedShare:
+		retryAfter := []float64{0, 0, 50, 400, 1e6}[r.random.IntN(5)]
+		r.intake.Rejected(r.now, s.number, retryAfter)
 	default:
-		if s.work == intake.Write {
+		if s.operation == intake.Write {
 			r.execute(s)
 		}
 		r.intake.Served(r.now, s.number, slices.Clone(r.rows[s.id]))
 	}
 }
 
-// execute writes a row unless there is one. Rarely, another router was first.
+// execute writes the submission's row unless it exists. In one of 40 cases the
+// row gets another value, as if another device of the name had been first.
 func (r *router) execute(s submission) {
 	if r.rows[s.id] != nil {
 		return
@@ -392,15 +400,15 @@
 	}
 }
 
-// endUnknown ends a submission that is not out, in every way.
+// endUnknown reports the end of submissions that are not in flight, in every way.
 func (r *router) endUnknown() {
 	r.intake.Served(r.now, r.ended, nil)
 	r.intake.Rejected(r.now, r.ended, 100)
 	r.intake.Failed(r.now, 1<<40)
 }
 
-// persisted ends a reading's way to the disk. Rarely it ends twice, or that of
-// a reading that is not on its way.
+// persisted reports the result of storing a reading. In one of 20 cases it also
+// reports a result for a reading that is not being stored.
 func (r *router) persisted() {
 	if len(r.storing) == 0 {
 		return
@@ -420,9 +428,10 @@
 	}
 }
 
-// pass lets time pass, deadline by deadline.
-func (r *router) pass(milliseconds float64) {
-	end := r.now + milliseconds
+// pass advances the time by a number of milliseconds and runs the timers on the
+// way, each at its time.
+func (r *router) pass(ms float64) {
+	end := r.now + ms
 	for at, ok := r.intake.Next(); ok && at <= end; at, ok = r.intake.Next() {
 		r.now = max(at, r.now)
 		r.intake.Tick(r.now)
@@ -430,8 +439,9 @@
 	r.now = end
 }
 
-// passToNext lets time pass to the next deadline, and at times beyond it.
-func (r *router) passToNext() {
+// passToNextTimer advances the time to the next timer, or in one of 3 cases to
+// 100 ms after it, and runs the timers that are due.
+func (r *router) passToNextTimer() {
 	if at, ok := r.intake.Next(); ok {
 		r.now = max(at, r.now)
 		if r.random.IntN(3) == 0 {
@@ -441,19 +451,21 @@
 	}
 }
 
-func (r *router) known() {
+// observeRecorded adds the recorded sequence numbers of a random device to the
+// digest.
+func (r *router) observeRecorded() {
 	device := r.random.IntN(r.devices)
 	for epoch := range r.epochs[device] + 1 {
-		known := r.intake.RecordedSequences(fmt.Sprint("meter-", device), epoch)
-		r.digest.int(len(known))
-		for _, seq := range known {
+		sequences := r.intake.RecordedSequences(fmt.Sprint("meter-", device), epoch)
+		r.digest.int(len(sequences))
+		for _, seq := range sequences {
 			r.digest.uint(seq)
 		}
 	}
 	r.digest.int(len(r.intake.RecordedSequences("nobody", 0)))
 }
 
-// observe adds to the digest what can be asked for at any time.
+// observe adds the Intake's Stats and the time of the next timer to the digest.
 func (r *router) observe() {
 	s := r.intake.Stats()
 	for _, v := range []uint64{
@@ -470,15 +482,19 @@
 	r.digest.bool(ok)
 }
 
-func (r *router) Submit(id intake.ID, n uint64, w intake.Operation, reading *intake.Reading, group int, wait float64) {
+func (r *router) Submit(
+	id intake.ID, number uint64, operation intake.Operation, reading *intake.Reading, group int, timeout float64,
+) {
 	r.digest.int(1)
 	r.digest.id(id)
-	r.digest.uint(n)
-	r.digest.bool(w == intake.Check)
+	r.digest.uint(number)
+	r.digest.bool(operation == intake.Check)
 	r.digest.reading(reading)
 	r.digest.int(group)
-	r.digest.float(wait)
-	r.out = append(r.out, submission{number: n, id: id, work: w, value: reading.Value, until: r.now + wait})
+	r.digest.float(timeout)
+	r.inFlight = append(r.inFlight, submission{
+		number: number, id: id, operation: operation, value: reading.Value, deadline: r.now + timeout,
+	})
 }
 
 func (r *router) Answer(to intake.Origin, a intake.Answer) {
@@ -508,6 +524,7 @@
 	r.erase(reading.ID)
 }
 
+// erase removes a reading from the disk.
 func (r *router) erase(id intake.ID) {
 	r.disk = slices.DeleteFunc(r.disk, func(stored intake.Reading) bool { return stored.ID == id })
 }
@@ -553,14 +570,14 @@
 
 func (d digest) sum() string { return hex.EncodeToString(d.Sum(nil)) }
 
-// compareWithGolden compares digests, by scenario, with the golden file, or
+// compareWithGolden compares the digests by scenario with the golden file, or
 // rewrites the file if the update flag is set.
 func compareWithGolden(t *testing.T, got map[string]string) {
 	t.Helper()
-	played := slices.Sorted(maps.Keys(got))
+	replayed := slices.Sorted(maps.Keys(got))
 	if *update {
 		var b strings.Builder
-		for _, scenario := range played {
+		for _, scenario := range replayed {
 			fmt.Fprintf(&b, "%s %s\n", scenario, got[scenario])
 		}
 		if err := os.WriteFile(goldenFile, []byte(b.String()), 0o644); err != nil {
@@ -569,22 +586,22 @@
 		return
 	}
 	want := readGolden(t)
-	for _, scenario := range played {
+	for _, scenario := range replayed {
 		expected, ok := want[scenario]
 		switch {
 		case !ok:
-			t.Errorf("%s: not in %s", scenario, goldenFile)
+			t.Errorf("scenario %s is not in %s", scenario, goldenFile)
 		case got[scenario] != expected:
-			t.Errorf("%s: digest %s, want %s", scenario, got[scenario], expected)
+			t.Errorf("scenario %s: digest %s, want %s", scenario, got[scenario], expected)
 		}
 		delete(want, scenario)
 	}
 	for _, scenario := range slices.Sorted(maps.Keys(want)) {
-		t.Errorf("%s: in %s, but not played", scenario, goldenFile)
+		t.Errorf("scenario %s of %s was not replayed", scenario, goldenFile)
 	}
 }
 
-// readGolden returns the digests of the golden file by their scenario.
+// readGolden returns the digests in the golden file by scenario.
 func readGolden(t *testing.T) map[string]string {
 	t.Helper()
 	content, err := os.ReadFile(goldenFile)
--- a/internal/edge/intake/device_test.go
+++ b/internal/edge/intake/device_test.go
@@ -5,7 +5,10 @@
 	"testing"
 )
 
-func TestDeclarationOfDeviceThatLostItsCounterIsNotTrusted(t *testing.T) {
+// A device that lost its sequence counter declares first copies of sequence
+// numbers that are already recorded. Writing these without a check would record
+// another value after the idempotency window.
+func TestFirstCopyOfDeviceThatLostItsCounterIsNotTrusted(t *testing.T) {
 	script := newScript(t, func(c *Config) { c.MaxRecent = 4 })
 	script.confirmEpoch("a")
 	for seq := uint64(1); seq <= 6; seq++ {
@@ -14,27 +17,27 @@
 		script.serve("v")
 		script.actions = nil
 	}
-	script.offerValue("a", 1, 0, "other", true) // no longer remembered
+	script.offerValue("a", 1, 0, "other", true) // no longer among the recent readings
 	script.want("check0")
 	script.serve("v")
 	script.want("conflict0")
-	script.offerValue("a", 1, 6, "other", true) // remembered
+	script.offerValue("a", 1, 6, "other", true) // among the recent readings
 	script.want("conflict6")
 	script.offer("a", 6, true)
 	script.want("recorded6")
-	script.offer("a", 9, true) // this epoch is not trusted any more
+	script.offer("a", 9, true) // after a conflict the epoch is not trusted
 	script.want("check9")
-	script.offerValue("a", 2, 0, "fresh", true) // a new epoch, seen for the first time
+	script.offerValue("a", 2, 0, "fresh", true) // the first reading of a new epoch
 	script.want("check0")
 	script.serve("fresh")
 	script.want("recorded0")
 	script.offerValue("a", 2, 1, "fresh", true)
 	script.want("write1")
-	script.offerValue("a", 1, 12, "old", true) // of an epoch that has passed
+	script.offerValue("a", 1, 12, "old", true) // of an earlier epoch
 	script.want("check12")
 }
 
-func TestConflictBetweenDevicesOfOneName(t *testing.T) {
+func TestDevicesOfOneNameGetConflicts(t *testing.T) {
 	script := newScript(t, nil)
 	script.confirmEpoch("a")
 	script.offerValue("a", 1, 1, "one", true)
@@ -45,8 +48,9 @@
 	script.want("")
 	script.serve("one")
 	script.want("recorded1 recorded1")
-	// At another router the key drops the second within the window: what is
-	// recorded is the other's.
+	// Another device of the name sent the same ID to another router. Within the
+	// idempotency window the shard drops this router's write as a duplicate and
+	// returns the value of the other device.
 	script.offerValue("a", 1, 2, "two", true)
 	script.want("write2")
 	script.serve("one")
@@ -64,7 +68,7 @@
 	}
 }
 
-func TestLimitOfRememberedDevices(t *testing.T) {
+func TestIdleDevicesAreReplacedAtMaxDevices(t *testing.T) {
 	script := newScript(t, func(c *Config) { c.MaxDevices, c.MaxRecent = 3, 2 })
 	for i := range 50 {
 		script.offer(fmt.Sprint("d", i), 0, false)
@@ -72,7 +76,7 @@
 	}
 	script.actions = nil
 	if n := script.in.Stats().Devices; n > 3 {
-		t.Errorf("%d devices", n)
+		t.Errorf("Stats().Devices = %d, want at most 3", n)
 	}
 	for i := range 3 {
 		script.offer(fmt.Sprint("busy", i), 0, false)
--- a/internal/edge/intake/model_test.go
+++ b/internal/edge/intake/model_test.go
@@ -13,89 +13,102 @@
 	"pgregory.net/rapid"
 )
 
-// world is a small model of everything around the rules: a shard that drops
-// duplicates of a key for a while, devices that resend, and routers that die.
-// It runs in its own time and counts executions by itself.
-type world struct {
+// simulation models everything around the Intakes of some routers: a shard that
+// drops duplicates of a key within its idempotency window, devices that resend
+// their readings, and crashes of routers. It has a clock of its own and counts
+// the executions independently of the Intakes.
+type simulation struct {
 	rand              *rand.Rand
-	now               float64
-	events            events
-	seq               uint64
+	now               float64 // Unix milliseconds
+	events            eventHeap
+	lastEvent         uint64 // number of the last event
 	cfg               Config
 	route             Route
-	idempotencyWindow float64 // the shard's own; the rules know the route's
-	lossRate          float64
+	idempotencyWindow float64 // of the shard, in milliseconds; the Intakes are told that of the route
+	lossRate          float64 // fraction of the messages that are lost
 	routers           []*modelRouter
 	rows              map[string][]byte
-	executions        map[string]int
-	running           map[string]*execution
-	startedAt         map[string]float64 // when the key's first execution began
+	executions        map[string]int        // number of executions by row
+	running           map[string]*execution // by key
+	startedAt         map[string]float64    // start of the key's first execution
 	devices           []*modelDevice
 	offers            int
-	answers           map[Origin]int
-	faults            []string
-	stats             Stats // of routers that died
+	answers           map[Origin]int // number of answers to each copy
+	faults            []string       // violations of what is promised
+	stats             Stats          // of all incarnations of the routers
 }
 
+// execution is a write that the shard is running.
 type execution struct {
-	callbacks []func(ok bool)
+	callbacks []func(ok bool) // of the write and of its duplicates
 }
 
+// event is a function that is due at a time.
 type event struct {
-	at  float64
-	seq uint64
-	do  func()
+	at     float64 // Unix milliseconds
+	number uint64  // orders events of the same time
+	run    func()
 }
-type events []event
 
-func (h events) Len() int { return len(h) }
-func (h events) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+// eventHeap orders events by time. It implements heap.Interface.
+type eventHeap []event
+
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].number < h[j].number
 }
-func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *events) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *events) Pop() any {
-	o := *h
-	e := o[len(o)-1]
-	*h = o[:len(o)-1]
-	return e
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
 }
 
-func (w *world) after(ms float64, do func()) {
-	w.seq++
-	heap.Push(&w.events, event{w.now + ms, w.seq, do})
+// after schedules a function in a number of milliseconds.
+func (sim *simulation) after(ms float64, run func()) {
+	sim.lastEvent++
+	heap.Push(&sim.events, event{sim.now + ms, sim.lastEvent, run})
 }
-func (w *world) chance(p float64) bool { return w.rand.Float64() < p }
 
-// modelRouter is one router: the rules and the actions that the model executes.
+// chance returns true with the given probability.
+func (sim *simulation) chance(probability float64) bool { return sim.rand.Float64() < probability }
+
+// modelRouter is one router: an Intake and its Actions, which the simulation
+// carries out.
 type modelRouter struct {
-	world       *world
+	simulation  *simulation
 	intake      *Intake
-	incarnation int
+	incarnation int // number of starts
 	number      int
-	armed       float64
+	tickAt      float64 // time of the scheduled tick, 0 if there is none
 	disk        map[ID]Reading
 }
 
-func (w *world) boot(s *modelRouter) {
-	s.incarnation++
-	if s.intake != nil {
-		st := s.intake.Stats()
-		w.stats.FoundRecorded += st.FoundRecorded
-		w.stats.WriteRetries += st.WriteRetries
-		w.stats.Writes += st.Writes
+// restart replaces the router's Intake, as after a crash, by a new one that
+// recovers the readings on its disk.
+func (sim *simulation) restart(router *modelRouter) {
+	router.incarnation++
+	if router.intake != nil {
+		stats := router.intake.Stats()
+		sim.stats.FoundRecorded += stats.FoundRecorded
+		sim.stats.WriteRetries += stats.WriteRetries
+		sim.stats.Writes += stats.Writes
 	}
-	in, err := New(w.cfg, []Route{w.route}, uint64(s.number), s)
+	in, err := New(sim.cfg, []Route{sim.route}, uint64(router.number), router)
 	if err != nil {
 		panic(err)
 	}
-	s.intake, s.armed = in, 0
-	for _, id := range sortedIDs(s.disk) {
-		in.Recover(w.now, s.disk[id])
+	router.intake, router.tickAt = in, 0
+	for _, id := range sortedIDs(router.disk) {
+		in.Recover(sim.now, router.disk[id])
 	}
-	s.arm()
+	router.scheduleTick()
 }
 
+// sortedIDs returns the IDs on a disk by device and sequence number, so that the
+// simulation does not depend on the order of the map.
 func sortedIDs(disk map[ID]Reading) []ID {
 	var ids []ID
 	for id := range disk {
@@ -110,255 +123,281 @@
 	return ids
 }
 
-// arm schedules the next tick of the rules.
-func (s *modelRouter) arm() {
-	at, ok := s.intake.Next()
-	if !ok || s.armed > 0 && s.armed <= at && s.armed > s.world.now {
+// scheduleTick schedules the Intake's next tick, unless it is scheduled already.
+func (router *modelRouter) scheduleTick() {
+	at, ok := router.intake.Next()
+	if !ok || router.tickAt > 0 && router.tickAt <= at && router.tickAt > router.simulation.now {
 		return
 	}
-	s.armed = max(at, s.world.now)
-	incarnation, armed := s.incarnation, s.armed
-	s.world.after(max(at-s.world.now, 0), func() {
-		if s.incarnation == incarnation && s.armed == armed {
-			s.armed = 0
-			s.intake.Tick(s.world.now)
-			s.arm()
+	router.tickAt = max(at, router.simulation.now)
+	incarnation, tickAt := router.incarnation, router.tickAt
+	router.simulation.after(max(at-router.simulation.now, 0), func() {
+		if router.incarnation == incarnation && router.tickAt == tickAt {
+			router.tickAt = 0
+			router.intake.Tick(router.simulation.now)
+			router.scheduleTick()
 		}
 	})
 }
 
-// later delivers an event to the rules unless the router died meanwhile.
-func (s *modelRouter) later(ms float64, do func()) { s.afterIn(s.incarnation, ms, do) }
+// after delivers an event to the Intake in a number of milliseconds, unless the
+// router restarts before that.
+func (router *modelRouter) after(ms float64, deliver func()) {
+	router.afterIn(router.incarnation, ms, deliver)
+}
 
-func (s *modelRouter) afterIn(incarnation int, ms float64, do func()) {
-	s.world.after(ms, func() {
-		if s.incarnation == incarnation {
-			do()
-			s.arm()
+// afterIn delivers an event to the Intake in a number of milliseconds, unless the
+// router's incarnation is another one by then.
+func (router *modelRouter) afterIn(incarnation int, ms float64, deliver func()) {
+	router.simulation.after(ms, func() {
+		if router.incarnation == incarnation {
+			deliver()
+			router.scheduleTick()
 		}
 	})
 }
 
-func (s *modelRouter) Submit(id ID, submission uint64, work Operation, reading *Reading, _ int, wait float64) {
-	w := s.world
-	until, incarnation := w.now+wait, s.incarnation // what is in flight outlives the router
-	fail := func() { s.afterIn(incarnation, max(until-w.now, 0), func() { s.intake.Failed(w.now, submission) }) }
-	if w.chance(0.05) {
-		s.later(w.rand.Float64()*5, func() { s.intake.Rejected(w.now, submission, 100*w.rand.Float64()) })
+func (router *modelRouter) Submit(
+	id ID, submission uint64, operation Operation, reading *Reading, _ int, timeout float64,
+) {
+	sim := router.simulation
+	deadline, incarnation := sim.now+timeout, router.incarnation // the shard runs it even if the router restarts
+	fail := func() {
+		router.afterIn(incarnation, max(deadline-sim.now, 0), func() { router.intake.Failed(sim.now, submission) })
+	}
+	if sim.chance(0.05) {
+		router.after(sim.rand.Float64()*5, func() { router.intake.Rejected(sim.now, submission, 100*sim.rand.Float64()) })
 		return
 	}
-	delay := w.rand.Float64() * wait * 1.1
-	if w.chance(0.7) {
-		delay = w.rand.Float64() * 20
+	delay := sim.rand.Float64() * timeout * 1.1
+	if sim.chance(0.7) {
+		delay = sim.rand.Float64() * 20
 	}
-	lost := w.chance(w.lossRate)
-	w.after(delay, func() {
-		if w.now > until { // the shard rejects it unseen
+	lost := sim.chance(sim.lossRate)
+	sim.after(delay, func() {
+		if sim.now > deadline { // the shard does not run it
 			fail()
 			return
 		}
-		if work == Check {
-			v := append([]byte(nil), w.rows[id.Row()]...)
-			if lost || w.chance(0.1) {
+		if operation == Check {
+			value := append([]byte(nil), sim.rows[id.Row()]...)
+			if lost || sim.chance(0.1) {
 				fail()
 			} else {
-				s.afterIn(incarnation, w.rand.Float64()*10, func() { s.intake.Served(w.now, submission, v) })
+				router.afterIn(incarnation, sim.rand.Float64()*10, func() { router.intake.Served(sim.now, submission, value) })
 			}
 			return
 		}
-		w.execute(id, append([]byte(nil), reading.Value...), func(ok bool) {
-			switch v := w.rows[id.Row()]; {
-			case !ok, lost, w.now > until:
+		sim.execute(id, append([]byte(nil), reading.Value...), func(ok bool) {
+			switch value := sim.rows[id.Row()]; {
+			case !ok, lost, sim.now > deadline:
 				fail()
 			default:
-				s.afterIn(incarnation, 1, func() { s.intake.Served(w.now, submission, v) })
+				router.afterIn(incarnation, 1, func() { router.intake.Served(sim.now, submission, value) })
 			}
 		})
 	})
 }
 
-// execute is the shard: a duplicate of a live key waits for the first and adds
-// nothing.
-func (w *world) execute(id ID, value []byte, then func(ok bool)) {
+// execute runs a write on the shard and calls done at its end; ok is false if it
+// had no effect. A duplicate within the idempotency window waits for the first
+// execution and has no effect of its own.
+func (sim *simulation) execute(id ID, value []byte, done func(ok bool)) {
 	key := id.Key()
-	if r := w.running[key]; r != nil {
-		r.callbacks = append(r.callbacks, then)
+	if first := sim.running[key]; first != nil {
+		first.callbacks = append(first.callbacks, done)
 		return
 	}
-	if at, ok := w.startedAt[key]; ok && w.now < at+w.idempotencyWindow {
-		then(true)
+	if at, ok := sim.startedAt[key]; ok && sim.now < at+sim.idempotencyWindow {
+		done(true)
 		return
 	}
-	r := &execution{callbacks: []func(bool){then}}
-	w.running[key], w.startedAt[key] = r, w.now
-	work := w.rand.Float64() * 100
-	if w.chance(0.1) { // a host that hangs with it
-		work = w.rand.Float64() * (w.cfg.MaxOverrun - 1)
+	started := &execution{callbacks: []func(bool){done}}
+	sim.running[key], sim.startedAt[key] = started, sim.now
+	duration := sim.rand.Float64() * 100
+	if sim.chance(0.1) { // the host hangs
+		duration = sim.rand.Float64() * (sim.cfg.MaxOverrun - 1)
 	}
-	w.after(work, func() {
-		delete(w.running, key)
-		if w.chance(0.1) { // its host died: it never happened
-			delete(w.startedAt, key)
-			for _, f := range r.callbacks {
-				f(false)
+	sim.after(duration, func() {
+		delete(sim.running, key)
+		if sim.chance(0.1) { // the host crashes and the write is rolled back
+			delete(sim.startedAt, key)
+			for _, callback := range started.callbacks {
+				callback(false)
 			}
 			return
 		}
-		w.executions[id.Row()]++
-		if w.rows[id.Row()] == nil {
-			w.rows[id.Row()] = value
+		sim.executions[id.Row()]++
+		if sim.rows[id.Row()] == nil {
+			sim.rows[id.Row()] = value
 		}
-		for _, f := range r.callbacks {
-			f(true)
+		for _, callback := range started.callbacks {
+			callback(true)
 		}
 	})
 }
 
-func (s *modelRouter) Answer(to Origin, a Answer) {
-	w := s.world
-	if w.answers[to]++; w.answers[to] > 1 {
-		w.fault("a second answer to %v", to)
+func (router *modelRouter) Answer(to Origin, a Answer) {
+	sim := router.simulation
+	if sim.answers[to]++; sim.answers[to] > 1 {
+		sim.fault("copy %v was answered more than once", to)
 	}
-	d := w.devices[to.Peer]
+	d := sim.devices[to.Peer]
 	needsWait := a.Status == Rejected || a.Status == Unknown
-	if a.RetryAfter < 0 || a.RetryAfter > w.cfg.MaxRetryAfter || needsWait && a.RetryAfter == 0 {
-		w.fault("wait %v with status %d", a.RetryAfter, a.Status)
+	if a.RetryAfter < 0 || a.RetryAfter > sim.cfg.MaxRetryAfter || needsWait && a.RetryAfter == 0 {
+		sim.fault("answer %v has RetryAfter %v, want at most %v, and more than 0 for rejected and unknown",
+			a.Status, a.RetryAfter, sim.cfg.MaxRetryAfter)
 	}
 	value := d.value(to.Index)
 	switch a.Status {
 	case Recorded:
-		if row := w.rows[d.id(to.Index).Row()]; string(row) != string(value) {
-			w.fault("%s acknowledged, the row holds %q", value, row)
+		if row := sim.rows[d.id(to.Index).Row()]; string(row) != string(value) {
+			sim.fault("%s was answered recorded, but its row holds %q", value, row)
 		}
 	case Stored:
-		if _, ok := s.disk[d.id(to.Index)]; !ok && w.rows[d.id(to.Index).Row()] == nil {
-			w.fault("%s acknowledged, not on the disk", value)
+		if _, ok := router.disk[d.id(to.Index)]; !ok && sim.rows[d.id(to.Index).Row()] == nil {
+			sim.fault("%s was answered stored, but is neither on disk nor recorded", value)
 		}
 	}
-	if w.chance(w.lossRate) { // the acknowledgement is lost
+	if sim.chance(sim.lossRate) { // the answer is lost
 		return
 	}
 	seq := to.Index
-	w.after(w.rand.Float64()*100, func() {
+	sim.after(sim.rand.Float64()*100, func() {
 		switch a.Status {
 		case Recorded, Stored:
 			d.acknowledged[seq] = true
 		case Conflict:
-			w.fault("%s: a conflict with itself", value)
+			sim.fault("%s was answered conflict, but has only one value", value)
 		}
 	})
 }
 
-func (s *modelRouter) Persist(reading *Reading) {
-	rec := *reading
-	s.later(s.world.rand.Float64()*10, func() {
-		s.disk[rec.ID] = rec
-		s.intake.Persisted(s.world.now, rec.ID, true)
+func (router *modelRouter) Persist(reading *Reading) {
+	persisted := *reading
+	router.after(router.simulation.rand.Float64()*10, func() {
+		router.disk[persisted.ID] = persisted
+		router.intake.Persisted(router.simulation.now, persisted.ID, true)
 	})
 }
-func (s *modelRouter) Delete(id ID)                { delete(s.disk, id) }
-func (s *modelRouter) Quarantine(reading *Reading) { s.world.fault("%s quarantined", reading.Value) }
 
-func (w *world) fault(format string, args ...any) {
-	w.faults = append(w.faults, fmt.Sprintf("%.0f: ", w.now)+fmt.Sprintf(format, args...))
+func (router *modelRouter) Delete(id ID) { delete(router.disk, id) }
+
+func (router *modelRouter) Quarantine(reading *Reading) {
+	router.simulation.fault("%s was quarantined, but has only one value", reading.Value)
+}
+
+// fault notes that a promise was broken, with the present time.
+func (sim *simulation) fault(format string, args ...any) {
+	sim.faults = append(sim.faults, fmt.Sprintf("%.0f: ", sim.now)+fmt.Sprintf(format, args...))
 }
 
-// modelDevice is a device: it sends each reading until it is acknowledged, at any
-// router, and declares truly what it knows.
+// modelDevice is a device. It sends each reading to one router or another until
+// it is acknowledged, and its declarations are true.
 type modelDevice struct {
-	world        *world
+	simulation   *simulation
 	number       int
-	attempts     []int
-	acknowledged []bool
-	router       int
+	attempts     []int  // number of attempts to send each reading
+	acknowledged []bool // by reading
+	router       int    // index of the router in use
 }
 
 func (d *modelDevice) id(seq uint16) ID {
 	return ID{Device: fmt.Sprintf("meter-%d", d.number), Epoch: 7, Seq: uint64(seq)}
 }
+
 func (d *modelDevice) value(seq uint16) []byte { return fmt.Appendf(nil, "%d/%d", d.number, seq) }
 
+// send sends one or two copies of a reading, and again later until it is
+// acknowledged.
 func (d *modelDevice) send(seq uint16) {
-	w := d.world
+	sim := d.simulation
 	if d.acknowledged[seq] {
 		return
 	}
-	if w.chance(0.2) {
-		d.router = w.rand.IntN(len(w.routers))
+	if sim.chance(0.2) {
+		d.router = sim.rand.IntN(len(sim.routers))
 	}
-	c := DeclaredHistory{FirstCopy: d.attempts[seq] == 0, NotBefore: w.now - w.rand.Float64()*1000}
+	declared := DeclaredHistory{FirstCopy: d.attempts[seq] == 0, NotBefore: sim.now - sim.rand.Float64()*1000}
 	d.attempts[seq]++
-	s := w.routers[d.router]
-	for range 1 + w.rand.IntN(2) {
-		if w.chance(w.lossRate) {
+	router := sim.routers[d.router]
+	for range 1 + sim.rand.IntN(2) {
+		if sim.chance(sim.lossRate) {
 			continue
 		}
-		delay := w.rand.Float64() * 50
-		if w.chance(0.1) {
-			delay = w.rand.Float64() * 8000
+		delay := sim.rand.Float64() * 50
+		if sim.chance(0.1) {
+			delay = sim.rand.Float64() * 8000
 		}
-		w.after(delay, func() {
-			w.offers++
-			from := Origin{Peer: uint64(d.number), Message: uint32(w.offers), Index: seq}
-			s.intake.Offer(w.now, Reading{ID: d.id(seq), Value: d.value(seq)}, c, from, netip.Prefix{})
-			s.arm()
+		sim.after(delay, func() {
+			sim.offers++
+			from := Origin{Peer: uint64(d.number), Message: uint32(sim.offers), Index: seq}
+			router.intake.Offer(sim.now, Reading{ID: d.id(seq), Value: d.value(seq)}, declared, from, netip.Prefix{})
+			router.scheduleTick()
 		})
 	}
-	w.after(300+w.rand.Float64()*6000, func() { d.send(seq) })
+	sim.after(300+sim.rand.Float64()*6000, func() { d.send(seq) })
 }
 
-// simulate runs a world until every reading is acknowledged and all has ended.
-func simulate(seed uint64, cfg Config, idempotencyWindow, lossRate float64, routers, devices, readings, kills int) *world {
-	w := &world{
+// simulate runs a simulation until nothing is left to happen, or for 10 minutes
+// of its time. Then every reading must be acknowledged and recorded exactly once,
+// and no router may have one in progress or on disk. kills is the number of
+// crashes of routers in the first 8 seconds.
+func simulate(
+	seed uint64, cfg Config, idempotencyWindow, lossRate float64, routers, devices, readings, kills int,
+) *simulation {
+	sim := &simulation{
 		rand: rand.New(rand.NewPCG(seed, 1)), now: 1e6, cfg: cfg, lossRate: lossRate, idempotencyWindow: idempotencyWindow,
 		route: Route{IdempotencyWindow: 5000, Groups: []int{1, 2}}, rows: map[string][]byte{},
 		executions: map[string]int{}, running: map[string]*execution{}, startedAt: map[string]float64{},
 		answers: map[Origin]int{},
 	}
 	for n := range routers {
-		s := &modelRouter{world: w, number: n, disk: map[ID]Reading{}}
-		w.routers = append(w.routers, s)
-		w.boot(s)
+		router := &modelRouter{simulation: sim, number: n, disk: map[ID]Reading{}}
+		sim.routers = append(sim.routers, router)
+		sim.restart(router)
 	}
 	for n := range devices {
-		d := &modelDevice{world: w, number: n, router: n % routers}
+		d := &modelDevice{simulation: sim, number: n, router: n % routers}
 		d.attempts = make([]int, readings)
 		d.acknowledged = make([]bool, readings)
-		w.devices = append(w.devices, d)
+		sim.devices = append(sim.devices, d)
 		for seq := range readings {
-			w.after(w.rand.Float64()*3000, func() { d.send(uint16(seq)) })
+			sim.after(sim.rand.Float64()*3000, func() { d.send(uint16(seq)) })
 		}
 	}
 	for range kills {
-		w.after(w.rand.Float64()*8000, func() { w.boot(w.routers[w.rand.IntN(routers)]) })
+		sim.after(sim.rand.Float64()*8000, func() { sim.restart(sim.routers[sim.rand.IntN(routers)]) })
 	}
-	for len(w.events) > 0 && w.now < 1e6+600e3 {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
-		e.do()
+	for len(sim.events) > 0 && sim.now < 1e6+600e3 {
+		next := heap.Pop(&sim.events).(event)
+		sim.now = next.at
+		next.run()
 	}
-	for _, d := range w.devices {
+	for _, d := range sim.devices {
 		for seq, done := range d.acknowledged {
 			row := d.id(uint16(seq)).Row()
 			if !done {
-				w.fault("%s was never acknowledged", d.value(uint16(seq)))
-			} else if n := w.executions[row]; n != 1 {
-				w.fault("%s was recorded %d times", d.value(uint16(seq)), n)
+				sim.fault("%s was never acknowledged", d.value(uint16(seq)))
+			} else if n := sim.executions[row]; n != 1 {
+				sim.fault("%s was recorded %d times, want once", d.value(uint16(seq)), n)
 			}
 		}
 	}
-	for _, s := range w.routers {
-		st := s.intake.Stats()
-		w.stats.FoundRecorded += st.FoundRecorded
-		w.stats.WriteRetries += st.WriteRetries
-		w.stats.Writes += st.Writes
-		if st.InProgress != 0 || st.Bytes != 0 || len(s.disk) != 0 {
-			w.fault("left: %d readings, %d bytes, %d on the disk", st.InProgress, st.Bytes, len(s.disk))
+	for _, router := range sim.routers {
+		stats := router.intake.Stats()
+		sim.stats.FoundRecorded += stats.FoundRecorded
+		sim.stats.WriteRetries += stats.WriteRetries
+		sim.stats.Writes += stats.Writes
+		if stats.InProgress != 0 || stats.Bytes != 0 || len(router.disk) != 0 {
+			sim.fault("router %d has %d readings of %d bytes in progress and %d on disk at the end, want none",
+				router.number, stats.InProgress, stats.Bytes, len(router.disk))
 		}
 	}
-	return w
+	return sim
 }
 
+// smallConfig has such low limits that readings are often rejected or evicted.
 func smallConfig() Config {
 	cfg := Defaults()
 	cfg.MaxReadings, cfg.MaxPerDevice, cfg.MaxDevices, cfg.MaxRecent, cfg.MaxWindow = 12, 8, 6, 4, 3
@@ -366,46 +405,49 @@
 	return cfg
 }
 
-// Whatever is lost, delayed, duplicated or killed, each reading is recorded
-// exactly once, nothing is acknowledged unrecorded and each copy gets one answer.
-func TestExactlyOnceInModel(t *testing.T) {
+// Whatever is lost, delayed or duplicated, and whichever routers crash, each
+// reading is recorded exactly once, none is acknowledged before it is recorded or
+// stored, and each copy gets at most one answer.
+func TestReadingsAreRecordedExactlyOnceInSimulation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := smallConfig()
 		cfg.Durable = rapid.Bool().Draw(t, "durable")
 		cfg.TrustFirstCopies = rapid.Bool().Draw(t, "trust")
 		kills := rapid.IntRange(0, 4).Draw(t, "kills")
-		w := simulate(rapid.Uint64().Draw(t, "seed"), cfg, 5000, rapid.Float64Range(0, 0.4).Draw(t, "loss"),
+		sim := simulate(rapid.Uint64().Draw(t, "seed"), cfg, 5000, rapid.Float64Range(0, 0.4).Draw(t, "loss"),
 			rapid.IntRange(1, 3).Draw(t, "routers"), rapid.IntRange(1, 8).Draw(t, "devices"),
 			rapid.IntRange(1, 8).Draw(t, "readings"), kills)
-		if len(w.faults) > 0 {
-			t.Fatalf("%d faults, first %s", len(w.faults), w.faults[0])
+		if len(sim.faults) > 0 {
+			t.Fatalf("%d faults, the first at %s", len(sim.faults), sim.faults[0])
 		}
 	})
 }
 
-// The check above can fail: a shard that expires its keys sooner than it says
-// records readings twice.
-func TestModelDetectsDuplicates(t *testing.T) {
-	var twice int
+// The simulation can detect duplicates: with a shard that drops none, although
+// the routes state an idempotency window, readings are recorded twice.
+func TestSimulationDetectsDuplicates(t *testing.T) {
+	var duplicated int
 	for seed := range uint64(20) {
 		for _, n := range simulate(seed, smallConfig(), 0, 0.3, 2, 6, 6, 3).executions {
 			if n > 1 {
-				twice++
+				duplicated++
 			}
 		}
 	}
-	if twice == 0 {
-		t.Error("no reading was recorded twice by a shard without keys")
+	if duplicated == 0 {
+		t.Error("no reading was recorded twice by a shard without an idempotency window")
 	}
 }
 
-// The same events give the same actions.
-func TestModelIsDeterministic(t *testing.T) {
+// The same seed gives the same simulation, because the same events give the same
+// actions.
+func TestSimulationIsDeterministic(t *testing.T) {
 	a, b := simulate(3, smallConfig(), 5000, 0.3, 2, 6, 6, 3), simulate(3, smallConfig(), 5000, 0.3, 2, 6, 6, 3)
 	if a.stats != b.stats || a.offers != b.offers || a.now != b.now {
-		t.Errorf("%+v and %+v", a.stats, b.stats)
+		t.Errorf("two runs with one seed differ: %+v, %d copies until %v, and %+v, %d copies until %v",
+			a.stats, a.offers, a.now, b.stats, b.offers, b.now)
 	}
 	if a.stats.FoundRecorded == 0 || a.stats.WriteRetries == 0 {
-		t.Errorf("nothing was found recorded or written again: %+v", a.stats)
+		t.Errorf("Stats = %+v, want checks that found the reading recorded and retries of writes", a.stats)
 	}
 }
--- a/internal/edge/intake/ratelimit_test.go
+++ b/internal/edge/intake/ratelimit_test.go
@@ -12,38 +12,38 @@
 		script.offer(fmt.Sprint("d", seq%50), seq, false)
 	}
 	if group.inFlight != initialWindow {
-		t.Fatalf("%d in flight at first", group.inFlight)
+		t.Fatalf("%d submissions in flight before any answer, want %d", group.inFlight, initialWindow)
 	}
 	for range 200 {
 		script.serve("v")
 	}
 	if group.inFlight < 15 {
-		t.Errorf("%d in flight after 200 answers", group.inFlight)
+		t.Errorf("%d submissions in flight after 200 answers, want at least 15", group.inFlight)
 	}
-	open := group.inFlight
+	inFlightBefore := group.inFlight
 	for submission := range script.in.submissions {
 		script.advance(100)
 		script.in.Failed(script.now, submission)
-		if len(script.in.submissions) < open/4 || script.now > 1e6+60000 {
+		if len(script.in.submissions) < inFlightBefore/4 || script.now > 1e6+60000 {
 			break
 		}
 	}
 	if group.window > 3 {
-		t.Errorf("a window of %v after nothing but failures", group.window)
+		t.Errorf("window of %v after consecutive failures, want at most 3", group.window)
 	}
-	group.window = 32 // as if it were open: only the ramp limits it now
+	group.window = 32 // fully open, so that only the ramp limits the submissions
 	for submission := range script.in.submissions {
 		script.in.Served(script.now, submission, []byte("v"))
 		break
 	}
-	if l := group.limit(script.now, &script.in.cfg); l > 2 {
-		t.Errorf("%d may be in flight at once after an outage", l)
+	if limit := group.limit(script.now, &script.in.cfg); limit > 2 {
+		t.Errorf("limit of %d just after an outage, want at most 2", limit)
 	}
-	if l := group.limit(script.now+5000, &script.in.cfg); l < 10 || l > 20 {
-		t.Errorf("%d may be in flight at half of the ramp", l)
+	if limit := group.limit(script.now+5000, &script.in.cfg); limit < 10 || limit > 20 {
+		t.Errorf("limit of %d halfway through the ramp, want 10 to 20", limit)
 	}
-	if l := group.limit(script.now+10000, &script.in.cfg); l < 30 {
-		t.Errorf("%d may be in flight after the ramp", l)
+	if limit := group.limit(script.now+10000, &script.in.cfg); limit < 30 {
+		t.Errorf("limit of %d after the ramp, want at least 30", limit)
 	}
 }
 
--- a/internal/edge/intake/reading_test.go
+++ b/internal/edge/intake/reading_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestInvalidReadings(t *testing.T) {
+func TestReadingsOutsideTheirLimitsAreInvalid(t *testing.T) {
 	script := newScript(t, nil)
 	script.offer("", 1, true)
 	script.offer(strings.Repeat("x", MaxDeviceNameBytes+1), 2, true)
@@ -23,7 +23,7 @@
 	for _, id := range ids {
 		for _, name := range []string{id.Row(), id.Key()} {
 			if other, ok := seen[name]; ok || len(name) != 32 {
-				t.Errorf("%v and %v: %s", id, other, name)
+				t.Errorf("Row or Key of %v is %q, want 32 digits unlike those of %v", id, name, other)
 			}
 			seen[name] = id
 		}
--- a/internal/edge/intake/retryafter_test.go
+++ b/internal/edge/intake/retryafter_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Rejected devices return spread out, within the longest wait.
+// Devices that are rejected at once must not retry at once: their waits are
+// within MinRetryAfter and MaxRetryAfter, and spread.
 func TestRetryAfterIsSpread(t *testing.T) {
 	script := newScript(t, func(c *Config) { c.MaxPerNetwork = 1 })
 	script.offer("a", 0, false)
@@ -18,12 +19,12 @@
 		waits = append(waits, a.RetryAfter)
 	}
 	slices.Sort(waits)
-	for i, w := range waits {
-		if w < 500 || w > 30000 {
-			t.Fatalf("a wait of %v", w)
+	for i, wait := range waits {
+		if wait < 500 || wait > 30000 {
+			t.Fatalf("RetryAfter = %v ms, want 500 to 30000", wait)
 		}
-		if j := i + 50; j < len(waits) && waits[j]-w < 50 {
-			t.Errorf("50 devices return within %v ms", waits[j]-w)
+		if j := i + 50; j < len(waits) && waits[j]-wait < 50 {
+			t.Errorf("50 devices retry within %v ms, want at least 50", waits[j]-wait)
 		}
 	}
 }
--- a/internal/edge/intake/submission_test.go
+++ b/internal/edge/intake/submission_test.go
@@ -16,37 +16,43 @@
 	script.want("check2")
 	script.serve("v")
 	script.want("recorded2")
-	if st := script.in.Stats(); st.FoundRecorded != 1 || st.InProgress != 0 || st.Bytes != 0 {
-		t.Errorf("%+v", st)
+	if stats := script.in.Stats(); stats.FoundRecorded != 1 || stats.InProgress != 0 || stats.Bytes != 0 {
+		t.Errorf("Stats() = %+v, want one found recorded and none in progress", stats)
 	}
 }
 
+// A write that ran after the idempotency window of the first one could record
+// the reading twice. When no time is left in the window, the reading is checked,
+// but only after the last attempt can no longer be running.
 func TestWriteRetryStaysWithinIdempotencyWindow(t *testing.T) {
 	script := newScript(t, nil)
 	script.confirmEpoch("a")
 	script.offer("a", 1, true)
 	script.want("write1")
-	began := script.now
+	firstSentAt := script.now
 	script.advance(1200)
 	script.in.Failed(script.now, script.lastSubmission)
 	script.advance(200)
 	script.want("write1")
 	script.record("write1")
-	var dead float64
-	for script.actions[len(script.actions)-1] == "write1" { // every further one ends within the key's window
-		if script.writeDeadline > began+5000 {
-			t.Fatalf("a write may run %v ms after the first", script.writeDeadline-began)
+	var attemptsEndBy float64
+	for script.actions[len(script.actions)-1] == "write1" {
+		if script.writeDeadline > firstSentAt+5000 {
+			t.Fatalf("deadline of a retry %v ms after the first write, want at most 5000",
+				script.writeDeadline-firstSentAt)
 		}
-		dead = script.writeDeadline + 3000
+		attemptsEndBy = script.writeDeadline + 3000
 		script.advance(script.lastTimeout)
 		script.in.Failed(script.now, script.lastSubmission)
-		for n := len(script.actions); len(script.actions) == n && script.now < began+20000; {
+		for n := len(script.actions); len(script.actions) == n && script.now < firstSentAt+20000; {
 			script.advance(1)
 		}
 	}
-	// No attempt was left that could still run: only then does absence mean it.
-	if last := script.actions[len(script.actions)-1]; last != "check1" || script.now < dead || script.now > dead+10 {
-		t.Fatalf("%s at %v, the last attempt may run until %v", last, script.now-began, dead-began)
+	// The absence of a row proves something only after every attempt has ended.
+	if last := script.actions[len(script.actions)-1]; last != "check1" ||
+		script.now < attemptsEndBy || script.now > attemptsEndBy+10 {
+		t.Fatalf("%s at %v ms after the first write, want check1 when the last attempt must have ended, at %v ms",
+			last, script.now-firstSentAt, attemptsEndBy-firstSentAt)
 	}
 	script.actions = nil
 	script.serve("")
@@ -55,18 +61,19 @@
 	script.want("recorded1")
 }
 
-// A check proves nothing while an attempt of one's own may still be running.
+// A check that finds no row proves nothing while an attempt of this router may
+// still be running, so it waits until the last one must have ended.
 func TestCheckWaitsForEndOfOwnAttempts(t *testing.T) {
 	script := newScript(t, nil)
 	script.confirmEpoch("a")
 	reading := Reading{ID: ID{"a", 1, 1}, Value: []byte("v")}
 	declared := DeclaredHistory{FirstCopy: true, NotBefore: script.now - 4000}
 	script.in.Offer(script.now, reading, declared, Origin{Index: 1}, netip.Prefix{})
-	script.want("write1") // 800 ms are left for it
-	over := script.now + script.lastTimeout
+	script.want("write1") // with a timeout of 800 ms
+	deadline := script.now + script.lastTimeout
 	script.advance(script.lastTimeout)
 	script.in.Failed(script.now, script.lastSubmission)
-	script.advance(over + 2990 - script.now)
+	script.advance(deadline + 2990 - script.now)
 	script.want("")
 	script.advance(20)
 	script.want("check1")
@@ -76,18 +83,19 @@
 	script := newScript(t, nil)
 	script.offer("a", 1, false)
 	script.want("check1")
-	asked := script.now
+	checkedAt := script.now
 	script.advance(1000)
 	script.serve("")
 	script.want("write1")
-	// An execution that began up to 3000 ms before the check was not seen; its
-	// key ends 5000 ms after it began.
-	if script.now+script.lastTimeout > asked-3000+5000 {
-		t.Errorf("the write may run %v ms after the check", script.now+script.lastTimeout-asked)
+	// The check may have missed an execution that began up to 3000 ms before it,
+	// whose idempotency window ends 5000 ms after it began.
+	if script.now+script.lastTimeout > checkedAt-3000+5000 {
+		t.Errorf("deadline of the write %v ms after the check, want at most 2000",
+			script.now+script.lastTimeout-checkedAt)
 	}
 	script = newScript(t, nil)
 	script.offer("a", 1, false)
-	script.advance(1900) // the answer comes too late for a write
+	script.advance(1900) // the answer arrives too late for a write
 	script.actions = nil
 	script.serve("")
 	script.want("check1")
@@ -102,15 +110,16 @@
 	script.advance(20000)
 	script.want("unknown1 unknown2 unknown3")
 	script.in.Failed(script.now, script.lastSubmission)
-	if st := script.in.Stats(); st.InProgress != 0 || script.in.timers.Len() != 0 || len(script.in.networks) != 0 {
-		t.Errorf("left: %+v, %d timers", st, script.in.timers.Len())
+	if stats := script.in.Stats(); stats.InProgress != 0 || script.in.timers.Len() != 0 || len(script.in.networks) != 0 {
+		t.Errorf("after the answer timeout: %+v, %d timers, %d networks, want none in progress",
+			stats, script.in.timers.Len(), len(script.in.networks))
 	}
-	script.offer("b", 1, false) // waiting copies of one reading are limited
-	for range 10 {
+	script.offer("b", 1, false)
+	for range 10 { // more copies of one reading than may wait
 		script.offer("b", 1, false)
 	}
 	if reading := script.in.devices["b"].inProgress[localID{1, 1}]; len(reading.waiters) != 4 {
-		t.Errorf("%d wait", len(reading.waiters))
+		t.Errorf("%d copies wait for an answer, want 4", len(reading.waiters))
 	}
 }
 
@@ -128,14 +137,14 @@
 	script.want("write1")
 	script.advance(1200)
 	script.in.Failed(script.now, script.lastSubmission)
-	script.advance(200) // the second waits for the first
-	script.want("write1")
+	script.advance(200)
+	script.want("write1") // the second reading waits for the first
 	script.serve("v")
 	script.want("delete1 check2")
 	script.serve("other")
 	script.want("quarantine2")
 	script.offer("b", 3, true)
-	script.in.Persisted(script.now, ID{"b", 1, 3}, false) // a full disk
+	script.in.Persisted(script.now, ID{"b", 1, 3}, false) // for example because the store is full
 	script.want("persist3 rejected3")
 	script.in.Recover(script.now, Reading{ID: ID{"c", 1, 4}, Value: []byte("v")})
 	script.want("check4")
