--- a/internal/edge/batch/batch.go
+++ b/internal/edge/batch/batch.go
@@ -69,7 +69,7 @@
 
 // NewCodec returns a Codec.
 func NewCodec() *Codec {
-	decoder, err := cbor.DecOptions{
+	decMode, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 		IndefLength:       cbor.IndefLengthForbidden,
 		TagsMd:            cbor.TagsForbidden,
@@ -81,11 +81,11 @@
 	if err != nil {
 		panic(err) // a programming error, because the options are constants
 	}
-	encoder, err := cbor.CoreDetEncOptions().EncMode()
+	encMode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		panic(err)
 	}
-	return &Codec{decoder: decoder, encoder: encoder}
+	return &Codec{decoder: decMode, encoder: encMode}
 }
 
 var errInvalid = errors.New("no batch of readings")
--- a/internal/edge/intake/characterization_test.go
+++ b/internal/edge/intake/characterization_test.go
@@ -262,7 +262,7 @@
 	case n < 998:
 		r.start()
 	default:
-		r.observeRecorded()
+		r.known()
 	}
 }
 
@@ -451,18 +451,18 @@
 	}
 }
 
-// observeRecorded adds the recorded sequence numbers of a random device to the
-// digest.
-func (r *router) observeRecorded() {
+// known adds the sequence numbers that are known to be recorded of a random
+// device to the digest.
+func (r *router) known() {
 	device := r.random.IntN(r.devices)
 	for epoch := range r.epochs[device] + 1 {
-		sequences := r.intake.RecordedSequences(fmt.Sprint("meter-", device), epoch)
-		r.digest.int(len(sequences))
-		for _, seq := range sequences {
+		known := r.intake.Known(fmt.Sprint("meter-", device), epoch)
+		r.digest.int(len(known))
+		for _, seq := range known {
 			r.digest.uint(seq)
 		}
 	}
-	r.digest.int(len(r.intake.RecordedSequences("nobody", 0)))
+	r.digest.int(len(r.intake.Known("nobody", 0)))
 }
 
 // observe adds the Intake's Stats and the time of the next timer to the digest.
@@ -483,17 +483,17 @@
 }
 
 func (r *router) Submit(
-	id intake.ID, number uint64, operation intake.Operation, reading *intake.Reading, group int, timeout float64,
+	id intake.ID, n uint64, kind intake.Operation, reading *intake.Reading, group int, timeout float64,
 ) {
 	r.digest.int(1)
 	r.digest.id(id)
-	r.digest.uint(number)
-	r.digest.bool(operation == intake.Check)
+	r.digest.uint(n)
+	r.digest.bool(kind == intake.Check)
 	r.digest.reading(reading)
 	r.digest.int(group)
 	r.digest.float(timeout)
 	r.inFlight = append(r.inFlight, submission{
-		number: number, id: id, operation: operation, value: reading.Value, deadline: r.now + timeout,
+		number: n, id: id, operation: kind, value: reading.Value, deadline: r.now + timeout,
 	})
 }
 
--- a/internal/edge/intake/device.go
+++ b/internal/edge/intake/device.go
@@ -9,7 +9,7 @@
 type recordedReading struct {
 	epoch  uint64
 	seq    uint64
-	digest uint64 // valueDigest of the recorded value
+	digest uint64 // digest of the recorded value
 }
 
 // trackedDevice is the state that the router keeps of one device.
@@ -48,8 +48,8 @@
 // addRecorded adds a recorded reading to the recent ones. At limit readings it
 // replaces the oldest, up to whose sequence number first copies are no longer
 // trusted.
-func (device *trackedDevice) addRecorded(id localID, digest uint64, limit int) {
-	recorded := recordedReading{epoch: id.epoch, seq: id.seq, digest: digest}
+func (device *trackedDevice) addRecorded(id localID, sum uint64, limit int) {
+	recorded := recordedReading{epoch: id.epoch, seq: id.seq, digest: sum}
 	if len(device.recent) < limit {
 		device.recent = append(device.recent, recorded)
 		return
--- a/internal/edge/intake/intake.go
+++ b/internal/edge/intake/intake.go
@@ -121,19 +121,19 @@
 		in.reject(now, from)
 		return
 	}
-	digest := valueDigest(received.Value)
+	sum := digest(received.Value)
 	if reading := device.inProgress[received.local()]; reading != nil {
-		in.coalesce(now, reading, digest, from)
+		in.coalesce(now, reading, sum, from)
 		return
 	}
 	if recorded, ok := device.recordedDigest(received.local()); ok {
-		in.answerDuplicate(digest == recorded, from)
+		in.answerDuplicate(sum == recorded, from)
 		in.markIdle(device)
 		return
 	}
 	reading := &trackedReading{
 		Reading:   received,
-		digest:    digest,
+		digest:    sum,
 		device:    device,
 		network:   network,
 		arrivedAt: now,
@@ -192,7 +192,7 @@
 	device.advanceEpoch(received.Epoch)
 	reading := &trackedReading{
 		Reading:   received,
-		digest:    valueDigest(received.Value),
+		digest:    digest(received.Value),
 		device:    device,
 		arrivedAt: now,
 		stored:    true,
@@ -202,10 +202,10 @@
 	in.dispatch(now, reading.group)
 }
 
-// RecordedSequences returns the sequence numbers of the named device's epoch
-// that this router knows to be recorded, in ascending order. At most
-// Config.MaxRecent are known of a device; nil means none.
-func (in *Intake) RecordedSequences(name string, epoch uint64) []uint64 {
+// Known returns the sequence numbers of the named device's epoch that this
+// router knows to be recorded, in ascending order. At most Config.MaxRecent are
+// known of a device; nil means none.
+func (in *Intake) Known(name string, epoch uint64) []uint64 {
 	device := in.devices[name]
 	if device == nil {
 		return nil
--- a/internal/edge/intake/model_test.go
+++ b/internal/edge/intake/model_test.go
@@ -20,7 +20,7 @@
 type simulation struct {
 	rand              *rand.Rand
 	now               float64 // Unix milliseconds
-	events            eventHeap
+	events            events
 	lastEvent         uint64 // number of the last event
 	cfg               Config
 	route             Route
@@ -50,16 +50,16 @@
 	run    func()
 }
 
-// eventHeap orders events by time. It implements heap.Interface.
-type eventHeap []event
+// events orders events by time. It implements heap.Interface.
+type events []event
 
-func (h eventHeap) Len() int { return len(h) }
-func (h eventHeap) Less(i, j int) bool {
+func (h events) Len() int { return len(h) }
+func (h events) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].number < h[j].number
 }
-func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *eventHeap) Pop() any {
+func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *events) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *events) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -91,10 +91,10 @@
 func (sim *simulation) restart(router *modelRouter) {
 	router.incarnation++
 	if router.intake != nil {
-		stats := router.intake.Stats()
-		sim.stats.FoundRecorded += stats.FoundRecorded
-		sim.stats.WriteRetries += stats.WriteRetries
-		sim.stats.Writes += stats.Writes
+		routerStats := router.intake.Stats()
+		sim.stats.FoundRecorded += routerStats.FoundRecorded
+		sim.stats.WriteRetries += routerStats.WriteRetries
+		sim.stats.Writes += routerStats.Writes
 	}
 	in, err := New(sim.cfg, []Route{sim.route}, uint64(router.number), router)
 	if err != nil {
@@ -140,15 +140,15 @@
 	})
 }
 
-// after delivers an event to the Intake in a number of milliseconds, unless the
-// router restarts before that.
-func (router *modelRouter) after(ms float64, deliver func()) {
-	router.afterIn(router.incarnation, ms, deliver)
+// deliverAfter delivers an event to the Intake in a number of milliseconds,
+// unless the router restarts before that.
+func (router *modelRouter) deliverAfter(ms float64, deliver func()) {
+	router.deliverTo(router.incarnation, ms, deliver)
 }
 
-// afterIn delivers an event to the Intake in a number of milliseconds, unless the
-// router's incarnation is another one by then.
-func (router *modelRouter) afterIn(incarnation int, ms float64, deliver func()) {
+// deliverTo delivers an event to the Intake in a number of milliseconds, unless
+// the router's incarnation is another one by then.
+func (router *modelRouter) deliverTo(incarnation int, ms float64, deliver func()) {
 	router.simulation.after(ms, func() {
 		if router.incarnation == incarnation {
 			deliver()
@@ -163,10 +163,10 @@
 	sim := router.simulation
 	deadline, incarnation := sim.now+timeout, router.incarnation // the shard runs it even if the router restarts
 	fail := func() {
-		router.afterIn(incarnation, max(deadline-sim.now, 0), func() { router.intake.Failed(sim.now, submission) })
+		router.deliverTo(incarnation, max(deadline-sim.now, 0), func() { router.intake.Failed(sim.now, submission) })
 	}
 	if sim.chance(0.05) {
-		router.after(sim.rand.Float64()*5, func() { router.intake.Rejected(sim.now, submission, 100*sim.rand.Float64()) })
+		router.deliverAfter(sim.rand.Float64()*5, func() { router.intake.Rejected(sim.now, submission, 100*sim.rand.Float64()) })
 		return
 	}
 	delay := sim.rand.Float64() * timeout * 1.1
@@ -184,7 +184,7 @@
 			if lost || sim.chance(0.1) {
 				fail()
 			} else {
-				router.afterIn(incarnation, sim.rand.Float64()*10, func() { router.intake.Served(sim.now, submission, value) })
+				router.deliverTo(incarnation, sim.rand.Float64()*10, func() { router.intake.Served(sim.now, submission, value) })
 			}
 			return
 		}
@@ -193,7 +193,7 @@
 			case !ok, lost, sim.now > deadline:
 				fail()
 			default:
-				router.afterIn(incarnation, 1, func() { router.intake.Served(sim.now, submission, value) })
+				router.deliverTo(incarnation, 1, func() { router.intake.Served(sim.now, submission, value) })
 			}
 		})
 	})
@@ -204,16 +204,16 @@
 // execution and has no effect of its own.
 func (sim *simulation) execute(id ID, value []byte, done func(ok bool)) {
 	key := id.Key()
-	if first := sim.running[key]; first != nil {
-		first.callbacks = append(first.callbacks, done)
+	if current := sim.running[key]; current != nil {
+		current.callbacks = append(current.callbacks, done)
 		return
 	}
 	if at, ok := sim.startedAt[key]; ok && sim.now < at+sim.idempotencyWindow {
 		done(true)
 		return
 	}
-	started := &execution{callbacks: []func(bool){done}}
-	sim.running[key], sim.startedAt[key] = started, sim.now
+	current := &execution{callbacks: []func(bool){done}}
+	sim.running[key], sim.startedAt[key] = current, sim.now
 	duration := sim.rand.Float64() * 100
 	if sim.chance(0.1) { // the host hangs
 		duration = sim.rand.Float64() * (sim.cfg.MaxOverrun - 1)
@@ -222,7 +222,7 @@
 		delete(sim.running, key)
 		if sim.chance(0.1) { // the host crashes and the write is rolled back
 			delete(sim.startedAt, key)
-			for _, callback := range started.callbacks {
+			for _, callback := range current.callbacks {
 				callback(false)
 			}
 			return
@@ -231,7 +231,7 @@
 		if sim.rows[id.Row()] == nil {
 			sim.rows[id.Row()] = value
 		}
-		for _, callback := range started.callbacks {
+		for _, callback := range current.callbacks {
 			callback(true)
 		}
 	})
@@ -275,7 +275,7 @@
 
 func (router *modelRouter) Persist(reading *Reading) {
 	persisted := *reading
-	router.after(router.simulation.rand.Float64()*10, func() {
+	router.deliverAfter(router.simulation.rand.Float64()*10, func() {
 		router.disk[persisted.ID] = persisted
 		router.intake.Persisted(router.simulation.now, persisted.ID, true)
 	})
@@ -299,7 +299,7 @@
 	number       int
 	attempts     []int  // number of attempts to send each reading
 	acknowledged []bool // by reading
-	router       int    // index of the router in use
+	routerIndex  int    // index of the router in use
 }
 
 func (d *modelDevice) id(seq uint16) ID {
@@ -316,11 +316,11 @@
 		return
 	}
 	if sim.chance(0.2) {
-		d.router = sim.rand.IntN(len(sim.routers))
+		d.routerIndex = sim.rand.IntN(len(sim.routers))
 	}
 	declared := DeclaredHistory{FirstCopy: d.attempts[seq] == 0, NotBefore: sim.now - sim.rand.Float64()*1000}
 	d.attempts[seq]++
-	router := sim.routers[d.router]
+	router := sim.routers[d.routerIndex]
 	for range 1 + sim.rand.IntN(2) {
 		if sim.chance(sim.lossRate) {
 			continue
@@ -358,7 +358,7 @@
 		sim.restart(router)
 	}
 	for n := range devices {
-		d := &modelDevice{simulation: sim, number: n, router: n % routers}
+		d := &modelDevice{simulation: sim, number: n, routerIndex: n % routers}
 		d.attempts = make([]int, readings)
 		d.acknowledged = make([]bool, readings)
 		sim.devices = append(sim.devices, d)
@@ -385,13 +385,13 @@
 		}
 	}
 	for _, router := range sim.routers {
-		stats := router.intake.Stats()
-		sim.stats.FoundRecorded += stats.FoundRecorded
-		sim.stats.WriteRetries += stats.WriteRetries
-		sim.stats.Writes += stats.Writes
-		if stats.InProgress != 0 || stats.Bytes != 0 || len(router.disk) != 0 {
+		routerStats := router.intake.Stats()
+		sim.stats.FoundRecorded += routerStats.FoundRecorded
+		sim.stats.WriteRetries += routerStats.WriteRetries
+		sim.stats.Writes += routerStats.Writes
+		if routerStats.InProgress != 0 || routerStats.Bytes != 0 || len(router.disk) != 0 {
 			sim.fault("router %d has %d readings of %d bytes in progress and %d on disk at the end, want none",
-				router.number, stats.InProgress, stats.Bytes, len(router.disk))
+				router.number, routerStats.InProgress, routerStats.Bytes, len(router.disk))
 		}
 	}
 	return sim
--- a/internal/edge/intake/ratelimit_test.go
+++ b/internal/edge/intake/ratelimit_test.go
@@ -36,14 +36,14 @@
 		script.in.Served(script.now, submission, []byte("v"))
 		break
 	}
-	if limit := group.limit(script.now, &script.in.cfg); limit > 2 {
-		t.Errorf("limit of %d just after an outage, want at most 2", limit)
+	if allowed := group.limit(script.now, &script.in.cfg); allowed > 2 {
+		t.Errorf("limit of %d just after an outage, want at most 2", allowed)
 	}
-	if limit := group.limit(script.now+5000, &script.in.cfg); limit < 10 || limit > 20 {
-		t.Errorf("limit of %d halfway through the ramp, want 10 to 20", limit)
+	if allowed := group.limit(script.now+5000, &script.in.cfg); allowed < 10 || allowed > 20 {
+		t.Errorf("limit of %d halfway through the ramp, want 10 to 20", allowed)
 	}
-	if limit := group.limit(script.now+10000, &script.in.cfg); limit < 30 {
-		t.Errorf("limit of %d after the ramp, want at least 30", limit)
+	if allowed := group.limit(script.now+10000, &script.in.cfg); allowed < 30 {
+		t.Errorf("limit of %d after the ramp, want at least 30", allowed)
 	}
 }
 
--- a/internal/edge/intake/reading.go
+++ b/internal/edge/intake/reading.go
@@ -71,9 +71,9 @@
 
 func (id ID) local() localID { return localID{epoch: id.Epoch, seq: id.Seq} }
 
-// valueDigest returns 64 bits of a value's SHA-256, by which values are
+// digest returns 64 bits of a value's SHA-256, by which values are
 // compared.
-func valueDigest(value []byte) uint64 {
+func digest(value []byte) uint64 {
 	sum := sha256.Sum256(value)
 	return binary.BigEndian.Uint64(sum[:])
 }
@@ -88,16 +88,16 @@
 	return groups[xxhash.Sum64String(name)%uint64(len(groups))]
 }
 
-// readingPhase is the state of a reading in progress.
-type readingPhase uint8
+// phase is the state of a reading in progress.
+type phase uint8
 
 const (
-	queued     readingPhase = iota // in its device's queue
-	retryReady                     // its backoff is over; it precedes the queued readings
-	storing                        // being written to the store
-	writing                        // a write is in flight
-	checking                       // a check is in flight
-	backingOff                     // waiting for retryTimer
+	queued     phase = iota // in its device's queue
+	retryReady              // its backoff is over; it precedes the queued readings
+	storing                 // being written to the store
+	writing                 // a write is in flight
+	checking                // a check is in flight
+	backingOff              // waiting for retryTimer
 )
 
 // readingOverheadBytes is the memory of a reading in progress, apart from its
@@ -107,13 +107,13 @@
 // trackedReading is a reading in progress. Times are Unix milliseconds.
 type trackedReading struct {
 	Reading
-	digest    uint64 // valueDigest of the value
+	digest    uint64 // digest of the value
 	device    *trackedDevice
 	network   netip.Prefix // the sender's; invalid if not known
 	group     *replicaGroup
 	queue     *deviceQueue
 	waiters   []Origin // copies that are not answered yet
-	phase     readingPhase
+	phase     phase
 	stored    bool // the reading is on disk
 	removed   bool // the reading is no longer in progress
 	arrivedAt float64
--- a/internal/edge/intake/reading_test.go
+++ b/internal/edge/intake/reading_test.go
@@ -23,7 +23,7 @@
 	for _, id := range ids {
 		for _, name := range []string{id.Row(), id.Key()} {
 			if other, ok := seen[name]; ok || len(name) != 32 {
-				t.Errorf("Row or Key of %v is %q, want 32 digits unlike those of %v", id, name, other)
+				t.Errorf("Row or Key of %v, compared with %v: got %q, want 32 digits of its own", id, other, name)
 			}
 			seen[name] = id
 		}
--- a/internal/edge/intake/script_test.go
+++ b/internal/edge/intake/script_test.go
@@ -69,7 +69,7 @@
 func (script *scriptedIntake) want(words string) {
 	script.t.Helper()
 	if got := strings.Join(script.actions, " "); got != words {
-		script.t.Fatalf("actions at %v: got %q, want %q", script.now, got, words)
+		script.t.Fatalf("got actions %q, want %q", got, words)
 	}
 	script.actions = nil
 }
--- a/internal/edge/intake/submission.go
+++ b/internal/edge/intake/submission.go
@@ -2,8 +2,8 @@
 
 // coalesce handles another copy of a reading in progress, which waits for the
 // same answer. At MaxWaiters the oldest copy is answered Unknown.
-func (in *Intake) coalesce(now float64, reading *trackedReading, digest uint64, from Origin) {
-	if digest != reading.digest { // two devices have one name, or one lost its counter without a new epoch
+func (in *Intake) coalesce(now float64, reading *trackedReading, sum uint64, from Origin) {
+	if sum != reading.digest { // two devices have one name, or one lost its counter without a new epoch
 		in.answer(from, Answer{Status: Conflict})
 		return
 	}
@@ -113,17 +113,17 @@
 	}
 	group := reading.group
 	group.recordSuccess(now, &in.cfg)
-	digest := valueDigest(value)
+	sum := digest(value)
 	switch {
 	case reading.phase == checking && len(value) == 0:
 		in.rowAbsent(now, reading)
-	case digest == reading.digest:
+	case sum == reading.digest:
 		if reading.phase == checking {
 			in.stats.FoundRecorded++
 		}
-		in.complete(now, reading, digest, Recorded)
+		in.complete(now, reading, sum, Recorded)
 	default:
-		in.complete(now, reading, digest, Conflict)
+		in.complete(now, reading, sum, Conflict)
 	}
 	in.dispatch(now, group)
 }
@@ -143,12 +143,12 @@
 	in.submitNext(now, reading)
 }
 
-// complete ends a reading whose recorded value is known. digest is that of the
-// recorded value; status is Recorded or Conflict.
-func (in *Intake) complete(now float64, reading *trackedReading, digest uint64, status Status) {
+// complete ends a reading whose recorded value is known. sum is the digest of
+// that value; status is Recorded or Conflict.
+func (in *Intake) complete(now float64, reading *trackedReading, sum uint64, status Status) {
 	in.completions.add(now)
 	device := reading.device
-	device.addRecorded(reading.ID.local(), digest, in.cfg.MaxRecent)
+	device.addRecorded(reading.ID.local(), sum, in.cfg.MaxRecent)
 	if reading.Epoch == device.epoch {
 		device.epochConfirmed = true
 		device.epochConflicted = device.epochConflicted || status == Conflict
--- a/internal/edge/store/page.go
+++ b/internal/edge/store/page.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// treePage is a branch or leaf page of a bbolt tree. A small bucket is a leaf
+// page is a branch or leaf page of a bbolt tree. A small bucket is a leaf
 // page inside a value.
-type treePage struct {
+type page struct {
 	name   string // for error messages
 	bytes  []byte
 	branch bool // false for a leaf
@@ -20,9 +20,9 @@
 // parsePage reads the header of the page in b. It returns an error if that is
 // neither a branch nor a leaf, or if its elements exceed b. b must hold a page
 // header.
-func parsePage(name string, b []byte) (treePage, error) {
+func parsePage(name string, b []byte) (page, error) {
 	flags := pageFlags(b)
-	p := treePage{
+	p := page{
 		name:   name,
 		bytes:  b,
 		branch: flags == branchPage,
@@ -36,8 +36,8 @@
 	return p, nil
 }
 
-// pageEntry is one element of a page with its key and value.
-type pageEntry struct {
+// entry is one element of a page with its key and value.
+type entry struct {
 	key    []byte
 	child  uint64 // page number of the subtree, in a branch
 	value  []byte // in a leaf
@@ -47,11 +47,11 @@
 // entry returns the entry at the given index. The element of a branch consists of
 // position, key size and child; that of a leaf of flags, position, key size and
 // value size. The position of the key is relative to the start of the element.
-func (p treePage) entry(index int) (pageEntry, error) {
+func (p page) entry(index int) (entry, error) {
 	start := pageHeaderSize + index*elementSize
 	element := p.bytes[start : start+elementSize]
 	uint32At := func(offset int) uint64 { return uint64(binary.LittleEndian.Uint32(element[offset:])) }
-	var e pageEntry
+	var e entry
 	var position, keySize, valueSize uint64
 	if p.branch {
 		position = uint32At(0)
@@ -66,7 +66,7 @@
 	keyStart := uint64(start) + position
 	valueStart := keyStart + keySize
 	if position < elementSize || valueStart+valueSize > uint64(len(p.bytes)) {
-		return pageEntry{}, fmt.Errorf("%s: entry %d exceeds the page", p.name, index)
+		return entry{}, fmt.Errorf("%s: entry %d exceeds the page", p.name, index)
 	}
 	e.key = p.bytes[keyStart:valueStart]
 	e.value = p.bytes[valueStart : valueStart+valueSize]
--- a/internal/edge/store/verify.go
+++ b/internal/edge/store/verify.go
@@ -56,14 +56,14 @@
 		return fmt.Errorf("%w: %d bytes are too few for %d pages", errDamaged, len(file), newest.pages)
 	}
 	v := &verifier{file: file, meta: newest, visited: map[uint64]bool{}}
-	if err := v.verifyTree(newest.root, keyRange{}, 0); err != nil {
+	if err := v.tree(newest.root, keyRange{}, 0); err != nil {
 		return fmt.Errorf("%w: %w", errDamaged, err)
 	}
 	return nil
 }
 
-// metaPage is the content of a meta page.
-type metaPage struct {
+// meta is the content of a meta page.
+type meta struct {
 	pageSize int    // bytes
 	root     uint64 // page number of the root bucket's tree
 	pages    uint64 // number of pages up to the highest one in use
@@ -73,7 +73,7 @@
 // newestMeta returns the valid meta page of the latest transaction. The second
 // meta page is at the offset of one page size, which only the meta pages state,
 // so the usual page sizes are tried.
-func newestMeta(file []byte) (newest metaPage, found bool) {
+func newestMeta(file []byte) (newest meta, found bool) {
 	for _, offset := range []int{0, 4096, 8192, 16384, 65536} {
 		m, ok := readMeta(file, offset)
 		if !ok || offset != 0 && offset != m.pageSize {
@@ -89,7 +89,7 @@
 
 // readMeta returns the meta page at the offset; ok is false if there is no valid
 // one.
-func readMeta(file []byte, offset int) (m metaPage, ok bool) {
+func readMeta(file []byte, offset int) (m meta, ok bool) {
 	if len(file) < offset+pageHeaderSize+metaSize {
 		return m, false
 	}
@@ -102,7 +102,7 @@
 	if !valid {
 		return m, false
 	}
-	m = metaPage{
+	m = meta{
 		pageSize: int(binary.LittleEndian.Uint32(b[metaPageSizeOffset:])),
 		root:     binary.LittleEndian.Uint64(b[metaRootOffset:]),
 		pages:    binary.LittleEndian.Uint64(b[metaPagesOffset:]),
@@ -131,12 +131,12 @@
 // verifier verifies the trees of a file.
 type verifier struct {
 	file    []byte
-	meta    metaPage
+	meta    meta
 	visited map[uint64]bool // by page number
 }
 
-// verifyTree verifies the page with the given number and all pages below it.
-func (v *verifier) verifyTree(id uint64, keys keyRange, depth int) error {
+// tree verifies the page with the given number and all pages below it.
+func (v *verifier) tree(id uint64, keys keyRange, depth int) error {
 	if id < firstTreePage || id >= v.meta.pages || depth > maxDepth {
 		return fmt.Errorf("page %d at depth %d is out of range", id, depth)
 	}
@@ -157,11 +157,11 @@
 	if err != nil {
 		return err
 	}
-	return v.verifyPage(p, keys, depth)
+	return v.page(p, keys, depth)
 }
 
-// verifyPage verifies the entries of a page and all pages below them.
-func (v *verifier) verifyPage(p treePage, keys keyRange, depth int) error {
+// page verifies the entries of a page and all pages below them.
+func (v *verifier) page(p page, keys keyRange, depth int) error {
 	var last []byte
 	for i := range p.count {
 		e, err := p.entry(i)
@@ -174,9 +174,9 @@
 		last = e.key
 		switch {
 		case p.branch:
-			err = v.verifyChild(p, i, e, keys, depth)
+			err = v.child(p, i, e, keys, depth)
 		case e.bucket:
-			err = v.verifyBucket(e.value, depth)
+			err = v.bucket(e.value, depth)
 		}
 		if err != nil {
 			return err
@@ -185,9 +185,9 @@
 	return nil
 }
 
-// verifyChild verifies the subtree of a branch's entry, whose keys must be before
+// child verifies the subtree of a branch's entry, whose keys must be before
 // the key of the next entry.
-func (v *verifier) verifyChild(p treePage, index int, e pageEntry, keys keyRange, depth int) error {
+func (v *verifier) child(p page, index int, e entry, keys keyRange, depth int) error {
 	below := keyRange{from: e.key, before: keys.before}
 	if index+1 < p.count {
 		next, err := p.entry(index + 1)
@@ -196,17 +196,17 @@
 		}
 		below.before = next.key
 	}
-	return v.verifyTree(e.child, below, depth+1)
+	return v.tree(e.child, below, depth+1)
 }
 
-// verifyBucket verifies a nested bucket. The value holds the page number of its
+// bucket verifies a nested bucket. The value holds the page number of its
 // root, or 0 and the whole bucket as an inline page.
-func (v *verifier) verifyBucket(value []byte, depth int) error {
+func (v *verifier) bucket(value []byte, depth int) error {
 	if len(value) < bucketHeaderSize {
 		return fmt.Errorf("bucket of %d bytes is too short", len(value))
 	}
 	if root := binary.LittleEndian.Uint64(value); root != 0 {
-		return v.verifyTree(root, keyRange{}, depth+1)
+		return v.tree(root, keyRange{}, depth+1)
 	}
 	inline := value[bucketHeaderSize:]
 	if len(inline) < pageHeaderSize || pageFlags(inline) != leafPage || depth > maxDepth {
@@ -216,5 +216,5 @@
 	if err != nil {
 		return err
 	}
-	return v.verifyPage(p, keyRange{}, depth+1)
+	return v.page(p, keyRange{}, depth+1)
 }
