--- a/internal/edge/intake/model_test.go
+++ b/internal/edge/intake/model_test.go
@@ -34,8 +34,8 @@
 	devices           []*modelDevice
 	offers            int
 	answers           map[Origin]int // number of answers to each copy
-	faults            []string       // violations of what is promised
-	stats             Stats          // of all incarnations of the routers
+	faults            []string       // violations of the guarantees that the tests check
+	stats             Stats          // writes, their retries and readings found recorded, of all routers
 }
 
 // execution is a write that the shard is running.
@@ -287,7 +287,7 @@
 	router.simulation.fault("%s was quarantined, but has only one value", reading.Value)
 }
 
-// fault notes that a promise was broken, with the present time.
+// fault records the violation of a guarantee, with the current time.
 func (sim *simulation) fault(format string, args ...any) {
 	sim.faults = append(sim.faults, fmt.Sprintf("%.0f: ", sim.now)+fmt.Sprintf(format, args...))
 }
--- a/internal/edge/intake/reading.go
+++ b/internal/edge/intake/reading.go
@@ -33,8 +33,8 @@
 	Urgent bool   // submitted before routine readings
 }
 
-// valid reports whether the reading is within its limits and names one of so
-// many routes.
+// valid reports whether the reading is within its limits and its Route is one of
+// the given number of routes.
 func (reading *Reading) valid(routes int) bool {
 	validDevice := len(reading.Device) > 0 && len(reading.Device) <= MaxDeviceNameBytes
 	validValue := len(reading.Value) > 0 && len(reading.Value) <= MaxValueBytes
@@ -71,8 +71,7 @@
 
 func (id ID) local() localID { return localID{epoch: id.Epoch, seq: id.Seq} }
 
-// digest returns 64 bits of a value's SHA-256, by which values are
-// compared.
+// digest returns 64 bits of a value's SHA-256, by which values are compared.
 func digest(value []byte) uint64 {
 	sum := sha256.Sum256(value)
 	return binary.BigEndian.Uint64(sum[:])
--- a/internal/edge/intake/submission.go
+++ b/internal/edge/intake/submission.go
@@ -180,8 +180,9 @@
 	}
 }
 
-// Rejected reports that the router rejected a submission.
-// retryAfter is how long to pause the group, in milliseconds; 0 means no pause.
+// Rejected reports that the router rejected a submission. retryAfter is how long
+// the router advises to wait, in milliseconds: the group is paused for that time,
+// at most Config.MaxRetryAfter. 0 means no pause.
 func (in *Intake) Rejected(now float64, submission uint64, retryAfter float64) {
 	reading := in.endSubmission(submission)
 	if reading == nil {
--- a/internal/edge/store/page.go
+++ b/internal/edge/store/page.go
@@ -18,8 +18,8 @@
 func pageFlags(b []byte) uint16 { return binary.LittleEndian.Uint16(b[pageFlagsOffset:]) }
 
 // parsePage reads the header of the page in b. It returns an error if that is
-// neither a branch nor a leaf, or if its elements exceed b. b must hold a page
-// header.
+// neither a leaf nor a branch with entries, or if its elements exceed b. b must
+// hold a page header.
 func parsePage(name string, b []byte) (page, error) {
 	flags := pageFlags(b)
 	p := page{
--- a/internal/edge/store/verify.go
+++ b/internal/edge/store/verify.go
@@ -185,8 +185,8 @@
 	return nil
 }
 
-// child verifies the subtree of a branch's entry, whose keys must be before
-// the key of the next entry.
+// child verifies the subtree of a branch's entry, whose keys must be before the
+// key of the next entry.
 func (v *verifier) child(p page, index int, e entry, keys keyRange, depth int) error {
 	below := keyRange{from: e.key, before: keys.before}
 	if index+1 < p.count {
@@ -199,8 +199,8 @@
 	return v.tree(e.child, below, depth+1)
 }
 
-// bucket verifies a nested bucket. The value holds the page number of its
-// root, or 0 and the whole bucket as an inline page.
+// bucket verifies a nested bucket. The value holds the page number of its root,
+// or 0 and the whole bucket as an inline page.
 func (v *verifier) bucket(value []byte, depth int) error {
 	if len(value) < bucketHeaderSize {
 		return fmt.Errorf("bucket of %d bytes is too short", len(value))
