--- a/cmd/lotusbend/serving_test.go
+++ b/cmd/lotusbend/serving_test.go
@@ -101,7 +101,7 @@
 	h := accept(t, l)
 	h.message()
 	_ = h.c.Close()
-	bed.waitUntil(func() bool { _, hosts := bed.node.budget.Open(); return hosts == 0 })
+	bed.waitUntil(func() bool { _, hosts := bed.node.budget.InUse(); return hosts == 0 })
 	p.want(bed.advanceToAnswer(p), "57014")
 }
 
@@ -408,7 +408,7 @@
 	nothing, begun, idle := bed.dial(), bed.client(), bed.client()
 	idle.query("SELECT 1")
 	idle.want(idle.answer(), "42601")
-	bed.waitUntil(func() bool { clients, _ := bed.node.budget.Open(); return clients == 4 })
+	bed.waitUntil(func() bool { clients, _ := bed.node.budget.InUse(); return clients == 4 })
 	bed.advance(1990)
 	h.write(rowAnswer(write, "late", "off"))
 	busy.want(busy.answer(), "late")
@@ -421,7 +421,7 @@
 	idle.want(idle.answer(), "closed")
 	busy.want(busy.answer(), "closed")
 	bed.advance(1000) // the time to disconnect after the error, which none of them uses
-	bed.waitUntil(func() bool { clients, _ := bed.node.budget.Open(); return clients == 0 })
+	bed.waitUntil(func() bool { clients, _ := bed.node.budget.InUse(); return clients == 0 })
 }
 
 // A statement with the id of a pending request is rejected, as their answers could
--- a/internal/netio/descriptors.go
+++ b/internal/netio/descriptors.go
@@ -30,8 +30,8 @@
 	b.MaxActiveClients = max(descriptors/3, 1)
 }
 
-// Open returns the numbers of reserved sockets of clients and to endpoints.
-func (b *DescriptorBudget) Open() (clients, endpoints int) { return b.clients, b.endpoints }
+// InUse returns the numbers of reserved sockets of clients and to endpoints.
+func (b *DescriptorBudget) InUse() (clients, endpoints int) { return b.clients, b.endpoints }
 
 // AcquireClient reserves a client's socket and reports whether one was available.
 func (b *DescriptorBudget) AcquireClient() bool {
--- a/internal/postgres/back/cancel_test.go
+++ b/internal/postgres/back/cancel_test.go
@@ -101,7 +101,7 @@
 // openConns returns how many connections count against the descriptor budget. It
 // must be called inside Do.
 func (f *inFlight) openConns() int {
-	_, conns := f.pool.budget.Open()
+	_, conns := f.pool.budget.InUse()
 	return conns
 }
 
--- a/internal/postgres/front/disconnect_test.go
+++ b/internal/postgres/front/disconnect_test.go
@@ -69,7 +69,7 @@
 				if len(stub.submitted) != stub.cancelled {
 					t.Errorf("%s: submitted %d and cancelled %d requests, want as many", at, len(stub.submitted), stub.cancelled)
 				}
-				if clients, _ := stub.server.budget.Open(); clients != 0 {
+				if clients, _ := stub.server.budget.InUse(); clients != 0 {
 					t.Errorf("%s: budget counts %d clients, want 0", at, clients)
 				}
 				if len(stub.server.runningIDs) > 0 || stub.reservedBytes() != 0 {
--- a/internal/postgres/front/eviction_test.go
+++ b/internal/postgres/front/eviction_test.go
@@ -28,7 +28,7 @@
 	})
 	remote.expect(remote.readUntil(noSuchMessage), endOfConnection)
 	stub.loop.Do(func() {
-		if clients, _ := stub.server.budget.Open(); clients > 1 {
+		if clients, _ := stub.server.budget.InUse(); clients > 1 {
 			t.Errorf("budget counts %d clients, want at most 1", clients)
 		}
 	})
--- a/internal/postgres/front/partial_test.go
+++ b/internal/postgres/front/partial_test.go
@@ -59,7 +59,7 @@
 		}
 		_ = conn.Close()
 		for open := 1; open > 0; runtime.Gosched() {
-			loop.Do(func() { open, _ = server.budget.Open() })
+			loop.Do(func() { open, _ = server.budget.InUse() })
 		}
 	}
 }
