--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
 // Package clock provides the program's time source (clock.go) and the event loop
 // that runs its deadlines (loop.go). Times are milliseconds since the Unix epoch
-// as float64, the form in which the network protocols carry them. Only the
-// decision module uses time.Duration.
+// as float64, the form in which the network protocols carry them. The decision
+// module (package decide) takes times as time.Duration instead.
 package clock
 
 import (
@@ -33,12 +33,12 @@
 	return c
 }
 
-// Set sets a manual clock to a time in milliseconds. It panics for a clock that
-// was not made by Manual.
+// Set sets a manual clock to a time in milliseconds. Clocks that Shifted has made
+// from it change with it. Set panics for a system clock.
 func (c *Clock) Set(at float64) { c.manual.Store(math.Float64bits(at)) }
 
-// Shifted returns a clock that is always ms milliseconds ahead of c. It is used to
-// test routers whose clocks disagree.
+// Shifted returns a clock that is always ms milliseconds ahead of c, or behind it
+// if ms is negative. It is used to test routers whose clocks disagree.
 func (c *Clock) Shifted(ms float64) *Clock {
 	shifted := *c
 	shifted.offset += ms
--- a/internal/clock/loop.go
+++ b/internal/clock/loop.go
@@ -17,10 +17,10 @@
 // must be called inside Do.
 type Loop struct {
 	clock *Clock
-	wake  chan struct{} // receives a value when the earliest deadline has changed
+	wake  chan struct{} // receives a value when At has added the earliest deadline
 
 	mu        sync.Mutex
-	now       float64 // time of the event in progress, in ms
+	now       float64 // time of the event in progress or of the last one, in ms
 	deadlines timerheap.Heap[func()]
 	posted    []func()
 }
@@ -90,8 +90,8 @@
 	return fired
 }
 
-// Fire runs all deadlines that are due, in the order of their times. It must not
-// be called inside Do.
+// Fire runs all deadlines that are due, in the order of their times. The functions
+// that one of them posts run before the next one. It must not be called inside Do.
 func (l *Loop) Fire() {
 	l.Do(func() {
 		for {
--- a/internal/netio/close_test.go
+++ b/internal/netio/close_test.go
@@ -95,7 +95,7 @@
 	}
 	close(local.allowWriting)
 	if err := <-done; err != nil {
-		t.Errorf("Send before Finish: %v", err)
+		t.Errorf("Send before Finish: %v, want nil", err)
 	}
 	b := make([]byte, 99)
 	n, err := syscall.Read(peer, b)
--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -12,8 +12,8 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// maxQueuedBytes bounds the bytes queued on one connection. A peer that lets more
-// accumulate is disconnected.
+// maxQueuedBytes bounds the bytes queued on one connection, without those that are
+// being written. A peer that lets more accumulate is disconnected.
 const maxQueuedBytes = 1 << 20
 
 // ErrUnsent is the error of a Send whose bytes were not all passed to the operating
@@ -29,7 +29,7 @@
 // half-closed. Then the peer closes the connection, or the owner calls Close if
 // the peer takes too long. Closing at once while bytes from the peer arrive would
 // reset the connection, and the reset could discard the bytes sent last before
-// the peer reads them.
+// the peer reads them. Abandon is for a connection whose queued bytes may be lost.
 type Conn struct {
 	nc net.Conn
 
@@ -117,10 +117,10 @@
 	}
 }
 
-// Quiet reports whether the connection is open and nothing from the peer is
-// unread, neither bytes nor the end of its stream. It checks the socket's receive
-// queue before the read buffer, because the poller may move bytes from the first
-// to the second in between.
+// Quiet reports whether the connection still accepts bytes and nothing from the
+// peer is unread, neither bytes nor the end of its stream. It checks the socket's
+// receive queue before the read buffer, because the poller may move bytes from the
+// first to the second in between.
 func (c *Conn) Quiet() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,7 +151,8 @@
 }
 
 // FinishIfQuiet calls Finish if the connection is Quiet, and reports whether it
-// did. Bytes that arrive later were sent before the peer received the half-close.
+// did. Bytes that arrive later may have been sent before the peer received the
+// half-close.
 func (c *Conn) FinishIfQuiet() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -216,10 +217,10 @@
 }
 
 // halfClose shuts down the writing side. c.mu must be held and c must not be
-// closed. Then the descriptor still belongs to this connection, because the close
-// callback acquires the lock before the descriptor is closed.
+// closed, so that the descriptor cannot have been reused: netpoll closes it after
+// the owner's close callback, which calls Close and so needs c.mu.
 func (c *Conn) halfClose() {
-	switch conn := c.nc.(type) { // errors are ignored: the peer has closed the connection
+	switch conn := c.nc.(type) { // fails only if the peer has ended the connection, so errors are ignored
 	case interface{ Fd() int }:
 		_ = syscall.Shutdown(conn.Fd(), syscall.SHUT_WR)
 	case interface{ CloseWrite() error }:
--- a/internal/netio/descriptors.go
+++ b/internal/netio/descriptors.go
@@ -5,7 +5,7 @@
 type DescriptorBudget struct {
 	MaxSockets       int // limit on all sockets
 	MaxClients       int // limit on clients' sockets
-	MaxActiveClients int // limit on sockets of clients that have sent a request, enforced by the owner
+	MaxActiveClients int // limit on clients that have sent a request; near it the owner evicts idle ones
 	clients          int // reserved sockets of clients
 	endpoints        int // reserved sockets to endpoints
 }
@@ -48,8 +48,8 @@
 // Available returns how many more sockets may be reserved.
 func (b *DescriptorBudget) Available() int { return max(b.MaxSockets-b.clients-b.endpoints, 0) }
 
-// ClientPressure reports whether clients use more than half of their sockets. The
-// other half is kept for new clients.
+// ClientPressure reports whether clients use more than half of MaxClients. The
+// owner then ends idle connections earlier, to leave sockets for new clients.
 func (b *DescriptorBudget) ClientPressure() bool { return b.clients > b.MaxClients/2 }
 
 // AcquireEndpoint reserves a socket to an endpoint and reports whether one was
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -72,8 +72,9 @@
 // Fail implements decide.Actions.
 func (a *actions) Fail(id uint64) { a.answer(id, Answer{Verdict: Failed}) }
 
-// answer delivers a request's final answer. The request's slot is freed in a
-// later event, because the decision module may still use the request's ID.
+// answer delivers a request's final answer. The request's slot is freed only after
+// the event in progress, because the decision module may still use the request's
+// ID.
 func (a *actions) answer(id uint64, answer Answer) {
 	r := (*Router)(a)
 	handle := slotmap.FromID(id)
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -13,7 +13,7 @@
 	Text     []byte
 	WaitFrom int  // index of the first digit in Text
 	WaitTo   int  // index after the last digit in Text
-	Write    bool // the position in the answer is that of the statement's commit
+	Write    bool // the position in the answer is that of the statement's commit; set by Submit
 }
 
 // Request is a client's request, independent of the client's protocol. Its
@@ -62,7 +62,8 @@
 	Answer(clientHandle slotmap.Handle, answer Answer)
 }
 
-// trackedRequest is a request from its submission until its last attempt ends.
+// trackedRequest is a request from its submission until it is answered and its
+// last attempt has ended.
 type trackedRequest struct {
 	Request
 	id            uint64 // identifies the request to the decision module
@@ -79,7 +80,8 @@
 func (r *Router) PendingRequests() int { return r.pending }
 
 // Submit routes a request. Its final answer is delivered to client with
-// clientHandle. The returned handle identifies the request to ClientCancelled.
+// clientHandle, possibly before Submit returns. The returned handle identifies the
+// request to ClientCancelled.
 func (r *Router) Submit(submitted Request, client Client, clientHandle slotmap.Handle) slotmap.Handle {
 	consistency := r.cfg.Classes[submitted.Class].Consistency
 	submitted.Statement.Write = consistency == decide.Write
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -19,8 +19,10 @@
 
 // Transport carries out attempts and health checks. Its methods do not block,
 // and do not call the Router before they have returned. It reports each attempt
-// that was not cancelled to AttemptEnded and each health check to HealthChecked,
-// once.
+// that was not cancelled to Router.AttemptEnded and each health check to
+// Router.HealthChecked, once. It calls Router.MaySend before it writes an attempt
+// that had to wait for a connection, and may report an answer to a cancelled
+// attempt to Router.LateAnswer.
 type Transport interface {
 	// Send starts an attempt that may take up to wait milliseconds. The returned
 	// handle identifies it to Cancel.
--- a/internal/slotmap/slotmap.go
+++ b/internal/slotmap/slotmap.go
@@ -1,12 +1,12 @@
 // Package slotmap provides tables of numbered slots, used for connections and
-// requests. A handle holds a slot's generation, so that a handle to a removed
-// value is detected after its slot is reused. Tables are not safe for concurrent
-// use.
+// requests. A handle holds the number of a slot and its generation, which changes
+// with each value, so that a handle to a removed value does not refer to the value
+// that reuses its slot. Tables are not safe for concurrent use.
 package slotmap
 
-// Handle refers to a slot at one generation. Once the value is removed, the handle
-// refers to nothing, so a late event does not reach the slot's next value. The
-// zero Handle refers to nothing.
+// Handle refers to the value in a slot at one generation. Once that value is
+// removed, the handle refers to nothing, so a late event does not reach the slot's
+// next value. The zero Handle refers to nothing.
 type Handle struct {
 	Slot uint32
 	Gen  uint32 // the slot's generation, from 1; 0 in the zero Handle
@@ -19,6 +19,7 @@
 func FromID(id uint64) Handle { return Handle{Slot: uint32(id), Gen: uint32(id >> 32)} }
 
 // maxGeneration keeps IDs below 2^52, as in the simulator of the decision module.
+// The generations of a slot start again from 1 after it.
 const maxGeneration = 1<<20 - 1
 
 type slot[T any] struct {
--- a/internal/timerheap/timerheap_test.go
+++ b/internal/timerheap/timerheap_test.go
@@ -48,7 +48,7 @@
 	}
 	h.Cancel(nil)
 	if h.Len() != len(timers)-len(cancelled) {
-		t.Errorf("Len() = %d of %d timers after %d were cancelled", h.Len(), len(timers), len(cancelled))
+		t.Errorf("Len() = %d after %d of %d timers were cancelled, want the rest", h.Len(), len(cancelled), len(timers))
 	}
 	count := 0
 	for {
