--- a/internal/postgres/pipeline/pipeline.go
+++ b/internal/postgres/pipeline/pipeline.go
@@ -5,7 +5,8 @@
 package pipeline
 
 // Window is the number of entries at the head of a queue from which commands may be
-// started. It limits how many commands of a connection run or keep an answer.
+// started. It limits how many started commands of a connection run or keep their
+// answer until earlier answers are sent.
 const Window = 64
 
 // Access describes what a command reads or writes, which determines the order of
@@ -83,7 +84,7 @@
 }
 
 // Merge adds an answered command to the last entry if that entry has the same answer,
-// and reports whether it did. Answers are the same only if they are the same slice in
+// and reports whether it did. Answers are the same only if they are the same bytes in
 // memory. Merging lets a flood of such commands use no additional memory.
 func (q *Queue[T]) Merge(answer []byte) bool {
 	if len(q.commands) == 0 || len(answer) == 0 {
@@ -93,7 +94,7 @@
 	if newest.state != answered || newest.last || len(newest.answer) == 0 {
 		return false
 	}
-	if &newest.answer[0] != &answer[0] { // an equal slice elsewhere in memory does not count
+	if &newest.answer[0] != &answer[0] { // equal bytes elsewhere in memory are not the same answer
 		return false
 	}
 	newest.copies++
@@ -144,7 +145,8 @@
 // NextAnswers removes the answers at the head of the queue, up to the first command
 // without one: as many as fit into size bytes, but at least one if there is any. It
 // returns their concatenation, the entries that were removed, and whether the
-// connection ends after these bytes.
+// connection ends after these bytes. An entry of merged commands is removed with the
+// last of its answers.
 func (q *Queue[T]) NextAnswers(size int) (answers []byte, done []*Command[T], last bool) {
 	for len(q.commands) > 0 && !last {
 		oldest := q.commands[0]
--- a/internal/postgres/pipeline/pipeline_test.go
+++ b/internal/postgres/pipeline/pipeline_test.go
@@ -132,7 +132,7 @@
 		var answers []byte
 		answers, _, last = queue.NextAnswers(64)
 		if len(answers) > 64 {
-			t.Errorf("NextAnswers(64) returned %d bytes", len(answers))
+			t.Errorf("NextAnswers(64) returned %d bytes, want at most 64", len(answers))
 		}
 		sent += string(answers)
 	}
--- a/internal/postgres/wire/append.go
+++ b/internal/postgres/wire/append.go
@@ -95,7 +95,7 @@
 	b = append(b, 0, 0, 0, 0, 0, 0) // not a column of a table
 	b = binary.BigEndian.AppendUint32(b, column.Type)
 	b = binary.BigEndian.AppendUint16(b, uint16(column.Size))
-	b = append(b, 0xff, 0xff, 0xff, 0xff, 0, 0) // no type modifier
+	b = append(b, 0xff, 0xff, 0xff, 0xff, 0, 0) // no type modifier, text format
 	if column.Binary {
 		b[len(b)-1] = 1
 	}
--- a/internal/postgres/wire/extended.go
+++ b/internal/postgres/wire/extended.go
@@ -144,14 +144,15 @@
 	return endMessage(b, lengthAt)
 }
 
-// fieldReader reads the fields of a message body in order. After an error it returns
-// zero values.
+// fieldReader reads the fields of a message body in order. A field that exceeds the
+// body, and every field after it, is returned as a zero value.
 type fieldReader struct {
 	unread  []byte
 	invalid bool // a field was malformed or exceeded the body
 }
 
-// next reads n bytes. It returns nil and fails if the body has fewer.
+// next reads n bytes. If the body has fewer, it marks the body as invalid and returns
+// nil.
 func (f *fieldReader) next(n int) []byte {
 	if n < 0 || n > len(f.unread) {
 		f.fail()
--- a/internal/postgres/wire/extended_test.go
+++ b/internal/postgres/wire/extended_test.go
@@ -53,7 +53,7 @@
 		other, err := ParseExtended(b[0], AppendExtended(nil, m, "lb_other")[HeaderLen:])
 		notRenamed := !m.IsPortal && len(m.Statement) > 0 && string(other.Statement) != "lb_other"
 		if err != nil || notRenamed || !bytes.Equal(other.Portal, m.Portal) || !bytes.Equal(other.rest, m.rest) {
-			t.Errorf("%s with another statement name: got %+v, %v", name, other, err)
+			t.Errorf("%s with another statement name: got %+v, %v, want no other difference", name, other, err)
 		}
 	}
 }
--- a/internal/postgres/wire/message_test.go
+++ b/internal/postgres/wire/message_test.go
@@ -10,15 +10,15 @@
 	column := Column{Name: []byte("doc"), Type: 17, Size: -1, Binary: true}
 	if got, err := ParseRowDescription(AppendRowDescription(nil, column)[HeaderLen:]); err != nil ||
 		string(got.Name) != "doc" || got.Type != 17 || got.Size != -1 || !got.Binary {
-		t.Errorf("RowDescription: got %+v, %v", got, err)
+		t.Errorf("RowDescription: got %+v, %v, want %+v", got, err, column)
 	}
 	value, err := ParseDataRow(AppendDataRow(nil, []byte{0, 1})[HeaderLen:])
 	if err != nil || !bytes.Equal(value, []byte{0, 1}) {
-		t.Errorf("DataRow: got %q, %v", value, err)
+		t.Errorf("DataRow: got %q, %v, want the bytes 0 and 1", value, err)
 	}
 	e, err := ParseErrorResponse(AppendErrorResponse(nil, "ERROR", "53300", "no", "250")[HeaderLen:])
 	if err != nil || string(e.Code) != "53300" || string(e.Message) != "no" {
-		t.Errorf("ErrorResponse: got %q, %v", e, err)
+		t.Errorf("ErrorResponse: got %q, %v, want code 53300 and message no", e, err)
 	}
 }
 
--- a/internal/postgres/wire/statement.go
+++ b/internal/postgres/wire/statement.go
@@ -8,21 +8,22 @@
 
 // Statement holds the parts of a client's statement that the router uses: the
 // fields of its comment and its first quoted string. Byte slices refer to the
-// text of the statement.
+// text of the statement. The name of a field in the comment is given in parentheses.
 type Statement struct {
-	ID                []byte // identifier of the request, chosen by the client
-	Class             []byte // name of the request class
-	RowKey            []byte // first quoted string, nil if there is none
-	HasIdempotencyKey bool
-	Group             int     // replica group
-	SessionCommitAt   float64 // Unix milliseconds of the session's last commit, 0 if none
-	Wait              float64 // milliseconds that the client waits for the answer
+	ID                []byte  // (id) identifier of the request, chosen by the client
+	Class             []byte  // (c) name of the request class
+	RowKey            []byte  // first quoted string, nil if there is none
+	HasIdempotencyKey bool    // (k) the idempotency key is not empty
+	Group             int     // (cluster) replica group, 0 to 65535
+	SessionCommitAt   float64 // (after) Unix milliseconds of the session's last commit, 0 if none
+	Wait              float64 // (d) milliseconds that the client waits for the answer
 	WaitFrom          int     // the digits of Wait are text[WaitFrom:WaitTo]
 	WaitTo            int
 }
 
 // ParseStatement parses a statement, which must end with a comment that has at least
-// the fields id, c, d and cluster. Errors wrap ErrMalformed.
+// the fields id, c, d and cluster. Only white space and semicolons may follow the
+// comment. Errors wrap ErrMalformed.
 func ParseStatement(text []byte) (Statement, error) {
 	s := Statement{Group: -1, Wait: -1}
 	open := bytes.LastIndex(text, []byte("/*"))
@@ -94,7 +95,8 @@
 	return nil
 }
 
-// Verb returns the first word of a statement, such as SELECT.
+// Verb returns the first word of a statement after leading white space, such as
+// SELECT. It is empty if anything but an ASCII letter comes first.
 func Verb(text []byte) []byte {
 	text = bytes.TrimLeft(text, " \t\r\n")
 	end := bytes.IndexFunc(text, func(r rune) bool {
--- a/internal/postgres/wire/statement_test.go
+++ b/internal/postgres/wire/statement_test.go
@@ -9,7 +9,7 @@
 	s, err := ParseStatement([]byte(read))
 	if err != nil || string(s.ID) != "9b1f" || string(s.Class) != "basket" || s.Wait != 480 || s.Group != 2 ||
 		s.SessionCommitAt != 1767225600123 || string(s.RowKey) != "7f3a" || read[s.WaitFrom:s.WaitTo] != "480" {
-		t.Errorf("ParseStatement of a read: got %+v, %v", s, err)
+		t.Errorf("ParseStatement(%q) = %+v, %v, want the fields of its comment", read, s, err)
 	}
 	for _, malformed := range []string{
 		"", "SELECT 1", "SELECT 1 /*", "/* */", "/* id=1,c=a,d=5,cluster=1 */ SELECT 1", "/* id=1,c=a,d=-5,cluster=1 */",
--- a/internal/postgres/wire/wire.go
+++ b/internal/postgres/wire/wire.go
@@ -18,8 +18,8 @@
 	HeaderLen        = 5     // type and length, at the head of every message after the startup phase
 	StartupHeaderLen = 4     // length, at the head of a message of the startup phase
 	MaxStartupLen    = 10000 // of a message of the startup phase; PostgreSQL's own limit
-	// MaxBodyLen is the maximum length of any other message's body. A value of
-	// 64 KiB takes up twice as many bytes in hexadecimal digits.
+	// MaxBodyLen is the maximum length of any other message's body. It leaves room
+	// for a value of 64 KiB, which takes up 128 KiB in hexadecimal digits.
 	MaxBodyLen    = 1 << 18
 	lengthLen     = 4  // the length field, which counts itself
 	minStartupLen = 8  // length and request code
@@ -40,7 +40,8 @@
 )
 
 // Message types, by their PostgreSQL names, except those in extended.go. The meaning
-// of a byte depends on the direction: S is Sync from a client, ParameterStatus to it.
+// of a byte depends on the direction: S is Sync from a client, but ParameterStatus to
+// a client.
 const (
 	Query              = 'Q'
 	Terminate          = 'X'
