--- a/internal/postgres/front/answers.go
+++ b/internal/postgres/front/answers.go
@@ -16,8 +16,8 @@
 	// sendBatchBytes limits the answers sent at once; a single answer may be
 	// longer. Further answers wait until the kernel has accepted the batch.
 	sendBatchBytes = 64 << 10
-	// maxErrorTextBytes is where the text of an error is truncated. It may quote a
-	// long statement, and the answer may stay in the queue for long.
+	// maxErrorTextBytes is the length to which the text of an error is truncated.
+	// It may quote a long statement, and the answer may stay in the queue for long.
 	maxErrorTextBytes = 200
 )
 
@@ -50,7 +50,8 @@
 }
 
 // appendAnswer appends the messages of a router's answer, without the
-// ReadyForQuery.
+// ReadyForQuery. The detail of a rejection is the advised delay before a retry, in
+// whole milliseconds.
 func appendAnswer(b []byte, answer router.Answer) []byte {
 	switch answer.Verdict {
 	case router.Served:
--- a/internal/postgres/front/client.go
+++ b/internal/postgres/front/client.go
@@ -24,7 +24,7 @@
 	partial     bool            // the last message received is incomplete
 	starting    bool            // startCommands is on the stack
 	skipping    bool            // after an error in the extended protocol: ignores messages up to Sync
-	idleSince   float64         // Unix milliseconds; no command is pending since then
+	idleSince   float64         // Unix milliseconds of the last beginIdle
 	idleTimer   *clock.Deadline // runs checkIdle
 	closeTimer  *clock.Deadline // closes the connection if answers or the close take too long
 	queue       pipeline.Queue[*statement]
@@ -45,8 +45,8 @@
 	c.server.reserveClients++
 }
 
-// busy reports whether a command is unanswered or an answer is not yet accepted
-// by the kernel.
+// busy reports whether a command is queued, with or without its answer, or the
+// kernel has not accepted all answers that were sent.
 func (c *client) busy() bool { return c.queue.Len() > 0 || c.sending }
 
 // reserveUnread sets the reservation for unparsed input to n bytes: the contents
--- a/internal/postgres/front/commands.go
+++ b/internal/postgres/front/commands.go
@@ -14,7 +14,7 @@
 // receive processes one message. It must be called inside Do. If it returns an
 // error, the connection must be ended after the answers to earlier commands.
 func (c *client) receive(kind byte, body []byte) error {
-	if c.closing { // the client retries a request sent after the half-close on another connection
+	if c.closing { // ignored: the client retries on another connection after the half-close
 		return nil
 	}
 	switch {
@@ -129,9 +129,9 @@
 	c.drainIfIdle()
 }
 
-// startCommands submits the queued statements that may run now. The oldest
-// command runs at once; one behind it, or behind answers that are being sent,
-// only if memory can be reserved for its answer.
+// startCommands submits the queued statements that may run now. The oldest command
+// runs at once unless answers are being sent. In that case, and for any other
+// command, memory must be available for the answer.
 func (c *client) startCommands() {
 	if c.starting { // the router answered inside Submit, called from the loop below
 		return
@@ -174,7 +174,7 @@
 		c.server.loop.Cancel(abandoned.deadlineTimer)
 		if command.Running() {
 			abandoned.removeRunning()
-			c.server.handler.ClientCancelled(abandoned.submitted)
+			c.server.handler.ClientCancelled(abandoned.requestHandle)
 		}
 	})
 	c.queue.Clear()
@@ -194,7 +194,7 @@
 	}
 	cancelled := command.Value
 	cancelled.removeRunning()
-	s.handler.ClientCancelled(cancelled.submitted)
+	s.handler.ClientCancelled(cancelled.requestHandle)
 	cancelled.answer(cancelledAnswer)
 	c.advance()
 }
--- a/internal/postgres/front/drain.go
+++ b/internal/postgres/front/drain.go
@@ -4,18 +4,19 @@
 
 // Phases of a drain, counted from its start.
 const (
-	// drainDelayMs is the time during which no connection is ended. Bytes received
-	// before the drain may be in transit from the kernel to the read buffer,
-	// where Quiet sees them in neither.
+	// drainDelayMs is the time during which no connection is ended for the drain.
+	// Bytes received before the drain may be in transit from the kernel to the
+	// read buffer, and Quiet would see them in neither place.
 	drainDelayMs = 10
 	// drainGraceMs is the time during which statements are still accepted, because
 	// they may have been received before the drain.
 	drainGraceMs = 100
 )
 
-// Drain starts to end all connections: idle ones now, the others after their
-// pending commands are answered. New connections and later statements are
-// rejected with CodeCannotConnectNow, after which clients retry elsewhere.
+// Drain starts to end all connections: idle ones after drainDelayMs, the others
+// after their pending commands are answered. New connections are rejected with
+// CodeCannotConnectNow at once, and statements after drainGraceMs, so that their
+// clients retry elsewhere.
 func (s *Server) Drain() {
 	s.draining = true
 	s.drainBegan = s.loop.Now()
--- a/internal/postgres/front/eviction.go
+++ b/internal/postgres/front/eviction.go
@@ -10,8 +10,8 @@
 	// crash of the router.
 	minReserveClients = 12
 	spareFraction     = 0.5
-	// activeFraction is the fraction of the connections available for requests
-	// above which active clients are evicted when they become idle.
+	// activeFraction is the fraction of DescriptorBudget.MaxActiveClients above
+	// which idle clients that have sent a statement are evicted.
 	activeFraction = 0.75
 )
 
@@ -24,7 +24,7 @@
 // did. It evicts, in order of preference, the longest idle client that has never
 // sent a statement; the longest idle client that has been idle for at least
 // partialTimeoutMs and has no unread input, as one that was idle for less may be
-// about to send a statement; and the client that has been closing longest.
+// about to send a statement; and the client that longestClosing returns.
 func (s *Server) evictOne() bool {
 	evicted := s.longestIdle(func(c *client) bool { return !c.active })
 	if evicted == nil {
@@ -70,11 +70,11 @@
 	c.halfClose()
 }
 
-// evictIdle evicts the longest idle active client if active clients hold more
-// than activeFraction of the connections available for requests. If each client
-// sent one request and kept its connection, none would be left for the next
-// request, which would then fail on the client's side without this router
-// noticing. The protocol allows closing a connection between requests.
+// evictIdle evicts the longest idle active client, if there are more active clients
+// than activeFraction of MaxActiveClients. If each client sent one request and kept
+// its connection, none would be left for the next request, which would then fail on
+// the client's side without this router noticing. The protocol allows closing a
+// connection between requests.
 func (s *Server) evictIdle() {
 	if float64(s.activeClients) <= activeFraction*float64(s.budget.MaxActiveClients) {
 		return
--- a/internal/postgres/front/front.go
+++ b/internal/postgres/front/front.go
@@ -148,7 +148,8 @@
 // clientFromContext returns the client of a connection's context.
 func clientFromContext(ctx context.Context) *client { return ctx.Value(contextKey{}).(*client) }
 
-// accepted allocates a slot for a new connection, or marks it as rejected.
+// accepted allocates a slot for a new connection, or marks it as rejected. netpoll
+// calls it, outside Do.
 func (s *Server) accepted(nc netpoll.Connection) context.Context {
 	c := &client{server: s, conn: netio.NewConn(nc), secret: rand.Uint32()}
 	s.loop.Do(func() {
@@ -170,9 +171,10 @@
 	return context.WithValue(context.Background(), contextKey{}, c)
 }
 
-// connected ends a connection that was rejected. netpoll calls it after it has
-// registered the descriptor; a descriptor closed before that could already be
-// reused by another connection when it is registered.
+// connected ends a connection that was rejected, and does nothing for any other.
+// netpoll calls it, outside Do, after it has registered the descriptor; a
+// descriptor closed before that could already be reused by another connection when
+// it is registered.
 func (s *Server) connected(ctx context.Context, _ netpoll.Connection) context.Context {
 	c := clientFromContext(ctx)
 	if c.rejection == nil {
--- a/internal/postgres/front/input.go
+++ b/internal/postgres/front/input.go
@@ -10,15 +10,16 @@
 
 const (
 	// maxDiscardedBytes is how many bytes a client may send after the half-close
-	// or after a protocol error before its connection is closed.
+	// or after a protocol error before its connection is closed. Bytes that arrive
+	// while answers to it are pending are not counted.
 	maxDiscardedBytes = 64 << 10
 	// smallMessageBytes is the largest amount of unparsed input that a client may
 	// have even if the memory budget is exceeded.
 	smallMessageBytes = 8 << 10
 )
 
-// Errors that end the reading from a client. Except for errTerminate, their
-// texts are sent to the client.
+// Errors that end a connection. Except for errTerminate, their texts are sent to
+// the client.
 var (
 	errOutOfMemory        = errors.New("out of memory for what was sent ahead of the answers")
 	errTerminate          = errors.New("the client ends the connection")
@@ -124,7 +125,7 @@
 	body := message[wire.StartupHeaderLen:]
 	switch code := wire.StartupCode(body); {
 	case code == wire.SSLRequest, code == wire.GSSENCRequest:
-		c.conn.Send([]byte{'N'}, nil)
+		c.conn.Send([]byte{'N'}, nil) // the connection stays unencrypted
 		return nil
 	case code == wire.CancelRequest:
 		if process, secret, ok := wire.ParseCancelRequest(body); ok {
--- a/internal/postgres/front/statement.go
+++ b/internal/postgres/front/statement.go
@@ -16,13 +16,13 @@
 	// maxWaitMs is the longest timeout of a statement; a longer one that a client
 	// requests is reduced to it.
 	maxWaitMs = 60000
-	// answerReserveBytes is reserved for the answer to a statement that runs while
-	// an earlier one is unanswered. A value has at most 64 KiB.
+	// answerReserveBytes is reserved for the answer to a statement that starts
+	// while earlier answers are pending or being sent. A value has at most 64 KiB.
 	answerReserveBytes = 65 << 10
 )
 
-// statement is a queued command. request is set only for commands that are
-// submitted to the router.
+// statement is a queued command. A command that is answered without being submitted
+// to the router has only client and reservedBytes.
 type statement struct {
 	client        *client
 	command       *pipeline.Command[*statement]
@@ -31,8 +31,8 @@
 	receivedAt    float64         // Unix milliseconds
 	deadlineTimer *clock.Deadline // expires the statement while it is queued
 	reservedBytes int             // in the server's queuedMemory
-	running       slotmap.Handle  // its entry in the server's table of running statements
-	submitted     slotmap.Handle  // the router's handle for the request
+	runningHandle slotmap.Handle  // in server.running while the statement runs
+	requestHandle slotmap.Handle  // of the request, for RequestHandler.ClientCancelled
 }
 
 // parse parses a statement and determines the access that decides its order of
@@ -84,8 +84,9 @@
 	return max(hash.Sum64(), 1)
 }
 
-// start submits a statement. timeLeft is the time until the client's deadline,
-// in milliseconds.
+// start submits a statement, or answers it with an error if another running
+// statement has the same identifier. timeLeft is the time until the client's
+// deadline, in milliseconds.
 func (c *client) start(next *statement, timeLeft float64) {
 	server := c.server
 	server.loop.Cancel(next.deadlineTimer)
@@ -98,18 +99,18 @@
 	}
 	server.runningIDs[next.id] = struct{}{}
 	next.command.Start()
-	next.running = server.running.Add(next)
+	next.runningHandle = server.running.Add(next)
 	next.request.TimeLeft = max(timeLeft, 0)
-	submitted := server.handler.Submit(next.request, server, next.running)
+	submitted := server.handler.Submit(next.request, server, next.runningHandle)
 	if next.command.Running() { // otherwise it was answered inside Submit
-		next.submitted = submitted
+		next.requestHandle = submitted
 	}
 }
 
 // removeRunning removes s from the server's running statements.
 func (s *statement) removeRunning() {
 	server := s.client.server
-	server.running.Remove(s.running)
+	server.running.Remove(s.runningHandle)
 	delete(server.runningIDs, s.id)
 }
 
