--- a/internal/postgres/back/answer.go
+++ b/internal/postgres/back/answer.go
@@ -28,7 +28,8 @@
 )
 
 // stage is the last message of an answer that has arrived. The messages arrive in
-// the order of the constants.
+// the order of the constants, except that an ErrorResponse may take the place of any
+// of the others.
 type stage uint8
 
 const (
--- a/internal/postgres/back/answer_test.go
+++ b/internal/postgres/back/answer_test.go
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		if report, complete := received.report(&job{}); !complete || report.Outcome != want {
-			t.Errorf("%s: got outcome %v, complete = %v", code, report.Outcome, complete)
+			t.Errorf("%s: got outcome %v, complete = %v, want %v, true", code, report.Outcome, complete, want)
 		}
 	}
 	if _, complete := (&answer{stage: rowRead}).report(&job{}); complete {
@@ -51,7 +51,7 @@
 		{"SELECT 1x", "SELECT 1", false},
 	} {
 		if got := tagMatches([]byte(c.tag), []byte(c.statement)); got != c.want {
-			t.Errorf("tagMatches(%q, %q) = %v, want the opposite", c.tag, c.statement, got)
+			t.Errorf("tagMatches(%q, %q) = %v, want %v", c.tag, c.statement, got, c.want)
 		}
 	}
 }
--- a/internal/postgres/back/characterization_exchanges_test.go
+++ b/internal/postgres/back/characterization_exchanges_test.go
@@ -143,9 +143,10 @@
 	return b
 }
 
-// failures are scenarios without an answer to the attempt or health check, by the
-// names under which the golden file has them.
-var failures = map[string]func(*fixture) string{
+// poolScenarios are scenarios that an exchange cannot describe: jobs that get no
+// connection or no answer, cancellations, and connections that the pool closes. They
+// have the names that the golden file gives them.
+var poolScenarios = map[string]func(*fixture) string{
 	"without-host": func(f *fixture) string {
 		f.loop.Do(func() { f.pool.Send(2, router.AttemptID{Number: 3}, router.Statement{}, 10) })
 		return f.report()
--- a/internal/postgres/back/characterization_test.go
+++ b/internal/postgres/back/characterization_test.go
@@ -40,7 +40,7 @@
 		got["heard-"+name], got["reported-"+name] = hex.EncodeToString(received), f.report()
 	}
 	got["heard-reused"], got["reported-reused"] = newFixture(t).reuse()
-	for name, run := range failures {
+	for name, run := range poolScenarios {
 		got["reported-"+name] = run(newFixture(t))
 	}
 	compareExpected(t, got)
@@ -289,15 +289,16 @@
 	return hex.EncodeToString(bytes), reported
 }
 
-// cancelled cancels an attempt and returns 01 if it had begun, otherwise 00.
-func (f *fixture) cancelled(sent slotmap.Handle) (begun string) {
+// cancelled cancels an attempt and returns 01 if Cancel reports that a byte of it may
+// have been written, otherwise 00.
+func (f *fixture) cancelled(sent slotmap.Handle) (maybeWritten string) {
 	f.loop.Do(func() {
-		begun = "00"
+		maybeWritten = "00"
 		if f.pool.Cancel(sent) {
-			begun = "01"
+			maybeWritten = "01"
 		}
 	})
-	return begun
+	return maybeWritten
 }
 
 // passTime advances the clock by ms milliseconds and runs the expired deadlines.
--- a/internal/postgres/back/connection.go
+++ b/internal/postgres/back/connection.go
@@ -44,7 +44,7 @@
 	job        *job            // in flight or, in the phase abandoned, cancelled
 	idleSince  float64         // Unix milliseconds
 	timeout    *clock.Deadline // ends the present phase
-	idleCloses int             // the endpoint's count when the connection began to open or settle
+	idleCloses int             // endpoint.idleCloses when the connection began to open or settle
 	answer     answer
 }
 
--- a/internal/postgres/back/job.go
+++ b/internal/postgres/back/job.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// lateAnswerWindowMs is how long a connection is still read after a read on it
-	// was cancelled. The answer may have been in transit at the cancellation, and
-	// the role of the endpoint that it reports counts as known to the router
-	// 100 ms after the endpoint has sent it, whether it was read or not.
+	// lateAnswerWindowMs is how long the answer to a cancelled read is still
+	// awaited. It may have been in transit at the cancellation, and the role of the
+	// endpoint that it reports counts as known to the router 100 ms after the
+	// endpoint has sent it, whether the router has received it or not.
 	lateAnswerWindowMs = 100
-	// maxWaitDigits is an upper bound on the digits of the client's timeout.
+	// maxWaitDigits is more than the digits of any timeout in milliseconds.
 	maxWaitDigits = 32
 )
 
@@ -114,20 +114,20 @@
 
 // Cancel implements router.Transport. It cancels an attempt that was sent by
 // ending its connection.
-func (p *Pool) Cancel(sent slotmap.Handle) (begun bool) {
+func (p *Pool) Cancel(sent slotmap.Handle) (maybeWritten bool) {
 	j := p.jobs.Get(sent)
 	if j == nil {
 		return true
 	}
-	begun = j.conn != nil
+	maybeWritten = j.conn != nil
 	p.detach(j)
 	p.remove(j)
-	return begun
+	return maybeWritten
 }
 
 // detach removes j from its connection or its endpoint's queue. It ends the
 // pool's side of the connection, which notifies the endpoint at once. A late
-// answer to a read is still read. A late answer to a write is not, because the
+// answer to a read is still received. A late answer to a write is not, because the
 // position of its commit would count as known to the session although the
 // session's next read may have been sent already.
 func (p *Pool) detach(j *job) {
--- a/internal/postgres/back/pool.go
+++ b/internal/postgres/back/pool.go
@@ -38,8 +38,12 @@
 // Options are the pool's timeouts in milliseconds. A value of 0 or less selects
 // the default.
 type Options struct {
-	ConnectTimeout float64 // for dialling and the startup; 250 by default
-	IdleTimeout    float64 // after which endpoints close idle connections; 30000 by default
+	// ConnectTimeout limits the dial and the startup together, the wait of an
+	// attempt for a connection, and a whole health check. The default is 250.
+	ConnectTimeout float64
+	// IdleTimeout is the time after which endpoints close an idle connection. The
+	// default is 30000.
+	IdleTimeout float64
 }
 
 const (
@@ -113,7 +117,7 @@
 	if e == nil {
 		return
 	}
-	e.idleCloses++ // settling connections compare it when they become ready, and close
+	e.idleCloses++ // closes opening and settling connections once ready, unless a job waits
 	for len(e.idle) > 0 {
 		p.close(e.idle[0])
 	}
--- a/internal/postgres/back/status.go
+++ b/internal/postgres/back/status.go
@@ -51,7 +51,8 @@
 }
 
 // parseHealth parses a load report, which has names and values such as
-// x0=12.5,x1=1. ok is false if any part of it is malformed.
+// x0=12.5,x1=1. It ignores the values of other names than the position and the role,
+// but ok is false if any part of the report is malformed.
 func parseHealth(loadReport []byte) (status decide.ReplicationStatus, ok bool) {
 	for field := range bytes.SplitSeq(loadReport, []byte{','}) {
 		name, text, _ := bytes.Cut(field, []byte{'='})
--- a/internal/postgres/back/status_test.go
+++ b/internal/postgres/back/status_test.go
@@ -7,10 +7,10 @@
 	"lotusbend/decide"
 )
 
-// TestParsePositionIsExactAndRoundsAsAsked checks that positions are converted
+// TestParsePositionIsExactAndRoundsInGivenDirection checks that positions are converted
 // exactly and rounded in the given direction. A position that is too high would
 // admit a stale read.
-func TestParsePositionIsExactAndRoundsAsAsked(t *testing.T) {
+func TestParsePositionIsExactAndRoundsInGivenDirection(t *testing.T) {
 	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 	for _, c := range []struct {
 		text    string
@@ -44,7 +44,7 @@
 		"x1=0,x0=2":                     {Role: decide.RoleReplica, Position: 2 * time.Second},
 	} {
 		if got, ok := parseHealth([]byte(text)); !ok || got != want {
-			t.Errorf("parseHealth(%q) = %+v, %v", text, got, ok)
+			t.Errorf("parseHealth(%q) = %+v, %v, want %+v, true", text, got, ok, want)
 		}
 	}
 	for _, malformed := range []string{
--- a/internal/postgres/back/truncated_test.go
+++ b/internal/postgres/back/truncated_test.go
@@ -51,7 +51,8 @@
 				complete := cut >= len(c.answer)
 				lost := reset && got == decide.Reset
 				if complete && got != c.outcome && !lost || !complete && got != decide.Reset {
-					t.Errorf("%s truncated after %d of %d bytes, reset = %v: got outcome %v", name, cut, len(whole), reset, got)
+					t.Errorf("%s truncated after %d of %d bytes, reset = %v: got outcome %v, want %v if complete (%v), otherwise %v",
+						name, cut, len(whole), reset, got, c.outcome, complete, decide.Reset)
 				}
 			}
 		}
