--- a/internal/postgres/front/front.go
+++ b/internal/postgres/front/front.go
@@ -2,10 +2,11 @@
 // their statements into requests to the router, and the router's answers into
 // protocol messages.
 //
-// Each connection is read in its own goroutine (input.go); all other code runs
-// inside the event loop's Do. The commands of a connection are queued
-// (commands.go): statements that do not conflict run concurrently, and their
-// answers are sent in the order of the commands (statement.go, answers.go).
+// Each connection is read in its own goroutine (input.go); all other code, except
+// where it says otherwise, runs inside the event loop's Do. The commands of a
+// connection are queued (commands.go): statements that do not conflict run
+// concurrently, and their answers are sent in the order of the commands
+// (statement.go, answers.go).
 // idle.go, eviction.go, drain.go and closing.go end connections.
 package front
 
--- a/internal/postgres/front/partial_test.go
+++ b/internal/postgres/front/partial_test.go
@@ -58,8 +58,8 @@
 			t.Errorf("%q: got %q, want 08P01 in it", text, got)
 		}
 		_ = conn.Close()
-		for clients := 1; clients > 0; runtime.Gosched() {
-			loop.Do(func() { clients, _ = server.budget.InUse() })
+		for open := 1; open > 0; runtime.Gosched() {
+			loop.Do(func() { open, _ = server.budget.InUse() })
 		}
 	}
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -104,6 +104,7 @@
 		TimeLeft: clock.Duration(submitted.TimeLeft),
 	}
 	if submitted.SessionCommitAt > 0 {
+		// At least 1 ns, as 0 would mean that the session has no commit.
 		arrived.SinceCommit = max(r.now()-clock.Duration(submitted.SessionCommitAt), 1)
 	}
 	if consistency == decide.Write || consistency == decide.Session {
