--- a/decide/admission.go
+++ b/decide/admission.go
@@ -35,8 +35,8 @@
 	primaryReadIncrease = 0.05
 )
 
-// admissionControl sheds load: each read draws one random number, and is admitted
-// if the number is less than the fraction.
+// admissionControl sheds load: each request draws one random number, and a read
+// that needs no primary is admitted unless the number exceeds the fraction.
 type admissionControl struct {
 	readFraction        float64 // of the reads that need no primary, the fraction that is admitted
 	primaryReadFraction float64 // of those reads, the fraction that may go to a primary
@@ -54,7 +54,8 @@
 	c.readFraction = min(1, c.readFraction+admissionIncrease)
 }
 
-// primaryAnswered records the end of an attempt at a primary.
+// primaryAnswered records the end of an attempt at a primary; see adaptConcurrency
+// for what counts as in time.
 func (c *admissionControl) primaryAnswered(inTime bool) {
 	if inTime {
 		c.primaryReadFraction = min(1, c.primaryReadFraction*(1+primaryReadIncrease))
@@ -102,7 +103,8 @@
 
 // drainQueue sends the queued requests of a group as far as there is capacity,
 // those of the greatest expected value first. It sheds requests that cannot finish
-// in time or have been queued for too long.
+// in time or have been queued for too long. One that remains may then be sent by
+// primary discovery.
 func (r *Router) drainQueue(group *replicaGroup, now time.Duration) {
 	slices.SortStableFunc(group.queue, func(a, b *trackedRequest) int {
 		return cmp.Compare(r.expectedValue(b, now), r.expectedValue(a, now))
@@ -118,8 +120,9 @@
 	})
 }
 
-// dequeue sends a queued request if an endpoint can take it, sheds it if it is too
-// late, and leaves it in the queue otherwise.
+// dequeue sheds a queued request that cannot finish in time, sends it if an
+// endpoint can take it, sheds it if no attempt was sent by its queue deadline, and
+// leaves it in the queue otherwise.
 func (r *Router) dequeue(request *trackedRequest, now time.Duration) {
 	if r.cannotFinishInTime(request, now) {
 		r.failEarly(request)
--- a/decide/breaker.go
+++ b/decide/breaker.go
@@ -6,8 +6,9 @@
 	// trialBackoffLatencyMultiple is the shortest backoff before a trial of an open
 	// circuit breaker, as a multiple of the endpoint's latency.
 	trialBackoffLatencyMultiple = 6
-	// maxTrialBackoff is the longest backoff between trials. The backoff doubles
-	// with each trial, so that few requests fail in a long outage.
+	// maxTrialBackoff is the longest backoff between trials, and after failed
+	// attempts. The backoff between trials doubles with each trial, so that few
+	// requests fail in a long outage.
 	maxTrialBackoff = 4 * time.Second
 )
 
--- a/decide/clientretries.go
+++ b/decide/clientretries.go
@@ -6,8 +6,8 @@
 	// timeLeftTolerance is the greatest difference between two times left that
 	// count as equal, due to the varying network latency from client to router.
 	timeLeftTolerance = 10 * time.Millisecond
-	// maxTimeLeftVotes is the greatest vote count of the typical time left, and
-	// so the number of differing requests that replace it.
+	// maxTimeLeftVotes is the greatest vote count of the typical time left, so
+	// that at most one differing request more than this replaces it.
 	maxTimeLeftVotes = 32
 	// maxPendingClientRetries is the greatest number of expected client retries.
 	maxPendingClientRetries = 1 << 14
--- a/decide/config.go
+++ b/decide/config.go
@@ -37,8 +37,8 @@
 	AnswersCarryPosition   bool          // every answer carries a replication position
 	SessionTokens          bool          // session reads carry a token; if false the router stores commits
 	HealthChecksReportRole bool          // health checks report role and position
-	PollOnly               bool          // the endpoint list is only sent when it is polled
-	PollInterval           time.Duration // longest interval between polls
+	PollOnly               bool          // endpoint list updates are sent only after Actions.WatchEndpoints
+	PollInterval           time.Duration // with PollOnly, the longest permitted interval between polls
 	MaxAttempts            int           // per request, 0 or less for no limit
 	ParallelAttempts       bool          // a request may have several attempts in flight
 	HealthChecks           bool          // endpoints answer health checks
@@ -48,7 +48,7 @@
 	SlowStartCapacity float64       // fraction of its full capacity that a restarted endpoint starts with
 	SlowStartDuration time.Duration // time from the start of an endpoint until it has full capacity
 	OverloadFactor    float64       // multiple of its current capacity that overloads a warming endpoint
-	OverloadDuration  time.Duration // how long that load must last to count as overload
+	OverloadDuration  time.Duration // how long that load must last to count as overload; affects no decision
 	RemovalEnforced   bool          // a removed endpoint must not receive any further request
 }
 
--- a/decide/deadline.go
+++ b/decide/deadline.go
@@ -14,7 +14,8 @@
 const expiryMargin = 2 * tickInterval
 
 // enforceDeadline answers a request at its deadline, and replaces its attempt if
-// that is stuck.
+// that is stuck. It abandons the attempts of an answered request at the end of the
+// retention period.
 func (r *Router) enforceDeadline(request *trackedRequest, now time.Duration) {
 	if request.answered && now > request.expiresAt+retentionPeriod {
 		r.abandonAttempts(request, now)
@@ -42,11 +43,12 @@
 	}
 }
 
-// replaceStuckAttempt cancels the only attempt of a request if it is stuck, and
-// sends another one to an endpoint that selectEndpoint returns, or to the same
-// primary if there is none. This recovers from lost answers and from connections
-// that stopped transmitting. The retry budget limits the cost where the attempt
-// was merely slow.
+// replaceStuckAttempt cancels the only attempt in flight of a request if it is
+// stuck, and sends another one to an endpoint that selectEndpoint returns, or to
+// the same primary if there is none. This recovers from lost answers and from
+// connections that stopped transmitting. The retry budget limits the cost where
+// the attempt was merely slow. Without Config.ParallelAttempts nothing is replaced,
+// because a cancelled attempt is in flight until its end is reported.
 func (r *Router) replaceStuckAttempt(request *trackedRequest, now time.Duration) {
 	number := slices.IndexFunc(request.attempts, func(a attempt) bool { return a.endedAt == 0 })
 	current := &request.attempts[number]
@@ -69,8 +71,8 @@
 }
 
 // stuck reports whether an attempt is long overdue although its endpoint has served
-// an attempt that was sent at least the expected latency later. A long queue alone
-// does not let a later attempt overtake an earlier one.
+// another one that was sent more than the expected latency later. A long queue
+// alone does not let a later attempt overtake an earlier one.
 func (r *Router) stuck(current *attempt, now time.Duration) bool {
 	expected := max(current.endpoint.latency, r.latency)
 	overdue := float64(now-current.sentAt) > stuckLatencyMultiple*float64(expected)
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -15,4 +15,7 @@
 // routing.go (attempts and retries), outcome.go (what the end of an attempt
 // shows about its endpoint) and deadline.go. The state of an endpoint is kept
 // by endpoint.go, breaker.go, concurrency.go, slowstart.go and freshness.go.
+// endpointlist.go applies updates of the endpoint list, primary.go finds the
+// primary of a group, healthcheck.go starts health checks, and fleet.go is the
+// interface to what other routers share.
 package decide
--- a/decide/endpoint.go
+++ b/decide/endpoint.go
@@ -14,13 +14,13 @@
 
 	inFlight           int           // number of attempts in flight
 	unanswered         int           // number of those that were sent since the last answer
-	oldestUnansweredAt time.Duration // send time of the first of those
+	oldestUnansweredAt time.Duration // send time of the first of those, which may have ended since
 	lastAnsweredSentAt time.Duration // latest send time of a served attempt
 
-	consecutiveFailures int
+	consecutiveFailures int           // since the last served attempt; timeouts are not counted
 	busyUntil           time.Duration // until then other replicas are preferred
 	backoffUntil        time.Duration // until then it is not selected
-	unreachable         bool          // the last connection attempt failed
+	unreachable         bool          // the last failed attempt could not connect, and no answer followed
 	closeIdleUntil      time.Duration // until then idle connections to it are closed
 
 	limit     concurrencyLimit
@@ -28,12 +28,12 @@
 	slowStart slowStart
 
 	healthCheckInFlight bool
-	healthCheckWanted   bool          // a health check is due as soon as the budget and interval allow it
+	healthCheckWanted   bool          // a health check starts as soon as the budget and interval allow it
 	healthCheckedAt     time.Duration // start of the last health check
 
 	discoveryAttemptAt time.Duration // when primary discovery last tried it, or it last reported its role
-	removedAt          time.Duration
-	selectionWeight    float64 // in the current weighted draw
+	removedAt          time.Duration // when the list removed it
+	selectionWeight    float64       // in the current weighted draw
 }
 
 // replicaGroup is the state of a primary and its replicas.
@@ -81,7 +81,7 @@
 }
 
 // recordAnswer records that the endpoint has answered, and closes its circuit
-// breaker.
+// breaker. An answer that carries a position makes a health check unnecessary.
 func (r *Router) recordAnswer(endpoint *trackedEndpoint, now time.Duration) {
 	endpoint.lastAnswerAt = now
 	endpoint.unanswered = 0
--- a/decide/endpointlist.go
+++ b/decide/endpointlist.go
@@ -9,7 +9,8 @@
 	// initialWatchBackoff is the backoff after the first failed poll of the
 	// endpoint list. It doubles after each further failure, and jitter is applied.
 	initialWatchBackoff = 200 * time.Millisecond
-	// pollBackoffDivisor divides the poll interval to give the longest backoff.
+	// pollBackoffDivisor divides the poll interval to give the longest backoff,
+	// which is at least initialWatchBackoff.
 	pollBackoffDivisor = 4
 	// neverStarted is the start time of an endpoint before its first list entry
 	// is applied.
@@ -19,7 +20,7 @@
 // endpointWatch is the state of the polls of the endpoint list, with
 // Config.PollOnly.
 type endpointWatch struct {
-	active     bool // a poll is in progress
+	active     bool // from WatchEndpoints until WatchFailed
 	nextPollAt time.Duration
 	backoff    time.Duration
 }
@@ -32,7 +33,8 @@
 	w.backoff = min(2*w.backoff, max(pollInterval/pollBackoffDivisor, initialWatchBackoff))
 }
 
-// pollEndpointList polls the endpoint list if a poll is due.
+// pollEndpointList starts polling the endpoint list if it is not being polled and
+// the backoff has passed.
 func (r *Router) pollEndpointList(now time.Duration) {
 	if r.cfg.PollOnly && !r.watch.active && now >= r.watch.nextPollAt {
 		r.watch.active = true
@@ -47,7 +49,7 @@
 		r.watch.failed(0.5+r.rng.Float64(), r.cfg.PollInterval, now)
 		return
 	}
-	if kind != UpdateCachedSnapshot {
+	if kind != UpdateCachedSnapshot { // a cached one does not prove that polling works again
 		r.watch.backoff = initialWatchBackoff
 	}
 	if kind != UpdateDelta {
@@ -63,12 +65,12 @@
 
 // removeUnlisted removes the endpoints that are missing in a snapshot.
 func (r *Router) removeUnlisted(snapshot []Endpoint, now time.Duration) {
-	named := make(map[uint32]bool, len(snapshot))
+	listed := make(map[uint32]bool, len(snapshot))
 	for _, endpoint := range snapshot {
-		named[endpoint.ID] = true
+		listed[endpoint.ID] = true
 	}
 	for _, endpoint := range r.ordered {
-		if named[endpoint.ID] {
+		if listed[endpoint.ID] {
 			continue
 		}
 		removed := endpoint.Endpoint
@@ -96,7 +98,9 @@
 	return endpoint
 }
 
-// updateEndpoint applies one entry of the endpoint list.
+// updateEndpoint applies one entry of the endpoint list. An endpoint that is new,
+// has restarted or has returned to the list may be warming up, and a health check
+// of it is requested. A restart also clears its role and closes its circuit breaker.
 func (r *Router) updateEndpoint(endpoint *trackedEndpoint, entry Endpoint, now time.Duration) {
 	previous := endpoint.Endpoint
 	isNew := previous.StartedAt == neverStarted
@@ -149,7 +153,8 @@
 
 // announce handles an endpoint that the list names as the group's primary. It is
 // assumed to be the primary if the group has none and the endpoint itself has not
-// reported to be a replica.
+// reported to be a replica. A repeated announcement has no effect, so that it
+// does not override what the endpoints have reported since the first.
 func (g *replicaGroup) announce(endpoint *trackedEndpoint) {
 	if g.announcedPrimary == endpoint {
 		return
--- a/decide/events.go
+++ b/decide/events.go
@@ -38,8 +38,8 @@
 	Attempt        int // number of the attempt within its request, from 0
 	Endpoint       uint32
 	Outcome        Outcome
-	Latency        time.Duration
-	ClientAnswered bool // the client has already received its answer
+	Latency        time.Duration // from sending the attempt to its end
+	ClientAnswered bool          // the client has already received its answer
 	Status         ReplicationStatus
 }
 
@@ -53,8 +53,8 @@
 // Actions carries out the decisions of a Router. The Router calls it from within
 // its own methods; an implementation must not call back into the Router.
 type Actions interface {
-	// Send starts the next attempt of a request. A timeout of 0 means that the
-	// attempt ends at the client's deadline.
+	// Send starts the next attempt of a request; attempts are numbered from 0. A
+	// timeout of 0 means that the attempt ends at the client's deadline.
 	Send(request uint64, endpoint uint32, timeout time.Duration)
 	// Cancel cancels an attempt in flight.
 	Cancel(request uint64, attempt int)
@@ -68,7 +68,8 @@
 	CheckHealth(endpoint uint32)
 	// CloseIdle closes this router's idle connections to an endpoint.
 	CloseIdle(endpoint uint32)
-	// WatchEndpoints polls the endpoint list.
+	// WatchEndpoints starts polling the endpoint list, until an update of the kind
+	// WatchFailed reports that polling has ended.
 	WatchEndpoints()
 	// SetTimer schedules a call of Router.TimerFired with the token.
 	SetTimer(after time.Duration, token uint32)
--- a/decide/freshness.go
+++ b/decide/freshness.go
@@ -20,7 +20,7 @@
 	role           Role
 	roleReportedAt time.Duration // 0 if the role was never reported
 	position       time.Duration // greatest reported position, 0 if none
-	lag            time.Duration // smoothed
+	lag            time.Duration // smoothed; a rejected read can raise it
 	lagMeasuredAt  time.Duration // 0 if no lag was measured
 }
 
@@ -56,9 +56,10 @@
 
 // freshEnough reports whether a replica is fresh enough for the request. Where
 // replicas serve stale reads, only a reported position counts. Where they reject
-// stale reads, the position is estimated from the smoothed lag. A lag measured
-// longer ago than lagValidity is ignored there: an attempt may cost an Ineligible
-// answer, but otherwise a replica that has caught up would stay excluded.
+// stale reads, the position that the replica reaches while it lets the read wait is
+// estimated from the smoothed lag. A lag measured longer ago than lagValidity is
+// ignored there: an attempt may cost an Ineligible answer, but otherwise a replica
+// that has caught up would stay excluded.
 func (r *Router) freshEnough(request *trackedRequest, endpoint *trackedEndpoint, now time.Duration) bool {
 	required := r.requiredPosition(request, now)
 	if required <= 0 || endpoint.position >= required {
--- a/decide/healthcheck.go
+++ b/decide/healthcheck.go
@@ -26,7 +26,7 @@
 	// breaker, as a multiple of the latency. It is divided by the number of
 	// unanswered attempts.
 	silenceLatencyMultiple = 6.0
-	// minSilenceLatencyMultiple is the lower bound of the quotient. A healthy
+	// minSilenceLatencyMultiple is the lower bound of that quotient. A healthy
 	// endpoint rarely takes this long.
 	minSilenceLatencyMultiple = 2.5
 )
@@ -55,7 +55,7 @@
 	}
 	endpoint.healthCheckInFlight = false
 	if result.Outcome == Error || result.Outcome == Malformed {
-		return // the endpoint runs but reported no status, so the health check is repeated
+		return // the endpoint runs but reported no status, so a wanted health check is repeated
 	}
 	endpoint.healthCheckWanted = false
 	if result.Outcome != OK {
@@ -89,7 +89,7 @@
 	if status.Role == RoleUnknown {
 		return
 	}
-	reportedAt := now - maxReportAge // the time of a replica's report is unknown
+	reportedAt := now - maxReportAge // the time of a replica's report is unknown, so the oldest is assumed
 	if status.Role == RolePrimary {
 		reportedAt = status.Position // the position of a primary is the time of its report
 	}
@@ -99,21 +99,22 @@
 	}
 }
 
-// healthCheckBeforeUse reports whether an endpoint must pass a health check before
-// its first use. That is not required where every answer reports role and
-// position and replicas reject reads that they are too far behind for: there a
-// wrong choice costs one Ineligible answer, and health checks are limited by a
-// budget, because checking every endpoint from every router would cost a large
-// fleet more than it saves.
-func (r *Router) healthCheckBeforeUse() bool {
+// healthChecksRequired reports whether health checks are required rather than
+// limited by the budget, and whether fresh reads wait for that of the primary. They
+// are not required where every answer reports role and position and replicas
+// reject reads that they are too far behind for: there a wrong choice costs one
+// Ineligible answer, and checking every endpoint from every router would cost a
+// large fleet more than it saves.
+func (r *Router) healthChecksRequired() bool {
 	return r.cfg.StaleReadPolicy == ServeStale || !r.cfg.AnswersCarryPosition
 }
 
-// requestHealthCheck requests a health check of a replica that a read could use.
-// Where answers report no position, that is about once per staleness bound. Where
-// replicas serve stale reads, it is once the last position has become too old, as
-// otherwise the reads of many routers would go to the primary. It reports whether
-// a health check is pending whose result the read should wait for.
+// requestHealthCheck requests a health check of a replica that a read could use,
+// if one is needed. Where answers report no position, one is needed about once per
+// staleness bound. Where replicas serve stale reads, one is needed when the replica
+// is not fresh enough and its last report and health check are at least maxReportAge
+// old, as otherwise the reads of many routers would go to the primary. It reports
+// whether a health check is pending whose result the read should wait for.
 func (r *Router) requestHealthCheck(replica *trackedEndpoint, fresh bool, now time.Duration) (pending bool) {
 	age := now - max(replica.lagMeasuredAt, replica.healthCheckedAt)
 	positionAged := !fresh && r.cfg.StaleReadPolicy == ServeStale && age >= maxReportAge
@@ -145,7 +146,8 @@
 }
 
 // checkHealthIfDue starts a health check of a ready endpoint for which one was
-// requested, or to which no connection could be made.
+// requested, or to which no connection could be made. Only a requested one that is
+// not required waits until the budget covers it.
 func (r *Router) checkHealthIfDue(endpoint *trackedEndpoint, now time.Duration) {
 	if !r.cfg.HealthChecks || endpoint.State != Ready {
 		return
@@ -154,7 +156,7 @@
 	if endpoint.healthCheckInFlight && sinceLast < healthCheckTimeout {
 		return
 	}
-	affordable := r.healthCheckBeforeUse() || r.healthChecks.tokens >= 1
+	affordable := r.healthChecksRequired() || r.healthChecks.tokens >= 1
 	wanted := endpoint.healthCheckWanted && sinceLast >= healthCheckInterval && affordable
 	waiting := endpoint.breaker.open || now < endpoint.backoffUntil
 	reconnect := endpoint.unreachable && waiting && sinceLast >= reconnectInterval
--- a/decide/outcome.go
+++ b/decide/outcome.go
@@ -13,7 +13,8 @@
 	// maxBackoffDoublings is how often the backoff doubles at most.
 	maxBackoffDoublings = 6
 	// closeIdleDuration is how long idle connections to an endpoint are closed
-	// after it has refused a connection.
+	// after it has refused a connection. Its connections may be used up, and an
+	// idle one would keep another router out.
 	closeIdleDuration = 10 * time.Second
 	// refusalLatencyDivisor divides an endpoint's latency to give the time within
 	// which a failed connection attempt was refused. A later failure means that
@@ -77,7 +78,8 @@
 }
 
 // recordStatus records the role and position that an endpoint reports with an
-// outcome, and the commit of a write. The request is nil if it is unknown.
+// outcome, and the commit of a write. The request is nil if the attempt is unknown
+// or had already ended.
 func (r *Router) recordStatus(
 	endpoint *trackedEndpoint, request *trackedRequest, result AttemptResult, now time.Duration,
 ) {
@@ -88,7 +90,7 @@
 		if result.Status.Role != RoleUnknown {
 			r.recordRole(endpoint, result.Status.Role, now)
 		}
-		// The position of an unknown request may be that of its commit.
+		// Without the request, the position may be that of a write's commit.
 		servedUnknown := result.Outcome == OK && request == nil
 		if !servedWrite && !servedUnknown {
 			r.recordPosition(endpoint, result.Status.Position, now)
@@ -158,7 +160,8 @@
 // recordFailure records a failed attempt. The endpoint is put in backoff, twice as
 // long after each consecutive failure, because an endpoint that fails fast has
 // few attempts in flight and would attract more requests. A timeout causes no
-// backoff, as it takes long by itself.
+// backoff, as it takes long by itself. A failure that suggests overload also lowers
+// the concurrency limit, as an answer that used its whole latency objective does.
 func (r *Router) recordFailure(ended *attempt, result AttemptResult, now time.Duration) {
 	endpoint, outcome := ended.endpoint, result.Outcome
 	latency := r.latencyOf(endpoint)
--- a/decide/primary.go
+++ b/decide/primary.go
@@ -11,7 +11,8 @@
 	// takes seconds.
 	primaryDiscoveryInterval = 100 * time.Millisecond
 	// readDiscoveryDelay is how long primary discovery waits for a write before it
-	// sends a fresh read.
+	// sends a fresh read. It counts from when the primary was last known, or from
+	// the last discovery attempt.
 	readDiscoveryDelay = 3 * time.Second
 	// reservedAttempts is the number of attempts of a request that primary
 	// discovery leaves for the primary that it finds.
@@ -45,9 +46,10 @@
 	}
 }
 
-// discoverPrimary sends one queued request to an endpoint that may be the primary:
-// an Ineligible answer is cheap and reports the endpoint's role. A newly announced
-// primary is tried first, then the endpoint whose last try is the longest ago.
+// discoverPrimary sends one queued request to an endpoint that may be the primary,
+// if the group's primary is unknown: an Ineligible answer is cheap and reports the
+// endpoint's role. discoveryPrefers gives the order in which endpoints are tried; a
+// newly announced primary counts as one that was never tried.
 func (r *Router) discoverPrimary(group *replicaGroup, now time.Duration) {
 	if !group.primaryUnknown() {
 		group.primaryKnownAt = now
@@ -81,7 +83,9 @@
 	return best
 }
 
-// discoveryAllowed reports whether primary discovery may try the endpoint.
+// discoveryAllowed reports whether primary discovery may try the endpoint. The due
+// trial of an open circuit breaker is left to idempotent requests until it is
+// overdue.
 func (r *Router) discoveryAllowed(endpoint *trackedEndpoint, now time.Duration) bool {
 	waiting := endpoint.breaker.open && !endpoint.breaker.overdue(now)
 	return endpoint.State == Ready && !waiting && now >= endpoint.backoffUntil &&
--- a/decide/request.go
+++ b/decide/request.go
@@ -93,7 +93,8 @@
 }
 
 // ClientCancelled reports that the client of a request has disconnected or
-// cancelled the request. An unknown id is ignored.
+// cancelled the request. The request is not retried any more; its attempts in
+// flight are not cancelled. An unknown id is ignored.
 func (r *Router) ClientCancelled(_ time.Duration, id uint64) {
 	if request := r.requests[id]; request != nil && !request.answered {
 		r.finish(request)
@@ -109,10 +110,11 @@
 	}
 }
 
-// failEarly answers a request with an error before its deadline and cancels its
-// attempts in flight. The request is rejected if the client can safely retry it,
-// and failed otherwise. A retry helps only after queues have drained or a primary
-// was found, so Retry-After is the longest wait that clients follow.
+// failEarly answers a request with an error, at its deadline at the latest, and
+// cancels its attempts in flight where that is possible. The request is rejected
+// if the client can safely retry it, and failed otherwise. A retry helps only after
+// queues have drained or a primary was found, so Retry-After is the longest wait
+// that clients follow.
 func (r *Router) failEarly(request *trackedRequest) {
 	if request.safeToReject() {
 		r.actions.Reject(request.ID, r.cfg.MaxRetryAfter)
--- a/decide/router.go
+++ b/decide/router.go
@@ -40,7 +40,7 @@
 	groups        map[int]*replicaGroup
 	orderedGroups []*replicaGroup // in the order of their creation
 	requests      map[uint64]*trackedRequest
-	active        requestList        // the requests of the map, oldest first
+	active        requestList        // the same requests as in the map, oldest first
 	candidates    []*trackedEndpoint // buffer that bestReplicas reuses
 
 	watch         endpointWatch
@@ -93,7 +93,7 @@
 }
 
 // TimerFired reports that a timer set with Actions.SetTimer has fired. It runs
-// the periodic checks and sets the next timer.
+// the periodic checks and sets the next timer. An unknown token is ignored.
 func (r *Router) TimerFired(now time.Duration, token uint32) {
 	if token != tickToken {
 		return
@@ -113,7 +113,7 @@
 }
 
 // latencyOf returns the endpoint's smoothed latency, or the router's average if
-// the endpoint never answered.
+// the endpoint never served an attempt.
 func (r *Router) latencyOf(endpoint *trackedEndpoint) time.Duration {
 	if endpoint.latency == 0 {
 		return r.latency
--- a/decide/routing.go
+++ b/decide/routing.go
@@ -71,20 +71,23 @@
 }
 
 // withinIdempotencyWindow reports whether a duplicate sent now would still be
-// dropped. The window starts when the first attempt is sent.
+// dropped when it arrives. The window starts when the first attempt that may have
+// been executed is sent; one tick is left for the transmission to the endpoint.
 func (request *trackedRequest) withinIdempotencyWindow(now time.Duration) bool {
 	return now+tickInterval < request.firstSentAt+request.class.IdempotencyWindow
 }
 
 // withinIdempotencyScope reports whether the endpoint drops duplicates of the
-// request's first attempt.
+// request's first attempt that may have been executed. All attempts go to the
+// request's own group, so only ScopeZone excludes endpoints.
 func (request *trackedRequest) withinIdempotencyScope(endpoint *trackedEndpoint) bool {
 	return request.class.IdempotencyScope != ScopeZone || endpoint.Zone == request.firstZone
 }
 
-// MaySend reports whether attempt number of request id, which has waited for a
-// connection, may still be written: meanwhile the request or the idempotency
-// window may have ended, or the endpoint may no longer be ready or fresh enough.
+// MaySend reports whether an attempt that has waited for a connection may still be
+// written: meanwhile the request or the idempotency window may have ended, or the
+// endpoint may no longer be ready or fresh enough. number is the attempt's number
+// within request id.
 func (r *Router) MaySend(now time.Duration, id uint64, number int) bool {
 	request := r.requests[id]
 	if request == nil || request.answered || now >= request.expiresAt {
@@ -111,8 +114,9 @@
 	return !request.class.Consistency.needsPrimary() && r.freshEnough(request, endpoint, now)
 }
 
-// retry retries a request whose last attempt in flight did not serve it, or answers
-// it with an error. elapsed is the time from sending that attempt to its end.
+// retry handles the end of an attempt after which the client has no answer. Unless
+// another attempt is in flight, it retries the request or answers it with an error.
+// elapsed is the time from sending the attempt to its end.
 func (r *Router) retry(
 	request *trackedRequest, endpoint *trackedEndpoint, outcome Outcome, elapsed, now time.Duration,
 ) {
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -53,7 +53,9 @@
 }
 
 // selectPrimary returns the primary of the request's group if it can take the
-// request within the given fraction of its concurrency limit, nil otherwise.
+// request within the given fraction of its concurrency limit, nil otherwise. A
+// fresh read also waits for a required health check of the primary, as otherwise an
+// endpoint that the list wrongly names as the primary might answer with old data.
 func (r *Router) selectPrimary(
 	request *trackedRequest, limitFraction float64, now time.Duration,
 ) *trackedEndpoint {
@@ -61,7 +63,7 @@
 	if primary == nil || !r.usable(request, primary, now) || !r.hasCapacity(primary, limitFraction, now) {
 		return nil
 	}
-	if request.class.Consistency == Fresh && primary.healthCheckWanted && r.healthCheckBeforeUse() {
+	if request.class.Consistency == Fresh && primary.healthCheckWanted && r.healthChecksRequired() {
 		return nil
 	}
 	return primary
@@ -113,8 +115,8 @@
 }
 
 // selectWeighted draws one of the endpoints at random, with the weight
-// 1 / (smoothed latency x (attempts in flight + 1)). An endpoint that never
-// answered counts with the average latency of the others.
+// 1 / (smoothed latency x (attempts in flight + 1)). An endpoint that never served
+// an attempt counts with the average latency of the others.
 func (r *Router) selectWeighted(endpoints []*trackedEndpoint) *trackedEndpoint {
 	unmeasured := r.averageLatency(endpoints)
 	total := 0.0
@@ -136,8 +138,8 @@
 	return endpoints[len(endpoints)-1]
 }
 
-// averageLatency returns the mean latency of those endpoints that have answered,
-// or the router's average if none has.
+// averageLatency returns the mean latency of those endpoints that have served an
+// attempt, or the router's average if none has.
 func (r *Router) averageLatency(endpoints []*trackedEndpoint) time.Duration {
 	var sum, measured time.Duration
 	for _, endpoint := range endpoints {
@@ -152,9 +154,9 @@
 	return sum / measured
 }
 
-// usable reports whether the request may be sent to the endpoint: the endpoint is
-// ready, not in backoff, not blocked by its circuit breaker, and was not recently
-// tried by this request.
+// usable reports whether the request may be sent to the endpoint: the request's own
+// limits allow it, and the endpoint is ready, not in backoff, not blocked by its
+// circuit breaker, and was not recently tried by this request.
 func (r *Router) usable(request *trackedRequest, endpoint *trackedEndpoint, now time.Duration) bool {
 	if endpoint.State != Ready || now < endpoint.backoffUntil {
 		return false
@@ -171,8 +173,9 @@
 	})
 }
 
-// mayBeTrial reports whether the request may be sent as the trial of the
-// endpoint's open circuit breaker. Only idempotent requests may.
+// mayBeTrial reports whether the request may be sent now as the trial of the
+// endpoint's open circuit breaker. Only idempotent requests may, and only while
+// the fleet does not deprioritize the endpoint.
 func (r *Router) mayBeTrial(request *trackedRequest, endpoint *trackedEndpoint, now time.Duration) bool {
 	return request.class.Idempotency == Idempotent && endpoint.breaker.allowsTrial(now) &&
 		!r.fleet.Deprioritized(endpoint.ID, now)
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -6,8 +6,8 @@
 	// slowStartRateFraction is the fraction of the permitted rate that is sent to
 	// a warming endpoint. The rest is a margin for random fluctuation.
 	slowStartRateFraction = 0.75
-	// maxSlowStartTokens is the greatest number of tokens. With 1, a router that
-	// rarely sends to the endpoint would lose half of its rate.
+	// maxSlowStartTokens is the greatest number of tokens, one for each attempt.
+	// With 1, a router that rarely sends to the endpoint would lose half of its rate.
 	maxSlowStartTokens = 2.0
 )
 
--- a/decide/types.go
+++ b/decide/types.go
@@ -3,7 +3,8 @@
 // Consistency is the freshness that a request requires of the data that it reads.
 type Consistency uint8
 
-// The consistency levels. Write and Fresh need the primary.
+// The consistency levels. Write and Fresh need the primary; needsPrimary relies on
+// their order.
 const (
 	Write   Consistency = iota // a write: only the primary accepts it
 	Fresh                      // a read that sees every commit made before it arrived
@@ -33,7 +34,7 @@
 // The scopes of an idempotency key.
 const (
 	ScopeGroup IdempotencyScope = iota // the request's own replica group
-	ScopeZone                          // the endpoints in the zone of the first attempt
+	ScopeZone                          // the zone of the first attempt that may have been executed
 	ScopeAll                           // every endpoint
 )
 
--- a/decide/view.go
+++ b/decide/view.go
@@ -12,7 +12,7 @@
 	PrimaryReportedAt time.Duration // when it last reported to be the primary, 0 if it did not
 	CircuitOpen       bool
 	Failing           bool          // unreachable, or failed more than once in a row
-	Latency           time.Duration // smoothed; the router's average if it never answered
+	Latency           time.Duration // smoothed; the router's average if it never served an attempt
 	TypicalLatency    time.Duration // the router's average over all endpoints
 	Lag               time.Duration // smoothed replication lag, 0 if none was reported
 	LagMeasuredAt     time.Duration // 0 if no lag was reported
