--- a/cmd/lotusbend-sim/main.go
+++ b/cmd/lotusbend-sim/main.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// handle applies one event. A panic of the decisions does not end the program: it
-// is reported as an exception in the reply.
+// handle applies one event. A panic while it is handled does not end the program:
+// it is reported as an exception in the reply.
 func (h *host) handle(batch simprotocol.Batch, event *simprotocol.Event) error {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -85,7 +85,7 @@
 	return h.dispatch(instance, batch, event)
 }
 
-// dispatch passes an event to its instance.
+// dispatch passes an event to its instance. Messages of peers are ignored.
 func (h *host) dispatch(instance *instance, batch simprotocol.Batch, event *simprotocol.Event) error {
 	now, router := batch.Now, instance.router
 	switch event.Code {
--- a/internal/routingconfig/routingconfig.go
+++ b/internal/routingconfig/routingconfig.go
@@ -17,8 +17,8 @@
 	"lotusbend/internal/clock"
 )
 
-// ErrInvalid is wrapped by every error about settings that are malformed or lack
-// a required value.
+// ErrInvalid is wrapped by every error about settings that are malformed, lack a
+// required value or hold an unknown one.
 var ErrInvalid = errors.New("invalid settings")
 
 // invalid returns an error that wraps ErrInvalid.
--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -46,7 +46,7 @@
 // WatchEndpoints implements decide.Actions.
 func (w *ActionWriter) WatchEndpoints() {
 	w.Reply.record(actionWatchEndpoints, 1, w.Instance)
-	w.Reply.u8(1)
+	w.Reply.u8(1) // start watching
 }
 
 // CloseIdle implements decide.Actions.
--- a/internal/simprotocol/batch.go
+++ b/internal/simprotocol/batch.go
@@ -28,7 +28,7 @@
 
 // Batch is one frame of events.
 type Batch struct {
-	Now   time.Duration // the simulator's clock
+	Now   time.Duration // the simulator's clock, the same for all events of the batch
 	Seq   uint32        // the sequence number, repeated in the reply
 	count uint32        // the number of records
 	body  []byte        // the records
@@ -45,7 +45,7 @@
 
 // Next reads the next batch, which is valid until the next call. It returns io.EOF
 // if the stream ends between two frames, and an error that wraps ErrMalformed if
-// the frame is truncated or its header is invalid.
+// the frame cannot be read completely or its header is invalid.
 func (r *Reader) Next() (Batch, error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(r.r, header[:]); err != nil {
--- a/internal/simprotocol/codes.go
+++ b/internal/simprotocol/codes.go
@@ -58,9 +58,9 @@
 	125: decide.Cancelled,
 }
 
-// role returns the role for its code; other codes than 1 and 2 mean unknown.
-func role(number uint32) decide.Role {
-	switch number {
+// role returns the role for its code; codes other than 1 and 2 mean unknown.
+func role(code uint32) decide.Role {
+	switch code {
 	case 1:
 		return decide.RolePrimary
 	case 2:
--- a/internal/simprotocol/event.go
+++ b/internal/simprotocol/event.go
@@ -49,7 +49,8 @@
 	Values   []float32
 }
 
-// decode reads the fields of a record with the event's code.
+// decode reads the fields of a record with the event's code. The order of the reads
+// is that of the fields in the record.
 func (e *Event) decode(f *fields) error {
 	if e.Code == EventRegisterList {
 		return e.decodeList(f)
@@ -75,8 +76,8 @@
 	case EventRequestArrived:
 		return e.decodeRequest(f)
 	case EventPeerMessage:
-		f.u32() // sender, unused
-		f.counted(int(f.u16()))
+		f.u32()                 // sender, unused
+		f.counted(int(f.u16())) // message, unused
 	case EventStop:
 	case EventHealthChecked:
 		return e.decodeHealthCheck(f)
@@ -106,7 +107,7 @@
 	status := f.u32()
 	result.Status.Role = role(status & roleMask)
 	result.Status.Position = time.Duration(status>>roleBits) * time.Millisecond
-	f.counted(valueBytes * int(f.u8()))
+	f.counted(valueBytes * int(f.u8())) // values of the answer, unused
 	return f.outcome(code, &result.Outcome)
 }
 
@@ -131,7 +132,7 @@
 	request.SinceCommit = clock.Duration(float64(f.f32()))
 	group := f.f32()
 	request.Session = f.u64()
-	f.u8()
+	f.u8() // unused
 	request.Class = int(f.u16())
 	f.u16() // tenant, unused
 	request.TimeLeft = f.duration()
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -39,7 +39,8 @@
 func (f *fields) f32() float32 { return math.Float32frombits(f.u32()) }
 func (f *fields) f64() float64 { return math.Float64frombits(f.u64()) }
 
-// duration reads a time in milliseconds; clock.Duration converts it.
+// duration reads a time in milliseconds. NaN gives 0, and values out of the range
+// of clock.Duration are limited to it.
 func (f *fields) duration() time.Duration { return clock.Duration(f.f64()) }
 
 // counted returns the next n bytes, where n comes from a count in the record; nil
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -43,8 +43,8 @@
 	return p.buffer
 }
 
-// record starts a record. bytes is the length of the fields after the instance,
-// which the caller appends.
+// record starts a record and appends its instance. bytes is the length of the
+// remaining fields, which the caller appends.
 func (p *Reply) record(code uint8, bytes int, instance uint16) {
 	p.count++
 	p.buffer = append(p.buffer, code)
