--- a/cmd/lotusbend-sim/main_test.go
+++ b/cmd/lotusbend-sim/main_test.go
@@ -48,7 +48,7 @@
 }
 
 func TestPanicIsReportedAsException(t *testing.T) {
-	h := &host{instances: map[uint16]*instance{3: {}}}
+	h := &host{instances: map[uint16]*instance{3: {}}} // without a router, so that its events panic
 	h.reply.Reset(1)
 	if err := h.handle(simprotocol.Batch{}, &simprotocol.Event{Code: simprotocol.EventRequestArrived, Instance: 3}); err != nil {
 		t.Fatal(err)
--- a/decide/failures_test.go
+++ b/decide/failures_test.go
@@ -108,8 +108,10 @@
 	}
 }
 
-// A process that has crashed also refuses connections. That must close idle
-// connections to its endpoint only, and not those to all other endpoints.
+// An endpoint whose connections are used up refuses further ones, so the router
+// closes its idle connections to it. The host of a process that has crashed also
+// refuses connections. A refusal must not close idle connections to the other
+// endpoints, as it once did after every answer for ten seconds.
 func TestRefusedConnectionClosesIdleOnesToItsEndpoint(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
--- a/decide/fixture_test.go
+++ b/decide/fixture_test.go
@@ -17,16 +17,16 @@
 
 // recorder implements Actions by recording the calls.
 type recorder struct {
-	sends        []sentAttempt
-	attempts     map[uint64]int
-	rejected     map[uint64]time.Duration
-	failed       map[uint64]bool
+	sends        []sentAttempt            // in the order of the calls
+	attempts     map[uint64]int           // number of attempts, by request
+	rejected     map[uint64]time.Duration // Retry-After, by request
+	failed       map[uint64]bool          // by request
 	cancels      []sentAttempt
 	healthChecks []uint32
 	closedIdle   []uint32
 	polls        int
-	onSend       func(request uint64, endpoint uint32)
-	onAnswer     func(request uint64, isRejection bool)
+	onSend       func(request uint64, endpoint uint32)  // called by Send, if not nil
+	onAnswer     func(request uint64, isRejection bool) // called by Reject and Fail, if not nil
 }
 
 func newRecorder() *recorder {
@@ -101,7 +101,8 @@
 	lastID uint64
 }
 
-// newFixture returns a started router that has received the endpoints.
+// newFixture returns a started router that has received the endpoints. Its clock
+// starts at one hour.
 func newFixture(t *testing.T, config Config, endpoints []Endpoint) *fixture {
 	t.Helper()
 	return newSeededFixture(t, config, endpoints, 1)
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -103,7 +103,8 @@
 	half := sent(func(own, _ float64) float64 { return own / 2 })
 	none := sent(func(float64, float64) float64 { return 0 })
 	if own < 10 || same != own || half >= own*3/4 || none > 1 {
-		t.Errorf("attempts at the warming endpoint: %d standalone, %d at the own rate, %d at half of it, %d at rate 0", own, same, half, none)
+		t.Errorf("attempts at the warming endpoint: %d standalone, %d at the own rate, %d at half of it, %d at rate 0; want at least 10, as many, less than three quarters, at most 1",
+			own, same, half, none)
 	}
 }
 
@@ -118,7 +119,8 @@
 		return f.router.retries.tokens
 	}
 	if none, lent, borrowed := tokensAt(0), tokensAt(-0.2), tokensAt(10); none != 0 || lent > -0.39 || lent < -0.41 || borrowed != maxRetryTokens {
-		t.Errorf("tokens after 2 s: %.2f at rate 0, %.2f with 0.2 a second lent, %.2f with 10 a second borrowed", none, lent, borrowed)
+		t.Errorf("tokens after 2 s: %.2f at rate 0, %.2f with 0.2 a second lent, %.2f with 10 a second borrowed; want 0, -0.41 to -0.39, %.2f",
+			none, lent, borrowed, maxRetryTokens)
 	}
 	if overdraft := tokensAt(-100); overdraft != -maxRetryTokens {
 		t.Errorf("tokens with 100 a second lent = %.2f, want -%.2f", overdraft, maxRetryTokens)
--- a/decide/healthcheck_test.go
+++ b/decide/healthcheck_test.go
@@ -58,7 +58,8 @@
 			}
 		}
 		if got := f.lastAttempt(read).endpoint; got != c.want || len(f.healthChecks) > 0 != c.checked {
-			t.Errorf("%s: %d health checks, and the read was sent to endpoint %d", name, len(f.healthChecks), got)
+			t.Errorf("%s: %d health checks, and the read was sent to endpoint %d; want health checks: %v, endpoint %d",
+				name, len(f.healthChecks), got, c.checked, c.want)
 		}
 	}
 }
--- a/decide/histories_test.go
+++ b/decide/histories_test.go
@@ -15,7 +15,7 @@
 	now             time.Duration
 	checkedRequests map[uint64]*checkedRequest
 	positions       map[uint32]time.Duration // greatest reported position
-	primaries       map[uint32]bool          // named as primary, and not reported as replica by a later answer
+	primaries       map[uint32]bool          // named or reported as primary, and not reported as replica by a later answer
 	stopped         map[uint32]bool          // draining or removed
 	zones           map[uint32]int
 	violations      []string
@@ -174,8 +174,8 @@
 		endpoints[i] = Endpoint{ID: uint32(i + 1), Group: i % 2, Zone: rng.IntN(2), State: Ready, Primary: i < 2}
 		c.zones[endpoints[i].ID] = endpoints[i].Zone
 	}
-	updateList := func(kind EndpointUpdateKind, ms []Endpoint) {
-		for _, entry := range ms {
+	updateList := func(kind EndpointUpdateKind, entries []Endpoint) {
+		for _, entry := range entries {
 			if config.RemovalEnforced || entry.State != Removed { // a removal that is not enforced leaves the endpoint as it was
 				c.stopped[entry.ID] = entry.State != Ready
 			}
@@ -183,12 +183,12 @@
 				c.primaries[entry.ID] = true
 			}
 		}
-		router.EndpointsUpdated(c.now, kind, ms)
+		router.EndpointsUpdated(c.now, kind, entries)
 	}
 	router.Start(c.now)
 	updateList(UpdateCachedSnapshot, endpoints)
 	finished := map[int]bool{} // by index in sends, whether the outcome was delivered or lost
-	allFinished := 0
+	allFinished := 0           // every send before this index is finished
 	for step := range 600 {
 		switch rng.IntN(8) {
 		case 0, 1, 2:
--- a/decide/manyrouters_test.go
+++ b/decide/manyrouters_test.go
@@ -21,9 +21,9 @@
 	return endpoints
 }
 
-// checkingConfig returns the configuration of a fleet in which answers report all
+// rejectStaleConfig returns the configuration of a fleet in which answers report all
 // that a health check does, and replicas reject stale reads.
-func checkingConfig(routers int) Config {
+func rejectStaleConfig(routers int) Config {
 	config := testConfig()
 	config.Routers, config.HealthChecks, config.StaleReadPolicy, config.HealthChecksReportRole = routers, true, RejectStale, true
 	return config
@@ -36,8 +36,7 @@
 	for _, routers := range []int{1, 3, 100} {
 		checks, requests := 0, 0
 		for i := range routers {
-			f := newSeededFixture(t, checkingConfig(routers), groups(20), uint64(i+1))
-
+			f := newSeededFixture(t, rejectStaleConfig(routers), groups(20), uint64(i+1))
 			for n := range 200 {
 				f.lastID++
 				f.router.RequestArrived(f.now, Request{ID: f.lastID, Class: n % 4, Group: n % 20, Session: 9, TimeLeft: 2 * time.Second})
@@ -73,7 +72,7 @@
 
 // Where replicas serve stale reads, each endpoint is checked before its first use.
 func TestEndpointsThatServeStaleAreCheckedFirst(t *testing.T) {
-	config := checkingConfig(100)
+	config := rejectStaleConfig(100)
 	config.StaleReadPolicy = ServeStale
 	f := newFixture(t, config, groups(20))
 	f.advance(tickInterval)
@@ -112,7 +111,7 @@
 // remains, which is more. The longer time left of such retries must not make the
 // router take first requests for retries.
 func TestRetriesWithMoreTimeLeftDoNotMakeFirstRequestsRetries(t *testing.T) {
-	f := newFixture(t, checkingConfig(80), groups(1))
+	f := newFixture(t, rejectStaleConfig(80), groups(1))
 	submitWith := func(timeLeft time.Duration) uint64 {
 		f.lastID++
 		f.router.RequestArrived(f.now, Request{ID: f.lastID, Class: boundedReadClass, Session: 9, TimeLeft: timeLeft})
@@ -141,7 +140,7 @@
 // budget covers a retry of each read, while late errors exhaust the budget.
 func TestEarlyErrorsAreRetried(t *testing.T) {
 	retries := func(latency time.Duration) (n int) {
-		f := newFixture(t, checkingConfig(80), groups(1))
+		f := newFixture(t, rejectStaleConfig(80), groups(1))
 		f.learnPosition(3)
 		for range 10 {
 			for range 4 { // one request in five fails
@@ -169,15 +168,15 @@
 // the measured rate.
 func TestRestartedFleetServesFromWarmingEndpoints(t *testing.T) {
 	const routers, latency = 80, 40 * ms // an endpoint serves at least 25 requests a second
-	config := checkingConfig(routers)
+	config := rejectStaleConfig(routers)
 	config.SlowStartDuration = time.Hour
 	served, requests := 0, 0
 	for i := range routers {
-		ms := groups(1)
-		for j := range ms {
-			ms[j].StartedAt = time.Hour / 2 // three fifths of their capacity
+		endpoints := groups(1)
+		for j := range endpoints {
+			endpoints[j].StartedAt = time.Hour / 2 // three fifths of their capacity
 		}
-		f := newSeededFixture(t, config, ms, uint64(i+1))
+		f := newSeededFixture(t, config, endpoints, uint64(i+1))
 		f.advance(time.Duration(i) * time.Second / 10)
 		for range 20 {
 			requests++
@@ -201,7 +200,7 @@
 func TestSilentEndpointIsAvoidedUntilItAnswers(t *testing.T) {
 	for _, outcome := range []Outcome{TimedOut, ConnectFailed} {
 		endpoints := append(groups(1), Endpoint{ID: 4, Zone: 0, State: Ready})
-		f := newFixture(t, checkingConfig(80), endpoints) // 3 and 4 are local replicas
+		f := newFixture(t, rejectStaleConfig(80), endpoints) // 3 and 4 are local replicas
 		f.learnPosition(3)
 		f.learnPosition(4)
 		local := f.lastAttempt(f.submit(boundedReadClass))
@@ -282,7 +281,7 @@
 	serveStale.Routers = 300
 	healthChecked := serveStale
 	healthChecked.HealthChecks = true
-	for name, config := range map[string]Config{"reject stale": checkingConfig(300), "serve stale": serveStale, "health checks": healthChecked} {
+	for name, config := range map[string]Config{"reject stale": rejectStaleConfig(300), "serve stale": serveStale, "health checks": healthChecked} {
 		for seed := range uint64(20) {
 			if longest := longestWithoutAttempt(t, config, seed); longest >= 4*time.Second {
 				t.Errorf("%s, seed %d: no attempt was sent for %v, want less than 4 s", name, seed, longest)
--- a/decide/maysend_test.go
+++ b/decide/maysend_test.go
@@ -46,7 +46,7 @@
 			c.then(f, id)
 		}
 		if f.router.MaySend(f.now, id, 0) != c.want {
-			t.Errorf("%s: MaySend = %v", name, !c.want)
+			t.Errorf("%s: MaySend = %v, want %v", name, !c.want, c.want)
 		}
 	}
 }
@@ -64,10 +64,10 @@
 // window.
 func TestRetryMustBeWrittenWithinTheIdempotencyWindow(t *testing.T) {
 	for _, c := range []struct {
-		first           Outcome
+		first           Outcome       // of the first attempt
 		sentAfter, wait time.Duration // when the retry is sent, and how long it waits for its connection
-		sent            bool
-		want            bool
+		sent            bool          // a retry is sent at all
+		want            bool          // MaySend of the retry
 	}{
 		{Reset, 100 * ms, 100 * ms, true, true},
 		{Reset, 800 * ms, 150 * ms, true, true},
@@ -88,11 +88,11 @@
 			f.router.drainQueue(endpoint.group, f.now)
 		}
 		if len(f.sends) > 1 != c.sent {
-			t.Errorf("%+v: %d attempts were sent", c, len(f.sends))
+			t.Errorf("%+v: %d attempts were sent, want a retry: %v", c, len(f.sends), c.sent)
 			continue
 		}
 		if f.now += c.wait; c.sent && f.router.MaySend(f.now, id, 1) != c.want {
-			t.Errorf("%+v: MaySend = %v", c, !c.want)
+			t.Errorf("%+v: MaySend = %v, want %v", c, !c.want, c.want)
 		}
 	}
 }
--- a/decide/rolereport_test.go
+++ b/decide/rolereport_test.go
@@ -7,8 +7,9 @@
 
 // The report of a health check may be outdated: that of a host that hangs is as old
 // as the hang. A report that an endpoint is the primary is only used if it is recent
-// and newer than the last answer that said otherwise. Where replicas serve stale
-// reads, a fresh read would otherwise be answered with old data.
+// and newer than the last answer that said otherwise, or if no answer has said so.
+// Where replicas serve stale reads, a fresh read would otherwise be answered with
+// old data.
 func TestOldReportDoesNotMakeAReplicaPrimary(t *testing.T) {
 	const second = time.Second
 	for name, c := range map[string]struct {
@@ -33,7 +34,7 @@
 		}
 		f.router.HealthChecked(f.now, HealthCheckResult{Endpoint: 2, Status: ReplicationStatus{Role: RolePrimary, Position: f.now - c.reportAge}})
 		if isPrimary := endpoint.group.primary == endpoint; isPrimary != c.isPrimary {
-			t.Errorf("%s: the endpoint is assumed to be the primary: %v", name, isPrimary)
+			t.Errorf("%s: the endpoint is assumed to be the primary: %v, want %v", name, isPrimary, c.isPrimary)
 		}
 	}
 }
--- a/decide/sessiontoken_test.go
+++ b/decide/sessiontoken_test.go
@@ -31,7 +31,8 @@
 			t.Fatalf("outcome %d: the read is not in flight or queued", outcome)
 		}
 		if fresh := f.router.freshEnough(request, f.router.endpoints[2], f.now); fresh == mayHaveCommitted {
-			t.Errorf("outcome %d: freshEnough = %v for a replica whose position is before the end of the write", outcome, fresh)
+			t.Errorf("outcome %d: freshEnough = %v for a replica whose position is before the end of the write, want %v",
+				outcome, fresh, !mayHaveCommitted)
 		}
 	}
 }
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -81,8 +81,9 @@
 // slowStartLoad plays a fleet of routers, each with its own seed and requests, while
 // one endpoint restarts. It returns the greatest number of attempts that all routers
 // sent to the endpoint within Config.OverloadDuration, as a fraction of the permitted
-// number. Each router is configured for a fleet of configured routers, and its Fleet
-// reports each number of reported in turn; without any it has no Fleet.
+// number. Config.Routers is configured in each router. The router joins a Fleet for
+// each number of reported, which reports that number of routers, and the last one
+// counts; without any it has no Fleet.
 func slowStartLoad(t *testing.T, routers int, configured int, load float64, reported ...int) (worst float64) {
 	config := testConfig()
 	config.Routers = configured
@@ -119,7 +120,7 @@
 						sends = append(sends, f.now)
 					}
 				}
-				if f.attempts[id] > 0 { // an answer takes longer than 1 / warmRate
+				if f.attempts[id] > 0 { // an answer takes longer than 1 / warmRate, as at a host with one core
 					s := f.lastAttempt(id)
 					s.timeout = time.Duration(step + 2)
 					due[i] = append(due[i], s)
--- a/decide/state_test.go
+++ b/decide/state_test.go
@@ -130,7 +130,7 @@
 		t.Errorf("%g tokens, want %g at most", warmUp.tokens, maxSlowStartTokens)
 	}
 	if warmUp.spend(); warmUp.tokens != maxSlowStartTokens-1 {
-		t.Errorf("%g tokens after one attempt", warmUp.tokens)
+		t.Errorf("%g tokens after one attempt, want %g", warmUp.tokens, maxSlowStartTokens-1)
 	}
 	warmUp.active = false
 	if warmUp.spend(); warmUp.tokens != maxSlowStartTokens-1 {
--- a/internal/routingconfig/slowstart_test.go
+++ b/internal/routingconfig/slowstart_test.go
@@ -26,8 +26,8 @@
 // endpoint is answered after serviceTime.
 type instance struct {
 	fleet    *fleet
-	module   *decide.Router
-	attempts map[uint64]int
+	router   *decide.Router
+	attempts map[uint64]int // number of attempts, by request
 }
 
 type event struct {
@@ -70,19 +70,19 @@
 	endpointCount = 4    // one of them is the primary
 )
 
-func (i *instance) Send(request uint64, member uint32, _ time.Duration) {
+func (i *instance) Send(request uint64, endpoint uint32, _ time.Duration) {
 	f, n := i.fleet, i.attempts[request]
 	i.attempts[request]++
-	if member == f.restarted {
+	if endpoint == f.restarted {
 		f.sends = append(f.sends, f.now)
 	}
 	f.after(serviceTime, func() {
 		role := decide.RoleReplica
-		if member == 1 {
+		if endpoint == 1 {
 			role = decide.RolePrimary
 		}
-		i.module.AttemptEnded(f.now, decide.AttemptResult{
-			Request: request, Attempt: n, Endpoint: member, Outcome: decide.OK, Latency: serviceTime, ClientAnswered: true,
+		i.router.AttemptEnded(f.now, decide.AttemptResult{
+			Request: request, Attempt: n, Endpoint: endpoint, Outcome: decide.OK, Latency: serviceTime, ClientAnswered: true,
 			Status: decide.ReplicationStatus{Role: role, Position: f.now - 10*time.Millisecond},
 		})
 		delete(i.attempts, request)
@@ -94,16 +94,17 @@
 func (i *instance) CheckHealth(uint32)                     {}
 func (i *instance) CloseIdle(uint32)                       {}
 func (i *instance) WatchEndpoints()                        {}
-func (i *instance) SetTimer(after time.Duration, tok uint32) {
-	i.fleet.after(after, func() { i.module.TimerFired(i.fleet.now, tok) })
+func (i *instance) SetTimer(after time.Duration, token uint32) {
+	i.fleet.after(after, func() { i.router.TimerFired(i.fleet.now, token) })
 }
 
-// slowStartSettings returns routing settings for a number of routers.
-func slowStartSettings(routers int, factor float64, check string) []byte {
+// slowStartSettings returns routing settings for a number of routers, with factor as
+// OverloadFactor and whenBehind as WhenBehind.
+func slowStartSettings(routers int, factor float64, whenBehind string) []byte {
 	return fmt.Appendf(nil, `{"Classes": [{"AimMs": 500, "GiveUpMs": 1200, "Group": "all", "Importance": 2, "LateWorth": 0, "Name": "view", "Semantics": "pure"}],
 	"Discovery": "push", "FamilyInfo": {"ClassRead": ["bounded"], "OldestDataMs": [800], "Stamps": true, "Tokens": "carried", "WhenBehind": %q},
 	"Feedback": {"Fields": ["x0", "x1"], "Via": "on_probe"}, "FleetSize": %d, "Limits": {"MaxAttempts": 6},
-	"Rules": {"ColdMs": 18000, "OverloadFactor": %v, "OverloadForMs": 1000, "StartCapacity": 0.21}, "Zones": ["a"]}`, check, routers, factor)
+	"Rules": {"ColdMs": 18000, "OverloadFactor": %v, "OverloadForMs": 1000, "StartCapacity": 0.21}, "Zones": ["a"]}`, whenBehind, routers, factor)
 }
 
 // An endpoint that restarts must not be overloaded by 20 or 30 routers that know
@@ -134,27 +135,27 @@
 	}
 	f := &fleet{}
 	rng := rand.New(rand.NewPCG(seed, 9))
-	list := func(started time.Duration) (members []decide.Endpoint) {
+	list := func(started time.Duration) (endpoints []decide.Endpoint) {
 		for id := range uint32(endpointCount) {
-			members = append(members, decide.Endpoint{ID: id + 1, State: decide.Ready, Primary: id == 0})
+			endpoints = append(endpoints, decide.Endpoint{ID: id + 1, State: decide.Ready, Primary: id == 0})
 		}
-		members[1].StartedAt = started
-		return members
+		endpoints[1].StartedAt = started
+		return endpoints
 	}
 	request := uint64(0)
 	for n := range routers {
 		i := &instance{fleet: f, attempts: map[uint64]int{}}
-		if i.module, err = decide.New(s.Config, seed<<16+uint64(n), i); err != nil {
+		if i.router, err = decide.New(s.Config, seed<<16+uint64(n), i); err != nil {
 			t.Fatal(err)
 		}
 		f.routers = append(f.routers, i)
-		i.module.Start(0)
-		i.module.EndpointsUpdated(0, decide.UpdateSnapshot, list(0))
+		i.router.Start(0)
+		i.router.EndpointsUpdated(0, decide.UpdateSnapshot, list(0))
 		mean := float64(routers) / (0.9 * warmCapacity * (endpointCount - 1)) // seconds between one router's requests
 		var arrive func()
 		arrive = func() {
 			request++
-			i.module.RequestArrived(f.now, decide.Request{ID: request, TimeLeft: 1200 * time.Millisecond})
+			i.router.RequestArrived(f.now, decide.Request{ID: request, TimeLeft: 1200 * time.Millisecond})
 			f.after(time.Duration(rng.ExpFloat64()*mean*float64(time.Second)), arrive)
 		}
 		f.after(time.Duration(rng.Float64()*mean*float64(time.Second)), arrive)
@@ -163,7 +164,7 @@
 	f.run(restart)
 	f.restarted = 2
 	for _, i := range f.routers {
-		i.module.EndpointsUpdated(f.now, decide.UpdateDelta, list(restart)[1:2])
+		i.router.EndpointsUpdated(f.now, decide.UpdateDelta, list(restart)[1:2])
 	}
 	f.run(restart + s.Config.SlowStartDuration)
 	for n, from := range f.sends {
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -22,7 +22,8 @@
 	return b
 }
 
-// frame returns a batch of records with the header's count, which need not match.
+// frame returns a batch of records at clock 8412.25 ms, whose header claims count
+// records, which need not be true.
 func frame(count uint32, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	b := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
