--- a/decide/characterization_test.go
+++ b/decide/characterization_test.go
@@ -187,7 +187,7 @@
 	class    map[uint64]int           // by request
 	deadline map[uint64]time.Duration // by request
 	digest   hash.Hash
-	counts   [9]int // of recorded actions, by kind
+	counts   [9]int // of calls of record, by kind
 }
 
 // simulate plays a scenario and returns the digest and the counts of its actions.
@@ -371,7 +371,9 @@
 	return bits
 }
 
-// record hashes an action with its kind and time.
+// record hashes an action or a result with its kind and time. The kinds are 0 Send,
+// 1 Cancel, 2 Reject, 3 Fail, 4 CheckHealth, 5 CloseIdle and WatchEndpoints,
+// 6 MaySend, 7 View and 8 RetryBudget.
 func (s *simulation) record(kind byte, values ...uint64) {
 	s.counts[kind]++
 	buffer := binary.LittleEndian.AppendUint64([]byte{kind}, uint64(s.now))
@@ -481,7 +483,7 @@
 
 func (s *simulation) Cancel(request uint64, attempt int) {
 	s.record(1, request, uint64(attempt))
-	h := s.hosts[int(request)%len(s.hosts)]
+	h := s.hosts[int(request)%len(s.hosts)] // any host: the status of a cancelled attempt is not used
 	s.after(s.randomDuration(4*time.Millisecond), func() { s.end(request, attempt, h, decide.Cancelled, 0) })
 }
 
--- a/decide/clientretries.go
+++ b/decide/clientretries.go
@@ -43,7 +43,8 @@
 }
 
 // isRetry reports whether a request of the class with that time left is taken
-// for a client's retry.
+// for a client's retry. It also counts the request's vote for the typical time
+// left, and one retry less as expected if it returns true.
 func (e *clientRetryEstimate) isRetry(class int, timeLeft time.Duration) bool {
 	if (timeLeft - e.typicalTimeLeft[class]).Abs() < timeLeftTolerance {
 		e.votes[class] = min(e.votes[class]+1, maxTimeLeftVotes)
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestBoundedReadLeavesReplicaWithOldPosition(t *testing.T) {
+func TestBoundedReadAvoidsReplicaWithOldPosition(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
 	f.advance(400 * ms)
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestSessionReadWaitsForItsOwnWrite(t *testing.T) {
+func TestSessionReadAfterItsWriteGoesToThePrimary(t *testing.T) {
 	f := newFixture(t, testConfig(), oneGroup())
 	f.learnPosition(2)
 	w := f.lastAttempt(f.submit(writeClass))
--- a/decide/endpoint.go
+++ b/decide/endpoint.go
@@ -31,7 +31,9 @@
 	healthCheckWanted   bool          // a health check starts as soon as the budget and interval allow it
 	healthCheckedAt     time.Duration // start of the last health check
 
-	discoveryAttemptAt time.Duration // when primary discovery last tried it, or it last reported its role
+	// When primary discovery last tried it, or it last reported its role; 0 if
+	// never, or if it is newly announced as the primary.
+	discoveryAttemptAt time.Duration
 	removedAt          time.Duration // when the list removed it
 	selectionWeight    float64       // in the current weighted draw
 }
