--- a/cmd/lotuslab/up.go
+++ b/cmd/lotuslab/up.go
@@ -45,7 +45,7 @@
 	fmt.Printf("  PostgreSQL  %s   one statement a query; its comment names class and group\n", router.Listen)
 	fmt.Printf("  CoAP        %s   POST readings, GET values/ID\n", router.CoAP)
 	fmt.Printf("  MQTT        %s   publish to readings\n", router.MQTT)
-	fmt.Printf("  frames      %s\n", router.Frame)
+	fmt.Printf("  frames      %s\n", router.Frames)
 	fmt.Printf("  discovery   http://%s/v1/endpoints\n", fleet.Cluster.Discovery)
 	<-ctx.Done()
 	return nil
--- a/internal/lab/edge_drill.go
+++ b/internal/lab/edge_drill.go
@@ -164,9 +164,9 @@
 		if !ok {
 			continue
 		}
-		start := standin.StreamLink
+		start := standin.StartStreamLink
 		if protocol == "coap" {
-			start = standin.DatagramLink
+			start = standin.StartDatagramLink
 		}
 		link, err := start(target, faults, r.Seed*31+uint64(len(r.links)))
 		if err != nil {
@@ -256,7 +256,7 @@
 	time.Sleep(edgeSettleTime)
 	for _, router := range r.fleet.Routers {
 		router.sample()
-		r.result.PeakBytes = max(r.result.PeakBytes, router.Peak)
+		r.result.PeakBytes = max(r.result.PeakBytes, router.PeakResidentBytes)
 	}
 	auditEdge(r.devices, cluster.Executions(), r.result)
 	for _, d := range r.devices {
@@ -264,6 +264,6 @@
 			r.log.Warn("device not done", "device", d.name, "unacknowledged", open, "last_error", d.lastErr)
 		}
 	}
-	r.result.KeyRepeats, r.result.Aborted = cluster.Counts()
+	r.result.KeyRepeats, r.result.Aborted = cluster.WriteCounts()
 	r.result.Seconds = float64(time.Since(r.began).Milliseconds()) / 1000
 }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -97,7 +97,7 @@
 		{"tcp", &r.Listen},
 		{"udp", &r.CoAP},
 		{"tcp", &r.MQTT},
-		{"tcp", &r.Frame},
+		{"tcp", &r.Frames},
 	} {
 		free, err := addresses.allocate(address.network)
 		if err != nil {
@@ -105,7 +105,7 @@
 		}
 		*address.to = free.String()
 	}
-	r.ready = r.Frame
+	r.ready = r.Frames
 	sockets := o.Sockets
 	if sockets == 0 {
 		sockets = defaultSockets
@@ -118,7 +118,7 @@
 		edgeKeys += fmt.Sprintf("%q: %q, ", "store", filepath.Join(f.dir, r.Name+".db"))
 	}
 	groups := groupList(o.Standin.Groups)
-	return r.writeFiles(config, fmt.Sprintf(edgeSettings, r.CoAP, r.MQTT, r.Frame, edgeKeys, groups, groups))
+	return r.writeFiles(config, fmt.Sprintf(edgeSettings, r.CoAP, r.MQTT, r.Frames, edgeKeys, groups, groups))
 }
 
 // groupList lists the numbers of groups for a settings file.
--- a/internal/lab/fleetview.go
+++ b/internal/lab/fleetview.go
@@ -46,11 +46,11 @@
 	Procs           int      `json:"procs"`
 	Phases          []Phase  `json:"phases"`
 	FalseDead       int      `json:"false_dead"`     // running members that others saw dead
-	Ghosts          int      `json:"ghosts"`         // ended members that others saw alive again
+	Resurrected     int      `json:"ghosts"`         // ended members that others saw alive again
 	MissedCrashes   int      `json:"missed_crashes"` // ended members that others did not see dead in time
 	FloodDropped    uint64   `json:"flood_dropped"`  // as the flooded member counted it
 	BytesPerMemberS float64  `json:"bytes_per_member_s"`
-	Faults          []string `json:"faults_seen,omitempty"`
+	Violations      []string `json:"faults_seen,omitempty"`
 	OK              bool     `json:"ok"`
 }
 
@@ -126,6 +126,6 @@
 			return false
 		}
 	}
-	neverWrong := r.FalseDead == 0 && r.Ghosts == 0 && r.MissedCrashes == 0
+	neverWrong := r.FalseDead == 0 && r.Resurrected == 0 && r.MissedCrashes == 0
 	return neverWrong && (o.Flood == 0 || r.FloodDropped > 0)
 }
--- a/internal/lab/measure.go
+++ b/internal/lab/measure.go
@@ -12,10 +12,10 @@
 	"lotusbend/internal/standin"
 )
 
-// EdgeFigures are what the edge costs compared with the PostgreSQL front,
+// EdgeMetrics are what the edge costs compared with the PostgreSQL front,
 // measured in one run against stand-in hosts that answer at once. Latencies are
 // in milliseconds by front.
-type EdgeFigures struct {
+type EdgeMetrics struct {
 	Requests    int                `json:"requests"` // through each front
 	MedianMs    map[string]float64 `json:"median_ms"`
 	P99Ms       map[string]float64 `json:"p99_ms"`
@@ -48,9 +48,9 @@
 // MeasureEdge sends requests one at a time, the fronts in turn, first without
 // and then beside idle MQTT devices. progress is the router's standard error.
 func MeasureEdge(ctx context.Context, binary string, requests, idle int, progress io.Writer) (
-	EdgeFigures, error,
+	EdgeMetrics, error,
 ) {
-	figures := EdgeFigures{Requests: requests, IdleDevices: idle}
+	figures := EdgeMetrics{Requests: requests, IdleDevices: idle}
 	fleet, err := StartFleet(FleetOptions{
 		Binary:  binary,
 		Standin: immediateHosts(),
@@ -94,10 +94,10 @@
 // immediateHosts are hosts that answer at once and without faults.
 func immediateHosts() standin.Options {
 	opt := standin.Defaults()
-	opt.WorkMin = 0
-	opt.WorkMax = 0
-	opt.ReplicateMin = 0
-	opt.ReplicateMax = 0
+	opt.WorkMinMs = 0
+	opt.WorkMaxMs = 0
+	opt.ReplicateMinMs = 0
+	opt.ReplicateMaxMs = 0
 	opt.ResetChance = 0
 	opt.RejectChance = 0
 	return opt
--- a/internal/lab/router.go
+++ b/internal/lab/router.go
@@ -25,12 +25,12 @@
 // Router is one router in a process of its own. Its methods are safe for
 // concurrent use.
 type Router struct {
-	Name   string
-	Listen string // address of the PostgreSQL front
-	CoAP   string // address
-	MQTT   string // address
-	Frame  string // address of the framed stream
-	Peak   int64  // largest resident memory of all its processes, bytes
+	Name              string
+	Listen            string // address of the PostgreSQL front
+	CoAP              string // address
+	MQTT              string // address
+	Frames            string // address of the framed stream
+	PeakResidentBytes int64  // largest resident memory of all its processes, bytes
 
 	ready  string // address that accepts connections once the router is up
 	dir    string
@@ -45,7 +45,7 @@
 
 // edgeAddresses are the addresses of the edge by protocol.
 func (r *Router) edgeAddresses() map[string]string {
-	return map[string]string{"coap": r.CoAP, "mqtt": r.MQTT, "frames": r.Frame}
+	return map[string]string{"coap": r.CoAP, "mqtt": r.MQTT, "frames": r.Frames}
 }
 
 func (r *Router) configPath() string { return filepath.Join(r.dir, r.Name+".json") }
@@ -131,7 +131,7 @@
 }
 
 // sample updates Peak.
-func (r *Router) sample() { r.Peak = max(r.Peak, r.memory("VmHWM:")) }
+func (r *Router) sample() { r.PeakResidentBytes = max(r.PeakResidentBytes, r.memory("VmHWM:")) }
 
 // resident returns the process's resident memory in bytes.
 func (r *Router) resident() int64 { return r.memory("VmRSS:") }
--- a/internal/lab/shared.go
+++ b/internal/lab/shared.go
@@ -58,9 +58,9 @@
 	WronglyEjected float64 `json:"wrongly_excluded_share"`
 	EjectedBound   float64 `json:"wrongly_excluded_bound"`
 	StaleReads     int     `json:"stale_reads"`
-	// OutlivedEjections counts the routers that ejected the endpoint on others'
+	// RemainingEjections counts the routers that ejected the endpoint on others'
 	// reports long after its hang.
-	OutlivedEjections int `json:"judgements_outlived"`
+	RemainingEjections int `json:"judgements_outlived"`
 	// The mean over all routers of when each sent its last statement to the
 	// endpoint that hangs, after the hang's begin.
 	DetectStandaloneMs float64  `json:"detect_ms_alone"`
@@ -70,7 +70,7 @@
 	Served             int64    `json:"served"`
 	BytesPerMemberS    float64  `json:"bytes_per_member_s"`
 	Seconds            float64  `json:"seconds"`
-	Faults             []string `json:"faults_seen,omitempty"`
+	Violations         []string `json:"faults_seen,omitempty"`
 	OK                 bool     `json:"ok"`
 }
 
@@ -119,7 +119,7 @@
 	perMember := float64(sharing.fleet.relay.Bytes.Load()) / float64(o.Procs)
 	result.BytesPerMemberS = perMember / time.Since(began).Seconds()
 	result.addFaults(o)
-	result.OK = len(result.Faults) == 0
+	result.OK = len(result.Violations) == 0
 	return result, ctx.Err()
 }
 
@@ -143,7 +143,7 @@
 func (r *SharedResult) addFaults(o SharedDrill) {
 	fault := func(bad bool, format string, args ...any) {
 		if bad {
-			r.Faults = append(r.Faults, fmt.Sprintf(format, args...))
+			r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 		}
 	}
 	fault(r.BudgetOverrun > 1,
@@ -153,8 +153,8 @@
 	fault(!r.CountsExact,
 		"totals from %d to %d, the endpoints counted %d", r.MinTotal, r.MaxTotal, r.HostsCounted)
 	fault(r.WronglyEjected > r.EjectedBound, "%.2f of a group's endpoints wrongly ejected", r.WronglyEjected)
-	fault(r.OutlivedEjections > 0, "%d routers eject the endpoint on others' reports %d ms after its hang",
-		r.OutlivedEjections, outliveMs)
+	fault(r.RemainingEjections > 0, "%d routers eject the endpoint on others' reports %d ms after its hang",
+		r.RemainingEjections, outliveMs)
 	fault(r.StaleReads > 0, "%d reads answered from stale data", r.StaleReads)
 	// Single losses are chance; sharing must not add to them.
 	lostBound := float64(r.LostStandalone) + 2*math.Sqrt(float64(r.LostStandalone))
@@ -206,12 +206,12 @@
 	opt.Groups = 1
 	opt.Replicas = 4
 	opt.StandaloneGroups = 1
-	opt.Steady = true
-	opt.WorkMin = hostWorkMs
-	opt.WorkMax = hostWorkMs
+	opt.IgnoresLoad = true
+	opt.WorkMinMs = hostWorkMs
+	opt.WorkMaxMs = hostWorkMs
 	opt.BoundedClass = "park-view"
 	opt.MaxStalenessMs = 800
-	opt.WarmUp = float64(o.ColdMs)
+	opt.WarmUpMs = float64(o.ColdMs)
 	opt.ResetChance = 0
 	opt.RejectChance = 0
 	opt.QueueLimit = 1 << 20
--- a/internal/lab/shared_audit.go
+++ b/internal/lab/shared_audit.go
@@ -23,17 +23,17 @@
 	const windowMs = 1000
 	var atMs []float64 // after the start
 	for _, received := range host.Received() {
-		if received.At >= startedAt+discoveredMs && received.At < startedAt+opt.WarmUp {
-			atMs = append(atMs, received.At-startedAt)
+		if received.AtMs >= startedAt+discoveredMs && received.AtMs < startedAt+opt.WarmUpMs {
+			atMs = append(atMs, received.AtMs-startedAt)
 		}
 	}
 	r.result.WarmingReceived = len(atMs)
 	for first, from := range atMs {
-		if from+windowMs > opt.WarmUp {
+		if from+windowMs > opt.WarmUpMs {
 			break
 		}
 		end, _ := slices.BinarySearch(atMs, from+windowMs)
-		capacity := opt.StartCapacity + (1-opt.StartCapacity)*(from+windowMs/2)/opt.WarmUp
+		capacity := opt.StartCapacity + (1-opt.StartCapacity)*(from+windowMs/2)/opt.WarmUpMs
 		budget := overloadFactor * capacity * windowMs / hostWorkMs
 		r.result.BudgetOverrun = max(r.result.BudgetOverrun, float64(end-first)/budget)
 	}
@@ -123,7 +123,7 @@
 		}
 		for _, ejection := range page.Shared.Ejections {
 			if !ejection.ObservedHere && ejection.Endpoint == r.hung {
-				r.result.OutlivedEjections++
+				r.result.RemainingEjections++
 				break
 			}
 		}
@@ -140,7 +140,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			r.result.Faults = append(r.result.Faults, "the views did not settle:"+unsettled)
+			r.result.Violations = append(r.result.Violations, "the views did not settle:"+unsettled)
 			return nil
 		}
 	}
--- a/internal/lab/shared_run.go
+++ b/internal/lab/shared_run.go
@@ -145,9 +145,9 @@
 		if err != nil || router >= len(lastMs) || r.byzantine(router) {
 			continue
 		}
-		if received.Hung && received.At >= from {
+		if received.Hung && received.AtMs >= from {
 			lost++
-			lastMs[router] = received.At - from
+			lastMs[router] = received.AtMs - from
 		}
 	}
 	stop()
--- a/internal/lab/shared_warmup.go
+++ b/internal/lab/shared_warmup.go
@@ -50,7 +50,7 @@
 		return err
 	}
 	opt := r.standinOptions()
-	sleep(ctx, int64(startedAt+opt.WarmUp-float64(time.Now().UnixMilli())))
+	sleep(ctx, int64(startedAt+opt.WarmUpMs-float64(time.Now().UnixMilli())))
 	r.auditBudget(host, startedAt, opt)
 	r.log.Info("endpoint warm", "received", r.result.WarmingReceived,
 		"budget_overrun", r.result.BudgetOverrun)
@@ -148,7 +148,7 @@
 func (p *warmUpPhase) restart(ctx context.Context, routers []int) error {
 	for _, i := range routers {
 		if !p.countersReplicated(ctx, i) {
-			p.result.Faults = append(p.result.Faults,
+			p.result.Violations = append(p.result.Violations,
 				fmt.Sprintf("m%d replicated its counters to no router within 10 s", i+1))
 		}
 		m := p.fleet.members[i]
--- a/internal/lab/viewwatcher.go
+++ b/internal/lab/viewwatcher.go
@@ -113,7 +113,7 @@
 	case update.State == membership.Alive && ended && w.seenDead[instance]:
 		if w.report("ghost "+instance,
 			fmt.Sprintf("m%d holds %s alive again, which does not run", viewer+1, update.Name)) {
-			w.result.Ghosts++
+			w.result.Resurrected++
 		}
 	}
 }
@@ -133,7 +133,7 @@
 		return false
 	}
 	w.reported[key] = true
-	w.result.Faults = append(w.result.Faults, finding)
+	w.result.Violations = append(w.result.Violations, finding)
 	return true
 }
 
@@ -200,7 +200,7 @@
 	w.log.Info("phase ended", "fault", fault, "settled", phase.Settled,
 		"settle_ms", phase.SettleMs, "bound_ms", phase.BoundMs)
 	if !phase.Settled {
-		w.result.Faults = append(w.result.Faults, fault+": "+w.unsettled)
+		w.result.Violations = append(w.result.Violations, fault+": "+w.unsettled)
 	}
 	return phase.Settled
 }
--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -62,7 +62,7 @@
 			Name:  fmt.Sprintf("s%d-%d", number, i),
 			Zone:  "east",
 			group: g,
-			lag:   g.draw(opt.ReplicateMin, opt.ReplicateMax) + 5,
+			lag:   g.draw(opt.ReplicateMinMs, opt.ReplicateMaxMs) + 5,
 			cores: make(chan struct{}, opt.Cores),
 		}
 		if err := h.start(); err != nil {
@@ -151,9 +151,9 @@
 	return count
 }
 
-// Counts returns how many writes were dropped since their idempotency key was
+// WriteCounts returns how many writes were dropped since their idempotency key was
 // known, and how many were lost with their primary.
-func (c *Cluster) Counts() (repeats, aborted int) {
+func (c *Cluster) WriteCounts() (repeats, aborted int) {
 	for _, g := range c.groups {
 		g.mu.Lock()
 		repeats += g.repeats
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -7,10 +7,10 @@
 
 // Execution is one write that took effect.
 type Execution struct {
-	Row string
-	Key string // idempotency key
-	Doc string
-	At  float64 // Unix milliseconds
+	Row  string
+	Key  string // idempotency key
+	Doc  string
+	AtMs float64 // Unix milliseconds
 }
 
 // group is one shard: a log that its primary appends to, and which host is
@@ -91,7 +91,7 @@
 		return outcome
 	}
 	h.work()
-	sleepMs(g.draw(g.opt.ReplicateMin, g.opt.ReplicateMax))
+	sleepMs(g.draw(g.opt.ReplicateMinMs, g.opt.ReplicateMaxMs))
 	h.waitWhileHung()
 	return g.endWrite(h, w, pending)
 }
@@ -114,12 +114,12 @@
 		return nil, result{code: codeReadOnly}, nil
 	}
 	known := g.keys[w.key]
-	if known != nil && g.opt.Sabotage != ForgetsKeys && nowMs() < known.began+g.opt.KeyTTL {
+	if known != nil && g.opt.Sabotage != ForgetsKeys && nowMs() < known.began+g.opt.KeyTTLMs {
 		if !known.done {
 			return nil, result{}, known.ended
 		}
 		g.repeats++
-		return nil, result{doc: g.rowDoc(w.row), position: g.log[known.entry].At}, nil
+		return nil, result{doc: g.rowDoc(w.row), position: g.log[known.entry].AtMs}, nil
 	}
 	if nowMs() > w.deadline {
 		return nil, result{code: codeOverload}, nil
@@ -150,7 +150,7 @@
 		times = 2
 	}
 	for range times {
-		g.log = append(g.log, Execution{Row: w.row, Key: w.key, Doc: w.doc, At: nowMs()})
+		g.log = append(g.log, Execution{Row: w.row, Key: w.key, Doc: w.doc, AtMs: nowMs()})
 		if _, ok := g.rows[w.row]; !ok {
 			g.rows[w.row] = len(g.log) - 1
 		}
@@ -190,7 +190,7 @@
 		position -= h.lag
 	}
 	var doc []byte
-	if i, ok := g.rows[row]; ok && g.log[i].At <= position {
+	if i, ok := g.rows[row]; ok && g.log[i].AtMs <= position {
 		doc = []byte(g.log[i].Doc)
 	}
 	return result{doc: doc, position: position}
@@ -206,7 +206,7 @@
 	if !isPrimary {
 		return
 	}
-	sleepMs(g.draw(g.opt.DetectMin, g.opt.DetectMax))
+	sleepMs(g.draw(g.opt.DetectMinMs, g.opt.DetectMaxMs))
 	g.mu.Lock()
 	cameBack := !h.isDown() && !h.isHung()
 	if g.term != term || g.primary != h || cameBack {
@@ -216,7 +216,7 @@
 	g.primary = nil
 	g.term++
 	g.mu.Unlock()
-	sleepMs(g.draw(g.opt.ElectMin, g.opt.ElectMax))
+	sleepMs(g.draw(g.opt.ElectMinMs, g.opt.ElectMaxMs))
 	g.elect(h)
 }
 
--- a/internal/standin/group_test.go
+++ b/internal/standin/group_test.go
@@ -10,14 +10,14 @@
 	t.Helper()
 	opt := Defaults()
 	opt.Groups = 1
-	opt.WorkMin = 0
-	opt.WorkMax = 1
-	opt.ReplicateMin = 0
-	opt.ReplicateMax = 1
-	opt.DetectMin = 1
-	opt.DetectMax = 2
-	opt.ElectMin = 1
-	opt.ElectMax = 2
+	opt.WorkMinMs = 0
+	opt.WorkMaxMs = 1
+	opt.ReplicateMinMs = 0
+	opt.ReplicateMaxMs = 1
+	opt.DetectMinMs = 1
+	opt.DetectMaxMs = 2
+	opt.ElectMinMs = 1
+	opt.ElectMaxMs = 2
 	opt.ResetChance = 0
 	opt.RejectChance = 0
 	opt.Sabotage = sabotage
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -28,7 +28,7 @@
 
 // Received is one statement that a host read from a connection.
 type Received struct {
-	At   float64 // Unix milliseconds
+	AtMs float64 // Unix milliseconds
 	ID   string  // the request's id in the statement's comment
 	Hung bool    // the host hung at that time
 }
@@ -81,18 +81,18 @@
 // the host warms up.
 func (h *Host) work() {
 	opt := h.group.opt
-	if opt.Steady {
-		sleepMs(h.group.draw(opt.WorkMin, opt.WorkMax))
+	if opt.IgnoresLoad {
+		sleepMs(h.group.draw(opt.WorkMinMs, opt.WorkMaxMs))
 		h.waitWhileHung()
 		return
 	}
 	h.cores <- struct{}{}
 	defer func() { <-h.cores }()
 	h.waitWhileHung()
-	ms := h.group.draw(opt.WorkMin, opt.WorkMax)
+	ms := h.group.draw(opt.WorkMinMs, opt.WorkMaxMs)
 	startedAt := h.StartedAt()
-	if age := nowMs() - startedAt; startedAt > 0 && age < opt.WarmUp {
-		ms /= opt.StartCapacity + (1-opt.StartCapacity)*age/opt.WarmUp
+	if age := nowMs() - startedAt; startedAt > 0 && age < opt.WarmUpMs {
+		ms /= opt.StartCapacity + (1-opt.StartCapacity)*age/opt.WarmUpMs
 	}
 	sleepMs(ms)
 }
@@ -102,7 +102,7 @@
 func (h *Host) enqueue(requestID string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.received = append(h.received, Received{At: nowMs(), ID: requestID, Hung: h.hung != nil})
+	h.received = append(h.received, Received{AtMs: nowMs(), ID: requestID, Hung: h.hung != nil})
 	if h.queued >= h.group.opt.QueueLimit {
 		return false
 	}
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -8,21 +8,21 @@
 
 // Faults describe a poor link. Chances and fractions are from 0 to below 1.
 type Faults struct {
-	Loss      float64 // chance that a datagram is lost; a TCP chunk is as late as by a retransmission
-	Duplicate float64 // chance that a datagram is sent twice
-	Reorder   float64 // chance that a datagram is overtaken by later ones
-	Stall     float64 // chance that a chunk stops half way, for StallMs
-	StallMs   float64
-	Break     float64 // chance that a chunk breaks its TCP connection
-	DelayMs   float64 // one way; up to as much again is added at random
-	Rate      float64 // bytes a second over TCP, 0 for no bound
-	Rebind    float64 // chance that a datagram's sender gets another address
+	Loss           float64 // chance that a datagram is lost; a TCP chunk is as late as by a retransmission
+	Duplicate      float64 // chance that a datagram is sent twice
+	Reorder        float64 // chance that a datagram is overtaken by later ones
+	Stall          float64 // chance that a chunk stops half way, for StallMs
+	StallMs        float64
+	Break          float64 // chance that a chunk breaks its TCP connection
+	DelayMs        float64 // one way; up to as much again is added at random
+	BytesPerSecond float64 // bytes a second over TCP, 0 for no bound
+	Rebind         float64 // chance that a datagram's sender gets another address
 }
 
 // Link carries traffic between devices and one address, with faults.
 type Link struct {
-	Address string       // where devices reach the link
-	Carried atomic.Int64 // datagrams and chunks that arrived at the link
+	Address  string       // where devices reach the link
+	Received atomic.Int64 // datagrams and chunks that arrived at the link
 
 	target string
 	faults Faults
--- a/internal/standin/link_datagram.go
+++ b/internal/standin/link_datagram.go
@@ -28,9 +28,9 @@
 	closed bool
 }
 
-// DatagramLink starts a link for UDP. Each device behind it has an address of
+// StartDatagramLink starts a link for UDP. Each device behind it has an address of
 // its own towards the target, as behind a carrier's address translation.
-func DatagramLink(target string, faults Faults, seed uint64) (*Link, error) {
+func StartDatagramLink(target string, faults Faults, seed uint64) (*Link, error) {
 	near, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("standin: listening for datagrams: %w", err)
@@ -123,7 +123,7 @@
 func (d *datagramLink) carry(datagram []byte, deliver func([]byte)) {
 	l := d.link
 	faults := &l.faults
-	l.Carried.Add(1)
+	l.Received.Add(1)
 	copies := 1
 	if l.chance(faults.Duplicate) {
 		copies = 2
--- a/internal/standin/link_stream.go
+++ b/internal/standin/link_stream.go
@@ -16,8 +16,8 @@
 	closed bool
 }
 
-// StreamLink starts a link for TCP.
-func StreamLink(target string, faults Faults, seed uint64) (*Link, error) {
+// StartStreamLink starts a link for TCP.
+func StartStreamLink(target string, faults Faults, seed uint64) (*Link, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("standin: listening for streams: %w", err)
@@ -112,13 +112,13 @@
 // perhaps after half of it.
 func (l *Link) carryChunk(to net.Conn, chunk []byte) bool {
 	faults := &l.faults
-	l.Carried.Add(1)
+	l.Received.Add(1)
 	delayMs := faults.DelayMs * (1 + l.draw())
 	if l.chance(faults.Loss) {
 		delayMs += 100 + 200*l.draw()
 	}
-	if faults.Rate > 0 {
-		delayMs += float64(len(chunk)) / faults.Rate * 1000
+	if faults.BytesPerSecond > 0 {
+		delayMs += float64(len(chunk)) / faults.BytesPerSecond * 1000
 	}
 	sleepMs(delayMs)
 	half := len(chunk) / 2
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -23,7 +23,7 @@
 		}
 	}()
 	for _, faults := range []Faults{{}, {Break: 1}} {
-		l, err := StreamLink(ln.Addr().String(), faults, 1)
+		l, err := StartStreamLink(ln.Addr().String(), faults, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/standin/options.go
+++ b/internal/standin/options.go
@@ -30,16 +30,16 @@
 	Groups           int
 	Replicas         int     // of each group, beside its primary
 	StandaloneGroups int     // groups after Groups that have only a primary
-	KeyTTL           float64 // how long an idempotency key is remembered
-	WorkMin          float64 // of a statement
-	WorkMax          float64
-	ReplicateMin     float64 // until a replica has a write
-	ReplicateMax     float64
-	DetectMin        float64 // until a lost primary is declared lost
-	DetectMax        float64
-	ElectMin         float64 // from then until a replica is primary
-	ElectMax         float64
-	WarmUp           float64 // of a host after its start
+	KeyTTLMs         float64 // how long an idempotency key is remembered
+	WorkMinMs        float64 // of a statement
+	WorkMaxMs        float64
+	ReplicateMinMs   float64 // until a replica has a write
+	ReplicateMaxMs   float64
+	DetectMinMs      float64 // until a lost primary is declared lost
+	DetectMaxMs      float64
+	ElectMinMs       float64 // from then until a replica is primary
+	ElectMaxMs       float64
+	WarmUpMs         float64 // of a host after its start
 	StartCapacity    float64 // of a host at its start, as a fraction of that when warm
 	Cores            int     // statements that a host runs at once
 	QueueLimit       int     // statements on a host, queued or running
@@ -47,10 +47,10 @@
 	RejectChance     float64 // that a host rejects a request as if its queue were full
 	FreshClass       string  // the class whose reads must see every write
 	Sabotage         Sabotage
-	// Steady hosts answer each statement after its work, whatever their load
+	// IgnoresLoad hosts answer each statement after its work, whatever their load
 	// and warm-up: they only count what they receive. A steady host that hangs
 	// still accepts connections.
-	Steady bool
+	IgnoresLoad bool
 	// Reads of BoundedClass that a replica answers with data older than
 	// MaxStalenessMs are counted as stale; 0 counts none.
 	BoundedClass   string
@@ -60,24 +60,24 @@
 // Defaults are the figures of the deployment, with less work per statement.
 func Defaults() Options {
 	return Options{
-		Groups:        2,
-		Replicas:      2,
-		KeyTTL:        5000,
-		WorkMin:       2,
-		WorkMax:       12,
-		ReplicateMin:  2,
-		ReplicateMax:  14,
-		DetectMin:     1200,
-		DetectMax:     2900,
-		ElectMin:      1600,
-		ElectMax:      3900,
-		WarmUp:        18000,
-		StartCapacity: 0.21,
-		Cores:         3,
-		QueueLimit:    64,
-		ResetChance:   0.03,
-		RejectChance:  0.01,
-		FreshClass:    "invoice-check",
+		Groups:         2,
+		Replicas:       2,
+		KeyTTLMs:       5000,
+		WorkMinMs:      2,
+		WorkMaxMs:      12,
+		ReplicateMinMs: 2,
+		ReplicateMaxMs: 14,
+		DetectMinMs:    1200,
+		DetectMaxMs:    2900,
+		ElectMinMs:     1600,
+		ElectMaxMs:     3900,
+		WarmUpMs:       18000,
+		StartCapacity:  0.21,
+		Cores:          3,
+		QueueLimit:     64,
+		ResetChance:    0.03,
+		RejectChance:   0.01,
+		FreshClass:     "invoice-check",
 	}
 }
 
--- a/internal/standin/statement.go
+++ b/internal/standin/statement.go
@@ -21,7 +21,7 @@
 	if err := skipStartup(in); err != nil {
 		return
 	}
-	if !h.group.opt.Steady {
+	if !h.group.opt.IgnoresLoad {
 		h.waitWhileHung()
 	}
 	greeting := wire.AppendReadyForQuery(wire.AppendBackendKeyData(wire.AppendAuthenticationOk(nil), 1, 1))
