--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	baselineWriters  = 4
-	baselineAttempts = 3 // of each write
-	baselineQueue    = 10000
+	baselineWriters    = 4
+	baselineAttempts   = 3 // of each write
+	baselineQueueLimit = 10000
 )
 
 // baselineEdge is the edge that a drill compares the router's edge with. It
@@ -50,7 +50,7 @@
 		listener: listener,
 		router:   router,
 		codec:    batch.NewCodec(),
-		queue:    make(chan string, baselineQueue),
+		queue:    make(chan string, baselineQueueLimit),
 		rand:     rand.New(rand.NewPCG(seed, 0x97a1)),
 		stop:     cancel,
 	}
@@ -166,7 +166,7 @@
 				continue
 			}
 		}
-		code, err := client.query(e.insert(value))
+		code, err := client.query(e.newInsert(value))
 		if err != nil {
 			client.close()
 			client = nil
@@ -179,8 +179,8 @@
 	return client
 }
 
-// insert is a write of a value under a new key and row.
-func (e *baselineEdge) insert(value string) string {
+// newInsert is a write of a value under a new key and row.
+func (e *baselineEdge) newInsert(value string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	id := e.rand.Uint64()
--- a/internal/lab/coap.go
+++ b/internal/lab/coap.go
@@ -19,14 +19,14 @@
 	// coapBlockSize is the size of a block in bytes, coapSZX its code.
 	coapBlockSize = 256
 	coapSZX       = 4
-	// coapMore marks a block that is not the last one.
-	coapMore = 8
+	// coapMoreBlocks marks a block that is not the last one.
+	coapMoreBlocks = 8
 	// coapNoBlock is the block option of a message without one.
 	coapNoBlock = int64(-1)
 
-	coapTransmissions = 8 // of a message
-	coapBlockRetries  = 2 // of a block that got no answer
-	coapEchoAttempts  = 4 // of a message that is answered with a new Echo value
+	coapMaxTransmissions = 8 // of a message
+	coapMaxBlockRetries  = 2 // of a block that got no answer
+	coapMaxEchoAttempts  = 4 // of a message that is answered with a new Echo value
 )
 
 // coapDevice speaks CoAP with confirmable or non-confirmable messages, and in
@@ -39,7 +39,7 @@
 	token          uint32
 	nonConfirmable bool
 	requestTag     []byte
-	verified       bool // a message of this exchange carried an Echo value, so the router may have taken it
+	echoSent       bool // a message of this exchange carried an Echo value, so the router may have taken it
 }
 
 func dialCoAP(_ context.Context, d *device, address string) (transport, error) {
@@ -65,18 +65,18 @@
 
 // exchange sends a batch in one request or in blocks.
 func (t *coapDevice) exchange(ctx context.Context, b *batch.Batch, _ bool) ([]batch.Result, bool, error) {
-	t.verified = false
+	t.echoSent = false
 	payload := t.device.codec.Encode(b)
 	t.requestTag = binary.BigEndian.AppendUint64(nil, t.device.rand.Uint64())
 	answer, err := t.transfer(ctx, payload)
 	if err != nil {
-		return nil, t.verified, err
+		return nil, t.echoSent, err
 	}
 	var reply batch.Reply
 	if err := t.device.codec.Decode(answer.Payload, &reply); err != nil {
-		return nil, t.verified, fmt.Errorf("%v: %w", answer.Code, err)
+		return nil, t.echoSent, fmt.Errorf("%v: %w", answer.Code, err)
 	}
-	return reply.Results, t.verified, nil
+	return reply.Results, t.echoSent, nil
 }
 
 // transfer sends a payload and returns the final answer.
@@ -88,7 +88,7 @@
 	last := (len(payload) - 1) / coapBlockSize
 	for n := range last {
 		part := payload[n*coapBlockSize : (n+1)*coapBlockSize]
-		answer, err := t.requestBlock(ctx, part, int64(n)<<4|coapMore|coapSZX)
+		answer, err := t.requestBlock(ctx, part, int64(n)<<4|coapMoreBlocks|coapSZX)
 		if err := transferError(answer, err); err != nil {
 			return nil, err
 		}
@@ -113,7 +113,7 @@
 // on where it was.
 func (t *coapDevice) requestBlock(ctx context.Context, part []byte, block int64) (*message.Message, error) {
 	answer, err := t.request(ctx, part, block)
-	for retries := 0; err != nil && retries < coapBlockRetries && ctx.Err() == nil; retries++ {
+	for retries := 0; err != nil && retries < coapMaxBlockRetries && ctx.Err() == nil; retries++ {
 		answer, err = t.request(ctx, part, block)
 	}
 	return answer, err
@@ -122,7 +122,7 @@
 // request sends a message with the last Echo value, and again with a new one
 // where the router demands that.
 func (t *coapDevice) request(ctx context.Context, payload []byte, block int64) (*message.Message, error) {
-	for range coapEchoAttempts {
+	for range coapMaxEchoAttempts {
 		answer, err := t.attempt(ctx, payload, block)
 		if err != nil || answer.Code != codes.Unauthorized {
 			return answer, err
@@ -142,7 +142,7 @@
 	}
 	wait := 400 * time.Millisecond
 	acked := false
-	for range coapTransmissions {
+	for range coapMaxTransmissions {
 		if !acked {
 			if _, err := t.conn.Write(datagram); err != nil {
 				return nil, err
@@ -172,12 +172,12 @@
 	}
 	m.Options = m.Options.Add(message.Option{ID: message.URIPath, Value: []byte("readings")})
 	if block != coapNoBlock {
-		m.Options = m.Options.Add(message.Option{ID: message.Block1, Value: shortestInteger(uint64(block))})
+		m.Options = m.Options.Add(message.Option{ID: message.Block1, Value: encodeOptionUint(uint64(block))})
 		m.Options = m.Options.Add(message.Option{ID: message.RequestTag, Value: t.requestTag})
 	}
 	if t.echo != nil {
 		m.Options = m.Options.Add(message.Option{ID: message.Echo, Value: t.echo})
-		t.verified = true
+		t.echoSent = true
 	}
 	datagram := make([]byte, len(payload)+128)
 	size, err := coder.DefaultCoder.Encode(m, datagram)
@@ -197,7 +197,7 @@
 		}
 		size, err := t.conn.Read(buffer)
 		if ctx.Err() != nil {
-			return nil, acked, errStopped
+			return nil, acked, errDrillEnded
 		}
 		if isTimeout(err) {
 			return nil, acked, nil
@@ -244,8 +244,8 @@
 	return errors.As(err, &netErr) && netErr.Timeout() || errors.Is(err, context.DeadlineExceeded)
 }
 
-// shortestInteger encodes an option's number without leading zeros.
-func shortestInteger(value uint64) []byte {
+// encodeOptionUint encodes an option's number without leading zeros.
+func encodeOptionUint(value uint64) []byte {
 	encoded := binary.BigEndian.AppendUint64(nil, value)
 	for len(encoded) > 0 && encoded[0] == 0 {
 		encoded = encoded[1:]
--- a/internal/lab/device.go
+++ b/internal/lab/device.go
@@ -12,8 +12,8 @@
 	"lotusbend/internal/edge/intake"
 )
 
-// maxBatch bounds the readings that a device sends at once.
-const maxBatch = 6
+// maxBatchReadings bounds the readings that a device sends at once.
+const maxBatchReadings = 6
 
 // Reading is one reading of a device, and what the device knows of it. An audit
 // compares it with what the stand-ins recorded.
@@ -25,8 +25,8 @@
 	Urgent bool
 	Acked  bool
 
-	sent uint64    // how often it may have reached a router
-	due  time.Time // not to be sent again before
+	sent      uint64    // how often it may have reached a router
+	notBefore time.Time // not to be sent again before
 }
 
 // device makes readings and sends each until it is acknowledged.
@@ -84,7 +84,7 @@
 		interval:  o.interval,
 		started:   time.Now(),
 	}
-	d.changeRouter()
+	d.chooseRouter()
 	// Half way the device restarts: its epoch changes and it counts from zero.
 	for n := range o.readings {
 		epoch := uint64(1)
@@ -109,12 +109,12 @@
 	return d
 }
 
-// changeRouter draws the router for the next connection.
-func (d *device) changeRouter() { d.router = d.rand.IntN(len(d.addresses)) }
+// chooseRouter draws the router for the next connection.
+func (d *device) chooseRouter() { d.router = d.rand.IntN(len(d.addresses)) }
 
-// next returns readings of one epoch that exist by now, are due and not
+// nextReadings returns readings of one epoch that exist by now, are due and not
 // acknowledged, at most maxBatch. done reports that all are acknowledged.
-func (d *device) next(now time.Time) (readings []*Reading, done bool) {
+func (d *device) nextReadings(now time.Time) (readings []*Reading, done bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	done = true
@@ -125,11 +125,11 @@
 		}
 		done = false
 		otherEpoch := len(readings) > 0 && readings[0].Epoch != reading.Epoch
-		if i >= made || now.Before(reading.due) || otherEpoch {
+		if i >= made || now.Before(reading.notBefore) || otherEpoch {
 			continue
 		}
 		readings = append(readings, reading)
-		if len(readings) == maxBatch {
+		if len(readings) == maxBatchReadings {
 			break
 		}
 	}
@@ -145,7 +145,7 @@
 		}
 	}()
 	for ctx.Err() == nil {
-		readings, done := d.next(time.Now())
+		readings, done := d.nextReadings(time.Now())
 		if done {
 			return
 		}
@@ -156,14 +156,14 @@
 		if conn != nil && d.rand.IntN(25) == 0 { // now and then it reconnects
 			conn.close()
 			conn = nil
-			d.changeRouter()
+			d.chooseRouter()
 		}
 		if conn == nil {
 			var err error
 			conn, err = dial(ctx, d, d.addresses[d.router])
 			if err != nil {
 				conn = nil
-				d.changeRouter()
+				d.chooseRouter()
 				d.pause(ctx, 50+200*d.rand.Float64())
 				continue
 			}
@@ -173,7 +173,7 @@
 			conn.close()
 			conn = nil
 			if d.rand.IntN(2) == 0 {
-				d.changeRouter()
+				d.chooseRouter()
 			}
 			d.pause(ctx, 50+300*d.rand.Float64())
 		}
@@ -202,17 +202,17 @@
 		}
 		for _, result := range results {
 			if result.Seq == reading.Seq {
-				reading.answered(result)
+				reading.applyResult(result)
 			}
 		}
 	}
 	return err
 }
 
-// answered takes a router's answer to the reading.
-func (r *Reading) answered(result batch.Result) {
+// applyResult takes a router's answer to the reading.
+func (r *Reading) applyResult(result batch.Result) {
 	r.Acked = r.Acked || intake.Status(result.Status).Done()
-	r.due = time.Now().Add(time.Duration(min(result.Wait, 2000)) * time.Millisecond)
+	r.notBefore = time.Now().Add(time.Duration(min(result.Wait, 2000)) * time.Millisecond)
 }
 
 func (d *device) setLastErr(err error) {
--- a/internal/lab/edge_drill.go
+++ b/internal/lab/edge_drill.go
@@ -60,16 +60,16 @@
 const (
 	// edgeRouters is the number of routers: devices of a lost one use another.
 	edgeRouters = 2
-	// edgeDrillTime bounds a drill.
-	edgeDrillTime = 52 * time.Second
+	// edgeDrillTimeout bounds a drill.
+	edgeDrillTimeout = 52 * time.Second
 	// edgeSettleTime lets requests in flight end before the audit, which must
 	// see a repeat that runs late.
 	edgeSettleTime = 3 * time.Second
-	// edgeReadingTime is over how much time the devices make their readings.
+	// edgeReadingPeriod is over how much time the devices make their readings.
 	// The rest is for those that arrive late.
-	edgeReadingTime = 15 * time.Second
-	// edgeSettingsOfDrill are keys for short timeouts.
-	edgeSettingsOfDrill = `"answer_ms": 8000, "retry_max_ms": 2000, ` +
+	edgeReadingPeriod = 15 * time.Second
+	// edgeDrillSettings are keys for short timeouts.
+	edgeDrillSettings = `"answer_ms": 8000, "retry_max_ms": 2000, ` +
 		`"stall_window_ms": 3000, "stall_bytes": 16, `
 )
 
@@ -81,7 +81,7 @@
 type edgeRun struct {
 	EdgeDrill
 	result    *EdgeResult
-	began     time.Time
+	startedAt time.Time
 	rand      *rand.Rand
 	log       *slog.Logger
 	fleet     *Fleet
@@ -97,7 +97,7 @@
 	run := &edgeRun{
 		EdgeDrill: o,
 		result:    &result,
-		began:     time.Now(),
+		startedAt: time.Now(),
 		rand:      rand.New(rand.NewPCG(o.Seed, 0xd711)),
 		log:       newProgress(o.Progress, "edge"),
 		addresses: map[string][]string{},
@@ -106,7 +106,7 @@
 	if err := run.start(ctx); err != nil {
 		return result, err
 	}
-	run.play(ctx)
+	run.runDevices(ctx)
 	run.finish()
 	return result, nil
 }
@@ -120,12 +120,12 @@
 		cluster.ResetChance = 0.2
 	}
 	r.fleet, err = StartFleet(FleetOptions{
-		Binary:  r.Binary,
-		Standin: cluster,
-		Routers: edgeRouters,
-		Store:   r.Store && !r.Baseline,
-		Log:     r.Progress,
-		Edge:    edgeSettingsOfDrill,
+		Binary:   r.Binary,
+		Standin:  cluster,
+		Routers:  edgeRouters,
+		Store:    r.Store && !r.Baseline,
+		Log:      r.Progress,
+		EdgeKeys: edgeDrillSettings,
 	})
 	if err != nil {
 		return err
@@ -201,10 +201,10 @@
 	return edgeProtocols
 }
 
-// play lets the devices send, with faults, until they are done or the drill's
+// runDevices lets the devices send, with faults, until they are done or the drill's
 // time is over.
-func (r *edgeRun) play(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, edgeDrillTime-edgeSettleTime)
+func (r *edgeRun) runDevices(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, edgeDrillTimeout-edgeSettleTime)
 	defer cancel()
 	protocols := r.protocols()
 	var wg sync.WaitGroup
@@ -214,7 +214,7 @@
 			name:      fmt.Sprintf("%s-%d", protocol, n),
 			number:    n / len(protocols),
 			readings:  r.Readings,
-			interval:  edgeReadingTime / time.Duration(max(r.Readings, 1)),
+			interval:  edgeReadingPeriod / time.Duration(max(r.Readings, 1)),
 			valueSize: 20 + r.rand.IntN(100),
 			addresses: r.addresses[protocol],
 			seed:      r.Seed,
@@ -222,7 +222,7 @@
 		r.devices = append(r.devices, d)
 		wg.Go(func() { d.run(ctx, dialFuncs[protocol]) })
 	}
-	r.playFaults(ctx)
+	r.injectFaults(ctx)
 	done := make(chan struct{})
 	go func() { wg.Wait(); close(done) }()
 	r.awaitDevices(done)
@@ -238,9 +238,9 @@
 			return
 		case <-tick.C:
 			for _, router := range r.fleet.Routers {
-				router.sample()
+				router.samplePeakMemory()
 			}
-			r.log.Info("devices send", "elapsed", time.Since(r.began).Round(time.Second),
+			r.log.Info("devices send", "elapsed", time.Since(r.startedAt).Round(time.Second),
 				"recorded", len(r.fleet.Cluster.Executions()))
 		}
 	}
@@ -250,12 +250,12 @@
 func (r *edgeRun) finish() {
 	cluster := r.fleet.Cluster
 	// Stored readings are delivered after their acknowledgement.
-	for r.Store && time.Since(r.began) < edgeDrillTime && len(cluster.Executions()) < r.Devices*r.Readings {
+	for r.Store && time.Since(r.startedAt) < edgeDrillTimeout && len(cluster.Executions()) < r.Devices*r.Readings {
 		time.Sleep(100 * time.Millisecond)
 	}
 	time.Sleep(edgeSettleTime)
 	for _, router := range r.fleet.Routers {
-		router.sample()
+		router.samplePeakMemory()
 		r.result.PeakBytes = max(r.result.PeakBytes, router.PeakResidentBytes)
 	}
 	auditEdge(r.devices, cluster.Executions(), r.result)
@@ -265,5 +265,5 @@
 		}
 	}
 	r.result.KeyRepeats, r.result.Aborted = cluster.WriteCounts()
-	r.result.Seconds = float64(time.Since(r.began).Milliseconds()) / 1000
+	r.result.Seconds = float64(time.Since(r.startedAt).Milliseconds()) / 1000
 }
--- a/internal/lab/edge_faults.go
+++ b/internal/lab/edge_faults.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// playFaults kills routers and loses primaries while devices send.
-func (r *edgeRun) playFaults(ctx context.Context) {
+// injectFaults kills routers and loses primaries while devices send.
+func (r *edgeRun) injectFaults(ctx context.Context) {
 	total := r.KillRouter + r.CrashPrimary
 	for n := range total {
 		if !sleepFor(ctx, 10000/float64(total)+1000*r.rand.Float64()) {
@@ -15,7 +15,7 @@
 		// Kills of routers are spread evenly among the faults.
 		killRouter := n*r.KillRouter/total < (n+1)*r.KillRouter/total
 		if !killRouter {
-			r.losePrimary()
+			r.failPrimary()
 		} else if !r.restartRouter(ctx) {
 			return
 		}
@@ -39,8 +39,8 @@
 	return true
 }
 
-// losePrimary crashes or hangs the primary of a group, unless it has none.
-func (r *edgeRun) losePrimary() {
+// failPrimary crashes or hangs the primary of a group, unless it has none.
+func (r *edgeRun) failPrimary() {
 	cluster := r.fleet.Cluster
 	primary := cluster.Primary(1 + r.rand.IntN(2))
 	if primary == nil {
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -16,8 +16,8 @@
 	"lotusbend/internal/standin"
 )
 
-// errStopped ends a device's work when the drill is over.
-var errStopped = errors.New("lab: the drill is over")
+// errDrillEnded ends a device's work when the drill is over.
+var errDrillEnded = errors.New("lab: the drill is over")
 
 // Fleet is a stand-in cluster with routers that have an edge.
 type Fleet struct {
@@ -28,20 +28,20 @@
 
 // FleetOptions say what to start.
 type FleetOptions struct {
-	Binary  string // the router's program
-	Standin standin.Options
-	Routers int
-	Edge    string    // further keys of the edge's settings, each ended by a comma
-	Sockets int       // limit of each router, 0 for 4096
-	Store   bool      // store and forward
-	Log     io.Writer // the routers' standard error
+	Binary      string // the router's program
+	Standin     standin.Options
+	Routers     int
+	EdgeKeys    string    // further keys of the edge's settings, each ended by a comma
+	SocketLimit int       // limit of each router, 0 for 4096
+	Store       bool      // store and forward
+	Log         io.Writer // the routers' standard error
 }
 
 const (
-	defaultSockets = 4096
-	// startAttempts bounds the attempts to start a router: an address that was
+	defaultSocketLimit = 4096
+	// maxStartAttempts bounds the attempts to start a router: an address that was
 	// free may be in use by the time the router listens.
-	startAttempts = 5
+	maxStartAttempts = 5
 )
 
 // StartFleet starts a fleet on loopback. Close ends it; after an error nothing
@@ -74,7 +74,7 @@
 
 // startRouter configures and starts the n-th router.
 func (f *Fleet) startRouter(r *Router, n int, o FleetOptions) (err error) {
-	for range startAttempts {
+	for range maxStartAttempts {
 		if err := f.configure(r, n, o); err != nil {
 			return err
 		}
@@ -105,15 +105,15 @@
 		}
 		*address.to = free.String()
 	}
-	r.ready = r.Frames
-	sockets := o.Sockets
+	r.readyAddress = r.Frames
+	sockets := o.SocketLimit
 	if sockets == 0 {
-		sockets = defaultSockets
+		sockets = defaultSocketLimit
 	}
 	settings := fmt.Sprintf(routerSettings, o.Routers)
 	config := fmt.Sprintf(deploymentFile, r.Name, r.Listen, f.Cluster.Discovery, o.Standin.Seed+uint64(n),
 		sockets, f.Cluster.EndpointList(), settings)
-	edgeKeys := o.Edge
+	edgeKeys := o.EdgeKeys
 	if o.Store {
 		edgeKeys += fmt.Sprintf("%q: %q, ", "store", filepath.Join(f.dir, r.Name+".db"))
 	}
--- a/internal/lab/fleetview.go
+++ b/internal/lab/fleetview.go
@@ -90,9 +90,9 @@
 		Procs:    o.Procs,
 		Binary:   o.Binary,
 		Log:      o.RouterLog,
-		Level:    "warn",
+		LogLevel: "warn",
 		Standin:  cluster,
-		Faults:   memberFaults(o.Loss),
+		Faults:   linkFaults(o.Loss),
 		Settings: routerSettings,
 		Sabotage: o.Sabotage,
 	})
@@ -107,20 +107,20 @@
 		rand:           rand.New(rand.NewPCG(o.Seed, 0xf1ee7)),
 	}
 	began := time.Now()
-	run.play(ctx)
+	run.runPhases(ctx)
 	perMember := float64(fleet.relay.Bytes.Load()) / float64(o.Procs)
 	result.BytesPerMemberS = perMember / time.Since(began).Seconds()
-	result.OK = result.holds(o)
+	result.OK = result.passed(o)
 	return result, ctx.Err()
 }
 
-// memberFaults are the faults on every link for the whole run.
-func memberFaults(loss float64) faultnet.Faults {
+// linkFaults are the faults on every link for the whole run.
+func linkFaults(loss float64) faultnet.Faults {
 	return faultnet.Faults{Loss: loss, Dup: 0.02, DelayMs: 1, JitterMs: 4}
 }
 
-// holds reports whether the views settled after each fault and were never wrong.
-func (r *FleetviewResult) holds(o FleetviewDrill) bool {
+// passed reports whether the views settled after each fault and were never wrong.
+func (r *FleetviewResult) passed(o FleetviewDrill) bool {
 	for _, phase := range r.Phases {
 		if !phase.Settled {
 			return false
--- a/internal/lab/fleetview_faults.go
+++ b/internal/lab/fleetview_faults.go
@@ -15,71 +15,71 @@
 type fleetviewRun struct {
 	FleetviewDrill
 	*viewWatcher
-	rand   *rand.Rand
-	others []int // members but the first, in the order in which faults take them
+	rand       *rand.Rand
+	candidates []int // members but the first, in the order in which faults take them
 }
 
-// play plays the faults that the options ask for, in a fixed order, each on
+// runPhases plays the faults that the options ask for, in a fixed order, each on
 // members drawn from the seed. The first member, the seed of the others, is
 // spared.
-func (r *fleetviewRun) play(ctx context.Context) {
+func (r *fleetviewRun) runPhases(ctx context.Context) {
 	r.phase(ctx, "join", nil)
 	for _, i := range r.rand.Perm(len(r.fleet.members) - 1) {
-		r.others = append(r.others, i+1)
+		r.candidates = append(r.candidates, i+1)
 	}
 	if r.Late > 0 {
-		r.playLate(ctx)
+		r.delayMembers(ctx)
 	}
 	if r.Flood > 0 {
-		r.playFlood(ctx)
+		r.floodMember(ctx)
 	}
 	if r.Pause > 0 {
-		r.playPause(ctx)
+		r.pauseMembers(ctx)
 	}
 	var killed []*member
 	if r.Kill > 0 {
-		killed = r.playKill(ctx)
+		killed = r.killMembers(ctx)
 	}
 	switch r.Cut {
 	case "zones":
-		r.playSplit(ctx)
+		r.splitZones(ctx)
 	case "oneway":
-		r.playOneWayCut(ctx)
+		r.cutOneWay(ctx)
 	}
 	if len(killed) > 0 {
-		r.playRestart(ctx, killed[0])
+		r.restartMember(ctx, killed[0])
 	}
-	r.wait(ctx, 2*probePeriodMs)
+	r.pollFor(ctx, 2*probePeriodMs)
 }
 
-// draw returns the next running members for a fault.
-func (r *fleetviewRun) draw(count int) []*member {
+// drawMembers returns the next running members for a fault.
+func (r *fleetviewRun) drawMembers(count int) []*member {
 	var drawn []*member
-	for _, i := range r.others {
+	for _, i := range r.candidates {
 		if m := r.fleet.members[i]; m.running && len(drawn) < count {
 			drawn = append(drawn, m)
 		}
 	}
-	r.others = append(r.others[count:], r.others[:count]...)
+	r.candidates = append(r.candidates[count:], r.candidates[:count]...)
 	return drawn
 }
 
-// playLate delays all packets of some members past the wait of a direct probe,
+// delayMembers delays all packets of some members past the wait of a direct probe,
 // but within the probe period, so that nacks show that they are alive.
-func (r *fleetviewRun) playLate(ctx context.Context) {
-	late := r.draw(r.Late)
+func (r *fleetviewRun) delayMembers(ctx context.Context) {
+	late := r.drawMembers(r.Late)
 	for _, m := range late {
-		r.fleet.relay.DelaySender(r.index(m.router.Name), probePeriodMs*2/5+20)
+		r.fleet.relay.DelaySender(r.memberIndex(m.router.Name), probePeriodMs*2/5+20)
 	}
-	r.wait(ctx, r.boundMs)
+	r.pollFor(ctx, r.boundMs)
 	r.phase(ctx, fmt.Sprintf("%d answering late always", len(late)), nil)
 }
 
-// playFlood sends malformed datagrams (random bytes, some past the largest
+// floodMember sends malformed datagrams (random bytes, some past the largest
 // packet) straight to the first member's own socket, over about two seconds.
 // Then the views must still be settled, and the member must have counted the
 // drops.
-func (r *fleetviewRun) playFlood(ctx context.Context) {
+func (r *fleetviewRun) floodMember(ctx context.Context) {
 	conn, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(r.fleet.sockets[0]))
 	if err != nil {
 		never := func(int, int) bool { return false }
@@ -106,17 +106,17 @@
 		}
 	}
 	r.phase(ctx, fmt.Sprintf("flood of %d malformed packets at one member", r.Flood), nil)
-	r.result.FloodDropped = r.dropped(r.fleet.members[0])
+	r.result.FloodDropped = r.droppedPackets(r.fleet.members[0])
 }
 
-// playPause pauses members past their suspicion.
-func (r *fleetviewRun) playPause(ctx context.Context) {
-	paused := r.draw(r.Pause)
+// pauseMembers pauses members past their suspicion.
+func (r *fleetviewRun) pauseMembers(ctx context.Context) {
+	paused := r.drawMembers(r.Pause)
 	for _, m := range paused {
 		m.router.signal(syscall.SIGSTOP)
 		m.pausedUntil = time.Now().Add(time.Hour) // until it is resumed below
 	}
-	r.wait(ctx, r.boundMs)
+	r.pollFor(ctx, r.boundMs)
 	for _, m := range paused {
 		// Before it runs: until it has refuted its death, that is no fault.
 		m.settlingUntil = time.Now().Add(r.bound())
@@ -126,24 +126,24 @@
 	r.phase(ctx, fmt.Sprintf("pause %d past suspicion", len(paused)), nil)
 }
 
-// playKill kills members at once and returns them.
-func (r *fleetviewRun) playKill(ctx context.Context) []*member {
-	killed := r.draw(r.Kill)
+// killMembers kills members at once and returns them.
+func (r *fleetviewRun) killMembers(ctx context.Context) []*member {
+	killed := r.drawMembers(r.Kill)
 	for _, m := range killed {
 		m.router.Kill()
 		m.running = false
 	}
 	if !r.phase(ctx, fmt.Sprintf("kill %d", len(killed)), nil) {
 		for _, m := range killed {
-			r.result.MissedCrashes += r.seenAlive(m)
+			r.result.MissedCrashes += r.countSeenAlive(m)
 		}
 	}
 	return killed
 }
 
-// seenAlive counts the views of the last poll that have this instance as a
+// countSeenAlive counts the views of the last poll that have this instance as a
 // member.
-func (r *fleetviewRun) seenAlive(m *member) (count int) {
+func (r *fleetviewRun) countSeenAlive(m *member) (count int) {
 	for _, view := range r.views {
 		for _, update := range view.Members {
 			if update.Name == m.router.Name && update.Start == m.start && update.State <= membership.Suspect {
@@ -154,15 +154,15 @@
 	return count
 }
 
-// playSplit cuts the zones from each other for SplitMs, then heals the cut.
-func (r *fleetviewRun) playSplit(ctx context.Context) {
+// splitZones cuts the zones from each other for SplitMs, then heals the cut.
+func (r *fleetviewRun) splitZones(ctx context.Context) {
 	r.cut = r.fleet.cut("zones")
 	r.fleet.relay.Cut(r.cut)
 	sameZone := func(viewer, subject int) bool {
 		return r.fleet.members[subject].running && !r.cut(viewer, subject)
 	}
 	r.phase(ctx, "split into zones", sameZone)
-	r.wait(ctx, r.SplitMs)
+	r.pollFor(ctx, r.SplitMs)
 	r.phase(ctx, "each half right about itself", sameZone)
 	r.fleet.relay.Cut(nil)
 	r.cut = nil
@@ -172,19 +172,19 @@
 	r.phase(ctx, "heal", nil)
 }
 
-// playOneWayCut loses what the second member sends to the third for SplitMs.
+// cutOneWay loses what the second member sends to the third for SplitMs.
 // The others' indirect probes must keep the third alive.
-func (r *fleetviewRun) playOneWayCut(ctx context.Context) {
+func (r *fleetviewRun) cutOneWay(ctx context.Context) {
 	r.cut = func(from, to int) bool { return from == 1 && to == 2 }
 	r.fleet.relay.Cut(r.cut)
-	r.wait(ctx, r.SplitMs)
+	r.pollFor(ctx, r.SplitMs)
 	r.fleet.relay.Cut(nil)
 	r.cut = nil
 	r.phase(ctx, "one-way cut healed", nil)
 }
 
-// playRestart starts a killed member again under its name.
-func (r *fleetviewRun) playRestart(ctx context.Context, m *member) {
+// restartMember starts a killed member again under its name.
+func (r *fleetviewRun) restartMember(ctx context.Context, m *member) {
 	if err := m.router.Start(); err != nil {
 		r.log.Error("router not restarted", "router", m.router.Name, "error", err)
 		return
--- a/internal/lab/framestream.go
+++ b/internal/lab/framestream.go
@@ -22,7 +22,7 @@
 }
 
 func dialFrames(ctx context.Context, d *device, address string) (transport, error) {
-	conn, err := net.DialTimeout("tcp", address, answerTimeout)
+	conn, err := net.DialTimeout("tcp", address, deviceAnswerTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -65,7 +65,7 @@
 // receive reads frames up to one of a kind.
 func (t *frameDevice) receive(ctx context.Context, kind frames.Kind, to any) error {
 	for {
-		if err := t.conn.SetReadDeadline(time.Now().Add(answerTimeout)); err != nil {
+		if err := t.conn.SetReadDeadline(time.Now().Add(deviceAnswerTimeout)); err != nil {
 			return err
 		}
 		body, err := readFrame(t.in, math.MaxUint32)
@@ -73,7 +73,7 @@
 			return err
 		}
 		if ctx.Err() != nil {
-			return errStopped
+			return errDrillEnded
 		}
 		if len(body) < 2 {
 			continue
--- a/internal/lab/loadclient.go
+++ b/internal/lab/loadclient.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// loadClientConns bounds the connections of one load client. A request for
+// maxLoadClientConns bounds the connections of one load client. A request for
 // which none is free is not sent.
-const loadClientConns = 64
+const maxLoadClientConns = 64
 
 // loadClient stands for the clients of one router. It sends reads at a rate,
 // whatever becomes of earlier ones.
 type loadClient struct {
-	index  int // of the router, the upper bits of each request's id
-	router string
-	rand   *rand.Rand
-	sent   atomic.Uint64 // requests
-	idle   chan *pgClient
-	open   atomic.Int64 // connections
-	wg     sync.WaitGroup
+	index        int // of the router, the upper bits of each request's id
+	router       string
+	rand         *rand.Rand
+	requestsSent atomic.Uint64 // requests
+	idleConns    chan *pgClient
+	openConns    atomic.Int64 // connections
+	wg           sync.WaitGroup
 
-	served   atomic.Int64
-	rejected atomic.Int64
-	broken   atomic.Int64 // connections that ended
+	served      atomic.Int64
+	rejected    atomic.Int64
+	brokenConns atomic.Int64 // connections that ended
 }
 
 func newLoadClient(index int, router string, seed uint64) *loadClient {
 	return &loadClient{
-		index:  index,
-		router: router,
-		rand:   rand.New(rand.NewPCG(seed, uint64(index)+0xa5)),
-		idle:   make(chan *pgClient, loadClientConns),
+		index:     index,
+		router:    router,
+		rand:      rand.New(rand.NewPCG(seed, uint64(index)+0xa5)),
+		idleConns: make(chan *pgClient, maxLoadClientConns),
 	}
 }
 
@@ -50,7 +50,7 @@
 				continue
 			}
 			time.Sleep(time.Duration(rnd.ExpFloat64() / perSecond * float64(time.Second)))
-			id := uint64(c.index)<<routerIDShift | c.sent.Add(1)
+			id := uint64(c.index)<<routerIDShift | c.requestsSent.Add(1)
 			c.wg.Go(func() { c.request(selectStatement(id, id, class, group)) })
 		}
 	})
@@ -77,18 +77,18 @@
 	} else {
 		c.rejected.Add(1)
 	}
-	c.idle <- conn // never blocks: it has capacity for every connection
+	c.idleConns <- conn // never blocks: it has capacity for every connection
 }
 
 // acquire returns an idle or a new connection, nil if there can be none.
 func (c *loadClient) acquire() *pgClient {
 	select {
-	case conn := <-c.idle:
+	case conn := <-c.idleConns:
 		return conn
 	default:
 	}
-	if c.open.Add(1) > loadClientConns {
-		c.open.Add(-1)
+	if c.openConns.Add(1) > maxLoadClientConns {
+		c.openConns.Add(-1)
 		return nil
 	}
 	conn, err := dialPostgres(c.router, pgDialTimeout)
@@ -100,8 +100,8 @@
 }
 
 func (c *loadClient) connBroken() {
-	c.open.Add(-1)
-	c.broken.Add(1)
+	c.openConns.Add(-1)
+	c.brokenConns.Add(1)
 }
 
 // wait returns when every run and request has ended.
@@ -112,9 +112,9 @@
 	c.wait()
 	for {
 		select {
-		case conn := <-c.idle:
+		case conn := <-c.idleConns:
 			conn.close()
-			c.open.Add(-1)
+			c.openConns.Add(-1)
 		default:
 			return
 		}
--- a/internal/lab/measure.go
+++ b/internal/lab/measure.go
@@ -28,9 +28,9 @@
 const (
 	postgresFront  = "postgresql"
 	warmUpRequests = 50
-	// restTime lies between requests: a connection to a host rests 2 ms after
+	// requestInterval lies between requests: a connection to a host rests 2 ms after
 	// an answer, and no front shall wait for another's.
-	restTime = 5 * time.Millisecond
+	requestInterval = 5 * time.Millisecond
 )
 
 // measuredFronts are the fronts in the order in which they take turns.
@@ -52,12 +52,12 @@
 ) {
 	figures := EdgeMetrics{Requests: requests, IdleDevices: idle}
 	fleet, err := StartFleet(FleetOptions{
-		Binary:  binary,
-		Standin: immediateHosts(),
-		Routers: 1,
-		Log:     progress,
-		Sockets: 2*idle + defaultSockets,
-		Edge:    fmt.Sprintf(`"connections": %d, "sessions": %d, `, idle+100, idle+100),
+		Binary:      binary,
+		Standin:     immediateHosts(),
+		Routers:     1,
+		Log:         progress,
+		SocketLimit: 2*idle + defaultSocketLimit,
+		EdgeKeys:    fmt.Sprintf(`"connections": %d, "sessions": %d, `, idle+100, idle+100),
 	})
 	if err != nil {
 		return figures, err
@@ -68,25 +68,25 @@
 	if err := m.connect(ctx); err != nil {
 		return figures, err
 	}
-	if _, err := m.rounds(warmUpRequests); err != nil {
+	if _, err := m.measureRounds(warmUpRequests); err != nil {
 		return figures, err
 	}
-	latencies, err := m.rounds(requests)
+	latencies, err := m.measureRounds(requests)
 	if err != nil {
 		return figures, err
 	}
 	figures.MedianMs = percentiles(latencies, 50)
 	figures.P99Ms = percentiles(latencies, 99)
-	figures.BeforeBytes = m.router.resident()
+	figures.BeforeBytes = m.router.residentBytes()
 	if err := m.connectIdle(ctx, idle); err != nil {
 		return figures, err
 	}
 	time.Sleep(2 * time.Second) // for the garbage collector
-	figures.IdleBytes = m.router.resident()
+	figures.IdleBytes = m.router.residentBytes()
 	if err := m.connectPostgres(); err != nil { // the first connection was idle for too long
 		return figures, err
 	}
-	latencies, err = m.rounds(max(requests/4, 50))
+	latencies, err = m.measureRounds(max(requests/4, 50))
 	figures.BesideIdle = percentiles(latencies, 50)
 	return figures, err
 }
@@ -161,13 +161,13 @@
 	return nil
 }
 
-// rounds sends so many requests through each front and returns their latencies
+// measureRounds sends so many requests through each front and returns their latencies
 // in milliseconds.
-func (m *edgeMeasurement) rounds(count int) (map[string][]float64, error) {
+func (m *edgeMeasurement) measureRounds(count int) (map[string][]float64, error) {
 	latencies := map[string][]float64{}
 	for last := m.requests + count; m.requests < last; m.requests++ {
 		for _, front := range measuredFronts {
-			time.Sleep(restTime)
+			time.Sleep(requestInterval)
 			began := time.Now()
 			if err := m.send[front](m.requests); err != nil {
 				return nil, fmt.Errorf("%s, request %d: %w", front, m.requests, err)
--- a/internal/lab/members.go
+++ b/internal/lab/members.go
@@ -12,8 +12,8 @@
 	"lotusbend/internal/standin"
 )
 
-// memberSockets is the limit of each member's sockets.
-const memberSockets = 256
+// memberSocketLimit is the limit of each member's sockets.
+const memberSocketLimit = 256
 
 // member is one router of a drill on the fleet, in a process of its own.
 type member struct {
@@ -35,7 +35,7 @@
 	Procs    int // routers
 	Binary   string
 	Log      io.Writer // the routers' standard error
-	Level    string    // of the routers' log
+	LogLevel string    // of the routers' log
 	Standin  standin.Options
 	Faults   faultnet.Faults
 	Settings string             // of the classes and rules, with a verb for the number of routers
@@ -113,16 +113,16 @@
 		return nil, err
 	}
 	r := &Router{
-		Name:   fmt.Sprint("m", i+1),
-		Listen: listen.String(),
-		ready:  admin.String(),
-		dir:    f.dir,
-		binary: o.Binary,
-		log:    o.Log,
+		Name:         fmt.Sprint("m", i+1),
+		Listen:       listen.String(),
+		readyAddress: admin.String(),
+		dir:          f.dir,
+		binary:       o.Binary,
+		log:          o.Log,
 	}
 	m := &member{router: r, admin: admin.String(), zone: i % 2, running: true}
 	config := fmt.Sprintf(deploymentFile, r.Name, r.Listen, f.cluster.Discovery, o.Seed+uint64(i),
-		memberSockets, f.cluster.EndpointList(), fmt.Sprintf(o.Settings, o.Procs))
+		memberSocketLimit, f.cluster.EndpointList(), fmt.Sprintf(o.Settings, o.Procs))
 	return m, r.writeFiles(config, f.memberSettings(i, m, o))
 }
 
@@ -139,7 +139,7 @@
 	membership := fmt.Sprintf(
 		`"bind": %q, "advertise": %q, "seeds": [%q], "admin": %q, "zone": "z%d", "period_ms": %d%s`,
 		f.sockets[i], f.relay.Address(i), f.relay.Address(0), m.admin, m.zone, probePeriodMs, sabotage)
-	return fmt.Sprintf(`{"log": {"level": %q}, "membership": {%s}%s}`, o.Level, membership, shared)
+	return fmt.Sprintf(`{"log": {"level": %q}, "membership": {%s}%s}`, o.LogLevel, membership, shared)
 }
 
 // close ends every process that was started, and all around them.
--- a/internal/lab/mqtt.go
+++ b/internal/lab/mqtt.go
@@ -17,14 +17,14 @@
 	"lotusbend/internal/edge/mqtt"
 )
 
-// answerTimeout bounds a device's wait for an answer on a connection that is up.
-const answerTimeout = 6 * time.Second
+// deviceAnswerTimeout bounds a device's wait for an answer on a connection that is up.
+const deviceAnswerTimeout = 6 * time.Second
 
 // errDisconnected is a router that ended the connection in order.
 var errDisconnected = errors.New("lab: disconnected by the router")
 
-// mqttFailure is the least reason code of a failure.
-const mqttFailure = 0x80
+// mqttMinFailureCode is the least reason code of a failure.
+const mqttMinFailureCode = 0x80
 
 // mqttDevice speaks MQTT 3.1.1 or 5 with quality of service 1 or 2.
 type mqttDevice struct {
@@ -38,7 +38,7 @@
 }
 
 func dialMQTT(ctx context.Context, d *device, address string) (transport, error) {
-	conn, err := net.DialTimeout("tcp", address, answerTimeout)
+	conn, err := net.DialTimeout("tcp", address, deviceAnswerTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -75,7 +75,7 @@
 	if err := t.write(&connect); err != nil {
 		return err
 	}
-	answer, err := t.next(ctx)
+	answer, err := t.readPacket(ctx)
 	if err != nil {
 		return err
 	}
@@ -96,9 +96,9 @@
 	return err
 }
 
-// next reads one packet.
-func (t *mqttDevice) next(ctx context.Context) (packet packets.Packet, err error) {
-	if err := t.conn.SetReadDeadline(time.Now().Add(answerTimeout)); err != nil {
+// readPacket reads one packet.
+func (t *mqttDevice) readPacket(ctx context.Context) (packet packets.Packet, err error) {
+	if err := t.conn.SetReadDeadline(time.Now().Add(deviceAnswerTimeout)); err != nil {
 		return packet, err
 	}
 	first, err := t.in.ReadByte()
@@ -114,7 +114,7 @@
 		return packet, err
 	}
 	if ctx.Err() != nil {
-		return packet, errStopped
+		return packet, errDrillEnded
 	}
 	packet.ProtocolVersion = t.version
 	if err := packet.FixedHeader.Decode(first); err != nil {
@@ -136,10 +136,10 @@
 	return packet, err
 }
 
-// await reads packets up to one of a type for the current packet identifier.
-func (t *mqttDevice) await(ctx context.Context, packetType byte) (packets.Packet, error) {
+// awaitPacket reads packets up to one of a type for the current packet identifier.
+func (t *mqttDevice) awaitPacket(ctx context.Context, packetType byte) (packets.Packet, error) {
 	for {
-		packet, err := t.next(ctx)
+		packet, err := t.readPacket(ctx)
 		if err != nil {
 			return packet, err
 		}
@@ -168,13 +168,13 @@
 	if t.qos == 2 {
 		answerType = packets.Pubrec
 	}
-	answer, err := t.await(ctx, answerType)
+	answer, err := t.awaitPacket(ctx, answerType)
 	if err != nil {
 		return nil, true, err
 	}
 	results := publishResults(b, &answer)
-	if t.qos == 2 && answer.ReasonCode < mqttFailure {
-		err = t.complete(ctx)
+	if t.qos == 2 && answer.ReasonCode < mqttMinFailureCode {
+		err = t.completeQoS2(ctx)
 	}
 	return results, true, err
 }
@@ -185,7 +185,7 @@
 	results := make([]batch.Result, len(b.Readings))
 	for i, reading := range b.Readings {
 		results[i].Seq = reading.Seq
-		if answer.ReasonCode < mqttFailure {
+		if answer.ReasonCode < mqttMinFailureCode {
 			continue
 		}
 		results[i].Status = uint8(intake.Unknown)
@@ -196,8 +196,8 @@
 	return results
 }
 
-// complete is the second half of an exchange with quality of service 2.
-func (t *mqttDevice) complete(ctx context.Context) error {
+// completeQoS2 is the second half of an exchange with quality of service 2.
+func (t *mqttDevice) completeQoS2(ctx context.Context) error {
 	release := packets.Packet{
 		FixedHeader:     packets.FixedHeader{Type: packets.Pubrel, Qos: 1},
 		ProtocolVersion: t.version,
@@ -206,7 +206,7 @@
 	if err := t.write(&release); err != nil {
 		return err
 	}
-	_, err := t.await(ctx, packets.Pubcomp)
+	_, err := t.awaitPacket(ctx, packets.Pubcomp)
 	return err
 }
 
--- a/internal/lab/router.go
+++ b/internal/lab/router.go
@@ -32,10 +32,10 @@
 	Frames            string // address of the framed stream
 	PeakResidentBytes int64  // largest resident memory of all its processes, bytes
 
-	ready  string // address that accepts connections once the router is up
-	dir    string
-	binary string
-	log    io.Writer // standard error of the process
+	readyAddress string // address that accepts connections once the router is up
+	dir          string
+	binary       string
+	log          io.Writer // standard error of the process
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd       // nil unless the process was started
@@ -87,7 +87,7 @@
 func (r *Router) waitReady() error {
 	deadline := time.Now().Add(routerReadyTime)
 	for time.Now().Before(deadline) {
-		if conn, err := net.Dial("tcp", r.ready); err == nil {
+		if conn, err := net.Dial("tcp", r.readyAddress); err == nil {
 			return conn.Close()
 		}
 		select {
@@ -105,7 +105,7 @@
 
 // stop sends a signal that ends the process, and waits for its end.
 func (r *Router) stop(s syscall.Signal) {
-	r.sample()
+	r.samplePeakMemory()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cmd == nil {
@@ -130,15 +130,17 @@
 	}
 }
 
-// sample updates Peak.
-func (r *Router) sample() { r.PeakResidentBytes = max(r.PeakResidentBytes, r.memory("VmHWM:")) }
+// samplePeakMemory updates Peak.
+func (r *Router) samplePeakMemory() {
+	r.PeakResidentBytes = max(r.PeakResidentBytes, r.statusBytes("VmHWM:"))
+}
 
-// resident returns the process's resident memory in bytes.
-func (r *Router) resident() int64 { return r.memory("VmRSS:") }
+// residentBytes returns the process's residentBytes memory in bytes.
+func (r *Router) residentBytes() int64 { return r.statusBytes("VmRSS:") }
 
-// memory returns a figure of the process's status in bytes, 0 if it does not
+// statusBytes returns a figure of the process's status in bytes, 0 if it does not
 // run.
-func (r *Router) memory(name string) int64 {
+func (r *Router) statusBytes(name string) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cmd == nil {
--- a/internal/lab/router_test.go
+++ b/internal/lab/router_test.go
@@ -16,12 +16,12 @@
 	if err := os.WriteFile(program, []byte(script), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	ready, err := addresses.allocate("tcp")
+	readyAddress, err := addresses.allocate("tcp")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var log bytes.Buffer
-	router := &Router{Name: "n1", ready: ready.String(), dir: dir, binary: program, log: &log}
+	router := &Router{Name: "n1", readyAddress: readyAddress.String(), dir: dir, binary: program, log: &log}
 	if err := router.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/shared.go
+++ b/internal/lab/shared.go
@@ -79,20 +79,20 @@
 	warmGroup = 2 // only a primary, which restarts and warms up
 	// hostWorkMs is the work of each statement.
 	hostWorkMs = 5.0
-	// warmDemand is what all routers together would send the warming endpoint a
+	// warmUpRequestsPerSecond is what all routers together would send the warming endpoint a
 	// second: more than twice what it may receive when it is warm.
-	warmDemand = 1000.0
-	hangMs     = 8000
-	// discoveredMs is when every router has a start from discovery, which lists it
+	warmUpRequestsPerSecond = 1000.0
+	hangDurationMs          = 8000
+	// discoveryDelayMs is when every router has a start from discovery, which lists it
 	// half a second late.
-	discoveredMs = 800
+	discoveryDelayMs = 800
 	// leaseMs and leaseSkewMs are the drill's lease settings.
 	leaseMs     = 3000
 	leaseSkewMs = 2000
-	// outliveMs after a hang no ejection on others' reports may be left: the
+	// ejectionExpiryMs after a hang no ejection on others' reports may be left: the
 	// longest time that a report counts, the ejection's own end, and the next
 	// check.
-	outliveMs = 10_000 + 500 + 1500
+	ejectionExpiryMs = 10_000 + 500 + 1500
 )
 
 // Run runs the drill. It ends every process that it started.
@@ -112,13 +112,13 @@
 	if err != nil {
 		return result, err
 	}
-	if err := sharing.play(ctx); err != nil {
+	if err := sharing.runPhases(ctx); err != nil {
 		return result, err
 	}
 	result.Seconds = time.Since(began).Seconds()
 	perMember := float64(sharing.fleet.relay.Bytes.Load()) / float64(o.Procs)
 	result.BytesPerMemberS = perMember / time.Since(began).Seconds()
-	result.addFaults(o)
+	result.addViolations(o)
 	result.OK = len(result.Violations) == 0
 	return result, ctx.Err()
 }
@@ -130,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	result.LostStandalone, result.DetectStandaloneMs, err = standalone.hang(ctx)
+	result.LostStandalone, result.DetectStandaloneMs, err = standalone.measureHang(ctx)
 	if err != nil {
 		return err
 	}
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// addFaults adds what must not be to the faults.
-func (r *SharedResult) addFaults(o SharedDrill) {
+// addViolations adds what must not be to the faults.
+func (r *SharedResult) addViolations(o SharedDrill) {
 	fault := func(bad bool, format string, args ...any) {
 		if bad {
 			r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
@@ -154,7 +154,7 @@
 		"totals from %d to %d, the endpoints counted %d", r.MinTotal, r.MaxTotal, r.HostsCounted)
 	fault(r.WronglyEjected > r.EjectedBound, "%.2f of a group's endpoints wrongly ejected", r.WronglyEjected)
 	fault(r.RemainingEjections > 0, "%d routers eject the endpoint on others' reports %d ms after its hang",
-		r.RemainingEjections, outliveMs)
+		r.RemainingEjections, ejectionExpiryMs)
 	fault(r.StaleReads > 0, "%d reads answered from stale data", r.StaleReads)
 	// Single losses are chance; sharing must not add to them.
 	lostBound := float64(r.LostStandalone) + 2*math.Sqrt(float64(r.LostStandalone))
@@ -162,9 +162,9 @@
 		"%d requests lost sharing, %d standalone", r.LostSharing, r.LostStandalone)
 }
 
-// byzantine reports whether the i-th router is one that reports falsely: the
+// isByzantine reports whether the i-th router is one that reports falsely: the
 // last ones do.
-func (o SharedDrill) byzantine(i int) bool { return i >= o.Procs-o.Liars }
+func (o SharedDrill) isByzantine(i int) bool { return i >= o.Procs-o.Liars }
 
 // sharedSettings is the i-th router's settings of shared state.
 func (o SharedDrill) sharedSettings(i int) string {
@@ -172,7 +172,7 @@
 	if i%2 == 1 && o.SkewMs > 0 {
 		settings += fmt.Sprintf(`, "clock_offset_ms": %d`, o.SkewMs)
 	}
-	if o.byzantine(i) {
+	if o.isByzantine(i) {
 		return settings + `, "sabotage": "liar"`
 	}
 	if o.Sabotage != "" {
--- a/internal/lab/shared_audit.go
+++ b/internal/lab/shared_audit.go
@@ -23,7 +23,7 @@
 	const windowMs = 1000
 	var atMs []float64 // after the start
 	for _, received := range host.Received() {
-		if received.AtMs >= startedAt+discoveredMs && received.AtMs < startedAt+opt.WarmUpMs {
+		if received.AtMs >= startedAt+discoveryDelayMs && received.AtMs < startedAt+opt.WarmUpMs {
 			atMs = append(atMs, received.AtMs-startedAt)
 		}
 	}
@@ -71,7 +71,7 @@
 func (r *sharedRun) poll() {
 	borrowed := map[string]float64{}
 	for i := range r.fleet.members {
-		if r.byzantine(i) {
+		if r.isByzantine(i) {
 			continue
 		}
 		page, err := r.page(i)
@@ -96,7 +96,7 @@
 	wrong := map[string]bool{}
 	r.mu.Lock()
 	for _, ejection := range page.Shared.Ejections {
-		if !ejection.ObservedHere && !r.excused[ejection.Endpoint] {
+		if !ejection.ObservedHere && !r.ejectable[ejection.Endpoint] {
 			wrong[ejection.Endpoint] = true
 		}
 	}
@@ -113,16 +113,16 @@
 	}
 }
 
-// countOutlivedEjections counts the honest routers that still eject the
+// countRemainingEjections counts the honest routers that still eject the
 // endpoint which hung on others' reports.
-func (r *sharedRun) countOutlivedEjections() {
+func (r *sharedRun) countRemainingEjections() {
 	for i := range r.fleet.members {
 		page, err := r.page(i)
-		if err != nil || r.byzantine(i) {
+		if err != nil || r.isByzantine(i) {
 			continue
 		}
 		for _, ejection := range page.Shared.Ejections {
-			if !ejection.ObservedHere && ejection.Endpoint == r.hung {
+			if !ejection.ObservedHere && ejection.Endpoint == r.hungEndpoint {
 				r.result.RemainingEjections++
 				break
 			}
@@ -130,9 +130,9 @@
 	}
 }
 
-// settled waits until every router sees every other. That it takes longer than
+// awaitSettledViews waits until every router sees every other. That it takes longer than
 // so many milliseconds is a fault of the result, not an error.
-func (r *sharedRun) settled(ctx context.Context, boundMs int64) error {
+func (r *sharedRun) awaitSettledViews(ctx context.Context, boundMs int64) error {
 	end := time.Now().Add(time.Duration(boundMs) * time.Millisecond)
 	for ; ctx.Err() == nil; sleep(ctx, 200) {
 		unsettled := r.unsettledViews()
@@ -161,9 +161,9 @@
 	return unsettled
 }
 
-// counts waits, once no more requests are sent, until every router's total is
+// awaitExactCounts waits, once no more requests are sent, until every router's total is
 // what the endpoints counted, or for so long that it never will be.
-func (r *sharedRun) counts(ctx context.Context) error {
+func (r *sharedRun) awaitExactCounts(ctx context.Context) error {
 	const boundMs = 25_000
 	from := time.Now()
 	for ; ctx.Err() == nil; sleep(ctx, 200) {
--- a/internal/lab/shared_run.go
+++ b/internal/lab/shared_run.go
@@ -13,16 +13,16 @@
 // sharedRun is one fleet of the drill on shared state.
 type sharedRun struct {
 	SharedDrill
-	fleet   *memberFleet
-	clients []*loadClient // one for each router
-	result  *SharedResult
-	log     *slog.Logger
-	client  http.Client
-	rand    *rand.Rand
-	hung    string // name of the endpoint that hung
+	fleet        *memberFleet
+	clients      []*loadClient // one for each router
+	result       *SharedResult
+	log          *slog.Logger
+	client       http.Client
+	rand         *rand.Rand
+	hungEndpoint string // name of the endpoint that hung
 
-	mu      sync.Mutex      // also guards the members' running and pausedUntil
-	excused map[string]bool // endpoints that may rightly be ejected
+	mu        sync.Mutex      // also guards the members' running and pausedUntil
+	ejectable map[string]bool // endpoints that may rightly be ejected
 }
 
 // start starts a fleet. shared returns the settings of shared state of a
@@ -35,16 +35,16 @@
 		log:         newProgress(o.Progress, "shared"),
 		client:      http.Client{Timeout: adminTimeout},
 		rand:        rand.New(rand.NewPCG(o.Seed, 0x5a4ed)),
-		excused:     map[string]bool{},
+		ejectable:   map[string]bool{},
 	}
 	r.fleet, err = startMembers(memberOptions{
 		Seed:     o.Seed,
 		Procs:    o.Procs,
 		Binary:   o.Binary,
 		Log:      o.RouterLog,
-		Level:    "info",
+		LogLevel: "info",
 		Standin:  o.standinOptions(),
-		Faults:   memberFaults(o.Loss),
+		Faults:   linkFaults(o.Loss),
 		Settings: o.routerSettings(),
 		Shared:   shared,
 	})
@@ -57,7 +57,7 @@
 	// One replica falls behind: it must receive no bounded read.
 	late := r.fleet.cluster.Hosts(hangGroup)[4]
 	late.SetLag(3000)
-	r.excused[late.Name] = true
+	r.ejectable[late.Name] = true
 	return r, nil
 }
 
@@ -66,22 +66,22 @@
 // sleep sleeps for some milliseconds, but not past the end of ctx.
 func sleep(ctx context.Context, ms int64) { sleepFor(ctx, float64(ms)) }
 
-// excuse lets routers eject an endpoint from now on.
-func (r *sharedRun) excuse(endpoint string) {
+// allowEjection lets routers eject an endpoint from now on.
+func (r *sharedRun) allowEjection(endpoint string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.excused[endpoint] = true
+	r.ejectable[endpoint] = true
 }
 
-// waitClients waits until every request of the load clients has ended.
-func (r *sharedRun) waitClients() {
+// awaitRequests waits until every request of the load clients has ended.
+func (r *sharedRun) awaitRequests() {
 	for _, client := range r.clients {
 		client.wait()
 	}
 }
 
-// play runs the phases of a fleet with shared state.
-func (r *sharedRun) play(ctx context.Context) error {
+// runPhases runs the phases of a fleet with shared state.
+func (r *sharedRun) runPhases(ctx context.Context) error {
 	watch, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	wg.Go(func() {
@@ -92,17 +92,17 @@
 	})
 	defer wg.Wait()
 	defer stop()
-	if err := r.settled(ctx, 15_000); err != nil {
+	if err := r.awaitSettledViews(ctx, 15_000); err != nil {
 		return err
 	}
 	sleep(ctx, leaseMs+leaseSkewMs) // leases that an earlier incarnation may have granted
-	if err := r.warmUp(ctx); err != nil {
+	if err := r.runWarmUp(ctx); err != nil {
 		return err
 	}
-	if err := r.settled(ctx, 20_000); err != nil {
+	if err := r.awaitSettledViews(ctx, 20_000); err != nil {
 		return err
 	}
-	lost, detectMs, err := r.hang(ctx)
+	lost, detectMs, err := r.measureHang(ctx)
 	r.result.LostSharing = lost
 	r.result.DetectSharingMs = detectMs
 	if err != nil {
@@ -110,19 +110,19 @@
 	}
 	r.log.Info("hang measured sharing", "lost", lost, "detect_ms", int64(detectMs))
 	hangEnded := time.Now()
-	if err := r.counts(ctx); err != nil {
+	if err := r.awaitExactCounts(ctx); err != nil {
 		return err
 	}
-	sleep(ctx, outliveMs-time.Since(hangEnded).Milliseconds())
-	r.countOutlivedEjections()
+	sleep(ctx, ejectionExpiryMs-time.Since(hangEnded).Milliseconds())
+	r.countRemainingEjections()
 	return ctx.Err()
 }
 
-// hang has every router read from the group of replicas, one of which hangs. It
+// measureHang has every router read from the group of replicas, one of which hangs. It
 // returns how many requests of honest routers that endpoint received without
 // answering, and how long after the begin a router last sent it one, the mean
 // over the honest routers.
-func (r *sharedRun) hang(ctx context.Context) (lost int, detectMs float64, err error) {
+func (r *sharedRun) measureHang(ctx context.Context) (lost int, detectMs float64, err error) {
 	traffic, stop := context.WithCancel(ctx)
 	defer stop()
 	for _, client := range r.clients {
@@ -133,16 +133,16 @@
 	}
 	sleep(ctx, 4000)
 	host := r.fleet.cluster.Hosts(hangGroup)[1+r.rand.IntN(3)]
-	r.excuse(host.Name)
-	r.hung = host.Name
+	r.allowEjection(host.Name)
+	r.hungEndpoint = host.Name
 	from := float64(time.Now().UnixMicro()) / 1e3
-	r.fleet.cluster.Hang(host, hangMs)
-	sleep(ctx, hangMs-200)
+	r.fleet.cluster.Hang(host, hangDurationMs)
+	sleep(ctx, hangDurationMs-200)
 	lastMs := make([]float64, len(r.clients)) // of each router, after from
 	for _, received := range host.Received() {
 		id, err := strconv.ParseUint(received.ID, 16, 64)
 		router := int(id >> routerIDShift)
-		if err != nil || router >= len(lastMs) || r.byzantine(router) {
+		if err != nil || router >= len(lastMs) || r.isByzantine(router) {
 			continue
 		}
 		if received.Hung && received.AtMs >= from {
@@ -151,7 +151,7 @@
 		}
 	}
 	stop()
-	r.waitClients()
+	r.awaitRequests()
 	honest := float64(len(lastMs) - r.Liars)
 	for _, ms := range lastMs {
 		detectMs += ms / honest
--- a/internal/lab/shared_warmup.go
+++ b/internal/lab/shared_warmup.go
@@ -14,17 +14,17 @@
 // warmUpPhase is the phase in which an endpoint warms up.
 type warmUpPhase struct {
 	*sharedRun
-	began  time.Time
-	loaded atomic.Bool   // the warming endpoint gets traffic
-	silent []atomic.Bool // routers that get no traffic
+	phaseStartedAt time.Time
+	demandStarted  atomic.Bool   // the warming endpoint gets traffic
+	silent         []atomic.Bool // routers that get no traffic
 }
 
-// warmUp cuts the fleet and restarts an endpoint during the cut. Half of the
+// runWarmUp cuts the fleet and restarts an endpoint during the cut. Half of the
 // routers demand all of its budget always, the others now and then: these lend
 // it while they demand nothing. Meanwhile routers are paused past their leases,
 // and killed.
-func (r *sharedRun) warmUp(ctx context.Context) error {
-	p := &warmUpPhase{sharedRun: r, began: time.Now(), silent: make([]atomic.Bool, len(r.clients))}
+func (r *sharedRun) runWarmUp(ctx context.Context) error {
+	p := &warmUpPhase{sharedRun: r, phaseStartedAt: time.Now(), silent: make([]atomic.Bool, len(r.clients))}
 	cluster := r.fleet.cluster
 	host := cluster.Hosts(warmGroup)[0]
 	traffic, stop := context.WithCancel(ctx)
@@ -37,9 +37,9 @@
 		r.fleet.relay.Cut(cut)
 		r.log.Info("fleet cut", "cut", r.Cut)
 	}
-	sleep(ctx, 1000+discoveredMs)
-	p.loaded.Store(true)
-	startedAt := host.StartedAt()
+	sleep(ctx, 1000+discoveryDelayMs)
+	p.demandStarted.Store(true)
+	startedAt := host.StartedAtMs()
 	paused, killed := p.drawRouters()
 	sleep(ctx, 2500)
 	p.pause(ctx, paused)
@@ -55,11 +55,11 @@
 	r.log.Info("endpoint warm", "received", r.result.WarmingReceived,
 		"budget_overrun", r.result.BudgetOverrun)
 	if cut != nil {
-		sleep(ctx, r.CutMs-time.Since(p.began).Milliseconds())
+		sleep(ctx, r.CutMs-time.Since(p.phaseStartedAt).Milliseconds())
 		r.fleet.relay.Cut(nil)
 	}
 	stop()
-	r.waitClients()
+	r.awaitRequests()
 	return ctx.Err()
 }
 
@@ -75,18 +75,18 @@
 		client.run(ctx, hangGroup, "browse", background)
 		client.run(ctx, hangGroup, "park-view", background)
 		client.run(ctx, warmGroup, "invoice-check", func() float64 {
-			if p.silent[i].Load() || !p.loaded.Load() || p.demandsNothing(i) {
+			if p.silent[i].Load() || !p.demandStarted.Load() || p.isIdle(i) {
 				return 0
 			}
-			return warmDemand / float64(len(p.clients))
+			return warmUpRequestsPerSecond / float64(len(p.clients))
 		})
 	}
 }
 
-// demandsNothing reports whether a router has no demand just now: half of the
+// isIdle reports whether a router has no demand just now: half of the
 // routers have none for every second two seconds.
-func (p *warmUpPhase) demandsNothing(router int) bool {
-	return (router/2)%2 == 1 && int(time.Since(p.began).Seconds()/2)%2 == 0
+func (p *warmUpPhase) isIdle(router int) bool {
+	return (router/2)%2 == 1 && int(time.Since(p.phaseStartedAt).Seconds()/2)%2 == 0
 }
 
 // drawRouters draws the routers to pause and to kill. The first one, the
@@ -180,15 +180,15 @@
 		if err != nil {
 			continue
 		}
-		if r.anyOtherHas(i, own.Shared.Counters[0]) {
+		if r.otherRouterHas(i, own.Shared.Counters[0]) {
 			return true
 		}
 	}
 	return false
 }
 
-// anyOtherHas reports whether a router other than the i-th has these counters.
-func (r *sharedRun) anyOtherHas(i int, want fleetstate.CounterEntry) bool {
+// otherRouterHas reports whether a router other than the i-th has these counters.
+func (r *sharedRun) otherRouterHas(i int, want fleetstate.CounterEntry) bool {
 	for other := range r.fleet.members {
 		page, err := r.page(other)
 		if err != nil || other == i {
--- a/internal/lab/viewwatcher.go
+++ b/internal/lab/viewwatcher.go
@@ -31,26 +31,26 @@
 	client  http.Client
 	boundMs int64 // for the views to settle
 
-	cut       func(from, to int) bool // the cut in force, nil for none
-	fault     string                  // the fault in force, for the findings
-	views     map[int]membership.View // of the last poll, by member
-	reported  map[string]bool         // findings, each of which counts once
-	seenDead  map[string]bool         // "viewer member start": was seen dead
-	unsettled string                  // the first pair that was not settled
+	cut          func(from, to int) bool // the cut in force, nil for none
+	fault        string                  // the fault in force, for the findings
+	views        map[int]membership.View // of the last poll, by member
+	reportedKeys map[string]bool         // findings, each of which counts once
+	seenDead     map[string]bool         // "viewer member start": was seen dead
+	unsettled    string                  // the first pair that was not settled
 }
 
 func newViewWatcher(
 	fleet *memberFleet, result *FleetviewResult, log *slog.Logger, boundMs int64,
 ) *viewWatcher {
 	return &viewWatcher{
-		fleet:    fleet,
-		result:   result,
-		log:      log,
-		client:   http.Client{Timeout: adminTimeout},
-		boundMs:  boundMs,
-		views:    map[int]membership.View{},
-		reported: map[string]bool{},
-		seenDead: map[string]bool{},
+		fleet:        fleet,
+		result:       result,
+		log:          log,
+		client:       http.Client{Timeout: adminTimeout},
+		boundMs:      boundMs,
+		views:        map[int]membership.View{},
+		reportedKeys: map[string]bool{},
+		seenDead:     map[string]bool{},
 	}
 }
 
@@ -69,7 +69,7 @@
 		w.views[i] = view
 		m.start = view.Self.Start
 	}
-	w.check()
+	w.checkViews()
 }
 
 // view reads a member's view from its admin page.
@@ -82,13 +82,13 @@
 	return view, json.NewDecoder(response.Body).Decode(&view)
 }
 
-// check counts running members that others see dead (false_dead), and ended
+// checkViews counts running members that others see dead (false_dead), and ended
 // ones that others see alive again after they saw them dead (ghosts).
-func (w *viewWatcher) check() {
+func (w *viewWatcher) checkViews() {
 	now := time.Now()
 	for viewer, view := range w.views {
 		for _, update := range view.Members {
-			subject := w.index(update.Name)
+			subject := w.memberIndex(update.Name)
 			if subject >= 0 && subject != viewer {
 				w.checkPair(now, viewer, subject, update)
 			}
@@ -102,8 +102,8 @@
 	instance := fmt.Sprint(viewer, " ", update.Name, " ", update.Start)
 	ended := !m.running || update.Start != m.start
 	switch {
-	case update.State == membership.Dead && !ended && w.mustReach(now, viewer, subject):
-		if w.report(fmt.Sprint("dead ", instance, " ", update.Incarnation),
+	case update.State == membership.Dead && !ended && w.deathUnexplained(now, viewer, subject):
+		if w.addViolation(fmt.Sprint("dead ", instance, " ", update.Incarnation),
 			fmt.Sprintf("m%d held %s dead while it ran (%s, incarnation %d)",
 				viewer+1, update.Name, w.fault, update.Incarnation)) {
 			w.result.FalseDead++
@@ -111,34 +111,34 @@
 	case update.State >= membership.Dead && ended:
 		w.seenDead[instance] = true
 	case update.State == membership.Alive && ended && w.seenDead[instance]:
-		if w.report("ghost "+instance,
+		if w.addViolation("ghost "+instance,
 			fmt.Sprintf("m%d holds %s alive again, which does not run", viewer+1, update.Name)) {
 			w.result.Resurrected++
 		}
 	}
 }
 
-// mustReach reports whether no fault explains that a viewer sees a running
+// deathUnexplained reports whether no fault explains that a viewer sees a running
 // subject dead.
-func (w *viewWatcher) mustReach(now time.Time, viewer, subject int) bool {
+func (w *viewWatcher) deathUnexplained(now time.Time, viewer, subject int) bool {
 	m := w.fleet.members[subject]
 	settling := !now.After(m.settlingUntil) || !now.After(w.fleet.members[viewer].settlingUntil)
 	cutOff := w.cut != nil && (w.cut(viewer, subject) || w.cut(subject, viewer))
 	return !m.paused() && !settling && !cutOff
 }
 
-// report adds a finding. It reports false if the key was reported before.
-func (w *viewWatcher) report(key, finding string) bool {
-	if w.reported[key] {
+// addViolation adds a finding. It reports false if the key was reported before.
+func (w *viewWatcher) addViolation(key, finding string) bool {
+	if w.reportedKeys[key] {
 		return false
 	}
-	w.reported[key] = true
+	w.reportedKeys[key] = true
 	w.result.Violations = append(w.result.Violations, finding)
 	return true
 }
 
-// index returns the number of the member of a name, -1 if there is none.
-func (w *viewWatcher) index(name string) int {
+// memberIndex returns the number of the member of a name, -1 if there is none.
+func (w *viewWatcher) memberIndex(name string) int {
 	for i, m := range w.fleet.members {
 		if m.router.Name == name {
 			return i
@@ -208,8 +208,8 @@
 // bound is boundMs as a duration.
 func (w *viewWatcher) bound() time.Duration { return time.Duration(w.boundMs) * time.Millisecond }
 
-// wait polls the views for some milliseconds.
-func (w *viewWatcher) wait(ctx context.Context, ms int64) {
+// pollFor polls the views for some milliseconds.
+func (w *viewWatcher) pollFor(ctx context.Context, ms int64) {
 	w.fault = "waiting after " + w.fault
 	end := time.Now().Add(time.Duration(ms) * time.Millisecond)
 	for ctx.Err() == nil && time.Now().Before(end) {
@@ -218,9 +218,9 @@
 	}
 }
 
-// dropped returns how many packets a member's transport dropped, from its
+// droppedPackets returns how many packets a member's transport droppedPackets, from its
 // metrics page; 0 if that cannot be read.
-func (w *viewWatcher) dropped(m *member) (sum uint64) {
+func (w *viewWatcher) droppedPackets(m *member) (sum uint64) {
 	response, err := w.client.Get("http://" + m.admin + "/metrics")
 	if err != nil {
 		return 0
--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -62,7 +62,7 @@
 			Name:  fmt.Sprintf("s%d-%d", number, i),
 			Zone:  "east",
 			group: g,
-			lag:   g.draw(opt.ReplicateMinMs, opt.ReplicateMaxMs) + 5,
+			lagMs: g.draw(opt.ReplicateMinMs, opt.ReplicateMaxMs) + 5,
 			cores: make(chan struct{}, opt.Cores),
 		}
 		if err := h.start(); err != nil {
@@ -100,15 +100,15 @@
 // once.
 func (c *Cluster) Crash(h *Host, downMs float64) {
 	h.stop()
-	go h.group.fail(h)
+	go h.group.failOver(h)
 	go func() {
 		sleepMs(downMs)
 		h.mu.Lock()
-		h.startedAt = nowMs()
+		h.startedAtMs = nowMs()
 		h.mu.Unlock()
 		if err := h.start(); err == nil {
 			sleepMs(500) // discovery lists the new start late
-			c.publish()
+			c.publishChange()
 		}
 	}()
 }
@@ -120,7 +120,7 @@
 	h.mu.Lock()
 	h.hung = hung
 	h.mu.Unlock()
-	go h.group.fail(h)
+	go h.group.failOver(h)
 	go func() {
 		sleepMs(ms)
 		h.mu.Lock()
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -55,7 +55,7 @@
 		Group:    h.group.number,
 		Status:   "ready",
 		Recovery: recovery,
-		Since:    h.startedAt,
+		Since:    h.startedAtMs,
 	}
 }
 
@@ -93,8 +93,8 @@
 	}
 }
 
-// publish wakes the clients that wait for a change of the list.
-func (c *Cluster) publish() {
+// publishChange wakes the clients that wait for a change of the list.
+func (c *Cluster) publishChange() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.index++
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -34,10 +34,10 @@
 
 // keyState is what a group knows of an idempotency key.
 type keyState struct {
-	began float64       // Unix milliseconds
-	done  bool          // the write took effect
-	ended chan struct{} // closed when the write took effect or was aborted
-	entry int           // index in log, once done
+	startedAtMs float64       // Unix milliseconds
+	done        bool          // the write took effect
+	finished    chan struct{} // closed when the write took effect or was aborted
+	logIndex    int           // index in log, once done
 }
 
 // result is the outcome of a statement.
@@ -74,10 +74,10 @@
 
 // write is a client's write of a row.
 type write struct {
-	row      string
-	key      string // idempotency key
-	doc      string
-	deadline float64 // Unix milliseconds
+	row        string
+	key        string // idempotency key
+	doc        string
+	deadlineMs float64 // Unix milliseconds
 }
 
 // write runs a write at h, once for each remembered key.
@@ -114,17 +114,17 @@
 		return nil, result{code: codeReadOnly}, nil
 	}
 	known := g.keys[w.key]
-	if known != nil && g.opt.Sabotage != ForgetsKeys && nowMs() < known.began+g.opt.KeyTTLMs {
+	if known != nil && g.opt.Sabotage != ForgetsKeys && nowMs() < known.startedAtMs+g.opt.KeyTTLMs {
 		if !known.done {
-			return nil, result{}, known.ended
+			return nil, result{}, known.finished
 		}
 		g.repeats++
-		return nil, result{doc: g.rowDoc(w.row), position: g.log[known.entry].AtMs}, nil
+		return nil, result{doc: g.rowDoc(w.row), position: g.log[known.logIndex].AtMs}, nil
 	}
-	if nowMs() > w.deadline {
+	if nowMs() > w.deadlineMs {
 		return nil, result{code: codeOverload}, nil
 	}
-	key := &keyState{began: nowMs(), ended: make(chan struct{})}
+	key := &keyState{startedAtMs: nowMs(), finished: make(chan struct{})}
 	g.keys[w.key] = key
 	if g.opt.Sabotage == AcksEarly && g.rand.Float64() < sabotageChance {
 		return nil, result{doc: []byte(w.doc), position: nowMs()}, nil
@@ -137,7 +137,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	key := pending.key
-	defer close(key.ended)
+	defer close(key.finished)
 	if g.term != pending.term || g.primary != h || h.isDown() {
 		g.aborted++
 		if g.keys[w.key] == key {
@@ -156,7 +156,7 @@
 		}
 	}
 	key.done = true
-	key.entry = len(g.log) - 1
+	key.logIndex = len(g.log) - 1
 	return result{doc: g.rowDoc(w.row), position: nowMs()}
 }
 
@@ -168,7 +168,7 @@
 func (g *group) read(h *Host, row, class string, minPosition float64) result {
 	arrived := nowMs()
 	g.mu.Lock()
-	tooStale := g.primary != h && (class == g.opt.FreshClass || minPosition > arrived-h.lag)
+	tooStale := g.primary != h && (class == g.opt.FreshClass || minPosition > arrived-h.lagMs)
 	g.mu.Unlock()
 	if tooStale {
 		return result{code: codeStale}
@@ -179,7 +179,7 @@
 	defer g.mu.Unlock()
 	isPrimary := g.primary == h
 	countsStale := class == g.opt.BoundedClass && g.opt.MaxStalenessMs > 0
-	if countsStale && !isPrimary && h.lag > g.opt.MaxStalenessMs {
+	if countsStale && !isPrimary && h.lagMs > g.opt.MaxStalenessMs {
 		g.staleReads++
 	}
 	if class == g.opt.FreshClass && (!isPrimary || h.isDown()) { // it lost its role meanwhile
@@ -187,7 +187,7 @@
 	}
 	position := nowMs()
 	if !isPrimary {
-		position -= h.lag
+		position -= h.lagMs
 	}
 	var doc []byte
 	if i, ok := g.rows[row]; ok && g.log[i].AtMs <= position {
@@ -196,9 +196,9 @@
 	return result{doc: doc, position: position}
 }
 
-// fail replaces h if it is a primary that stays lost. It returns once another
+// failOver replaces h if it is a primary that stays lost. It returns once another
 // host is primary.
-func (g *group) fail(h *Host) {
+func (g *group) failOver(h *Host) {
 	g.mu.Lock()
 	term := g.term
 	isPrimary := g.primary == h
--- a/internal/standin/group_test.go
+++ b/internal/standin/group_test.go
@@ -38,7 +38,7 @@
 		var wg sync.WaitGroup
 		for range 5 {
 			wg.Go(func() {
-				if r := g.write(g.hosts[0], write{row: "row", key: "key", doc: "doc", deadline: nowMs() + 1e4}); r.code != "" || string(r.doc) != "doc" {
+				if r := g.write(g.hosts[0], write{row: "row", key: "key", doc: "doc", deadlineMs: nowMs() + 1e4}); r.code != "" || string(r.doc) != "doc" {
 					t.Errorf("%+v", r)
 				}
 			})
@@ -55,7 +55,7 @@
 	c := startFastCluster(t, AcksEarly)
 	for n := range 200 {
 		id := string(rune(n))
-		c.groups[0].write(c.groups[0].hosts[0], write{row: id, key: id, doc: "doc", deadline: nowMs() + 1e4})
+		c.groups[0].write(c.groups[0].hosts[0], write{row: id, key: id, doc: "doc", deadlineMs: nowMs() + 1e4})
 	}
 	if n := len(c.Executions()); n == 200 || n == 0 {
 		t.Errorf("%d of 200 early answers were recorded", n)
@@ -68,25 +68,25 @@
 	c := startFastCluster(t, "")
 	g := c.groups[0]
 	old := g.hosts[0]
-	if r := g.write(g.hosts[1], write{row: "r", key: "k", doc: "d", deadline: nowMs() + 1e4}); r.code != "25006" {
+	if r := g.write(g.hosts[1], write{row: "r", key: "k", doc: "d", deadlineMs: nowMs() + 1e4}); r.code != "25006" {
 		t.Errorf("a replica accepted a write: %+v", r)
 	}
 	if r := g.read(g.hosts[1], "r", g.opt.FreshClass, 0); r.code != "72000" {
 		t.Errorf("a replica accepted a fresh read: %+v", r)
 	}
 	old.stop()
-	if r := g.write(old, write{row: "r", key: "k", doc: "d", deadline: nowMs() + 1e4}); r.code != "XX000" || len(c.Executions()) != 0 {
+	if r := g.write(old, write{row: "r", key: "k", doc: "d", deadlineMs: nowMs() + 1e4}); r.code != "XX000" || len(c.Executions()) != 0 {
 		t.Errorf("a lost primary recorded: %+v", r)
 	}
-	g.fail(old)
+	g.failOver(old)
 	p := c.Primary(1)
 	if p == nil || p == old {
 		t.Fatalf("%v became primary", p)
 	}
-	if r := g.write(p, write{row: "r", key: "k", doc: "d", deadline: nowMs() + 1e4}); r.code != "" {
+	if r := g.write(p, write{row: "r", key: "k", doc: "d", deadlineMs: nowMs() + 1e4}); r.code != "" {
 		t.Errorf("%+v", r)
 	}
-	if r := g.write(p, write{row: "r", key: "late", doc: "d", deadline: nowMs() - 1}); r.code != "53300" {
+	if r := g.write(p, write{row: "r", key: "late", doc: "d", deadlineMs: nowMs() - 1}); r.code != "53300" {
 		t.Errorf("a write past its deadline ran: %+v", r)
 	}
 }
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -13,17 +13,17 @@
 	Zone    string
 
 	group *group
-	lag   float64       // of a replica, milliseconds; guarded by group.mu
+	lagMs float64       // of a replica, milliseconds; guarded by group.mu
 	cores chan struct{} // holds an element for each statement that runs
 
-	mu        sync.Mutex
-	down      bool
-	hung      chan struct{} // nil unless the host hangs; closed at the end of the hang
-	startedAt float64       // Unix milliseconds, 0 for long ago
-	listener  net.Listener
-	conns     map[net.Conn]bool
-	queued    int // statements, also those that run
-	received  []Received
+	mu          sync.Mutex
+	down        bool
+	hung        chan struct{} // nil unless the host hangs; closed at the end of the hang
+	startedAtMs float64       // Unix milliseconds, 0 for long ago
+	listener    net.Listener
+	conns       map[net.Conn]bool
+	queueLength int // statements, also those that run
+	received    []Received
 }
 
 // Received is one statement that a host read from a connection.
@@ -44,15 +44,15 @@
 func (h *Host) SetLag(ms float64) {
 	h.group.mu.Lock()
 	defer h.group.mu.Unlock()
-	h.lag = ms
+	h.lagMs = ms
 }
 
-// StartedAt returns when the host last started in Unix milliseconds, 0 for long
+// StartedAtMs returns when the host last started in Unix milliseconds, 0 for long
 // ago.
-func (h *Host) StartedAt() float64 {
+func (h *Host) StartedAtMs() float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.startedAt
+	return h.startedAtMs
 }
 
 func (h *Host) isDown() bool {
@@ -90,7 +90,7 @@
 	defer func() { <-h.cores }()
 	h.waitWhileHung()
 	ms := h.group.draw(opt.WorkMinMs, opt.WorkMaxMs)
-	startedAt := h.StartedAt()
+	startedAt := h.StartedAtMs()
 	if age := nowMs() - startedAt; startedAt > 0 && age < opt.WarmUpMs {
 		ms /= opt.StartCapacity + (1-opt.StartCapacity)*age/opt.WarmUpMs
 	}
@@ -103,16 +103,16 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.received = append(h.received, Received{AtMs: nowMs(), ID: requestID, Hung: h.hung != nil})
-	if h.queued >= h.group.opt.QueueLimit {
+	if h.queueLength >= h.group.opt.QueueLimit {
 		return false
 	}
-	h.queued++
+	h.queueLength++
 	return true
 }
 
 func (h *Host) leaveQueue() {
 	h.mu.Lock()
-	h.queued--
+	h.queueLength--
 	h.mu.Unlock()
 }
 
--- a/internal/standin/link_datagram.go
+++ b/internal/standin/link_datagram.go
@@ -12,39 +12,39 @@
 	maxDatagramSockets = 4096
 	// maxReadFailures bounds how often a socket in a row fails to read before
 	// it is given up.
-	maxReadFailures = 1000
-	maxDatagram     = 1 << 16
+	maxReadFailures  = 1000
+	maxDatagramBytes = 1 << 16
 )
 
 // datagramLink is the state of a link for UDP.
 type datagramLink struct {
-	link *Link
-	near net.PacketConn // towards the devices
-	to   *net.UDPAddr   // the target
+	link       *Link
+	deviceConn net.PacketConn // towards the devices
+	targetAddr *net.UDPAddr   // the target
 
-	mu     sync.Mutex
-	far    map[string]*net.UDPConn // towards the target, by the device's address
-	all    []*net.UDPConn          // every socket that was in far
-	closed bool
+	mu             sync.Mutex
+	targetConns    map[string]*net.UDPConn // towards the target, by the device's address
+	allTargetConns []*net.UDPConn          // every socket that was in far
+	closed         bool
 }
 
 // StartDatagramLink starts a link for UDP. Each device behind it has an address of
 // its own towards the target, as behind a carrier's address translation.
 func StartDatagramLink(target string, faults Faults, seed uint64) (*Link, error) {
-	near, err := net.ListenPacket("udp", "127.0.0.1:0")
+	deviceConn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("standin: listening for datagrams: %w", err)
 	}
-	to, err := net.ResolveUDPAddr("udp", target)
+	targetAddr, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
-		_ = near.Close()
+		_ = deviceConn.Close()
 		return nil, fmt.Errorf("standin: target of a link: %w", err)
 	}
 	l := newLink(target, faults, seed)
-	l.Address = near.LocalAddr().String()
-	d := &datagramLink{link: l, near: near, to: to, far: map[string]*net.UDPConn{}}
+	l.Address = deviceConn.LocalAddr().String()
+	d := &datagramLink{link: l, deviceConn: deviceConn, targetAddr: targetAddr, targetConns: map[string]*net.UDPConn{}}
 	l.close = d.close
-	go d.carryOut()
+	go d.forwardToTarget()
 	return l, nil
 }
 
@@ -52,23 +52,23 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.closed = true
-	_ = d.near.Close()
-	for _, conn := range d.all {
+	_ = d.deviceConn.Close()
+	for _, conn := range d.allTargetConns {
 		_ = conn.Close()
 	}
 }
 
-// carryOut carries datagrams from devices to the target until the link is
+// forwardToTarget carries datagrams from devices to the target until the link is
 // closed.
-func (d *datagramLink) carryOut() {
-	buffer := make([]byte, maxDatagram)
+func (d *datagramLink) forwardToTarget() {
+	buffer := make([]byte, maxDatagramBytes)
 	for {
-		size, from, err := d.near.ReadFrom(buffer)
+		size, from, err := d.deviceConn.ReadFrom(buffer)
 		if err != nil {
 			return
 		}
 		if conn := d.socketFor(from); conn != nil {
-			d.carry(buffer[:size], func(data []byte) { _, _ = conn.Write(data) })
+			d.forward(buffer[:size], func(data []byte) { _, _ = conn.Write(data) })
 		}
 	}
 }
@@ -79,25 +79,25 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	name := device.String()
-	conn := d.far[name]
+	conn := d.targetConns[name]
 	rebind := conn == nil || d.link.chance(d.link.faults.Rebind)
-	if !rebind || d.closed || len(d.all) >= maxDatagramSockets {
+	if !rebind || d.closed || len(d.allTargetConns) >= maxDatagramSockets {
 		return conn
 	}
-	fresh, err := net.DialUDP("udp", nil, d.to)
+	newConn, err := net.DialUDP("udp", nil, d.targetAddr)
 	if err != nil {
 		return conn
 	}
-	d.far[name] = fresh
-	d.all = append(d.all, fresh)
-	go d.carryBack(fresh, device)
-	return fresh
+	d.targetConns[name] = newConn
+	d.allTargetConns = append(d.allTargetConns, newConn)
+	go d.forwardToDevice(newConn, device)
+	return newConn
 }
 
-// carryBack carries datagrams from the target to a device until the link is
+// forwardToDevice carries datagrams from the target to a device until the link is
 // closed. Reads fail while nobody listens at the target.
-func (d *datagramLink) carryBack(conn *net.UDPConn, device net.Addr) {
-	buffer := make([]byte, maxDatagram)
+func (d *datagramLink) forwardToDevice(conn *net.UDPConn, device net.Addr) {
+	buffer := make([]byte, maxDatagramBytes)
 	for failures := 0; failures < maxReadFailures; {
 		size, err := conn.Read(buffer)
 		if err != nil {
@@ -109,7 +109,7 @@
 			continue
 		}
 		failures = 0
-		d.carry(buffer[:size], func(data []byte) { _, _ = d.near.WriteTo(data, device) })
+		d.forward(buffer[:size], func(data []byte) { _, _ = d.deviceConn.WriteTo(data, device) })
 	}
 }
 
@@ -119,8 +119,8 @@
 	return d.closed
 }
 
-// carry delivers a copy of a datagram, late, twice or not at all.
-func (d *datagramLink) carry(datagram []byte, deliver func([]byte)) {
+// forward delivers a copy of a datagram, late, twice or not at all.
+func (d *datagramLink) forward(datagram []byte, deliver func([]byte)) {
 	l := d.link
 	faults := &l.faults
 	l.Received.Add(1)
--- a/internal/standin/link_stream.go
+++ b/internal/standin/link_stream.go
@@ -43,38 +43,38 @@
 // accept serves devices' connections until the link is closed.
 func (s *streamLink) accept() {
 	for {
-		near, err := s.listener.Accept()
+		deviceConn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		go s.serve(near)
+		go s.serve(deviceConn)
 	}
 }
 
 // serve carries one connection both ways until either side ends it.
-func (s *streamLink) serve(near net.Conn) {
-	defer near.Close()
-	far, err := net.Dial("tcp", s.link.target)
+func (s *streamLink) serve(deviceConn net.Conn) {
+	defer deviceConn.Close()
+	targetConn, err := net.Dial("tcp", s.link.target)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	if !s.add(near) || !s.add(far) {
+	defer targetConn.Close()
+	if !s.add(deviceConn) || !s.add(targetConn) {
 		return
 	}
 	done := make(chan struct{}, 2)
-	carry := func(from, to net.Conn) {
-		s.link.carryStream(from, to)
+	forward := func(from, to net.Conn) {
+		s.link.forwardStream(from, to)
 		done <- struct{}{}
 	}
-	go carry(near, far)
-	go carry(far, near)
+	go forward(deviceConn, targetConn)
+	go forward(targetConn, deviceConn)
 	<-done
-	_ = near.Close()
-	_ = far.Close()
+	_ = deviceConn.Close()
+	_ = targetConn.Close()
 	<-done
-	s.remove(near)
-	s.remove(far)
+	s.remove(deviceConn)
+	s.remove(targetConn)
 }
 
 // add has close end the connection. It reports false if the link is closed.
@@ -93,13 +93,13 @@
 	delete(s.conns, conn)
 }
 
-// carryStream carries one direction of a connection, in order, until it ends or
+// forwardStream carries one direction of a connection, in order, until it ends or
 // breaks.
-func (l *Link) carryStream(from, to net.Conn) {
+func (l *Link) forwardStream(from, to net.Conn) {
 	buffer := make([]byte, 2048)
 	for {
 		size, readErr := from.Read(buffer)
-		if size > 0 && !l.carryChunk(to, buffer[:size]) {
+		if size > 0 && !l.forwardChunk(to, buffer[:size]) {
 			return
 		}
 		if readErr != nil {
@@ -108,9 +108,9 @@
 	}
 }
 
-// carryChunk writes a chunk late. It reports false if the connection breaks,
+// forwardChunk writes a chunk late. It reports false if the connection breaks,
 // perhaps after half of it.
-func (l *Link) carryChunk(to net.Conn, chunk []byte) bool {
+func (l *Link) forwardChunk(to net.Conn, chunk []byte) bool {
 	faults := &l.faults
 	l.Received.Add(1)
 	delayMs := faults.DelayMs * (1 + l.draw())
--- a/internal/standin/statement.go
+++ b/internal/standin/statement.go
@@ -122,8 +122,8 @@
 	return s, true
 }
 
-// number returns a numeric parameter, 0 if there is none.
-func (s *statement) number(name string) float64 {
+// numberParameter returns a numeric parameter, 0 if there is none.
+func (s *statement) numberParameter(name string) float64 {
 	value, _ := strconv.ParseFloat(s.parameters[name], 64)
 	return value
 }
@@ -138,7 +138,7 @@
 	if !ok {
 		return errorAnswer(wire.CodeProtocolViolation, "not a statement of this form"), false
 	}
-	deadline := nowMs() + s.number("d")
+	deadlineMs := nowMs() + s.numberParameter("d")
 	if !h.enqueue(s.parameters["id"]) {
 		return errorAnswer(wire.CodeTooManyConnections, "queue full"), false
 	}
@@ -147,7 +147,7 @@
 		return errorAnswer(wire.CodeTooManyConnections, "queue full"), false
 	}
 	h.waitWhileHung()
-	outcome, err := h.run(&s, deadline)
+	outcome, err := h.run(&s, deadlineMs)
 	if err != nil || h.isDown() {
 		return nil, true
 	}
@@ -167,15 +167,15 @@
 }
 
 // run runs a statement in the host's group. An error is a malformed document.
-func (h *Host) run(s *statement, deadline float64) (result, error) {
+func (h *Host) run(s *statement, deadlineMs float64) (result, error) {
 	if !s.insert {
-		return h.group.read(h, s.row, s.parameters["c"], s.number("after")), nil
+		return h.group.read(h, s.row, s.parameters["c"], s.numberParameter("after")), nil
 	}
 	doc, err := hex.DecodeString(s.docHex)
 	if err != nil {
 		return result{}, err
 	}
-	w := write{row: s.row, key: s.parameters["k"], doc: string(doc), deadline: deadline}
+	w := write{row: s.row, key: s.parameters["k"], doc: string(doc), deadlineMs: deadlineMs}
 	return h.group.write(h, w), nil
 }
 
@@ -189,7 +189,7 @@
 	if h.group.primary == h {
 		primary = 1
 	} else {
-		position -= h.lag
+		position -= h.lagMs
 	}
 	h.group.mu.Unlock()
 	report := fmt.Appendf(nil, "x0=%.3f,x1=%d", position/1000, primary)
