--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -8,21 +8,22 @@
 	"sync"
 )
 
-// Cluster is all groups of hosts and the discovery service that lists them.
+// Cluster is a set of database groups and the discovery service that lists their
+// hosts.
 type Cluster struct {
-	Discovery string // address of the discovery service
+	Discovery string // host:port of the discovery service
 
 	opt    Options
 	groups []*group
 	server *http.Server
 
 	mu      sync.Mutex
-	index   uint64        // of the endpoint list
-	changed chan struct{} // closed when index changes
+	index   uint64        // version of the endpoint list
+	changed chan struct{} // closed and replaced when index changes
 }
 
-// Start starts every host and the discovery service on loopback. Close ends
-// them.
+// Start starts every host and the discovery service on loopback addresses. The
+// caller must call Close.
 func Start(opt Options) (*Cluster, error) {
 	c := &Cluster{opt: opt, index: 1, changed: make(chan struct{})}
 	for number := 1; number <= opt.Groups+opt.StandaloneGroups; number++ {
@@ -48,7 +49,7 @@
 	return c, nil
 }
 
-// startGroup starts a group's hosts; the first is its primary.
+// startGroup starts the hosts of a group. The first one is its primary.
 func startGroup(opt *Options, number, replicas int) (*group, error) {
 	g := &group{
 		opt:    opt,
@@ -74,7 +75,7 @@
 	return g, nil
 }
 
-// Close ends the discovery service and every host.
+// Close stops the discovery service and every host.
 func (c *Cluster) Close() {
 	_ = c.server.Close()
 	for _, g := range c.groups {
@@ -84,8 +85,8 @@
 	}
 }
 
-// Primary returns the primary of a group, numbered from 1; nil during an
-// election.
+// Primary returns the primary of a group, or nil during an election. Groups are
+// numbered from 1.
 func (c *Cluster) Primary(group int) *Host {
 	g := c.groups[group-1]
 	g.mu.Lock()
@@ -93,11 +94,12 @@
 	return g.primary
 }
 
-// Hosts returns the hosts of a group, numbered from 1, its first primary first.
+// Hosts returns the hosts of a group. The first one was the primary at the start.
+// Groups are numbered from 1.
 func (c *Cluster) Hosts(group int) []*Host { return c.groups[group-1].hosts }
 
-// Crash ends a host, which restarts and warms up after downMs. It returns at
-// once.
+// Crash stops a host, resets its connections and restarts it after downMs. It does
+// not wait for the restart.
 func (c *Cluster) Crash(h *Host, downMs float64) {
 	h.stop()
 	go h.group.failOver(h)
@@ -107,14 +109,14 @@
 		h.startedAtMs = nowMs()
 		h.mu.Unlock()
 		if err := h.start(); err == nil {
-			sleepMs(500) // discovery lists the new start late
+			sleepMs(500) // discovery lists a restart with a delay
 			c.publishChange()
 		}
 	}()
 }
 
-// Hang lets a host accept statements and answer none for some milliseconds. It
-// returns at once.
+// Hang makes a host receive statements without answering them for ms milliseconds.
+// It does not wait for the end of the hang.
 func (c *Cluster) Hang(h *Host, ms float64) {
 	hung := make(chan struct{})
 	h.mu.Lock()
@@ -130,7 +132,8 @@
 	}()
 }
 
-// Executions returns every write that took effect, in the order of the groups.
+// Executions returns every write that took effect, by group and then in the order
+// of execution.
 func (c *Cluster) Executions() (all []Execution) {
 	for _, g := range c.groups {
 		g.mu.Lock()
@@ -140,7 +143,7 @@
 	return all
 }
 
-// StaleReads returns how many reads of Options.BoundedClass were answered with
+// StaleReads returns how many reads of Options.BoundedClass replicas answered with
 // data older than Options.MaxStalenessMs.
 func (c *Cluster) StaleReads() (count int) {
 	for _, g := range c.groups {
@@ -151,8 +154,8 @@
 	return count
 }
 
-// WriteCounts returns how many writes were dropped since their idempotency key was
-// known, and how many were lost with their primary.
+// WriteCounts returns how many writes were not executed because their idempotency
+// key was known, and how many were lost with their primary.
 func (c *Cluster) WriteCounts() (repeats, aborted int) {
 	for _, g := range c.groups {
 		g.mu.Lock()
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -7,19 +7,20 @@
 	"strconv"
 )
 
-// endpoint is a host as the discovery service lists it.
+// endpoint is a host's entry in the endpoint list.
 type endpoint struct {
 	Name     string  `json:"name"`
 	Address  string  `json:"address"`
 	Zone     string  `json:"zone"`
 	Group    int     `json:"group"`
 	Status   string  `json:"status"`
-	Recovery string  `json:"recovery"` // "off" for a primary
-	Since    float64 `json:"since_ms"`
+	Recovery string  `json:"recovery"` // "off" for a primary, "on" for a replica
+	Since    float64 `json:"since_ms"` // start of the host, Unix milliseconds; 0 if it has not restarted
 }
 
 // EndpointList returns the endpoint list in the discovery service's JSON form.
-// It shows which hosts were primaries at the start, also after they changed.
+// The roles in it are those at the start of the cluster; elections do not change
+// them.
 func (c *Cluster) EndpointList() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,7 +36,7 @@
 	}
 	body, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // these types can always be encoded
+		panic(err) // unreachable: these types can always be encoded
 	}
 	return body
 }
@@ -59,11 +60,12 @@
 	}
 }
 
-// maxWaitMs bounds how long a request for the endpoint list waits for a change.
+// maxWaitMs limits how long a long poll waits for a change of the endpoint list.
 const maxWaitMs = 60000
 
-// serveEndpoints answers with the endpoint list: at once if its index is past
-// the request's "after", otherwise after a change or "wait_ms".
+// serveEndpoints is a long poll for the endpoint list. It answers immediately if
+// the index of the list is past the parameter "after", and otherwise after the next
+// change or after "wait_ms".
 func (c *Cluster) serveEndpoints(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	waitMs, _ := strconv.ParseFloat(r.URL.Query().Get("wait_ms"), 64)
@@ -72,10 +74,10 @@
 		defer cancel()
 		c.waitForChange(ctx, after)
 	}
-	_, _ = w.Write(c.EndpointList()) // a client that has gone polls again
+	_, _ = w.Write(c.EndpointList()) // a client that missed the answer polls again
 }
 
-// waitForChange returns when the index is past after, or ctx ends.
+// waitForChange returns when the index is past after, or when ctx is done.
 func (c *Cluster) waitForChange(ctx context.Context, after uint64) {
 	for {
 		c.mu.Lock()
@@ -93,7 +95,7 @@
 	}
 }
 
-// publishChange wakes the clients that wait for a change of the list.
+// publishChange increments the index and wakes the requests that wait for a change.
 func (c *Cluster) publishChange() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -5,17 +5,17 @@
 	"sync"
 )
 
-// Execution is one write that took effect.
+// Execution is a write that took effect.
 type Execution struct {
 	Row  string
-	Key  string // idempotency key
-	Doc  string
+	Key  string  // idempotency key
+	Doc  string  // the document that was written
 	AtMs float64 // Unix milliseconds
 }
 
-// group is one shard: a log that its primary appends to, and which host is
-// primary. A replica has every entry of the log, which therefore survives its
-// primary.
+// group is a replica group: its hosts, which of them is primary, and the log that
+// the primary appends to. The replicas have every entry of the log, so no entry
+// is lost with a primary.
 type group struct {
 	mu         sync.Mutex
 	opt        *Options
@@ -23,46 +23,46 @@
 	rand       *rand.Rand
 	hosts      []*Host
 	primary    *Host // nil during an election
-	term       int   // counts the losses of a primary
+	term       int   // incremented when a primary is lost
 	log        []Execution
 	rows       map[string]int // index in log of each row's first write
 	keys       map[string]*keyState
-	repeats    int // writes dropped since their key was known
+	repeats    int // writes not executed because their key was known
 	aborted    int // writes lost with their primary
-	staleReads int
+	staleReads int // see Options.BoundedClass
 }
 
-// keyState is what a group knows of an idempotency key.
+// keyState is a group's record of an idempotency key.
 type keyState struct {
 	startedAtMs float64       // Unix milliseconds
-	done        bool          // the write took effect
+	done        bool          // true once the write took effect
 	finished    chan struct{} // closed when the write took effect or was aborted
-	logIndex    int           // index in log, once done
+	logIndex    int           // index in group.log; valid when done
 }
 
 // result is the outcome of a statement.
 type result struct {
-	code     string // SQLSTATE, "" for a row
+	code     string // SQLSTATE; "" for success
 	doc      []byte
 	position float64 // replication position, Unix milliseconds
 }
 
 // SQLSTATEs of the hosts' errors.
 const (
-	codeReadOnly = "25006" // a write at a host that is not the primary
-	codeStale    = "72000" // a read that this replica must not answer
-	codeOverload = "53300"
-	codeAborted  = "XX000" // lost with the primary
+	codeReadOnly = "25006" // a write on a host that is not the primary
+	codeStale    = "72000" // a read that needs newer data than the replica has
+	codeOverload = "53300" // too many connections
+	codeAborted  = "XX000" // the primary was lost while it executed the statement
 )
 
-// draw returns a uniform random number.
+// draw returns a uniform random number from low to below high.
 func (g *group) draw(low, high float64) float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return low + (high-low)*g.rand.Float64()
 }
 
-// chance reports true with a probability.
+// chance returns true with probability p.
 func (g *group) chance(p float64) bool { return g.draw(0, 1) < p }
 
 // isPrimary reports whether h is the group's primary.
@@ -72,7 +72,7 @@
 	return g.primary == h
 }
 
-// write is a client's write of a row.
+// write holds the parameters of a write statement.
 type write struct {
 	row        string
 	key        string // idempotency key
@@ -80,10 +80,11 @@
 	deadlineMs float64 // Unix milliseconds
 }
 
-// write runs a write at h, once for each remembered key.
+// write executes a write on h. A write whose idempotency key is known is not
+// executed again; it returns the outcome of the first one.
 func (g *group) write(h *Host, w write) result {
 	pending, outcome, sameKey := g.beginWrite(h, w)
-	for sameKey != nil { // a write with this key is running
+	for sameKey != nil { // wait for the running write with this key
 		<-sameKey
 		pending, outcome, sameKey = g.beginWrite(h, w)
 	}
@@ -96,15 +97,15 @@
 	return g.endWrite(h, w, pending)
 }
 
-// pendingWrite is a write that has begun.
+// pendingWrite is a write between beginWrite and endWrite.
 type pendingWrite struct {
 	key  *keyState
-	term int // when it began
+	term int // of the group when the write began
 }
 
-// beginWrite checks whether a write may run. It returns the write to run, or
-// the outcome of one that must not run, or what ends when the write that runs
-// with the same key ends.
+// beginWrite checks whether a write may be executed. It returns one of: the
+// pending write to execute; the outcome if it must not be executed; or a channel
+// that is closed when the running write with the same key ends.
 func (g *group) beginWrite(h *Host, w write) (
 	pending *pendingWrite, outcome result, sameKey <-chan struct{},
 ) {
@@ -132,7 +133,8 @@
 	return &pendingWrite{key: key, term: g.term}, result{}, nil
 }
 
-// endWrite records a write, unless it is lost with its primary.
+// endWrite appends a write to the log, unless h has stopped or lost the role of
+// primary since the write began.
 func (g *group) endWrite(h *Host, w write, pending *pendingWrite) result {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -160,11 +162,13 @@
 	return result{doc: g.rowDoc(w.row), position: nowMs()}
 }
 
-// rowDoc returns a row's document, which is that of its first write.
+// rowDoc returns a row's document: that of its first write. It panics if the row
+// does not exist. The caller must hold g.mu.
 func (g *group) rowDoc(row string) []byte { return []byte(g.log[g.rows[row]].Doc) }
 
-// read runs a read of a class at h. A replica answers with what it has applied,
-// and rejects a read that must see a later position.
+// read executes a read of a class on h. A replica answers from the writes that it
+// has applied, and rejects a read that must see a later position. minPosition is
+// in Unix milliseconds.
 func (g *group) read(h *Host, row, class string, minPosition float64) result {
 	arrived := nowMs()
 	g.mu.Lock()
@@ -182,7 +186,7 @@
 	if countsStale && !isPrimary && h.lagMs > g.opt.MaxStalenessMs {
 		g.staleReads++
 	}
-	if class == g.opt.FreshClass && (!isPrimary || h.isDown()) { // it lost its role meanwhile
+	if class == g.opt.FreshClass && (!isPrimary || h.isDown()) { // h stopped or lost the role of primary
 		return result{code: codeAborted}
 	}
 	position := nowMs()
@@ -196,8 +200,8 @@
 	return result{doc: doc, position: position}
 }
 
-// failOver replaces h if it is a primary that stays lost. It returns once another
-// host is primary.
+// failOver elects another primary if h is the primary and does not recover before
+// its loss is detected. It returns after the election.
 func (g *group) failOver(h *Host) {
 	g.mu.Lock()
 	term := g.term
@@ -220,8 +224,8 @@
 	g.elect(h)
 }
 
-// elect makes the first running host primary, other than the lost one if
-// possible. Every replica has the whole log.
+// elect makes the first running host primary, or the lost one if no other runs.
+// Any host qualifies because every replica has the whole log.
 func (g *group) elect(lost *Host) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/standin/group_test.go
+++ b/internal/standin/group_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// startFastCluster starts a cluster of one group whose times are short.
+// startFastCluster starts a cluster of one group with short execution, replication
+// and election times.
 func startFastCluster(t *testing.T, sabotage Sabotage) *Cluster {
 	t.Helper()
 	opt := Defaults()
@@ -29,8 +30,9 @@
 	return c
 }
 
-// A write whose key is known waits for the first one and is dropped; a sabotaged
-// group runs it, or records nothing.
+// A write with a known idempotency key must wait for the first one and not be
+// executed again. With ForgetsKeys each write is executed; with AcksEarly some
+// acknowledged writes are not.
 func TestGroupDropsRepeatedKeys(t *testing.T) {
 	for _, sabotage := range []Sabotage{"", ForgetsKeys} {
 		c := startFastCluster(t, sabotage)
@@ -39,7 +41,7 @@
 		for range 5 {
 			wg.Go(func() {
 				if r := g.write(g.hosts[0], write{row: "row", key: "key", doc: "doc", deadlineMs: nowMs() + 1e4}); r.code != "" || string(r.doc) != "doc" {
-					t.Errorf("%+v", r)
+					t.Errorf("write() = %+v, want doc %q", r, "doc")
 				}
 			})
 		}
@@ -49,7 +51,7 @@
 			want = 5
 		}
 		if n := len(c.Executions()); n != want {
-			t.Errorf("%q: %d executions, want %d", sabotage, n, want)
+			t.Errorf("Executions() with sabotage %q has %d entries, want %d", sabotage, n, want)
 		}
 	}
 	c := startFastCluster(t, AcksEarly)
@@ -58,35 +60,35 @@
 		c.groups[0].write(c.groups[0].hosts[0], write{row: id, key: id, doc: "doc", deadlineMs: nowMs() + 1e4})
 	}
 	if n := len(c.Executions()); n == 200 || n == 0 {
-		t.Errorf("%d of 200 early answers were recorded", n)
+		t.Errorf("Executions() has %d entries after 200 writes with AcksEarly, want 1 to 199", n)
 	}
 }
 
-// A write in progress is lost with its primary, and the next primary takes
-// writes.
+// A write must not take effect on a primary that has stopped, and the next primary
+// must accept writes.
 func TestGroupElectsPrimary(t *testing.T) {
 	c := startFastCluster(t, "")
 	g := c.groups[0]
 	old := g.hosts[0]
 	if r := g.write(g.hosts[1], write{row: "r", key: "k", doc: "d", deadlineMs: nowMs() + 1e4}); r.code != "25006" {
-		t.Errorf("a replica accepted a write: %+v", r)
+		t.Errorf("write() on a replica = %+v, want code 25006", r)
 	}
 	if r := g.read(g.hosts[1], "r", g.opt.FreshClass, 0); r.code != "72000" {
-		t.Errorf("a replica accepted a fresh read: %+v", r)
+		t.Errorf("read() of FreshClass on a replica = %+v, want code 72000", r)
 	}
 	old.stop()
 	if r := g.write(old, write{row: "r", key: "k", doc: "d", deadlineMs: nowMs() + 1e4}); r.code != "XX000" || len(c.Executions()) != 0 {
-		t.Errorf("a lost primary recorded: %+v", r)
+		t.Errorf("write() on a stopped primary = %+v, want code XX000 and no execution", r)
 	}
 	g.failOver(old)
 	p := c.Primary(1)
 	if p == nil || p == old {
-		t.Fatalf("%v became primary", p)
+		t.Fatalf("Primary(1) = %v, want a host other than the stopped one", p)
 	}
 	if r := g.write(p, write{row: "r", key: "k", doc: "d", deadlineMs: nowMs() + 1e4}); r.code != "" {
-		t.Errorf("%+v", r)
+		t.Errorf("write() on the new primary = %+v, want success", r)
 	}
 	if r := g.write(p, write{row: "r", key: "late", doc: "d", deadlineMs: nowMs() - 1}); r.code != "53300" {
-		t.Errorf("a write past its deadline ran: %+v", r)
+		t.Errorf("write() past its deadline = %+v, want code 53300", r)
 	}
 }
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -6,31 +6,31 @@
 	"sync"
 )
 
-// Host is one database host on a socket of its own.
+// Host is a database host with its own listening socket.
 type Host struct {
 	Name    string
-	Address string
+	Address string // host:port, the same after a restart
 	Zone    string
 
 	group *group
-	lagMs float64       // of a replica, milliseconds; guarded by group.mu
-	cores chan struct{} // holds an element for each statement that runs
+	lagMs float64       // replication lag of a replica; guarded by group.mu
+	cores chan struct{} // semaphore: holds one element per running statement
 
 	mu          sync.Mutex
 	down        bool
-	hung        chan struct{} // nil unless the host hangs; closed at the end of the hang
-	startedAtMs float64       // Unix milliseconds, 0 for long ago
+	hung        chan struct{} // nil unless the host hangs; closed when the hang ends
+	startedAtMs float64       // Unix milliseconds; 0 if it has not restarted
 	listener    net.Listener
 	conns       map[net.Conn]bool
-	queueLength int // statements, also those that run
+	queueLength int // statements that wait or run
 	received    []Received
 }
 
-// Received is one statement that a host read from a connection.
+// Received records a statement that a host read from a connection.
 type Received struct {
 	AtMs float64 // Unix milliseconds
 	ID   string  // the request's id in the statement's comment
-	Hung bool    // the host hung at that time
+	Hung bool    // the host was hanging at that time
 }
 
 // Received returns every statement that the host has received.
@@ -40,15 +40,15 @@
 	return append([]Received(nil), h.received...)
 }
 
-// SetLag sets how far a replica is behind from now on, in milliseconds.
+// SetLag sets the replication lag of a replica, in milliseconds.
 func (h *Host) SetLag(ms float64) {
 	h.group.mu.Lock()
 	defer h.group.mu.Unlock()
 	h.lagMs = ms
 }
 
-// StartedAtMs returns when the host last started in Unix milliseconds, 0 for long
-// ago.
+// StartedAtMs returns when the host last restarted, in Unix milliseconds; 0 if it
+// has not restarted.
 func (h *Host) StartedAtMs() float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -67,7 +67,7 @@
 	return h.hung != nil
 }
 
-// waitWhileHung returns once the host does not hang.
+// waitWhileHung blocks until the hang in progress ends, if there is one.
 func (h *Host) waitWhileHung() {
 	h.mu.Lock()
 	hung := h.hung
@@ -77,8 +77,8 @@
 	}
 }
 
-// work occupies a core for as long as a statement needs, which is longer while
-// the host warms up.
+// work occupies a core for the execution time of a statement, which is longer
+// while the host warms up. With Options.IgnoresLoad it only sleeps.
 func (h *Host) work() {
 	opt := h.group.opt
 	if opt.IgnoresLoad {
@@ -97,8 +97,8 @@
 	sleepMs(ms)
 }
 
-// enqueue records a statement. It reports false if the host's queue is full;
-// otherwise leaveQueue must follow.
+// enqueue records a statement and adds it to the queue. It returns false if the
+// queue is full; otherwise the caller must call leaveQueue.
 func (h *Host) enqueue(requestID string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -116,7 +116,7 @@
 	h.mu.Unlock()
 }
 
-// start listens, at the previous address if there was one, until stop.
+// start listens until stop is called, on the previous address if there was one.
 func (h *Host) start() error {
 	address := h.Address
 	if address == "" {
@@ -151,7 +151,8 @@
 	}
 }
 
-// addConn reports false if the host is down.
+// addConn registers a connection, which stop will close. It returns false if the
+// host is down.
 func (h *Host) addConn(conn net.Conn) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -181,7 +182,7 @@
 	}
 }
 
-// resetOnClose has a connection's Close reset it rather than end it in order.
+// resetOnClose makes Close send a TCP reset instead of an orderly shutdown.
 func resetOnClose(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -6,23 +6,24 @@
 	"sync/atomic"
 )
 
-// Faults describe a poor link. Chances and fractions are from 0 to below 1.
+// Faults configures the faults of a link. Probabilities are from 0 to below 1.
 type Faults struct {
-	Loss           float64 // chance that a datagram is lost; a TCP chunk is as late as by a retransmission
-	Duplicate      float64 // chance that a datagram is sent twice
-	Reorder        float64 // chance that a datagram is overtaken by later ones
-	Stall          float64 // chance that a chunk stops half way, for StallMs
-	StallMs        float64
-	Break          float64 // chance that a chunk breaks its TCP connection
-	DelayMs        float64 // one way; up to as much again is added at random
-	BytesPerSecond float64 // bytes a second over TCP, 0 for no bound
-	Rebind         float64 // chance that a datagram's sender gets another address
+	Loss           float64 // probability that a datagram is lost; a TCP chunk is delayed as by a retransmission
+	Duplicate      float64 // probability that a datagram is sent twice
+	Reorder        float64 // probability that a datagram is delayed so that later ones overtake it
+	Stall          float64 // probability of a stall: of a datagram, or half way through a TCP chunk
+	StallMs        float64 // longest stall of a chunk or datagram
+	Break          float64 // probability that a chunk breaks its TCP connection
+	DelayMs        float64 // least one-way delay; a random delay of up to DelayMs is added
+	BytesPerSecond float64 // bandwidth over TCP; 0 for no limit
+	Rebind         float64 // probability that a device's address as the target sees it changes, per datagram
 }
 
-// Link carries traffic between devices and one address, with faults.
+// Link is a proxy that forwards traffic between devices and one target address,
+// and injects faults.
 type Link struct {
-	Address  string       // where devices reach the link
-	Received atomic.Int64 // datagrams and chunks that arrived at the link
+	Address  string       // host:port that devices connect or send to
+	Received atomic.Int64 // datagrams and chunks that arrived at the link, also those that it drops
 
 	target string
 	faults Faults
@@ -36,7 +37,7 @@
 	return &Link{target: target, faults: faults, rand: rand.New(rand.NewPCG(seed, 0x11c))}
 }
 
-// chance reports true with a probability.
+// chance returns true with probability p.
 func (l *Link) chance(p float64) bool { return l.draw() < p }
 
 // draw returns a random number from 0 to below 1.
@@ -46,5 +47,5 @@
 	return l.rand.Float64()
 }
 
-// Close ends the link and every connection that it carries.
+// Close stops the link and closes every connection through it.
 func (l *Link) Close() { l.close() }
--- a/internal/standin/link_datagram.go
+++ b/internal/standin/link_datagram.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	// maxDatagramSockets bounds the sockets of one datagram link.
+	// maxDatagramSockets is the limit of sockets of one datagram link. Beyond it,
+	// datagrams of new devices are dropped and no address changes.
 	maxDatagramSockets = 4096
-	// maxReadFailures bounds how often a socket in a row fails to read before
-	// it is given up.
+	// maxReadFailures is the number of consecutive failed reads after which a
+	// socket is no longer read.
 	maxReadFailures  = 1000
 	maxDatagramBytes = 1 << 16
 )
 
-// datagramLink is the state of a link for UDP.
+// datagramLink is the state of a UDP link.
 type datagramLink struct {
 	link       *Link
-	deviceConn net.PacketConn // towards the devices
-	targetAddr *net.UDPAddr   // the target
+	deviceConn net.PacketConn // socket that the devices send to
+	targetAddr *net.UDPAddr
 
 	mu             sync.Mutex
-	targetConns    map[string]*net.UDPConn // towards the target, by the device's address
-	allTargetConns []*net.UDPConn          // every socket that was in far
+	targetConns    map[string]*net.UDPConn // sockets to the target, by the device's address
+	allTargetConns []*net.UDPConn          // every socket that was ever in targetConns
 	closed         bool
 }
 
-// StartDatagramLink starts a link for UDP. Each device behind it has an address of
-// its own towards the target, as behind a carrier's address translation.
+// StartDatagramLink starts a UDP link. The target sees a separate address for each
+// device, as behind a carrier's network address translation (NAT).
 func StartDatagramLink(target string, faults Faults, seed uint64) (*Link, error) {
 	deviceConn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -38,7 +39,7 @@
 	targetAddr, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
 		_ = deviceConn.Close()
-		return nil, fmt.Errorf("standin: target of a link: %w", err)
+		return nil, fmt.Errorf("standin: resolving the target of a link: %w", err)
 	}
 	l := newLink(target, faults, seed)
 	l.Address = deviceConn.LocalAddr().String()
@@ -58,7 +59,7 @@
 	}
 }
 
-// forwardToTarget carries datagrams from devices to the target until the link is
+// forwardToTarget forwards datagrams from devices to the target until the link is
 // closed.
 func (d *datagramLink) forwardToTarget() {
 	buffer := make([]byte, maxDatagramBytes)
@@ -73,8 +74,8 @@
 	}
 }
 
-// socketFor returns a device's socket towards the target, which is replaced now
-// and then; nil if there cannot be one.
+// socketFor returns the socket that sends a device's datagrams to the target, or
+// nil if none can be opened. It replaces the socket with probability Faults.Rebind.
 func (d *datagramLink) socketFor(device net.Addr) *net.UDPConn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -94,8 +95,8 @@
 	return newConn
 }
 
-// forwardToDevice carries datagrams from the target to a device until the link is
-// closed. Reads fail while nobody listens at the target.
+// forwardToDevice forwards datagrams from the target to a device until the link is
+// closed. Reads fail while nothing listens on the target address.
 func (d *datagramLink) forwardToDevice(conn *net.UDPConn, device net.Addr) {
 	buffer := make([]byte, maxDatagramBytes)
 	for failures := 0; failures < maxReadFailures; {
@@ -119,7 +120,8 @@
 	return d.closed
 }
 
-// forward delivers a copy of a datagram, late, twice or not at all.
+// forward passes copies of a datagram to deliver: none, one or two, each after a
+// delay of its own.
 func (d *datagramLink) forward(datagram []byte, deliver func([]byte)) {
 	l := d.link
 	faults := &l.faults
--- a/internal/standin/link_stream.go
+++ b/internal/standin/link_stream.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// streamLink is the state of a link for TCP.
+// streamLink is the state of a TCP link.
 type streamLink struct {
 	link     *Link
 	listener net.Listener
@@ -16,7 +16,7 @@
 	closed bool
 }
 
-// StartStreamLink starts a link for TCP.
+// StartStreamLink starts a TCP link.
 func StartStreamLink(target string, faults Faults, seed uint64) (*Link, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// accept serves devices' connections until the link is closed.
+// accept serves connections of devices until the link is closed.
 func (s *streamLink) accept() {
 	for {
 		deviceConn, err := s.listener.Accept()
@@ -51,7 +51,7 @@
 	}
 }
 
-// serve carries one connection both ways until either side ends it.
+// serve forwards one connection in both directions until either side closes it.
 func (s *streamLink) serve(deviceConn net.Conn) {
 	defer deviceConn.Close()
 	targetConn, err := net.Dial("tcp", s.link.target)
@@ -77,7 +77,8 @@
 	s.remove(targetConn)
 }
 
-// add has close end the connection. It reports false if the link is closed.
+// add registers a connection, which close will close. It returns false if the link
+// is already closed.
 func (s *streamLink) add(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +94,7 @@
 	delete(s.conns, conn)
 }
 
-// forwardStream carries one direction of a connection, in order, until it ends or
+// forwardStream forwards one direction of a connection, in order, until it ends or
 // breaks.
 func (l *Link) forwardStream(from, to net.Conn) {
 	buffer := make([]byte, 2048)
@@ -108,8 +109,8 @@
 	}
 }
 
-// forwardChunk writes a chunk late. It reports false if the connection breaks,
-// perhaps after half of it.
+// forwardChunk writes a chunk after a delay. It returns false if the connection
+// breaks, which may be after half of the chunk.
 func (l *Link) forwardChunk(to net.Conn, chunk []byte) bool {
 	faults := &l.faults
 	l.Received.Add(1)
--- a/internal/standin/link_test.go
+++ b/internal/standin/link_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Without faults a link carries every byte in order; with a break it ends.
-func TestStreamLinkCarriesOrBreaks(t *testing.T) {
+// Without faults a link must forward every byte in order; with Faults.Break it must
+// close the connection before the whole chunk arrived.
+func TestStreamLinkForwardsOrBreaks(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +38,7 @@
 		b := make([]byte, 12)
 		_, err = io.ReadFull(c, b)
 		if broken := err != nil; broken != (faults.Break > 0) || !broken && string(b) != "twelve bytes" {
-			t.Errorf("%+v: %q, %v", faults, b, err)
+			t.Errorf("echo through a link with %+v = %q, %v, want an error only with Break", faults, b, err)
 		}
 		_ = c.Close()
 		l.Close()
--- a/internal/standin/options.go
+++ b/internal/standin/options.go
@@ -1,63 +1,65 @@
-// Package standin holds stand-ins for the systems around the router, written
+// Package standin holds test doubles for the systems around the router, written
 // from their public descriptions: groups of database hosts that speak the
 // PostgreSQL protocol, the discovery service, and links that lose, delay and
-// stall traffic. Every fault is drawn from one seed. They count for themselves
-// what they receive and record, so that an audit need not trust the program
-// under test.
+// stall traffic. All random draws derive from the seed that the caller passes.
+// The stand-ins keep their own record of what they receive and execute, so an
+// audit does not rely on the program under test.
 //
 // All exported types are safe for concurrent use, except Options and Faults.
 package standin
 
 import "time"
 
-// Sabotage makes the stand-ins misbehave, to test that an audit notices.
+// Sabotage names a fault that the stand-ins inject to test that an audit detects
+// it. The empty string injects none.
 type Sabotage string
 
-// The ways to misbehave.
+// The faults that stand-ins can inject.
 const (
-	RunsTwice   Sabotage = "runs-twice"   // some writes run twice
-	ForgetsKeys Sabotage = "forgets-keys" // a repeated idempotency key runs again
+	RunsTwice   Sabotage = "runs-twice"   // some writes are executed twice
+	ForgetsKeys Sabotage = "forgets-keys" // a write with a known idempotency key is executed again
 	AcksEarly   Sabotage = "acks-early"   // some writes are acknowledged and never recorded
 )
 
-// sabotageChance is how often RunsTwice and AcksEarly affect a write.
+// sabotageChance is the probability that RunsTwice or AcksEarly affects a write.
 const sabotageChance = 0.05
 
-// Options describe the database groups. Times are in milliseconds; a pair of
-// Min and Max bounds a uniform draw.
+// Options configures the database groups. Each duration with a Min and a Max is
+// drawn uniformly between them.
 type Options struct {
 	Seed             uint64
 	Groups           int
-	Replicas         int     // of each group, beside its primary
-	StandaloneGroups int     // groups after Groups that have only a primary
-	KeyTTLMs         float64 // how long an idempotency key is remembered
-	WorkMinMs        float64 // of a statement
+	Replicas         int     // per group, in addition to its primary
+	StandaloneGroups int     // further groups that have a primary and no replica; numbered after Groups
+	KeyTTLMs         float64 // idempotency window
+	WorkMinMs        float64 // execution time of a statement
 	WorkMaxMs        float64
-	ReplicateMinMs   float64 // until a replica has a write
+	ReplicateMinMs   float64 // replication time of a write
 	ReplicateMaxMs   float64
-	DetectMinMs      float64 // until a lost primary is declared lost
+	DetectMinMs      float64 // time until the loss of a primary is detected
 	DetectMaxMs      float64
-	ElectMinMs       float64 // from then until a replica is primary
+	ElectMinMs       float64 // time from the detection until a replica is primary
 	ElectMaxMs       float64
-	WarmUpMs         float64 // of a host after its start
-	StartCapacity    float64 // of a host at its start, as a fraction of that when warm
-	Cores            int     // statements that a host runs at once
-	QueueLimit       int     // statements on a host, queued or running
-	ResetChance      float64 // that a connection breaks after its write ran
-	RejectChance     float64 // that a host rejects a request as if its queue were full
-	FreshClass       string  // the class whose reads must see every write
+	WarmUpMs         float64 // duration of the warm-up after a host starts
+	StartCapacity    float64 // capacity of a host at its start, as a fraction of its full capacity
+	Cores            int     // statements that a host executes concurrently
+	QueueLimit       int     // statements on a host, queued or running; more are rejected
+	ResetChance      float64 // probability that a connection is reset after its write was executed
+	RejectChance     float64 // probability that a host rejects a request as if its queue were full
+	FreshClass       string  // class whose reads must see every earlier write
 	Sabotage         Sabotage
-	// IgnoresLoad hosts answer each statement after its work, whatever their load
-	// and warm-up: they only count what they receive. A steady host that hangs
-	// still accepts connections.
+	// IgnoresLoad makes a host answer each statement after its execution time,
+	// regardless of its load and warm-up; it only records what it receives. Such
+	// a host still accepts connections while it hangs.
 	IgnoresLoad bool
-	// Reads of BoundedClass that a replica answers with data older than
-	// MaxStalenessMs are counted as stale; 0 counts none.
+	// BoundedClass is the class whose reads have a staleness bound. A read that a
+	// replica answers with data older than MaxStalenessMs counts as stale.
 	BoundedClass   string
-	MaxStalenessMs float64
+	MaxStalenessMs float64 // staleness bound; 0 counts no read as stale
 }
 
-// Defaults are the figures of the deployment, with less work per statement.
+// Defaults returns the parameters of the deployment, with shorter execution
+// times.
 func Defaults() Options {
 	return Options{
 		Groups:         2,
@@ -81,10 +83,10 @@
 	}
 }
 
-// nowMs is the current time in Unix milliseconds.
+// nowMs returns the current time in Unix milliseconds.
 func nowMs() float64 { return float64(time.Now().UnixMicro()) / 1e3 }
 
-// milliseconds converts a number of milliseconds.
+// milliseconds converts a number of milliseconds to a duration.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 func sleepMs(ms float64) { time.Sleep(milliseconds(ms)) }
--- a/internal/standin/statement.go
+++ b/internal/standin/statement.go
@@ -12,8 +12,8 @@
 	"lotusbend/internal/postgres/wire"
 )
 
-// serve speaks the PostgreSQL protocol on a connection until it ends: the
-// startup, then simple queries.
+// serve speaks the PostgreSQL protocol on a connection until it ends. It accepts
+// the startup message and then simple queries; it ignores other messages.
 func (h *Host) serve(conn net.Conn) {
 	defer conn.Close()
 	defer h.removeConn(conn)
@@ -51,7 +51,7 @@
 	}
 }
 
-// skipStartup reads a client's startup message.
+// skipStartup reads and discards a client's startup message.
 func skipStartup(in *bufio.Reader) error {
 	header := make([]byte, 4)
 	if _, err := io.ReadFull(in, header); err != nil {
@@ -65,7 +65,7 @@
 	return err
 }
 
-// readMessage reads one message after the startup.
+// readMessage reads one message that follows the startup.
 func readMessage(in *bufio.Reader) (kind byte, body []byte, err error) {
 	header := make([]byte, wire.HeaderLen)
 	if _, err := io.ReadFull(in, header); err != nil {
@@ -80,8 +80,8 @@
 	return kind, body, err
 }
 
-// The forms of the router's statements. A comment carries the request's
-// parameters.
+// The statements that the router sends. The trailing comment holds the parameters
+// of the request.
 var (
 	insertForm = regexp.MustCompile(
 		`^INSERT INTO \w+ \(id, doc\) VALUES \('([^']*)', '\\x([0-9a-f]*)'\) RETURNING doc /\* (.*) \*/$`)
@@ -89,18 +89,19 @@
 	parameterForm = regexp.MustCompile(`(\w+)=([^,]*)`)
 )
 
-// healthQuery is the statement of the router's health checks.
+// healthQuery is the statement that the router sends as a health check.
 const healthQuery = "SHOW health"
 
-// statement is a parsed statement.
+// statement is a parsed statement of the router.
 type statement struct {
 	insert     bool
 	row        string
-	docHex     string            // of an insert
-	parameters map[string]string // of the comment
+	docHex     string            // document of an insert, in hex
+	parameters map[string]string // parameters in the comment
 }
 
-// parseStatement reports false for a statement of neither form.
+// parseStatement parses an insert or a select. It returns false for any other
+// statement.
 func parseStatement(text string) (statement, bool) {
 	var s statement
 	comment := ""
@@ -122,14 +123,14 @@
 	return s, true
 }
 
-// numberParameter returns a numeric parameter, 0 if there is none.
+// numberParameter returns a numeric parameter, or 0 if it is absent or malformed.
 func (s *statement) numberParameter(name string) float64 {
 	value, _ := strconv.ParseFloat(s.parameters[name], 64)
 	return value
 }
 
-// query runs one statement. It returns the answer, or that the connection
-// breaks without one.
+// query executes one statement. It returns either the answer or reset, which says
+// that the connection is to be reset without an answer.
 func (h *Host) query(text string) (answer []byte, reset bool) {
 	if text == healthQuery {
 		return h.health(), false
@@ -166,7 +167,8 @@
 	return rowAnswer(&s, outcome, recovery), false
 }
 
-// run runs a statement in the host's group. An error is a malformed document.
+// run executes a statement in the host's group. It returns an error if the document
+// of an insert is malformed. deadlineMs is in Unix milliseconds.
 func (h *Host) run(s *statement, deadlineMs float64) (result, error) {
 	if !s.insert {
 		return h.group.read(h, s.row, s.parameters["c"], s.numberParameter("after")), nil
@@ -179,8 +181,8 @@
 	return h.group.write(h, w), nil
 }
 
-// health answers a health check with the host's replication position in seconds
-// (x0) and whether it is the primary (x1).
+// health answers a health check with the host's replication position in Unix
+// seconds (x0) and its role (x1): 1 for the primary, 0 for a replica.
 func (h *Host) health() []byte {
 	h.waitWhileHung()
 	h.group.mu.Lock()
@@ -196,12 +198,12 @@
 	return wire.AppendReadyForQuery(appendRow(nil, report, "SHOW 1"))
 }
 
-// errorAnswer is the answer of a statement that failed.
+// errorAnswer returns the answer to a statement that failed.
 func errorAnswer(code, text string) []byte {
 	return wire.AppendReadyForQuery(wire.AppendErrorResponse(nil, "ERROR", code, text, ""))
 }
 
-// rowAnswer is the answer of a statement that succeeded, with the host's role
+// rowAnswer returns the answer to a statement that succeeded, with the host's role
 // and replication position.
 func rowAnswer(s *statement, outcome result, recovery string) []byte {
 	tag := "SELECT 1"
@@ -214,7 +216,7 @@
 	return wire.AppendReadyForQuery(answer)
 }
 
-// appendRow appends a result of one row.
+// appendRow appends a result with one row and one column.
 func appendRow(to, doc []byte, tag string) []byte {
 	const typeBytea = 17
 	column := wire.Column{Name: []byte("doc"), Type: typeBytea, Size: -1, Binary: true}
