--- a/internal/lab/address.go
+++ b/internal/lab/address.go
@@ -9,23 +9,22 @@
 )
 
 const (
-	// firstPort is the lowest port that is allocated.
+	// firstPort is the lowest allocated port.
 	firstPort = 10_000
-	// lastPort is the highest port that exists.
+	// lastPort is the highest valid port.
 	lastPort = 1<<16 - 1
 )
 
-// errNoAddress is returned when every port of this process's host is used up.
-var errNoAddress = errors.New("lab: no free loopback address is left")
+// errNoAddress is returned when every port of the process's loopback host was tried.
+var errNoAddress = errors.New("lab: no free loopback address left")
 
-// addresses allocates the addresses of this process's routers.
+// addresses allocates the addresses of the routers that this process starts.
 var addresses = newAddressAllocator(os.Getpid())
 
-// addressAllocator hands out loopback addresses, each once. They are on a host
-// of 127.0.0.0/8 that belongs to this process alone: between the allocation and
-// the moment in which a router binds its address, no other process and no
-// outgoing connection, which use 127.0.0.1, can be given the same one. It is
-// safe for concurrent use.
+// addressAllocator allocates loopback addresses, each at most once. Their host in
+// 127.0.0.0/8 is specific to this process. Other programs and outgoing connections
+// use 127.0.0.1, so none of them can take an address after its allocation and
+// before the router binds it. It is safe for concurrent use.
 type addressAllocator struct {
 	host netip.Addr
 
@@ -38,12 +37,13 @@
 }
 
 // processHost returns the loopback host of a process, from 127.64.0.0 to
-// 127.127.255.255. A process number has at most 22 bits on Linux.
+// 127.127.255.255. A Linux process ID has at most 22 bits.
 func processHost(pid int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, 64 | byte(pid>>16), byte(pid >> 8), byte(pid)})
 }
 
-// allocate returns an address at which nobody listens, on "tcp" or "udp".
+// allocate returns an address that nothing is bound to on the network "tcp" or
+// "udp". It returns errNoAddress if no port is left.
 func (a *addressAllocator) allocate(network string) (netip.AddrPort, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -18,18 +18,18 @@
 
 const (
 	baselineWriters    = 4
-	baselineAttempts   = 3 // of each write
+	baselineAttempts   = 3 // per write
 	baselineQueueLimit = 10000
 )
 
-// baselineEdge is the edge that a drill compares the router's edge with. It
-// acknowledges readings on receipt and writes them afterwards, each attempt
-// under a new idempotency key. It sits before a router's PostgreSQL front and
-// keeps running when the router is killed.
+// baselineEdge is a simple edge that the drill compares the router's edge with. It
+// acknowledges readings on receipt and writes them later, each attempt with a new
+// idempotency key. It connects to a router's PostgreSQL front and keeps running when
+// the router is killed.
 type baselineEdge struct {
-	address  string
+	address  string // host:port that devices connect to
 	listener net.Listener
-	router   string
+	router   string // host:port of the router's PostgreSQL front
 	codec    *batch.Codec
 	queue    chan string // values to write
 	stop     context.CancelFunc
@@ -38,7 +38,8 @@
 	rand *rand.Rand
 }
 
-// startBaselineEdge starts an edge before a router. close ends it.
+// startBaselineEdge starts a baseline edge in front of a router. The caller must call
+// close.
 func startBaselineEdge(ctx context.Context, router string, seed uint64) (*baselineEdge, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,7 +67,7 @@
 	_ = e.listener.Close()
 }
 
-// accept serves devices' connections until close.
+// accept serves connections of devices until close is called.
 func (e *baselineEdge) accept() {
 	for {
 		conn, err := e.listener.Accept()
@@ -77,7 +78,7 @@
 	}
 }
 
-// serve answers a device's frames until the connection ends.
+// serve answers the frames of a device until the connection ends.
 func (e *baselineEdge) serve(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
@@ -99,7 +100,7 @@
 	}
 }
 
-// readFrame reads a frame of at most so many bytes.
+// readFrame reads a frame. It reads at most maxBytes of its body.
 func readFrame(in io.Reader, maxBytes uint32) ([]byte, error) {
 	header := make([]byte, frames.HeaderLen)
 	if _, err := io.ReadFull(in, header); err != nil {
@@ -110,8 +111,9 @@
 	return body, err
 }
 
-// answer answers a frame, and queues its readings. Those for which the queue
-// has no capacity are lost, as such an edge loses them.
+// answer returns the answer to a frame and queues the readings in it. Readings that do
+// not fit into the queue are lost although they are acknowledged. It returns nil for
+// a frame of another kind.
 func (e *baselineEdge) answer(body []byte) (any, error) {
 	switch frames.Kind(body[1]) {
 	case frames.KindHello:
@@ -135,7 +137,7 @@
 	return nil, nil
 }
 
-// writeQueued writes queued values to the router until ctx ends.
+// writeQueued writes queued values to the router until ctx is done.
 func (e *baselineEdge) writeQueued(ctx context.Context) {
 	var client *pgClient
 	for {
@@ -151,8 +153,9 @@
 	}
 }
 
-// write attempts to write a value, on the given connection or a new one if that
-// is nil. It returns the connection, nil if it broke.
+// write writes a value with up to baselineAttempts attempts. It uses the given
+// connection, or a new one if that is nil. It returns the connection, or nil if it
+// broke.
 func (e *baselineEdge) write(client *pgClient, value string) *pgClient {
 	for range baselineAttempts {
 		if client == nil {
@@ -179,7 +182,7 @@
 	return client
 }
 
-// newInsert is a write of a value under a new key and row.
+// newInsert returns a statement that writes a value with a new row and key.
 func (e *baselineEdge) newInsert(value string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/lab/device.go
+++ b/internal/lab/device.go
@@ -12,32 +12,32 @@
 	"lotusbend/internal/edge/intake"
 )
 
-// maxBatchReadings bounds the readings that a device sends at once.
+// maxBatchReadings is the largest number of readings that a device sends in one batch.
 const maxBatchReadings = 6
 
-// Reading is one reading of a device, and what the device knows of it. An audit
-// compares it with what the stand-ins recorded.
+// Reading is a reading of a device and what the device knows about its delivery. The
+// audit compares it with what the stand-ins recorded.
 type Reading struct {
 	Device string
 	Epoch  uint64
 	Seq    uint64
-	Value  string // unique, so that an audit needs neither rows nor keys
+	Value  string // unique, so that the audit needs neither rows nor keys
 	Urgent bool
-	Acked  bool
+	Acked  bool // a router has acknowledged the reading
 
-	sent      uint64    // how often it may have reached a router
-	notBefore time.Time // not to be sent again before
+	sent      uint64    // number of batches with it that may have reached a router
+	notBefore time.Time // earliest time of the next attempt
 }
 
-// device makes readings and sends each until it is acknowledged.
+// device is a simulated device. It sends each reading until it is acknowledged.
 type device struct {
 	name      string
-	number    int
+	number    int // selects the variant of the protocol
 	rand      *rand.Rand
 	codec     *batch.Codec
-	addresses []string // of each router, for this device's protocol
-	router    int      // index in addresses
-	interval  time.Duration
+	addresses []string      // one per router, for this device's protocol
+	router    int           // index in addresses
+	interval  time.Duration // between readings
 	started   time.Time
 
 	mu       sync.Mutex
@@ -45,14 +45,14 @@
 	lastErr  error
 }
 
-// transport is a device's connection to one router by one protocol.
+// transport is a device's connection to a router over one protocol.
 type transport interface {
-	// exchange sends a batch and waits for its answer; again says that some of
-	// the readings were sent before. sent reports whether the batch may have
-	// reached the router, also with an error.
+	// exchange sends a batch and waits for its answer. again says that some of the
+	// readings were sent before. sent reports whether the batch may have reached
+	// the router; it is also valid if err is not nil.
 	exchange(ctx context.Context, b *batch.Batch, again bool) (results []batch.Result, sent bool, err error)
-	// elapsed is how long ago the router's last time mark came, in
-	// milliseconds; nil where the protocol reports a batch's age otherwise.
+	// elapsed returns the time since the router's last time mark, in milliseconds,
+	// or nil if the protocol has no time marks.
 	elapsed() *float64
 	close()
 }
@@ -60,17 +60,17 @@
 // dialFunc connects a device to the router at an address.
 type dialFunc func(ctx context.Context, d *device, address string) (transport, error)
 
-// dialFuncs are the protocols by their names.
+// dialFuncs maps the name of each protocol to its dialFunc.
 var dialFuncs = map[string]dialFunc{"coap": dialCoAP, "mqtt": dialMQTT, "frames": dialFrames}
 
-// deviceOptions say what device to make.
+// deviceOptions configures a device.
 type deviceOptions struct {
 	name      string
-	number    int // decides the variant of the protocol
+	number    int // selects the variant of the protocol
 	readings  int
 	interval  time.Duration // between readings
-	valueSize int           // bytes that each value has at least
-	addresses []string      // of each router
+	valueSize int           // smallest length of a value in bytes
+	addresses []string      // one per router
 	seed      uint64
 }
 
@@ -85,7 +85,8 @@
 		started:   time.Now(),
 	}
 	d.chooseRouter()
-	// Half way the device restarts: its epoch changes and it counts from zero.
+	// The device restarts after half of its readings: its epoch changes and its
+	// sequence numbers start from zero.
 	for n := range o.readings {
 		epoch := uint64(1)
 		seq := uint64(n)
@@ -109,11 +110,11 @@
 	return d
 }
 
-// chooseRouter draws the router for the next connection.
+// chooseRouter picks a random router for the next connection.
 func (d *device) chooseRouter() { d.router = d.rand.IntN(len(d.addresses)) }
 
-// nextReadings returns readings of one epoch that exist by now, are due and not
-// acknowledged, at most maxBatch. done reports that all are acknowledged.
+// nextReadings returns up to maxBatchReadings readings of one epoch that exist by now,
+// may be sent and are not acknowledged. done reports that all are acknowledged.
 func (d *device) nextReadings(now time.Time) (readings []*Reading, done bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -136,7 +137,7 @@
 	return readings, done
 }
 
-// run sends until every reading is acknowledged or ctx ends.
+// run sends readings until all are acknowledged or ctx is done.
 func (d *device) run(ctx context.Context, dial dialFunc) {
 	var conn transport
 	defer func() {
@@ -153,7 +154,7 @@
 			d.pause(ctx, 20)
 			continue
 		}
-		if conn != nil && d.rand.IntN(25) == 0 { // now and then it reconnects
+		if conn != nil && d.rand.IntN(25) == 0 { // reconnect in about 4% of the attempts
 			conn.close()
 			conn = nil
 			d.chooseRouter()
@@ -180,7 +181,7 @@
 	}
 }
 
-// send sends readings once and takes the answer.
+// send sends readings in one batch and applies the answer to them.
 func (d *device) send(ctx context.Context, conn transport, readings []*Reading) error {
 	b := &batch.Batch{Device: d.name, Epoch: readings[0].Epoch, Elapsed: conn.elapsed()}
 	again := false
@@ -209,7 +210,7 @@
 	return err
 }
 
-// applyResult takes a router's answer to the reading.
+// applyResult applies a router's answer to the reading.
 func (r *Reading) applyResult(result batch.Result) {
 	r.Acked = r.Acked || intake.Status(result.Status).Done()
 	r.notBefore = time.Now().Add(time.Duration(min(result.Wait, 2000)) * time.Millisecond)
@@ -221,7 +222,7 @@
 	d.lastErr = fmt.Errorf("after %.1f s: %w", time.Since(d.started).Seconds(), err)
 }
 
-// pause sleeps, but not past the end of ctx.
+// pause sleeps for ms milliseconds or until ctx is done.
 func (d *device) pause(ctx context.Context, ms float64) {
 	select {
 	case <-ctx.Done():
@@ -229,7 +230,7 @@
 	}
 }
 
-// millisecondsSince returns how long ago t is, for a batch's elapsed time.
+// millisecondsSince returns the time since t in milliseconds.
 func millisecondsSince(t time.Time) *float64 {
 	ms := float64(time.Since(t)) / float64(time.Millisecond)
 	return &ms
--- a/internal/lab/edge_audit.go
+++ b/internal/lab/edge_audit.go
@@ -2,10 +2,10 @@
 
 import "lotusbend/internal/standin"
 
-// auditEdge compares what the devices know with what was recorded, by the
-// readings' values only.
+// auditEdge compares the acknowledgements that the devices received with the executed
+// writes. It matches readings by their values, which are unique.
 func auditEdge(devices []*device, log []standin.Execution, result *EdgeResult) {
-	recordings := map[string]int{} // of each value
+	recordings := map[string]int{} // number of executions by value
 	rows := map[string]bool{}
 	for _, execution := range log {
 		recordings[execution.Doc]++
@@ -31,7 +31,7 @@
 	result.OK = result.Sent > 0 && allRecordedOnce && allAcked
 }
 
-// addReading counts a reading that was recorded so many times.
+// addReading adds a reading to the result. recordings is how often it was recorded.
 func (r *EdgeResult) addReading(reading *Reading, recordings int) {
 	r.Sent++
 	r.Transmissions += reading.sent
@@ -53,7 +53,7 @@
 	}
 }
 
-// unacknowledged counts the device's readings without an acknowledgement.
+// unacknowledged returns the number of the device's unacknowledged readings.
 func (d *device) unacknowledged() (count int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/edge_drill.go
+++ b/internal/lab/edge_drill.go
@@ -12,43 +12,44 @@
 	"lotusbend/internal/standin"
 )
 
-// EdgeDrill checks the edge: devices on poor links, routers that are killed and
-// primaries that are lost, and an audit of what was recorded. Loss, Dup,
-// Reorder and Stall are chances from 0 to below 1.
+// EdgeDrill tests the edge: devices send readings over lossy links while routers
+// are killed and primaries fail, and an audit then checks that each reading was
+// recorded exactly once. Loss, Dup, Reorder and Stall are probabilities from 0 to
+// below 1.
 type EdgeDrill struct {
 	Seed         uint64
 	Devices      int
-	Readings     int     // of each device
-	Loss         float64 // of datagrams, each way
+	Readings     int     // per device
+	Loss         float64 // of datagrams, in each direction
 	Dup          float64 // of datagrams
 	Reorder      float64 // of datagrams
 	Stall        float64 // of chunks
 	Delay        float64 // one way, milliseconds
-	KillRouter   int     // how often
-	CrashPrimary int     // how often a primary crashes or hangs
+	KillRouter   int     // number of times a router is killed and restarted
+	CrashPrimary int     // number of times a primary crashes or hangs
 	Protocol     string  // "coap", "mqtt", "frames" or "all"
 	Sabotage     standin.Sabotage
-	Baseline     bool // devices use a baseline edge before the routers
-	Store        bool // store and forward
+	Baseline     bool // devices send to a baseline edge in front of each router
+	Store        bool // enables store and forward
 	Binary       string
-	Progress     io.Writer // also the routers' standard error
+	Progress     io.Writer // receives the progress log and the routers' standard error
 }
 
-// EdgeResult is what an audit found. It derives only from the answers that the
-// devices got and from what the stand-ins recorded.
+// EdgeResult is the result of the audit. It derives only from the answers that the
+// devices received and from what the stand-ins recorded.
 type EdgeResult struct {
 	Drill            string  `json:"drill"`
 	Seed             uint64  `json:"seed"`
 	OK               bool    `json:"ok"`
-	Sent             int     `json:"sent"` // readings
+	Sent             int     `json:"sent"` // readings that the devices made
 	Recorded         int     `json:"recorded"`
 	RecordedTwice    int     `json:"recorded_twice"`
-	RecordedUnasked  int     `json:"recorded_unasked"` // values that no device sent
+	RecordedUnasked  int     `json:"recorded_unasked"` // recorded values that no device sent
 	Acked            int     `json:"acked"`
 	AckedNotRecorded int     `json:"acked_not_recorded"`
 	Unanswered       int     `json:"unanswered"`
 	Lost             int     `json:"lost"`
-	PeakBytes        int64   `json:"peak_bytes"` // resident, of the largest router
+	PeakBytes        int64   `json:"peak_bytes"` // largest resident memory of a router
 	Transmissions    uint64  `json:"transmissions"`
 	KeyRepeats       int     `json:"key_repeats_dropped"`
 	Aborted          int     `json:"writes_that_died"`
@@ -58,26 +59,27 @@
 }
 
 const (
-	// edgeRouters is the number of routers: devices of a lost one use another.
+	// edgeRouters is the number of routers. With two, devices of a killed router
+	// can use the other one.
 	edgeRouters = 2
-	// edgeDrillTimeout bounds a drill.
+	// edgeDrillTimeout limits the duration of a drill, without its start and end.
 	edgeDrillTimeout = 52 * time.Second
-	// edgeSettleTime lets requests in flight end before the audit, which must
-	// see a repeat that runs late.
+	// edgeSettleTime is the wait before the audit for requests in flight. The audit
+	// must see a duplicate that is executed late.
 	edgeSettleTime = 3 * time.Second
-	// edgeReadingPeriod is over how much time the devices make their readings.
-	// The rest is for those that arrive late.
+	// edgeReadingPeriod is the period over which the devices make their readings.
+	// The remaining time of the drill is for readings that arrive late.
 	edgeReadingPeriod = 15 * time.Second
-	// edgeDrillSettings are keys for short timeouts.
+	// edgeDrillSettings are edge keys that set short timeouts.
 	edgeDrillSettings = `"answer_ms": 8000, "retry_max_ms": 2000, ` +
 		`"stall_window_ms": 3000, "stall_bytes": 16, `
 )
 
-// edgeProtocols are the protocols of devices, in the order of their links: each
-// link draws from a seed of its own.
+// edgeProtocols are the device protocols, in the order in which their links start:
+// the seed of a link depends on its position.
 var edgeProtocols = []string{"coap", "mqtt", "frames"}
 
-// edgeRun is one run of the drill.
+// edgeRun is the state of one run of the drill.
 type edgeRun struct {
 	EdgeDrill
 	result    *EdgeResult
@@ -87,11 +89,11 @@
 	fleet     *Fleet
 	baselines []*baselineEdge
 	links     []*standin.Link
-	addresses map[string][]string // of the links to each router, by protocol
+	addresses map[string][]string // of the links, one per router, by protocol
 	devices   []*device
 }
 
-// Run runs the drill. It ends every process that it started.
+// Run runs the drill. It stops every process that it started before it returns.
 func (o EdgeDrill) Run(ctx context.Context) (result EdgeResult, err error) {
 	result = EdgeResult{Drill: "edge", Seed: o.Seed}
 	run := &edgeRun{
@@ -111,12 +113,12 @@
 	return result, nil
 }
 
-// start starts the routers and the links to them.
+// start starts the routers, the baseline edges if wanted, and the links to them.
 func (r *edgeRun) start(ctx context.Context) (err error) {
 	cluster := standin.Defaults()
 	cluster.Seed = r.Seed
 	cluster.Sabotage = r.Sabotage
-	if r.Sabotage == standin.ForgetsKeys { // so that repeats of a key are common
+	if r.Sabotage == standin.ForgetsKeys { // make retries with the same key common
 		cluster.ResetChance = 0.2
 	}
 	r.fleet, err = StartFleet(FleetOptions{
@@ -147,7 +149,7 @@
 	return nil
 }
 
-// link starts a link to each address of a router, by protocol.
+// link starts a link to each of a router's addresses, given by protocol.
 func (r *edgeRun) link(targets map[string]string) error {
 	faults := standin.Faults{
 		Loss:      r.Loss,
@@ -190,7 +192,7 @@
 	}
 }
 
-// protocols are those that the devices speak.
+// protocols returns the protocols that the devices use.
 func (r *edgeRun) protocols() []string {
 	switch {
 	case r.Baseline:
@@ -201,8 +203,8 @@
 	return edgeProtocols
 }
 
-// runDevices lets the devices send, with faults, until they are done or the drill's
-// time is over.
+// runDevices runs the devices and injects faults, until the devices are done or the
+// drill's time is over.
 func (r *edgeRun) runDevices(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, edgeDrillTimeout-edgeSettleTime)
 	defer cancel()
@@ -228,7 +230,7 @@
 	r.awaitDevices(done)
 }
 
-// awaitDevices samples the routers' memory until the devices are done.
+// awaitDevices waits until done is closed. Meanwhile it samples the routers' memory.
 func (r *edgeRun) awaitDevices(done <-chan struct{}) {
 	tick := time.NewTicker(2 * time.Second)
 	defer tick.Stop()
@@ -240,16 +242,17 @@
 			for _, router := range r.fleet.Routers {
 				router.samplePeakMemory()
 			}
-			r.log.Info("devices send", "elapsed", time.Since(r.startedAt).Round(time.Second),
+			r.log.Info("devices sending", "elapsed", time.Since(r.startedAt).Round(time.Second),
 				"recorded", len(r.fleet.Cluster.Executions()))
 		}
 	}
 }
 
-// finish waits until all is recorded or settled, and audits it.
+// finish waits until stored readings are delivered and requests in flight have ended,
+// and then audits the run.
 func (r *edgeRun) finish() {
 	cluster := r.fleet.Cluster
-	// Stored readings are delivered after their acknowledgement.
+	// With store and forward, readings are delivered after their acknowledgement.
 	for r.Store && time.Since(r.startedAt) < edgeDrillTimeout && len(cluster.Executions()) < r.Devices*r.Readings {
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -261,7 +264,7 @@
 	auditEdge(r.devices, cluster.Executions(), r.result)
 	for _, d := range r.devices {
 		if open := d.unacknowledged(); open > 0 {
-			r.log.Warn("device not done", "device", d.name, "unacknowledged", open, "last_error", d.lastErr)
+			r.log.Warn("device has unacknowledged readings", "device", d.name, "unacknowledged", open, "last_error", d.lastErr)
 		}
 	}
 	r.result.KeyRepeats, r.result.Aborted = cluster.WriteCounts()
--- a/internal/lab/edge_faults.go
+++ b/internal/lab/edge_faults.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// injectFaults kills routers and loses primaries while devices send.
+// injectFaults kills routers and fails primaries, spread over about 10 s.
 func (r *edgeRun) injectFaults(ctx context.Context) {
 	total := r.KillRouter + r.CrashPrimary
 	for n := range total {
 		if !sleepFor(ctx, 10000/float64(total)+1000*r.rand.Float64()) {
 			return
 		}
-		// Kills of routers are spread evenly among the faults.
+		// Spread the kills of routers evenly among the faults.
 		killRouter := n*r.KillRouter/total < (n+1)*r.KillRouter/total
 		if !killRouter {
 			r.failPrimary()
@@ -22,8 +22,8 @@
 	}
 }
 
-// restartRouter kills a router and starts it again. It reports false if ctx
-// ended before the start.
+// restartRouter kills a random router and starts it again after 0.2 to 2.2 s. It
+// returns false if ctx is done before the start.
 func (r *edgeRun) restartRouter(ctx context.Context) bool {
 	router := r.fleet.Routers[r.rand.IntN(len(r.fleet.Routers))]
 	r.log.Info("router killed", "router", router.Name)
@@ -34,12 +34,13 @@
 		return false
 	}
 	if err := router.Start(); err != nil {
-		r.log.Error("router not restarted", "router", router.Name, "error", err)
+		r.log.Error("router restart failed", "router", router.Name, "error", err)
 	}
 	return true
 }
 
-// failPrimary crashes or hangs the primary of a group, unless it has none.
+// failPrimary crashes the primary of a random group, or makes it hang. It does nothing
+// if the group has no primary.
 func (r *edgeRun) failPrimary() {
 	cluster := r.fleet.Cluster
 	primary := cluster.Primary(1 + r.rand.IntN(2))
@@ -48,15 +49,15 @@
 	}
 	r.result.PrimaryCrashes++
 	if r.rand.IntN(3) == 0 {
-		r.log.Info("primary hangs", "host", primary.Name)
+		r.log.Info("primary hung", "host", primary.Name)
 		cluster.Hang(primary, 500+6000*r.rand.Float64())
 		return
 	}
-	r.log.Info("primary crashes", "host", primary.Name)
+	r.log.Info("primary crashed", "host", primary.Name)
 	cluster.Crash(primary, 4000+4000*r.rand.Float64())
 }
 
-// sleepFor sleeps for some milliseconds. It reports false if ctx ended first.
+// sleepFor sleeps for ms milliseconds. It returns false if ctx is done first.
 func sleepFor(ctx context.Context, ms float64) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -1,6 +1,7 @@
-// Package lab starts stand-in fleets with real routers, plays devices, clients
-// and faults against them, and audits what the stand-ins recorded. It is not
-// part of a router.
+// Package lab runs drills, which are end-to-end tests under faults. It starts router
+// processes against stand-in database groups on loopback, simulates devices and
+// clients, injects faults, and audits what the stand-ins recorded. It is not part of
+// a router.
 package lab
 
 import (
@@ -16,36 +17,36 @@
 	"lotusbend/internal/standin"
 )
 
-// errDrillEnded ends a device's work when the drill is over.
-var errDrillEnded = errors.New("lab: the drill is over")
+// errDrillEnded is returned by a device's exchange when the drill has ended.
+var errDrillEnded = errors.New("lab: the drill has ended")
 
-// Fleet is a stand-in cluster with routers that have an edge.
+// Fleet is a stand-in cluster and routers with their edge enabled.
 type Fleet struct {
 	Cluster *standin.Cluster
 	Routers []*Router
-	dir     string
+	dir     string // holds the routers' files
 }
 
-// FleetOptions say what to start.
+// FleetOptions configures StartFleet.
 type FleetOptions struct {
-	Binary      string // the router's program
+	Binary      string // path of the router program
 	Standin     standin.Options
 	Routers     int
-	EdgeKeys    string    // further keys of the edge's settings, each ended by a comma
-	SocketLimit int       // limit of each router, 0 for 4096
-	Store       bool      // store and forward
-	Log         io.Writer // the routers' standard error
+	EdgeKeys    string    // further keys of the edge settings, each followed by a comma
+	SocketLimit int       // limit of sockets of each router; 0 for 4096
+	Store       bool      // enables store and forward
+	Log         io.Writer // receives the routers' standard error; nil to discard
 }
 
 const (
 	defaultSocketLimit = 4096
-	// maxStartAttempts bounds the attempts to start a router: an address that was
+	// maxStartAttempts limits the attempts to start a router. An address that was
 	// free may be in use by the time the router listens.
 	maxStartAttempts = 5
 )
 
-// StartFleet starts a fleet on loopback. Close ends it; after an error nothing
-// is left to close.
+// StartFleet starts a fleet on loopback addresses. The caller must call Close,
+// except after an error.
 func StartFleet(o FleetOptions) (f *Fleet, err error) {
 	f = &Fleet{}
 	defer func() {
@@ -72,7 +73,8 @@
 	return f, nil
 }
 
-// startRouter configures and starts the n-th router.
+// startRouter configures and starts router n. It retries with new addresses if the
+// router does not become ready.
 func (f *Fleet) startRouter(r *Router, n int, o FleetOptions) (err error) {
 	for range maxStartAttempts {
 		if err := f.configure(r, n, o); err != nil {
@@ -88,7 +90,7 @@
 	return err
 }
 
-// configure finds addresses for the n-th router and writes its files.
+// configure allocates the addresses of router n and writes its files.
 func (f *Fleet) configure(r *Router, n int, o FleetOptions) error {
 	for _, address := range []struct {
 		network string
@@ -121,7 +123,7 @@
 	return r.writeFiles(config, fmt.Sprintf(edgeSettings, r.CoAP, r.MQTT, r.Frames, edgeKeys, groups, groups))
 }
 
-// groupList lists the numbers of groups for a settings file.
+// groupList returns the numbers of all groups, separated by commas.
 func groupList(count int) string {
 	numbers := make([]string, count)
 	for i := range numbers {
@@ -130,7 +132,7 @@
 	return strings.Join(numbers, ", ")
 }
 
-// Close ends everything that was started, and removes its files.
+// Close stops the routers and the cluster, and removes the routers' files.
 func (f *Fleet) Close() {
 	for _, r := range f.Routers {
 		r.stop(syscall.SIGTERM)
--- a/internal/lab/lastline.go
+++ b/internal/lab/lastline.go
@@ -6,17 +6,17 @@
 	"sync"
 )
 
-// maxLineBytes bounds how much of a line is kept.
+// maxLineBytes is the length up to which a line is kept; the rest is dropped.
 const maxLineBytes = 4 << 10
 
-// lastLineWriter passes on what a process writes and keeps its last line, for
-// the error that reports the process's end. It is safe for concurrent use.
+// lastLineWriter forwards the output of a process and keeps its last line for the
+// error that reports an unexpected exit. It is safe for concurrent use.
 type lastLineWriter struct {
-	next io.Writer // nil to discard
+	next io.Writer // receives the output; nil to discard it
 
 	mu      sync.Mutex
-	line    []byte // the last complete line that is not empty
-	partial []byte // what followed it
+	line    []byte // last complete line that is not empty
+	partial []byte // incomplete line after it
 }
 
 // Write implements io.Writer.
@@ -46,7 +46,7 @@
 	}
 }
 
-// last returns the last line, "" if nothing was written.
+// last returns the last line, complete or not; "" if nothing was written.
 func (w *lastLineWriter) last() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/lab/members.go
+++ b/internal/lab/members.go
@@ -12,48 +12,48 @@
 	"lotusbend/internal/standin"
 )
 
-// memberSocketLimit is the limit of each member's sockets.
+// memberSocketLimit is the limit of sockets of each member.
 const memberSocketLimit = 256
 
-// member is one router of a drill on the fleet, in a process of its own.
+// member is a router with membership enabled, in its own process.
 type member struct {
 	router        *Router
-	admin         string // address of the admin page
-	start         int64  // the instance's start as its own view reports it, 0 if not known yet
+	admin         string // host:port of the admin page
+	start         int64  // start of the instance as its own view reports it; 0 if not known yet
 	running       bool
 	zone          int
-	settlingUntil time.Time // until then, its death in others' views is no fault
-	pausedUntil   time.Time
+	settlingUntil time.Time // until then it may be dead in the views of others
+	pausedUntil   time.Time // zero if it is not paused
 }
 
 func (m *member) paused() bool { return m.pausedUntil.After(time.Now()) }
 
-// memberOptions say what routers a drill starts: each with membership on,
-// reaching the others only through a relay.
+// memberOptions configures a memberFleet.
 type memberOptions struct {
 	Seed     uint64
-	Procs    int // routers
+	Procs    int // number of routers
 	Binary   string
-	Log      io.Writer // the routers' standard error
-	LogLevel string    // of the routers' log
+	Log      io.Writer // receives the standard error of the routers
+	LogLevel string    // log level of the routers
 	Standin  standin.Options
-	Faults   faultnet.Faults
-	Settings string             // of the classes and rules, with a verb for the number of routers
-	Sabotage string             // of membership, "" for none
-	Shared   func(i int) string // the i-th router's settings of shared state; nil for off
+	Faults   faultnet.Faults    // on every link
+	Settings string             // format string of the routing settings; its argument is the number of routers
+	Sabotage string             // sabotage setting of membership; "" for none
+	Shared   func(i int) string // returns the shared-state settings of router i; nil disables shared state
 }
 
-// memberFleet is the routers of a drill and what surrounds them.
+// memberFleet is a set of routers with membership enabled. They reach each other
+// only through a relay that injects faults.
 type memberFleet struct {
 	members []*member
-	sockets []netip.AddrPort // the members' own, behind the relay
+	sockets []netip.AddrPort // membership addresses of the members, behind the relay
 	relay   *faultnet.Relay
 	cluster *standin.Cluster
-	dir     string
+	dir     string // holds the members' files
 }
 
-// startMembers starts everything. close ends it, also what was started before
-// an error.
+// startMembers starts the stand-ins, the relay and the routers. The caller must call
+// close, also after an error.
 func startMembers(o memberOptions) (f *memberFleet, err error) {
 	f = &memberFleet{}
 	f.cluster, err = standin.Start(o.Standin)
@@ -85,7 +85,8 @@
 	return f, nil
 }
 
-// startRelay finds sockets for the members and starts the relay before them.
+// startRelay allocates the members' membership addresses and starts the relay in
+// front of them.
 func (f *memberFleet) startRelay(o memberOptions) (err error) {
 	for range o.Procs {
 		socket, err := addresses.allocate("udp")
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// configure finds addresses for the i-th member and writes its files.
+// configure allocates the addresses of member i and writes its files.
 func (f *memberFleet) configure(i int, o memberOptions) (*member, error) {
 	admin, err := addresses.allocate("tcp")
 	if err != nil {
@@ -126,7 +127,7 @@
 	return m, r.writeFiles(config, f.memberSettings(i, m, o))
 }
 
-// memberSettings is the operators' settings file of the i-th member.
+// memberSettings returns the operators' settings file of member i.
 func (f *memberFleet) memberSettings(i int, m *member, o memberOptions) string {
 	sabotage := ""
 	if o.Sabotage != "" {
@@ -142,10 +143,10 @@
 	return fmt.Sprintf(`{"log": {"level": %q}, "membership": {%s}%s}`, o.LogLevel, membership, shared)
 }
 
-// close ends every process that was started, and all around them.
+// close stops every process, the relay and the stand-ins, and removes the files.
 func (f *memberFleet) close() {
 	for _, m := range f.members {
-		m.router.signal(syscall.SIGCONT) // a paused process can only be waited for once it runs
+		m.router.signal(syscall.SIGCONT) // a paused process must run again before it can be waited for
 		m.router.Kill()
 	}
 	if f.relay != nil {
@@ -159,8 +160,8 @@
 	}
 }
 
-// cut returns the links that a cut named by a drill's option loses: between the
-// zones, one way between them, or nil for none.
+// cut returns which links a drill's option Cut blocks: all between the two zones
+// for "zones", those from zone 1 to zone 0 for "oneway". It returns nil for none.
 func (f *memberFleet) cut(name string) func(from, to int) bool {
 	switch name {
 	case "zones":
--- a/internal/lab/progress.go
+++ b/internal/lab/progress.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// newProgress returns a log for the events of a drill. A nil writer discards
-// them.
+// newProgress returns a logger for the progress of a drill. It discards all events
+// if the writer is nil.
 func newProgress(to io.Writer, drill string) *slog.Logger {
 	if to == nil {
 		to = io.Discard
--- a/internal/lab/router.go
+++ b/internal/lab/router.go
@@ -16,34 +16,35 @@
 )
 
 const (
-	// routerReadyTime bounds the start of a router.
+	// routerReadyTime limits the wait until a started router accepts connections.
 	routerReadyTime = 10 * time.Second
-	// routerStopTime bounds its end after a signal, before it is killed.
+	// routerStopTime is the wait for a router to exit after a signal; then it is
+	// killed.
 	routerStopTime = 10 * time.Second
 )
 
-// Router is one router in a process of its own. Its methods are safe for
-// concurrent use.
+// Router runs one router in its own process. Its methods are safe for concurrent
+// use.
 type Router struct {
 	Name              string
-	Listen            string // address of the PostgreSQL front
-	CoAP              string // address
-	MQTT              string // address
-	Frames            string // address of the framed stream
-	PeakResidentBytes int64  // largest resident memory of all its processes, bytes
+	Listen            string // host:port of the PostgreSQL front
+	CoAP              string // host:port
+	MQTT              string // host:port
+	Frames            string // host:port of the framed stream
+	PeakResidentBytes int64  // largest resident memory of any of its processes so far
 
-	readyAddress string // address that accepts connections once the router is up
+	readyAddress string // host:port that accepts connections once the router is ready
 	dir          string
 	binary       string
-	log          io.Writer // standard error of the process
+	log          io.Writer // receives the standard error of the process; nil to discard
 
 	mu     sync.Mutex
-	cmd    *exec.Cmd       // nil unless the process was started
-	output *lastLineWriter // standard error of the process started last
-	ended  chan struct{}   // closed at the end of the process
+	cmd    *exec.Cmd       // nil if no process was started or the last one was stopped
+	output *lastLineWriter // standard error of the last process
+	ended  chan struct{}   // closed when the last process exits
 }
 
-// edgeAddresses are the addresses of the edge by protocol.
+// edgeAddresses returns the addresses of the edge by protocol.
 func (r *Router) edgeAddresses() map[string]string {
 	return map[string]string{"coap": r.CoAP, "mqtt": r.MQTT, "frames": r.Frames}
 }
@@ -52,7 +53,7 @@
 
 func (r *Router) settingsPath() string { return filepath.Join(r.dir, r.Name+".json5") }
 
-// writeFiles writes the deployment's and the operators' settings file.
+// writeFiles writes the deployment file and the operators' settings file.
 func (r *Router) writeFiles(config, settings string) error {
 	if err := os.WriteFile(r.configPath(), []byte(config), 0o600); err != nil {
 		return err
@@ -60,7 +61,7 @@
 	return os.WriteFile(r.settingsPath(), []byte(settings), 0o600)
 }
 
-// Start starts the router's process. The system kills it if this program ends.
+// Start starts the router's process. The kernel kills it when this program exits.
 func (r *Router) Start() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,13 +78,14 @@
 	r.output = output
 	r.ended = ended
 	go func() {
-		_ = cmd.Wait() // its error is for the one who ended the process
+		_ = cmd.Wait() // the process is expected to end by a signal
 		close(ended)
 	}()
 	return nil
 }
 
-// waitReady waits until the router accepts connections.
+// waitReady waits until the router accepts connections. It returns an error if the
+// process exits first or is not ready after routerReadyTime.
 func (r *Router) waitReady() error {
 	deadline := time.Now().Add(routerReadyTime)
 	for time.Now().Before(deadline) {
@@ -92,18 +94,19 @@
 		}
 		select {
 		case <-r.ended:
-			return fmt.Errorf("router %s ended at its start; its last log line: %q", r.Name, r.output.last())
+			return fmt.Errorf("router %s exited before it was ready; last log line: %q", r.Name, r.output.last())
 		default:
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return fmt.Errorf("router %s does not listen", r.Name)
+	return fmt.Errorf("router %s is not ready: its ready address accepts no connections", r.Name)
 }
 
-// Kill kills the router and waits for its end.
+// Kill kills the router's process and waits until it has exited.
 func (r *Router) Kill() { r.stop(syscall.SIGKILL) }
 
-// stop sends a signal that ends the process, and waits for its end.
+// stop sends a terminating signal to the process and waits until it has exited. It
+// kills the process after routerStopTime.
 func (r *Router) stop(s syscall.Signal) {
 	r.samplePeakMemory()
 	r.mu.Lock()
@@ -121,7 +124,7 @@
 	r.cmd = nil
 }
 
-// signal sends a signal, if the process runs.
+// signal sends a signal to the process if it was started and not stopped.
 func (r *Router) signal(s syscall.Signal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,16 +133,16 @@
 	}
 }
 
-// samplePeakMemory updates Peak.
+// samplePeakMemory updates PeakResidentBytes.
 func (r *Router) samplePeakMemory() {
 	r.PeakResidentBytes = max(r.PeakResidentBytes, r.statusBytes("VmHWM:"))
 }
 
-// residentBytes returns the process's residentBytes memory in bytes.
+// residentBytes returns the resident memory of the process in bytes.
 func (r *Router) residentBytes() int64 { return r.statusBytes("VmRSS:") }
 
-// statusBytes returns a figure of the process's status in bytes, 0 if it does not
-// run.
+// statusBytes returns a field of the process's /proc status file in bytes, or 0 if
+// the process does not run.
 func (r *Router) statusBytes(name string) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -162,8 +165,9 @@
 	return 0
 }
 
-// FindRouter returns the path of the router's program: the one named, or the
-// one beside this program.
+// FindRouter returns the absolute path of the router program: the given one, or
+// "lotusbend" in the directory of this program if named is empty. It returns an
+// error if the file does not exist.
 func FindRouter(named string) (string, error) {
 	if named == "" {
 		self, err := os.Executable()
@@ -173,7 +177,7 @@
 		named = filepath.Join(filepath.Dir(self), "lotusbend")
 	}
 	if _, err := os.Stat(named); err != nil {
-		return "", fmt.Errorf("no router's program: %w; run make build", err)
+		return "", fmt.Errorf("finding the router program: %w; build it with make build", err)
 	}
 	return filepath.Abs(named)
 }
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -1,7 +1,7 @@
 package lab
 
-// routerSettings are the classes and rules of the lab's routers in the form of
-// the deployment's. The verb is for the number of routers.
+// routerSettings is a format string for the routing settings of the lab's routers,
+// in the deployment's format. Its argument is the number of routers.
 const routerSettings = `{"Classes": [
  {"AimMs": 500, "GiveUpMs": 1200, "Group": "all", "Importance": 2, "KeyTtlMs": 5000, "LateWorth": 0,
   "Name": "park-view", "Semantics": "pure"},
@@ -19,9 +19,9 @@
  "Rules": {"ColdMs": 18000, "OverloadFactor": 2, "OverloadForMs": 1000, "StartCapacity": 0.21},
  "Zones": ["east", "west"]}`
 
-// edgeSettings is the operators' settings file of the lab's routers. The verbs
-// are for the addresses of CoAP, MQTT and frames, further keys that each end
-// with a comma, and twice the groups.
+// edgeSettings is a format string for the operators' settings file of the lab's
+// routers. Its arguments are the addresses of CoAP, MQTT and frames, further edge
+// keys that each end with a comma, and the list of groups twice.
 const edgeSettings = `{
 	// Written by lotuslab; docs/edge.md explains each key.
 	"log": {"level": "warn"},
@@ -35,8 +35,8 @@
 }
 `
 
-// deploymentFile is a router's file of the deployment. The verbs are for its
-// name, its address, that of the discovery service, its seed, the limit of its
-// sockets, the endpoint list and the settings.
+// deploymentFile is a format string for a router's deployment file. Its arguments
+// are the router's name and address, the discovery service's address, the seed, the
+// limit of sockets, the endpoint list and the routing settings.
 const deploymentFile = `{"name":%q,"listen":%q,"discovery":%q,"seed":"%x",` +
 	`"limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":%s,"settings":%s}`
