--- a/internal/lab/coap.go
+++ b/internal/lab/coap.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	// coapBlockSize is the size of a block in bytes, coapSZX its code.
+	// coapBlockSize is the size of a block in bytes, coapSZX its size exponent (SZX)
+	// in a block option.
 	coapBlockSize = 256
 	coapSZX       = 4
-	// coapMoreBlocks marks a block that is not the last one.
+	// coapMoreBlocks is the M bit of a block option: more blocks follow.
 	coapMoreBlocks = 8
-	// coapNoBlock is the block option of a message without one.
+	// coapNoBlock stands for a message without a block option.
 	coapNoBlock = int64(-1)
 
-	coapMaxTransmissions = 8 // of a message
-	coapMaxBlockRetries  = 2 // of a block that got no answer
-	coapMaxEchoAttempts  = 4 // of a message that is answered with a new Echo value
+	coapMaxTransmissions = 8 // per message
+	coapMaxBlockRetries  = 2 // per block without an answer
+	coapMaxEchoAttempts  = 4 // per message that is answered with a new Echo value
 )
 
-// coapDevice speaks CoAP with confirmable or non-confirmable messages, and in
-// blocks where a batch is long.
+// coapDevice is a CoAP client. It uses confirmable or non-confirmable messages, and
+// block-wise transfer for long batches.
 type coapDevice struct {
 	device         *device
 	conn           net.Conn
@@ -39,7 +40,7 @@
 	token          uint32
 	nonConfirmable bool
 	requestTag     []byte
-	echoSent       bool // a message of this exchange carried an Echo value, so the router may have taken it
+	echoSent       bool // a message of this exchange carried an Echo value, so the router may have accepted it
 }
 
 func dialCoAP(_ context.Context, d *device, address string) (transport, error) {
@@ -60,7 +61,7 @@
 
 func (t *coapDevice) close() { _ = t.conn.Close() }
 
-// elapsed is nil: CoAP batches carry no time marks.
+// elapsed returns nil: CoAP batches carry no elapsed time.
 func (t *coapDevice) elapsed() *float64 { return nil }
 
 // exchange sends a batch in one request or in blocks.
@@ -93,24 +94,24 @@
 			return nil, err
 		}
 		if answer.Code != codes.Continue {
-			return nil, fmt.Errorf("%v in the middle of a transfer", answer.Code)
+			return nil, fmt.Errorf("answer %v before the last block of a transfer, want 2.31 Continue", answer.Code)
 		}
 	}
 	answer, err := t.requestBlock(ctx, payload[last*coapBlockSize:], int64(last)<<4|coapSZX)
 	return answer, transferError(answer, err)
 }
 
-// transferError is err, or an error where the router has forgotten the
-// transfer: then it begins again, its readings marked as sent.
+// transferError returns err, or an error if the router no longer has the earlier blocks
+// of the transfer. The device then sends the readings again, marked as sent before.
 func transferError(answer *message.Message, err error) error {
 	if err == nil && answer.Code == codes.RequestEntityIncomplete {
-		return errors.New("the transfer was forgotten")
+		return errors.New("the router no longer has the earlier blocks of the transfer")
 	}
 	return err
 }
 
-// requestBlock sends a block, and again if no answer comes: the transfer goes
-// on where it was.
+// requestBlock sends a block, and again if there is no answer: a lost block does not
+// restart the transfer.
 func (t *coapDevice) requestBlock(ctx context.Context, part []byte, block int64) (*message.Message, error) {
 	answer, err := t.request(ctx, part, block)
 	for retries := 0; err != nil && retries < coapMaxBlockRetries && ctx.Err() == nil; retries++ {
@@ -119,8 +120,8 @@
 	return answer, err
 }
 
-// request sends a message with the last Echo value, and again with a new one
-// where the router demands that.
+// request sends a message with the last Echo value. It sends it again with a new value
+// if the router demands that.
 func (t *coapDevice) request(ctx context.Context, payload []byte, block int64) (*message.Message, error) {
 	for range coapMaxEchoAttempts {
 		answer, err := t.attempt(ctx, payload, block)
@@ -128,10 +129,10 @@
 			return answer, err
 		}
 	}
-	return nil, errors.New("no Echo value is accepted")
+	return nil, errors.New("the router accepted no Echo value")
 }
 
-// attempt sends one message, with retransmissions, until it is answered.
+// attempt sends one message, with retransmissions, and returns its answer.
 func (t *coapDevice) attempt(ctx context.Context, payload []byte, block int64) (*message.Message, error) {
 	t.messageID++
 	t.token++
@@ -155,10 +156,11 @@
 		acked = acked || ackedNow
 		wait = min(wait*3/2, 2*time.Second)
 	}
-	return nil, errors.New("no answer")
+	return nil, errors.New("no answer to the last retransmission")
 }
 
-// encode returns a message as a datagram.
+// encode encodes a POST request to /readings as a datagram. block is the value of
+// the Block1 option, or coapNoBlock.
 func (t *coapDevice) encode(token, payload []byte, block int64) ([]byte, error) {
 	m := message.Message{
 		Type:      message.Confirmable,
@@ -184,9 +186,9 @@
 	return datagram[:max(size, 0)], err
 }
 
-// receive reads until the answer with a token comes or the deadline passes,
-// which is no error. acked reports that the router has acknowledged the message
-// and will answer it separately.
+// receive reads until the answer with the token arrives. It returns no answer and no
+// error if the deadline passes first. acked reports that the router acknowledged the
+// message and will answer it separately.
 func (t *coapDevice) receive(ctx context.Context, token []byte, deadline time.Time) (
 	answer *message.Message, acked bool, err error,
 ) {
@@ -202,7 +204,7 @@
 		if isTimeout(err) {
 			return nil, acked, nil
 		}
-		if err != nil { // refused: the router is down
+		if err != nil { // port unreachable: the router is down
 			time.Sleep(20 * time.Millisecond)
 			if time.Now().After(deadline) {
 				return nil, acked, nil
@@ -213,7 +215,7 @@
 		if _, err := coder.DefaultCoder.Decode(buffer[:size], m); err != nil {
 			continue
 		}
-		if m.Type == message.Confirmable { // a separate answer, perhaps an old one
+		if m.Type == message.Confirmable { // a separate response, perhaps to an earlier request
 			t.acknowledge(m.MessageID)
 		}
 		if m.Code == codes.Empty {
@@ -231,20 +233,20 @@
 	}
 }
 
-// acknowledge sends an empty acknowledgement.
+// acknowledge sends an empty acknowledgement for a message.
 func (t *coapDevice) acknowledge(messageID int32) {
 	const version = 1 << 6
 	header := version | byte(message.Acknowledgement)<<4
 	_, _ = t.conn.Write([]byte{header, 0, byte(messageID >> 8), byte(messageID)})
 }
 
-// isTimeout reports whether a read met its deadline.
+// isTimeout reports whether a read failed because its deadline passed.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout() || errors.Is(err, context.DeadlineExceeded)
 }
 
-// encodeOptionUint encodes an option's number without leading zeros.
+// encodeOptionUint encodes an option's unsigned integer without leading zero bytes.
 func encodeOptionUint(value uint64) []byte {
 	encoded := binary.BigEndian.AppendUint64(nil, value)
 	for len(encoded) > 0 && encoded[0] == 0 {
--- a/internal/lab/device.go
+++ b/internal/lab/device.go
@@ -51,8 +51,8 @@
 	// readings were sent before. sent reports whether the batch may have reached
 	// the router; it is also valid if err is not nil.
 	exchange(ctx context.Context, b *batch.Batch, again bool) (results []batch.Result, sent bool, err error)
-	// elapsed returns the time since the router's last time mark, in milliseconds,
-	// or nil if the protocol has no time marks.
+	// elapsed returns the time since the router's last time mark, in milliseconds;
+	// nil if batches of the protocol carry no elapsed time.
 	elapsed() *float64
 	close()
 }
--- a/internal/lab/fleetview.go
+++ b/internal/lab/fleetview.go
@@ -12,26 +12,26 @@
 	"lotusbend/internal/standin"
 )
 
-// FleetviewDrill starts routers with membership on, each reaching the others
-// only through a relay that injects faults. It plays faults drawn from the seed
-// and reads every router's view from its admin page.
+// FleetviewDrill tests membership: it starts routers that reach each other only through
+// a relay that injects faults, kills, pauses and partitions members drawn from the
+// seed, and checks every router's view, read from its admin page.
 type FleetviewDrill struct {
 	Seed      uint64
-	Procs     int       // routers
-	Loss      float64   // chance on every link for the whole run
+	Procs     int       // number of routers
+	Loss      float64   // probability on every link for the whole run
 	Cut       string    // "zones", "oneway" or "" for neither
-	Kill      int       // members killed at once
-	Pause     int       // members paused past their suspicion, then resumed
-	SplitMs   int64     // how long a cut lasts, milliseconds
-	Late      int       // members whose every packet is later than the direct probe waits
-	Flood     int       // malformed datagrams sent straight to one member
-	Sabotage  string    // a safeguard that the members leave out, "" for none
-	Binary    string    // the router's program
-	Progress  io.Writer // nil for none
-	RouterLog io.Writer // the routers' standard error, nil for none
+	Kill      int       // number of members killed at once
+	Pause     int       // number of members paused past their suspicion, then resumed
+	SplitMs   int64     // duration of a cut
+	Late      int       // number of members whose packets all arrive after the timeout of a direct probe
+	Flood     int       // number of malformed datagrams sent directly to one member
+	Sabotage  string    // safeguard that the members disable; "" for none
+	Binary    string    // path of the router program
+	Progress  io.Writer // receives the progress log; nil to discard it
+	RouterLog io.Writer // receives the routers' standard error; nil to discard it
 }
 
-// Phase is one fault and how the views settled after it.
+// Phase is one fault and how long the views took to settle after it.
 type Phase struct {
 	Fault    string `json:"fault"`
 	SettleMs int64  `json:"settle_ms"`
@@ -39,34 +39,37 @@
 	Settled  bool   `json:"settled"`
 }
 
-// FleetviewResult is what the drill found.
+// FleetviewResult is the result of the drill.
 type FleetviewResult struct {
 	Drill           string   `json:"drill"`
 	Seed            uint64   `json:"seed"`
 	Procs           int      `json:"procs"`
 	Phases          []Phase  `json:"phases"`
-	FalseDead       int      `json:"false_dead"`     // running members that others saw dead
-	Resurrected     int      `json:"ghosts"`         // ended members that others saw alive again
-	MissedCrashes   int      `json:"missed_crashes"` // ended members that others did not see dead in time
-	FloodDropped    uint64   `json:"flood_dropped"`  // as the flooded member counted it
+	FalseDead       int      `json:"false_dead"`     // running members that others saw as dead
+	Resurrected     int      `json:"ghosts"`         // ended instances that others saw as alive after they had seen them as dead
+	MissedCrashes   int      `json:"missed_crashes"` // views in which a killed member was not dead in time
+	FloodDropped    uint64   `json:"flood_dropped"`  // datagrams that the flooded member counted as dropped
 	BytesPerMemberS float64  `json:"bytes_per_member_s"`
 	Violations      []string `json:"faults_seen,omitempty"`
 	OK              bool     `json:"ok"`
 }
 
-// probePeriodMs is the members' probe period in the drill, the default. In the
-// in-memory network at 20% loss, 94 members were taken for dead over 20 seeds
-// of 30 s with a period of 100 ms; with 200 ms none, with a split or without.
+// probePeriodMs is the members' probe period in the drill, the default. With a period of
+// 100 ms and 20% loss, 94 members were declared dead wrongly in an in-memory network
+// over 20 seeds of 30 s; with 200 ms none was, with a split or without.
 const probePeriodMs = 200
 
-// settleBoundMs bounds how long the views of p members take to settle: the
-// rules' bound as the rules' tests state it (the longest suspicion, two rounds
-// of probes, gossip's log2(p)+4 periods, the last call's two direct waits), two
-// seconds for what processes add (the relay's delays, polls every 100 ms,
-// scheduling, and Lifeguard's slower probes while a split starves members of
-// nacks: with a period of 100 ms a split of 12 settled in 3.1 to 4.8 s, seeds 1
-// to 7), and 4 periods for that slowdown, which doubles a probe round: with 200
-// ms, seed 3's split took 9.56 s against 9.50 without them.
+// settleBoundMs limits the time in which the views of p members must settle. It is the
+// sum of:
+//
+//   - the bound of the membership rules, as their tests state it: the longest
+//     suspicion, two rounds of probes, log2(p)+4 periods of gossip, and two direct
+//     probe waits before a member is declared dead
+//   - 2 s for what processes add: the relay's delays, polls every 100 ms, scheduling,
+//     and Lifeguard's slower probes while a split deprives members of nacks (with a
+//     period of 100 ms, a split of 12 members settled in 3.1 to 4.8 s, seeds 1 to 7)
+//   - 4 periods for that slowdown, which doubles a probe round: with 200 ms, the split
+//     of seed 3 took 9.56 s, against a bound of 9.50 s without them
 func settleBoundMs(p int) int64 {
 	d := membership.Defaults()
 	members := float64(p)
@@ -79,7 +82,7 @@
 	return int64(suspicion+probeRounds+gossip+slowerProbes) + lastCall + processes
 }
 
-// Run runs the drill. It ends every process that it started.
+// Run runs the drill. It stops every process that it started before it returns.
 func (o FleetviewDrill) Run(ctx context.Context) (result FleetviewResult, err error) {
 	result = FleetviewResult{Drill: "fleetview", Seed: o.Seed, Procs: o.Procs}
 	cluster := standin.Defaults()
@@ -114,12 +117,13 @@
 	return result, ctx.Err()
 }
 
-// linkFaults are the faults on every link for the whole run.
+// linkFaults returns the faults on every link for the whole run.
 func linkFaults(loss float64) faultnet.Faults {
 	return faultnet.Faults{Loss: loss, Dup: 0.02, DelayMs: 1, JitterMs: 4}
 }
 
-// passed reports whether the views settled after each fault and were never wrong.
+// passed reports whether the views settled after each fault and were never wrong, and
+// whether the flooded member counted dropped datagrams.
 func (r *FleetviewResult) passed(o FleetviewDrill) bool {
 	for _, phase := range r.Phases {
 		if !phase.Settled {
--- a/internal/lab/fleetview_faults.go
+++ b/internal/lab/fleetview_faults.go
@@ -11,17 +11,17 @@
 	"lotusbend/internal/membership"
 )
 
-// fleetviewRun is one run of the drill.
+// fleetviewRun is the state of one run of the drill.
 type fleetviewRun struct {
 	FleetviewDrill
 	*viewWatcher
 	rand       *rand.Rand
-	candidates []int // members but the first, in the order in which faults take them
+	candidates []int // all members but the first, in the order in which faults use them
 }
 
-// runPhases plays the faults that the options ask for, in a fixed order, each on
-// members drawn from the seed. The first member, the seed of the others, is
-// spared.
+// runPhases injects the faults that the options ask for, in a fixed order, each into
+// members drawn from the seed. It spares the first member, the seed node of the
+// others.
 func (r *fleetviewRun) runPhases(ctx context.Context) {
 	r.phase(ctx, "join", nil)
 	for _, i := range r.rand.Perm(len(r.fleet.members) - 1) {
@@ -52,7 +52,7 @@
 	r.pollFor(ctx, 2*probePeriodMs)
 }
 
-// drawMembers returns the next running members for a fault.
+// drawMembers returns the next count running members for a fault.
 func (r *fleetviewRun) drawMembers(count int) []*member {
 	var drawn []*member
 	for _, i := range r.candidates {
@@ -64,26 +64,25 @@
 	return drawn
 }
 
-// delayMembers delays all packets of some members past the wait of a direct probe,
-// but within the probe period, so that nacks show that they are alive.
+// delayMembers delays all packets of some members beyond the timeout of a direct probe
+// but within the probe period, so that nacks show that the members are alive.
 func (r *fleetviewRun) delayMembers(ctx context.Context) {
 	late := r.drawMembers(r.Late)
 	for _, m := range late {
 		r.fleet.relay.DelaySender(r.memberIndex(m.router.Name), probePeriodMs*2/5+20)
 	}
 	r.pollFor(ctx, r.boundMs)
-	r.phase(ctx, fmt.Sprintf("%d answering late always", len(late)), nil)
+	r.phase(ctx, fmt.Sprintf("delay of all packets of %d members", len(late)), nil)
 }
 
-// floodMember sends malformed datagrams (random bytes, some past the largest
-// packet) straight to the first member's own socket, over about two seconds.
-// Then the views must still be settled, and the member must have counted the
-// drops.
+// floodMember sends malformed datagrams (random bytes, some longer than the largest
+// packet) directly to the first member's socket, over about two seconds. Afterwards
+// the views must still be settled, and the member must have counted the drops.
 func (r *fleetviewRun) floodMember(ctx context.Context) {
 	conn, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(r.fleet.sockets[0]))
 	if err != nil {
 		never := func(int, int) bool { return false }
-		r.phase(ctx, "flood could not be sent: "+err.Error(), never)
+		r.phase(ctx, "sending the flood failed: "+err.Error(), never)
 		return
 	}
 	defer conn.Close()
@@ -93,7 +92,7 @@
 	sent := 0
 	for ticks := 0; sent < r.Flood && ctx.Err() == nil; ticks++ {
 		<-tick.C
-		if ticks%10 == 0 { // a death that is refuted at once must be seen, too
+		if ticks%10 == 0 { // poll often enough to see a death that is refuted at once
 			r.poll()
 		}
 		for range max(1, r.Flood/200) {
@@ -105,25 +104,25 @@
 			sent++
 		}
 	}
-	r.phase(ctx, fmt.Sprintf("flood of %d malformed packets at one member", r.Flood), nil)
+	r.phase(ctx, fmt.Sprintf("flood of %d malformed datagrams to one member", r.Flood), nil)
 	r.result.FloodDropped = r.droppedPackets(r.fleet.members[0])
 }
 
-// pauseMembers pauses members past their suspicion.
+// pauseMembers pauses members past their suspicion and resumes them.
 func (r *fleetviewRun) pauseMembers(ctx context.Context) {
 	paused := r.drawMembers(r.Pause)
 	for _, m := range paused {
 		m.router.signal(syscall.SIGSTOP)
-		m.pausedUntil = time.Now().Add(time.Hour) // until it is resumed below
+		m.pausedUntil = time.Now().Add(time.Hour) // until the resume below
 	}
 	r.pollFor(ctx, r.boundMs)
 	for _, m := range paused {
-		// Before it runs: until it has refuted its death, that is no fault.
+		// Set before the resume: until the member has refuted its death, others may see it as dead.
 		m.settlingUntil = time.Now().Add(r.bound())
 		m.router.signal(syscall.SIGCONT)
 		m.pausedUntil = time.Time{}
 	}
-	r.phase(ctx, fmt.Sprintf("pause %d past suspicion", len(paused)), nil)
+	r.phase(ctx, fmt.Sprintf("pause of %d members past their suspicion", len(paused)), nil)
 }
 
 // killMembers kills members at once and returns them.
@@ -133,7 +132,7 @@
 		m.router.Kill()
 		m.running = false
 	}
-	if !r.phase(ctx, fmt.Sprintf("kill %d", len(killed)), nil) {
+	if !r.phase(ctx, fmt.Sprintf("kill of %d members", len(killed)), nil) {
 		for _, m := range killed {
 			r.result.MissedCrashes += r.countSeenAlive(m)
 		}
@@ -141,8 +140,8 @@
 	return killed
 }
 
-// countSeenAlive counts the views of the last poll that have this instance as a
-// member.
+// countSeenAlive returns in how many views of the last poll this instance is alive or
+// suspect.
 func (r *fleetviewRun) countSeenAlive(m *member) (count int) {
 	for _, view := range r.views {
 		for _, update := range view.Members {
@@ -154,42 +153,42 @@
 	return count
 }
 
-// splitZones cuts the zones from each other for SplitMs, then heals the cut.
+// splitZones cuts all links between the zones for SplitMs and then heals the cut.
 func (r *fleetviewRun) splitZones(ctx context.Context) {
 	r.cut = r.fleet.cut("zones")
 	r.fleet.relay.Cut(r.cut)
 	sameZone := func(viewer, subject int) bool {
 		return r.fleet.members[subject].running && !r.cut(viewer, subject)
 	}
-	r.phase(ctx, "split into zones", sameZone)
+	r.phase(ctx, "split between the zones", sameZone)
 	r.pollFor(ctx, r.SplitMs)
-	r.phase(ctx, "each half right about itself", sameZone)
+	r.phase(ctx, "end of the split", sameZone)
 	r.fleet.relay.Cut(nil)
 	r.cut = nil
 	for _, m := range r.fleet.members {
 		m.settlingUntil = time.Now().Add(r.bound())
 	}
-	r.phase(ctx, "heal", nil)
+	r.phase(ctx, "healed split", nil)
 }
 
-// cutOneWay loses what the second member sends to the third for SplitMs.
-// The others' indirect probes must keep the third alive.
+// cutOneWay drops what the second member sends to the third for SplitMs. Indirect probes
+// through the others must keep the third alive.
 func (r *fleetviewRun) cutOneWay(ctx context.Context) {
 	r.cut = func(from, to int) bool { return from == 1 && to == 2 }
 	r.fleet.relay.Cut(r.cut)
 	r.pollFor(ctx, r.SplitMs)
 	r.fleet.relay.Cut(nil)
 	r.cut = nil
-	r.phase(ctx, "one-way cut healed", nil)
+	r.phase(ctx, "healed one-way cut", nil)
 }
 
-// restartMember starts a killed member again under its name.
+// restartMember restarts a killed member under its old name.
 func (r *fleetviewRun) restartMember(ctx context.Context, m *member) {
 	if err := m.router.Start(); err != nil {
-		r.log.Error("router not restarted", "router", m.router.Name, "error", err)
+		r.log.Error("router restart failed", "router", m.router.Name, "error", err)
 		return
 	}
 	m.running = true
-	m.start = 0 // known once its own view reports it
-	r.phase(ctx, "restart under the same name", nil)
+	m.start = 0 // unknown until its own view reports it
+	r.phase(ctx, "restart of a member under its old name", nil)
 }
--- a/internal/lab/framestream.go
+++ b/internal/lab/framestream.go
@@ -11,13 +11,13 @@
 	"lotusbend/internal/edge/frames"
 )
 
-// frameDevice speaks the framed stream, as a gateway for one device.
+// frameDevice is a client of the framed stream: a gateway with one device.
 type frameDevice struct {
 	device   *device
 	conn     net.Conn
 	in       *bufio.Reader
-	id       uint32  // of the last request
-	mark     float64 // the router's last time mark
+	id       uint32  // of the last frame with readings
+	mark     float64 // last time mark of the router
 	markedAt time.Time
 }
 
@@ -34,7 +34,7 @@
 	return t, nil
 }
 
-// connect opens the stream.
+// connect sends a hello frame and waits for the welcome frame.
 func (t *frameDevice) connect(ctx context.Context) error {
 	hello := frames.Hello{Kind: frames.KindHello, Version: frames.Version, Name: t.device.name}
 	if err := t.send(hello); err != nil {
@@ -62,7 +62,8 @@
 	return err
 }
 
-// receive reads frames up to one of a kind.
+// receive reads frames until one of the given kind arrives and decodes it into to. It
+// returns errDisconnected for a bye frame.
 func (t *frameDevice) receive(ctx context.Context, kind frames.Kind, to any) error {
 	for {
 		if err := t.conn.SetReadDeadline(time.Now().Add(deviceAnswerTimeout)); err != nil {
--- a/internal/lab/loadclient.go
+++ b/internal/lab/loadclient.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// maxLoadClientConns bounds the connections of one load client. A request for
-// which none is free is not sent.
+// maxLoadClientConns is the connection limit of a load client. A request for which no
+// connection is available is not sent.
 const maxLoadClientConns = 64
 
-// loadClient stands for the clients of one router. It sends reads at a rate,
-// whatever becomes of earlier ones.
+// loadClient generates the load of one router's clients. It is open-loop: it sends reads
+// at a given rate, without waiting for the answers to earlier ones.
 type loadClient struct {
-	index        int // of the router, the upper bits of each request's id
+	index        int // of the router; the upper bits of each request's id
 	router       string
 	rand         *rand.Rand
-	requestsSent atomic.Uint64 // requests
+	requestCount atomic.Uint64 // number of requests so far, also of those not sent
 	idleConns    chan *pgClient
-	openConns    atomic.Int64 // connections
+	openConns    atomic.Int64 // number of open connections
 	wg           sync.WaitGroup
 
 	served      atomic.Int64
 	rejected    atomic.Int64
-	brokenConns atomic.Int64 // connections that ended
+	brokenConns atomic.Int64 // number of connections that failed
 }
 
 func newLoadClient(index int, router string, seed uint64) *loadClient {
@@ -37,9 +37,9 @@
 	}
 }
 
-// run sends reads of a class to a group until ctx ends. Before each one it
-// calls rate for the current rate in requests a second; zero pauses. It
-// returns at once; wait waits for the end.
+// run starts to send reads of a class to a group until ctx is done. Before each read it
+// calls rate for the current rate in requests per second; a rate of 0 pauses. run
+// returns immediately; wait waits for the end.
 func (c *loadClient) run(ctx context.Context, group int, class string, rate func() float64) {
 	rnd := rand.New(rand.NewPCG(c.rand.Uint64(), uint64(group)))
 	c.wg.Go(func() {
@@ -50,17 +50,17 @@
 				continue
 			}
 			time.Sleep(time.Duration(rnd.ExpFloat64() / perSecond * float64(time.Second)))
-			id := uint64(c.index)<<routerIDShift | c.requestsSent.Add(1)
+			id := uint64(c.index)<<routerIDShift | c.requestCount.Add(1)
 			c.wg.Go(func() { c.request(selectStatement(id, id, class, group)) })
 		}
 	})
 }
 
-// routerIDShift is where a router's index begins in the ids of the requests
-// that load clients send to it.
+// routerIDShift is the position of the router's index in the id of a request from a
+// load client; the lower bits count the requests.
 const routerIDShift = 48
 
-// request sends one statement, if a connection is free or may be opened.
+// request sends one statement if a connection is available.
 func (c *loadClient) request(text string) {
 	conn := c.acquire()
 	if conn == nil {
@@ -77,10 +77,10 @@
 	} else {
 		c.rejected.Add(1)
 	}
-	c.idleConns <- conn // never blocks: it has capacity for every connection
+	c.idleConns <- conn // cannot block: the channel has capacity for every connection
 }
 
-// acquire returns an idle or a new connection, nil if there can be none.
+// acquire returns an idle connection or a new one, or nil if neither is available.
 func (c *loadClient) acquire() *pgClient {
 	select {
 	case conn := <-c.idleConns:
@@ -104,10 +104,10 @@
 	c.brokenConns.Add(1)
 }
 
-// wait returns when every run and request has ended.
+// wait returns when every run and every request has ended.
 func (c *loadClient) wait() { c.wg.Wait() }
 
-// close closes the connections once every request has ended.
+// close waits for every request and then closes the connections.
 func (c *loadClient) close() {
 	c.wait()
 	for {
--- a/internal/lab/measure.go
+++ b/internal/lab/measure.go
@@ -12,11 +12,11 @@
 	"lotusbend/internal/standin"
 )
 
-// EdgeMetrics are what the edge costs compared with the PostgreSQL front,
-// measured in one run against stand-in hosts that answer at once. Latencies are
-// in milliseconds by front.
+// EdgeMetrics compares the cost of the edge with that of the PostgreSQL front. All
+// values are measured in one run against stand-in hosts that answer without delay.
+// Latencies are in milliseconds, by front.
 type EdgeMetrics struct {
-	Requests    int                `json:"requests"` // through each front
+	Requests    int                `json:"requests"` // per front, without idle devices
 	MedianMs    map[string]float64 `json:"median_ms"`
 	P99Ms       map[string]float64 `json:"p99_ms"`
 	IdleDevices int                `json:"idle_devices"`
@@ -28,25 +28,27 @@
 const (
 	postgresFront  = "postgresql"
 	warmUpRequests = 50
-	// requestInterval lies between requests: a connection to a host rests 2 ms after
-	// an answer, and no front shall wait for another's.
+	// requestInterval is the pause before each request. The router reuses a
+	// connection to a host 2 ms after an answer at the earliest, and a front must
+	// not wait because of another front's request.
 	requestInterval = 5 * time.Millisecond
 )
 
-// measuredFronts are the fronts in the order in which they take turns.
+// measuredFronts are the fronts in the order in which each round uses them.
 var measuredFronts = []string{postgresFront, "coap", "mqtt", "frames"}
 
-// edgeMeasurement is one run of MeasureEdge.
+// edgeMeasurement is the state of one MeasureEdge call.
 type edgeMeasurement struct {
 	router     *Router
-	send       map[string]func(n int) error // sends the n-th request, by front
-	requests   int                          // sent through each front
+	send       map[string]func(n int) error // by front; sends request n
+	requests   int                          // sent so far through each front
 	transports []transport
 	postgres   *pgClient
 }
 
-// MeasureEdge sends requests one at a time, the fronts in turn, first without
-// and then beside idle MQTT devices. progress is the router's standard error.
+// MeasureEdge measures latencies and memory of a router. It sends requests one at a
+// time, through each front in turn, first without idle MQTT devices and then with them
+// connected. progress receives the router's standard error.
 func MeasureEdge(ctx context.Context, binary string, requests, idle int, progress io.Writer) (
 	EdgeMetrics, error,
 ) {
@@ -81,7 +83,7 @@
 	if err := m.connectIdle(ctx, idle); err != nil {
 		return figures, err
 	}
-	time.Sleep(2 * time.Second) // for the garbage collector
+	time.Sleep(2 * time.Second) // until the garbage collector has run
 	figures.IdleBytes = m.router.residentBytes()
 	if err := m.connectPostgres(); err != nil { // the first connection was idle for too long
 		return figures, err
@@ -91,7 +93,7 @@
 	return figures, err
 }
 
-// immediateHosts are hosts that answer at once and without faults.
+// immediateHosts returns options for hosts that answer without delay or faults.
 func immediateHosts() standin.Options {
 	opt := standin.Defaults()
 	opt.WorkMinMs = 0
@@ -121,8 +123,8 @@
 	return nil
 }
 
-// connectPostgres connects to the PostgreSQL front, in place of an earlier
-// connection.
+// connectPostgres connects to the PostgreSQL front and closes the earlier connection, if
+// any.
 func (m *edgeMeasurement) connectPostgres() error {
 	client, err := dialPostgres(m.router.Listen, 0)
 	if err != nil {
@@ -136,14 +138,14 @@
 		id := uint64(n + 1)
 		code, err := client.query(insertStatement(id, "12.5 kWh", id, id, 1+n%2))
 		if err == nil && code != "" {
-			err = fmt.Errorf("answered with %s", code)
+			err = fmt.Errorf("statement failed with SQLSTATE %s", code)
 		}
 		return err
 	}
 	return nil
 }
 
-// sendReading sends the n-th reading of a device, which must be recorded.
+// sendReading sends reading n of a device. It returns an error unless it is recorded.
 func sendReading(ctx context.Context, d *device, conn transport, protocol string, n int) error {
 	b := &batch.Batch{
 		Device:   d.name,
@@ -156,13 +158,13 @@
 		return err
 	}
 	if len(results) != 1 || intake.Status(results[0].Status) != intake.Recorded {
-		return fmt.Errorf("%s: %+v", protocol, results)
+		return fmt.Errorf("sending a reading over %s: results %+v, want one recorded", protocol, results)
 	}
 	return nil
 }
 
-// measureRounds sends so many requests through each front and returns their latencies
-// in milliseconds.
+// measureRounds sends count requests through each front and returns the latencies in
+// milliseconds, by front.
 func (m *edgeMeasurement) measureRounds(count int) (map[string][]float64, error) {
 	latencies := map[string][]float64{}
 	for last := m.requests + count; m.requests < last; m.requests++ {
@@ -170,7 +172,7 @@
 			time.Sleep(requestInterval)
 			began := time.Now()
 			if err := m.send[front](m.requests); err != nil {
-				return nil, fmt.Errorf("%s, request %d: %w", front, m.requests, err)
+				return nil, fmt.Errorf("measuring %s, request %d: %w", front, m.requests, err)
 			}
 			latencies[front] = append(latencies[front], *millisecondsSince(began))
 		}
@@ -178,18 +180,18 @@
 	return latencies, nil
 }
 
-// connectIdle connects idle MQTT devices, all with version 3.1.1.
+// connectIdle connects count idle MQTT devices, all with version 3.1.1.
 func (m *edgeMeasurement) connectIdle(ctx context.Context, count int) error {
 	for n := range count {
 		d := newDevice(deviceOptions{
 			name:      fmt.Sprint("idle-", n),
-			number:    4 * n, // decides the version
+			number:    4 * n, // a multiple of 4 selects version 3.1.1
 			addresses: []string{m.router.MQTT},
 			seed:      1,
 		})
 		conn, err := dialMQTT(ctx, d, m.router.MQTT)
 		if err != nil {
-			return fmt.Errorf("idle device %d: %w", n, err)
+			return fmt.Errorf("connecting idle device %d: %w", n, err)
 		}
 		m.transports = append(m.transports, conn)
 	}
@@ -205,7 +207,7 @@
 	}
 }
 
-// percentiles returns a percentile of each front's latencies.
+// percentiles returns the given percentile of the latencies of each front. It sorts them.
 func percentiles(latencies map[string][]float64, percent int) map[string]float64 {
 	result := map[string]float64{}
 	for front, all := range latencies {
--- a/internal/lab/mqtt.go
+++ b/internal/lab/mqtt.go
@@ -17,21 +17,22 @@
 	"lotusbend/internal/edge/mqtt"
 )
 
-// deviceAnswerTimeout bounds a device's wait for an answer on a connection that is up.
+// deviceAnswerTimeout limits a device's TCP connect and its wait for an answer over
+// MQTT or frames.
 const deviceAnswerTimeout = 6 * time.Second
 
-// errDisconnected is a router that ended the connection in order.
-var errDisconnected = errors.New("lab: disconnected by the router")
+// errDisconnected is returned when the router closes the connection in order.
+var errDisconnected = errors.New("lab: the router closed the connection")
 
-// mqttMinFailureCode is the least reason code of a failure.
+// mqttMinFailureCode is the smallest reason code that reports a failure.
 const mqttMinFailureCode = 0x80
 
-// mqttDevice speaks MQTT 3.1.1 or 5 with quality of service 1 or 2.
+// mqttDevice is a client of MQTT 3.1.1 or 5 that publishes with QoS 1 or 2.
 type mqttDevice struct {
 	device      *device
 	conn        net.Conn
 	in          *bufio.Reader
-	version     byte // 4 for 3.1.1, or 5
+	version     byte // protocol level: 4 for 3.1.1, 5 for 5
 	qos         byte
 	packetID    uint16
 	connectedAt time.Time
@@ -57,7 +58,7 @@
 	return t, nil
 }
 
-// connect opens the MQTT session.
+// connect sends CONNECT and waits for CONNACK.
 func (t *mqttDevice) connect(ctx context.Context) error {
 	connect := packets.Packet{
 		FixedHeader:     packets.FixedHeader{Type: packets.Connect},
@@ -80,7 +81,7 @@
 		return err
 	}
 	if answer.FixedHeader.Type != packets.Connack || answer.ReasonCode != 0 {
-		return fmt.Errorf("connect answered by packet %d, reason %d",
+		return fmt.Errorf("CONNECT answered by packet type %d with reason code %d, want CONNACK with 0",
 			answer.FixedHeader.Type, answer.ReasonCode)
 	}
 	t.connectedAt = time.Now()
@@ -96,7 +97,7 @@
 	return err
 }
 
-// readPacket reads one packet.
+// readPacket reads and decodes one packet. It returns errDisconnected for a DISCONNECT.
 func (t *mqttDevice) readPacket(ctx context.Context) (packet packets.Packet, err error) {
 	if err := t.conn.SetReadDeadline(time.Now().Add(deviceAnswerTimeout)); err != nil {
 		return packet, err
@@ -136,7 +137,8 @@
 	return packet, err
 }
 
-// awaitPacket reads packets up to one of a type for the current packet identifier.
+// awaitPacket reads packets until one of the given type for the current packet
+// identifier arrives.
 func (t *mqttDevice) awaitPacket(ctx context.Context, packetType byte) (packets.Packet, error) {
 	for {
 		packet, err := t.readPacket(ctx)
@@ -151,7 +153,7 @@
 
 func (t *mqttDevice) exchange(ctx context.Context, b *batch.Batch, again bool) ([]batch.Result, bool, error) {
 	t.packetID++
-	if t.packetID == 0 { // not a valid identifier
+	if t.packetID == 0 { // 0 is not a valid packet identifier
 		t.packetID = 1
 	}
 	publish := packets.Packet{
@@ -179,8 +181,8 @@
 	return results, true, err
 }
 
-// publishResults returns the readings' results: recorded, or what the user
-// properties of a failure say of each.
+// publishResults returns the results of the readings: all recorded after a success;
+// otherwise those in the user properties of the answer, or unknown.
 func publishResults(b *batch.Batch, answer *packets.Packet) []batch.Result {
 	results := make([]batch.Result, len(b.Readings))
 	for i, reading := range b.Readings {
@@ -196,7 +198,7 @@
 	return results
 }
 
-// completeQoS2 is the second half of an exchange with quality of service 2.
+// completeQoS2 sends PUBREL and waits for PUBCOMP.
 func (t *mqttDevice) completeQoS2(ctx context.Context) error {
 	release := packets.Packet{
 		FixedHeader:     packets.FixedHeader{Type: packets.Pubrel, Qos: 1},
@@ -210,8 +212,8 @@
 	return err
 }
 
-// parseResult reads a reading's result from a user property of MQTT 5; it
-// returns fallback if that is malformed.
+// parseResult parses a reading's result in a user property of MQTT 5. It returns
+// fallback if the property is malformed.
 func parseResult(property string, fallback batch.Result) batch.Result {
 	result := fallback
 	var status string
--- a/internal/lab/pgclient.go
+++ b/internal/lab/pgclient.go
@@ -14,24 +14,23 @@
 const (
 	pgUser     = "app"
 	pgDatabase = "shop"
-	// pgDialTimeout bounds the connect of clients that reconnect.
+	// pgDialTimeout limits the TCP connect of clients that reconnect.
 	pgDialTimeout = time.Second
-	// pgAnswerTimeout bounds the wait for an answer.
+	// pgAnswerTimeout limits the wait for an answer.
 	pgAnswerTimeout = 5 * time.Second
 )
 
-// pgClient is a PostgreSQL client's connection to a router. It runs one
-// statement at a time.
+// pgClient is a PostgreSQL connection to a router. It runs one statement at a time.
 type pgClient struct {
 	conn net.Conn
 	in   *bufio.Reader
 }
 
-// errStartup is a failure after the connect.
+// errStartup is returned when the TCP connect succeeded and the startup failed.
 var errStartup = errors.New("lab: PostgreSQL startup failed")
 
-// dialPostgres connects to a router. A zero timeout does not bound the connect.
-// The error is errStartup if the router accepted the connection.
+// dialPostgres connects to a router. A zero timeout does not limit the connect. The
+// error wraps errStartup if the router accepted the TCP connection.
 func dialPostgres(address string, timeout time.Duration) (*pgClient, error) {
 	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
@@ -52,13 +51,14 @@
 
 func (c *pgClient) close() { _ = c.conn.Close() }
 
-// query runs a statement and returns the SQLSTATE of its error, "" for none.
-// After err the connection is of no more use.
+// query runs a statement and returns the SQLSTATE of its error, or "" if it succeeded.
+// After a non-nil err the connection must be closed.
 func (c *pgClient) query(text string) (code string, err error) {
 	return c.send(wire.AppendQuery(nil, []byte(text)))
 }
 
-// send writes a message and reads the answer up to ReadyForQuery.
+// send writes a message and reads messages up to ReadyForQuery. It returns the SQLSTATE
+// of the last ErrorResponse, or "" if there was none.
 func (c *pgClient) send(message []byte) (code string, err error) {
 	if _, err := c.conn.Write(message); err != nil {
 		return "", err
@@ -96,15 +96,13 @@
 	return kind, body, err
 }
 
-// insertStatement is a write of a row, with its request's parameters in the
-// comment.
+// insertStatement returns a write of a row; its comment holds the request's parameters.
 func insertStatement(row uint64, value string, requestID, key uint64, group int) string {
 	return fmt.Sprintf(`INSERT INTO items (id, doc) VALUES ('%016x', '\x%x') RETURNING doc `+
 		`/* id=%016x,c=ledger-write,d=1200,k=%016x,cluster=%d */`, row, value, requestID, key, group)
 }
 
-// selectStatement is a read of a class, with its request's parameters in the
-// comment.
+// selectStatement returns a read of a class; its comment holds the request's parameters.
 func selectStatement(row, requestID uint64, class string, group int) string {
 	return fmt.Sprintf(`SELECT doc FROM items WHERE id = '%016x' /* id=%016x,c=%s,d=1200,cluster=%d */`,
 		row, requestID, class, group)
--- a/internal/lab/viewwatcher.go
+++ b/internal/lab/viewwatcher.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// viewPollInterval is the pause between polls of the views.
+	// viewPollInterval is the pause between two polls of the views.
 	viewPollInterval = 100 * time.Millisecond
-	// adminTimeout bounds a request to an admin page.
+	// adminTimeout limits a request to an admin page.
 	adminTimeout = 500 * time.Millisecond
 )
 
-// viewWatcher polls every member's view and compares it with what the drill
-// did to the members.
+// viewWatcher polls every member's view and compares it with what the drill did to the
+// members.
 type viewWatcher struct {
 	fleet   *memberFleet
 	result  *FleetviewResult
 	log     *slog.Logger
 	client  http.Client
-	boundMs int64 // for the views to settle
-
-	cut          func(from, to int) bool // the cut in force, nil for none
-	fault        string                  // the fault in force, for the findings
-	views        map[int]membership.View // of the last poll, by member
-	reportedKeys map[string]bool         // findings, each of which counts once
-	seenDead     map[string]bool         // "viewer member start": was seen dead
-	unsettled    string                  // the first pair that was not settled
+	boundMs int64 // in which the views must settle after a fault
+
+	cut          func(from, to int) bool // reports whether a link is cut; nil for no cut
+	fault        string                  // current fault, for the texts of violations
+	views        map[int]membership.View // of the last poll, by index of the member
+	reportedKeys map[string]bool         // keys of the violations, each of which counts once
+	seenDead     map[string]bool         // instances seen as dead, by "viewer name start"
+	unsettled    string                  // describes the first pair that was not settled
 }
 
 func newViewWatcher(
@@ -54,8 +54,7 @@
 	}
 }
 
-// poll reads the views of the members that run and are not paused, and checks
-// them.
+// poll reads and checks the views of the members that run and are not paused.
 func (w *viewWatcher) poll() {
 	clear(w.views)
 	for i, m := range w.fleet.members {
@@ -82,8 +81,9 @@
 	return view, json.NewDecoder(response.Body).Decode(&view)
 }
 
-// checkViews counts running members that others see dead (false_dead), and ended
-// ones that others see alive again after they saw them dead (ghosts).
+// checkViews adds the violations in the views of the last poll: running members that
+// others see as dead (false_dead), and ended instances that others see as alive after
+// they had seen them as dead (ghosts).
 func (w *viewWatcher) checkViews() {
 	now := time.Now()
 	for viewer, view := range w.views {
@@ -96,7 +96,7 @@
 	}
 }
 
-// checkPair checks what a viewer's view says of a subject.
+// checkPair checks the entry of a subject in a viewer's view.
 func (w *viewWatcher) checkPair(now time.Time, viewer, subject int, update membership.Update) {
 	m := w.fleet.members[subject]
 	instance := fmt.Sprint(viewer, " ", update.Name, " ", update.Start)
@@ -104,22 +104,22 @@
 	switch {
 	case update.State == membership.Dead && !ended && w.deathUnexplained(now, viewer, subject):
 		if w.addViolation(fmt.Sprint("dead ", instance, " ", update.Incarnation),
-			fmt.Sprintf("m%d held %s dead while it ran (%s, incarnation %d)",
+			fmt.Sprintf("m%d saw %s as dead while it ran (%s, incarnation %d)",
 				viewer+1, update.Name, w.fault, update.Incarnation)) {
 			w.result.FalseDead++
 		}
 	case update.State >= membership.Dead && ended:
 		w.seenDead[instance] = true
 	case update.State == membership.Alive && ended && w.seenDead[instance]:
-		if w.addViolation("ghost "+instance,
-			fmt.Sprintf("m%d holds %s alive again, which does not run", viewer+1, update.Name)) {
+		if w.addViolation("resurrected "+instance,
+			fmt.Sprintf("m%d sees %s as alive again although that instance has ended", viewer+1, update.Name)) {
 			w.result.Resurrected++
 		}
 	}
 }
 
-// deathUnexplained reports whether no fault explains that a viewer sees a running
-// subject dead.
+// deathUnexplained reports whether no injected fault explains that a viewer sees a
+// running subject as dead.
 func (w *viewWatcher) deathUnexplained(now time.Time, viewer, subject int) bool {
 	m := w.fleet.members[subject]
 	settling := !now.After(m.settlingUntil) || !now.After(w.fleet.members[viewer].settlingUntil)
@@ -127,7 +127,8 @@
 	return !m.paused() && !settling && !cutOff
 }
 
-// addViolation adds a finding. It reports false if the key was reported before.
+// addViolation adds a violation to the result. It returns false if one with the same key
+// was added before.
 func (w *viewWatcher) addViolation(key, finding string) bool {
 	if w.reportedKeys[key] {
 		return false
@@ -137,7 +138,7 @@
 	return true
 }
 
-// memberIndex returns the number of the member of a name, -1 if there is none.
+// memberIndex returns the index of the member with a name, or -1.
 func (w *viewWatcher) memberIndex(name string) int {
 	for i, m := range w.fleet.members {
 		if m.router.Name == name {
@@ -147,9 +148,9 @@
 	return -1
 }
 
-// settled reports whether every view of the last poll has the members that
-// it should. wanted says whether a viewer should see a subject as a member;
-// nil for exactly those that run.
+// settled reports whether every view of the last poll has exactly the wanted members.
+// wanted returns whether a viewer should see a subject as a member; nil stands for the
+// members that run. settled sets unsettled if it returns false for a pair.
 func (w *viewWatcher) settled(wanted func(viewer, subject int) bool) bool {
 	if len(w.views) == 0 {
 		return false
@@ -168,11 +169,11 @@
 				want = wanted(viewer, subject)
 			}
 			update, known := byName[m.router.Name]
-			// A suspect is still a member: under loss some member is always
-			// suspected by another for a moment, and refutes.
+			// A suspect counts as a member: under packet loss some member is
+			// always briefly suspected by another until it refutes.
 			isMember := known && update.State <= membership.Suspect && update.Start == m.start
 			if isMember != want {
-				w.unsettled = fmt.Sprintf("m%d holds %s as %v (start %d, known %v), want member %v",
+				w.unsettled = fmt.Sprintf("m%d sees %s as %v (start %d, known %v), want member %v",
 					viewer+1, m.router.Name, update.State, update.Start, known, want)
 				return false
 			}
@@ -181,8 +182,8 @@
 	return true
 }
 
-// phase waits for the views to settle after a fault, up to the bound. It
-// reports whether they did.
+// phase polls until the views have settled after a fault or the bound has passed, and
+// adds a Phase to the result. It reports whether the views settled.
 func (w *viewWatcher) phase(ctx context.Context, fault string, wanted func(viewer, subject int) bool) bool {
 	from := time.Now()
 	phase := Phase{Fault: fault, BoundMs: w.boundMs}
@@ -205,12 +206,12 @@
 	return phase.Settled
 }
 
-// bound is boundMs as a duration.
+// bound returns boundMs as a duration.
 func (w *viewWatcher) bound() time.Duration { return time.Duration(w.boundMs) * time.Millisecond }
 
-// pollFor polls the views for some milliseconds.
+// pollFor polls the views for ms milliseconds.
 func (w *viewWatcher) pollFor(ctx context.Context, ms int64) {
-	w.fault = "waiting after " + w.fault
+	w.fault = "after " + w.fault
 	end := time.Now().Add(time.Duration(ms) * time.Millisecond)
 	for ctx.Err() == nil && time.Now().Before(end) {
 		w.poll()
@@ -218,8 +219,8 @@
 	}
 }
 
-// droppedPackets returns how many packets a member's transport droppedPackets, from its
-// metrics page; 0 if that cannot be read.
+// droppedPackets returns how many received packets a member's transport dropped, from
+// its metrics page. It returns 0 if the page cannot be read.
 func (w *viewWatcher) droppedPackets(m *member) (sum uint64) {
 	response, err := w.client.Get("http://" + m.admin + "/metrics")
 	if err != nil {
