--- a/internal/lab/address_test.go
+++ b/internal/lab/address_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// listen binds a socket to an address.
+// listen binds a socket to an address on the network "tcp" or "udp".
 func listen(network string, address netip.AddrPort) (io.Closer, error) {
 	if network == "udp" {
 		return net.ListenPacket(network, address.String())
@@ -18,8 +18,9 @@
 	return net.Listen(network, address.String())
 }
 
-// A router binds its address some time after it was allocated. Meanwhile another
-// drill, or an outgoing connection, may be given the same port on 127.0.0.1.
+// A router binds its address some time after the allocation. Another drill or an
+// outgoing connection that gets the same port on 127.0.0.1 meanwhile must not prevent
+// that.
 func TestAllocatedAddressStaysFreeWhenItsPortIsTakenOnLocalhost(t *testing.T) {
 	localhost := netip.AddrFrom4([4]byte{127, 0, 0, 1})
 	for _, network := range []string{"tcp", "udp"} {
@@ -30,7 +31,7 @@
 		other, err := listen(network, netip.AddrPortFrom(localhost, address.Port()))
 		if err == nil {
 			defer other.Close()
-		} else if !errors.Is(err, syscall.EADDRINUSE) { // in use is what the test needs
+		} else if !errors.Is(err, syscall.EADDRINUSE) { // already in use is as good for the test
 			t.Fatal(err)
 		}
 		router, err := listen(network, address)
@@ -42,8 +43,9 @@
 	}
 }
 
-// The addresses of all routers are allocated before the first one is bound.
-func TestAllocatedAddressesDiffer(t *testing.T) {
+// The addresses of all routers are allocated before the first one is bound, so a free
+// port must not be allocated twice.
+func TestAllocateReturnsDistinctAddresses(t *testing.T) {
 	seen := map[netip.AddrPort]bool{}
 	for range 2000 {
 		address, err := addresses.allocate("tcp")
@@ -51,7 +53,7 @@
 			t.Fatal(err)
 		}
 		if seen[address] {
-			t.Fatalf("address %v was allocated twice", address)
+			t.Fatalf("allocate() = %v, which was allocated before", address)
 		}
 		seen[address] = true
 	}
@@ -74,8 +76,8 @@
 	}
 }
 
-func TestEachProcessHasItsOwnLoopbackHost(t *testing.T) {
-	const maxPID = 1<<22 - 1 // of Linux
+func TestProcessHostIsLoopbackAndUnique(t *testing.T) {
+	const maxPID = 1<<22 - 1 // largest process ID of Linux
 	seen := map[netip.Addr]int{}
 	for _, pid := range []int{1, 2, 255, 256, 257, 65535, 65536, 65537, 1 << 21, maxPID - 1, maxPID} {
 		host := processHost(pid)
@@ -83,7 +85,7 @@
 			t.Errorf("processHost(%d) = %v, want a loopback host other than 127.0.0.1", pid, host)
 		}
 		if other, taken := seen[host]; taken {
-			t.Errorf("processHost(%d) = %v, the host of process %d", pid, host, other)
+			t.Errorf("processHost(%d) = %v, want a host other than that of process %d", pid, host, other)
 		}
 		seen[host] = pid
 	}
--- a/internal/lab/coap.go
+++ b/internal/lab/coap.go
@@ -40,7 +40,7 @@
 	token          uint32
 	nonConfirmable bool
 	requestTag     []byte
-	echoSent       bool // a message of this exchange carried an Echo value, so the router may have accepted it
+	echoSent       bool // an Echo value was sent in this exchange: the router may have accepted it
 }
 
 func dialCoAP(_ context.Context, d *device, address string) (transport, error) {
@@ -94,7 +94,7 @@
 			return nil, err
 		}
 		if answer.Code != codes.Continue {
-			return nil, fmt.Errorf("answer %v before the last block of a transfer, want 2.31 Continue", answer.Code)
+			return nil, fmt.Errorf("%v before the last block of a transfer, want Continue", answer.Code)
 		}
 	}
 	answer, err := t.requestBlock(ctx, payload[last*coapBlockSize:], int64(last)<<4|coapSZX)
--- a/internal/lab/edge_drill.go
+++ b/internal/lab/edge_drill.go
@@ -253,7 +253,8 @@
 func (r *edgeRun) finish() {
 	cluster := r.fleet.Cluster
 	// With store and forward, readings are delivered after their acknowledgement.
-	for r.Store && time.Since(r.startedAt) < edgeDrillTimeout && len(cluster.Executions()) < r.Devices*r.Readings {
+	for r.Store && time.Since(r.startedAt) < edgeDrillTimeout &&
+		len(cluster.Executions()) < r.Devices*r.Readings {
 		time.Sleep(100 * time.Millisecond)
 	}
 	time.Sleep(edgeSettleTime)
@@ -264,7 +265,8 @@
 	auditEdge(r.devices, cluster.Executions(), r.result)
 	for _, d := range r.devices {
 		if open := d.unacknowledged(); open > 0 {
-			r.log.Warn("device has unacknowledged readings", "device", d.name, "unacknowledged", open, "last_error", d.lastErr)
+			r.log.Warn("device has unacknowledged readings",
+				"device", d.name, "unacknowledged", open, "last_error", d.lastErr)
 		}
 	}
 	r.result.KeyRepeats, r.result.Aborted = cluster.WriteCounts()
--- a/internal/lab/fleetview.go
+++ b/internal/lab/fleetview.go
@@ -23,7 +23,7 @@
 	Kill      int       // number of members killed at once
 	Pause     int       // number of members paused past their suspicion, then resumed
 	SplitMs   int64     // duration of a cut
-	Late      int       // number of members whose packets all arrive after the timeout of a direct probe
+	Late      int       // number of members with packets later than a direct probe waits
 	Flood     int       // number of malformed datagrams sent directly to one member
 	Sabotage  string    // safeguard that the members disable; "" for none
 	Binary    string    // path of the router program
@@ -59,27 +59,28 @@
 // over 20 seeds of 30 s; with 200 ms none was, with a split or without.
 const probePeriodMs = 200
 
-// settleBoundMs limits the time in which the views of p members must settle. It is the
+// settleBoundMs limits the time in which the views of all members must settle. It is the
 // sum of:
 //
 //   - the bound of the membership rules, as their tests state it: the longest
-//     suspicion, two rounds of probes, log2(p)+4 periods of gossip, and two direct
+//     suspicion, two rounds of probes, log2(memberCount)+4 periods of gossip, and two direct
 //     probe waits before a member is declared dead
 //   - 2 s for what processes add: the relay's delays, polls every 100 ms, scheduling,
 //     and Lifeguard's slower probes while a split deprives members of nacks (with a
 //     period of 100 ms, a split of 12 members settled in 3.1 to 4.8 s, seeds 1 to 7)
 //   - 4 periods for that slowdown, which doubles a probe round: with 200 ms, the split
 //     of seed 3 took 9.56 s, against a bound of 9.50 s without them
-func settleBoundMs(p int) int64 {
-	d := membership.Defaults()
-	members := float64(p)
-	suspicion := d.SuspicionMaxMult * d.SuspicionMult * math.Max(1, math.Log10(members)) * probePeriodMs
+func settleBoundMs(memberCount int) int64 {
+	defaults := membership.Defaults()
+	members := float64(memberCount)
+	suspicion := defaults.SuspicionMaxMult * defaults.SuspicionMult *
+		math.Max(1, math.Log10(members)) * probePeriodMs
 	gossip := (math.Log2(members) + 4) * probePeriodMs
 	probeRounds := 4.0 * probePeriodMs
 	slowerProbes := 4.0 * probePeriodMs
-	const lastCall = 2 * probePeriodMs * 2 / 5
-	const processes = 2000
-	return int64(suspicion+probeRounds+gossip+slowerProbes) + lastCall + processes
+	const finalProbeWaits = 2 * probePeriodMs * 2 / 5
+	const processOverhead = 2000
+	return int64(suspicion+probeRounds+gossip+slowerProbes) + finalProbeWaits + processOverhead
 }
 
 // Run runs the drill. It stops every process that it started before it returns.
--- a/internal/lab/members.go
+++ b/internal/lab/members.go
@@ -37,7 +37,7 @@
 	LogLevel string    // log level of the routers
 	Standin  standin.Options
 	Faults   faultnet.Faults    // on every link
-	Settings string             // format string of the routing settings; its argument is the number of routers
+	Settings string             // format string of the routing settings, for the number of routers
 	Sabotage string             // sabotage setting of membership; "" for none
 	Shared   func(i int) string // returns the shared-state settings of router i; nil disables shared state
 }
--- a/internal/lab/mqtt.go
+++ b/internal/lab/mqtt.go
@@ -21,7 +21,7 @@
 // MQTT or frames.
 const deviceAnswerTimeout = 6 * time.Second
 
-// errDisconnected is returned when the router closes the connection in order.
+// errDisconnected is returned when the router sends an MQTT DISCONNECT or a bye frame.
 var errDisconnected = errors.New("lab: the router closed the connection")
 
 // mqttMinFailureCode is the smallest reason code that reports a failure.
--- a/internal/lab/router.go
+++ b/internal/lab/router.go
@@ -94,7 +94,7 @@
 		}
 		select {
 		case <-r.ended:
-			return fmt.Errorf("router %s exited before it was ready; last log line: %q", r.Name, r.output.last())
+			return fmt.Errorf("router %s exited at its start; last log line: %q", r.Name, r.output.last())
 		default:
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/internal/lab/router_test.go
+++ b/internal/lab/router_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// A drill whose router does not start must say why.
-func TestStartErrorNamesTheLastLogLine(t *testing.T) {
+// If a router exits at its start, the error must contain its last log line, which is
+// usually the cause.
+func TestWaitReadyErrorHasLastLogLine(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "router")
 	script := "#!/bin/sh\necho first >&2\necho 'address already in use' >&2\nexit 1\n"
@@ -30,11 +31,11 @@
 		t.Errorf("waitReady() = %v, want an error with the last log line", err)
 	}
 	if want := "first\naddress already in use\n"; log.String() != want {
-		t.Errorf("the log has %q, want %q", log.String(), want)
+		t.Errorf("log = %q, want %q", log.String(), want)
 	}
 }
 
-func TestLastLineWriterKeepsTheLastLine(t *testing.T) {
+func TestLastLineWriterKeepsLastLine(t *testing.T) {
 	long := strings.Repeat("x", 2*maxLineBytes)
 	for _, test := range []struct {
 		name   string
@@ -44,15 +45,15 @@
 		{"nothing written", nil, ""},
 		{"complete lines", []string{"a\nb\n"}, "b"},
 		{"line without an end", []string{"a\nb"}, "b"},
-		{"line in pieces", []string{"a\nb", "c", "\n"}, "bc"},
-		{"empty lines after it", []string{"a\n\n\n"}, "a"},
+		{"line written in pieces", []string{"a\nb", "c", "\n"}, "bc"},
+		{"empty lines after the last one", []string{"a\n\n\n"}, "a"},
 		{"long line", []string{long, "y\n"}, long[:maxLineBytes]},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			writer := &lastLineWriter{}
 			for _, text := range test.writes {
 				if n, err := writer.Write([]byte(text)); n != len(text) || err != nil {
-					t.Fatalf("Write(%d bytes) = %d, %v", len(text), n, err)
+					t.Fatalf("Write(%d bytes) = %d, %v, want all bytes and no error", len(text), n, err)
 				}
 			}
 			if got := writer.last(); got != test.want {
--- a/internal/lab/shared.go
+++ b/internal/lab/shared.go
@@ -12,57 +12,57 @@
 	"lotusbend/internal/standin"
 )
 
-// SharedDrill checks the fleet's shared state: budgets by lease while an
-// endpoint warms up during a cut, counters after the cut, ejections of an
-// endpoint that hangs. Routers are processes; what endpoints received is what
-// the stand-ins counted.
+// SharedDrill tests the shared state of the routers: budgets by lease while an endpoint
+// warms up during a cut, counters after the cut, and ejections of an endpoint that
+// hangs. Each router is a process. The result is computed from the statements that the
+// stand-ins counted and from the routers' admin pages.
 type SharedDrill struct {
 	Seed      uint64
-	Procs     int       // routers
-	Loss      float64   // chance on every link for the whole run
+	Procs     int       // number of routers
+	Loss      float64   // probability on every link for the whole run
 	Cut       string    // "zones", "oneway" or "" for neither
-	CutMs     int64     // how long the cut lasts at least, milliseconds
-	ColdMs    int64     // how long the endpoint that restarts warms up, milliseconds
-	Pause     int       // routers paused past their leases
-	Kill      int       // routers killed and started again
-	Liars     int       // byzantine routers, which report that every endpoint hangs
-	SkewMs    int64     // how far every second router's clock is ahead, milliseconds
-	Sabotage  string    // a safeguard that the routers leave out, "" for none
-	Binary    string    // the router's program
-	Progress  io.Writer // nil for none
-	RouterLog io.Writer // the routers' standard error, nil for none
+	CutMs     int64     // least duration of the cut
+	ColdMs    int64     // duration of the warm-up of the restarted endpoint
+	Pause     int       // number of routers paused past their leases
+	Kill      int       // number of routers killed and restarted
+	Liars     int       // number of byzantine routers, which report that every endpoint hangs
+	SkewMs    int64     // how far the clock of every second router is ahead
+	Sabotage  string    // safeguard that the routers disable; "" for none
+	Binary    string    // path of the router program
+	Progress  io.Writer // receives the progress log; nil to discard it
+	RouterLog io.Writer // receives the routers' standard error; nil to discard it
 }
 
-// SharedResult is what the drill found. "Standalone" is a fleet without shared
-// state, "sharing" one with it.
+// SharedResult is the result of the drill. "Standalone" is a fleet without shared state,
+// "sharing" one with it.
 type SharedResult struct {
 	Drill string `json:"drill"`
 	Seed  uint64 `json:"seed"`
 	Procs int    `json:"procs"`
-	// BudgetOverrun is the most that the warming endpoint received in a second,
-	// as a fraction of its budget.
+	// BudgetOverrun is the largest number of statements that the warming endpoint
+	// received in a second, as a fraction of its budget for that second.
 	BudgetOverrun   float64 `json:"budget_overrun"`
-	WarmingReceived int     `json:"cold_received"` // statements at the endpoint while it warmed up
-	// MaxBorrowed is the most of its budget that was borrowed by all routers
-	// together at one poll.
+	WarmingReceived int     `json:"cold_received"` // statements that the endpoint received while it warmed up
+	// MaxBorrowed is the largest fraction of a budget that all routers together had
+	// borrowed at one poll.
 	MaxBorrowed float64 `json:"borrowed_most"`
-	// CountsExact reports that every router's total is what the endpoints
-	// counted.
+	// CountsExact reports whether every router's total equals HostsCounted.
 	CountsExact    bool   `json:"counts_exact"`
-	HostsCounted   uint64 `json:"hosts_counted"` // statements received
-	MinTotal       uint64 `json:"totals_least"`  // of all routers
-	MaxTotal       uint64 `json:"totals_most"`   // of all routers
+	HostsCounted   uint64 `json:"hosts_counted"` // statements that the endpoints received
+	MinTotal       uint64 `json:"totals_least"`  // smallest total of a router
+	MaxTotal       uint64 `json:"totals_most"`   // largest total of a router
 	CountsSettleMs int64  `json:"counts_settle_ms"`
-	// WronglyEjected is the largest fraction of a group that a router ejected on
-	// others' reports without cause, EjectedBound its bound.
+	// WronglyEjected is the largest fraction of a group that a router ejected
+	// without cause on the reports of others; EjectedBound is its bound.
 	WronglyEjected float64 `json:"wrongly_excluded_share"`
 	EjectedBound   float64 `json:"wrongly_excluded_bound"`
 	StaleReads     int     `json:"stale_reads"`
-	// RemainingEjections counts the routers that ejected the endpoint on others'
-	// reports long after its hang.
+	// RemainingEjections counts the routers that still ejected the endpoint on others'
+	// reports ejectionExpiryMs after its hang.
 	RemainingEjections int `json:"judgements_outlived"`
-	// The mean over all routers of when each sent its last statement to the
-	// endpoint that hangs, after the hang's begin.
+	// DetectStandaloneMs and DetectSharingMs are the mean time, over the honest
+	// routers, from the begin of the hang to the router's last statement to the
+	// endpoint.
 	DetectStandaloneMs float64  `json:"detect_ms_alone"`
 	DetectSharingMs    float64  `json:"detect_ms_together"`
 	LostStandalone     int      `json:"requests_lost_to_hung_host_alone"`
@@ -75,27 +75,27 @@
 }
 
 const (
-	hangGroup = 1 // a primary and four replicas, one of which hangs
-	warmGroup = 2 // only a primary, which restarts and warms up
-	// hostWorkMs is the work of each statement.
+	hangGroup = 1 // group with a primary and four replicas, one of which hangs
+	warmGroup = 2 // group with only a primary, which restarts and warms up
+	// hostWorkMs is the execution time of each statement.
 	hostWorkMs = 5.0
-	// warmUpRequestsPerSecond is what all routers together would send the warming endpoint a
-	// second: more than twice what it may receive when it is warm.
+	// warmUpRequestsPerSecond is the demand of all routers together for the warming
+	// endpoint. It is more than twice what a warm endpoint may receive.
 	warmUpRequestsPerSecond = 1000.0
 	hangDurationMs          = 8000
-	// discoveryDelayMs is when every router has a start from discovery, which lists it
-	// half a second late.
+	// discoveryDelayMs is the time after a start until every router knows it from
+	// discovery, which lists it after 500 ms.
 	discoveryDelayMs = 800
-	// leaseMs and leaseSkewMs are the drill's lease settings.
+	// leaseMs and leaseSkewMs are the routers' lease_ms and skew_ms settings.
 	leaseMs     = 3000
 	leaseSkewMs = 2000
-	// ejectionExpiryMs after a hang no ejection on others' reports may be left: the
-	// longest time that a report counts, the ejection's own end, and the next
-	// check.
+	// ejectionExpiryMs is the time after a hang when no ejection on others' reports
+	// may be left: the longest validity of a report, the end of the ejection and the
+	// next check.
 	ejectionExpiryMs = 10_000 + 500 + 1500
 )
 
-// Run runs the drill. It ends every process that it started.
+// Run runs the drill. It stops every process that it started before it returns.
 func (o SharedDrill) Run(ctx context.Context) (result SharedResult, err error) {
 	began := time.Now()
 	result = SharedResult{
@@ -123,7 +123,7 @@
 	return result, ctx.Err()
 }
 
-// runStandalone measures a hang on a fleet without shared state.
+// runStandalone measures a hang in a fleet without shared state.
 func (o SharedDrill) runStandalone(ctx context.Context, result *SharedResult) error {
 	standalone, err := o.start(result, nil)
 	defer standalone.close()
@@ -134,39 +134,40 @@
 	if err != nil {
 		return err
 	}
-	standalone.log.Info("hang measured standalone", "lost", result.LostStandalone,
+	standalone.log.Info("hang measured without shared state", "lost", result.LostStandalone,
 		"detect_ms", math.Round(result.DetectStandaloneMs))
 	return nil
 }
 
-// addViolations adds what must not be to the faults.
+// addViolations adds a violation for each bound that the result exceeds.
 func (r *SharedResult) addViolations(o SharedDrill) {
-	fault := func(bad bool, format string, args ...any) {
-		if bad {
+	check := func(violated bool, format string, args ...any) {
+		if violated {
 			r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 		}
 	}
-	fault(r.BudgetOverrun > 1,
-		"the warming endpoint received %.2f of its budget in a second", r.BudgetOverrun)
-	fault(r.WarmingReceived == 0, "the warming endpoint received nothing: its budget was not tested")
-	fault(o.Procs > 3 && r.MaxBorrowed == 0, "no budget was ever borrowed: leases were not tested")
-	fault(!r.CountsExact,
-		"totals from %d to %d, the endpoints counted %d", r.MinTotal, r.MaxTotal, r.HostsCounted)
-	fault(r.WronglyEjected > r.EjectedBound, "%.2f of a group's endpoints wrongly ejected", r.WronglyEjected)
-	fault(r.RemainingEjections > 0, "%d routers eject the endpoint on others' reports %d ms after its hang",
-		r.RemainingEjections, ejectionExpiryMs)
-	fault(r.StaleReads > 0, "%d reads answered from stale data", r.StaleReads)
-	// Single losses are chance; sharing must not add to them.
+	check(r.BudgetOverrun > 1,
+		"the warming endpoint received %.2f times its budget in a second", r.BudgetOverrun)
+	check(r.WarmingReceived == 0, "the warming endpoint received no statement: its budget was not tested")
+	check(o.Procs > 3 && r.MaxBorrowed == 0, "no router borrowed budget: leases were not tested")
+	check(!r.CountsExact,
+		"totals of routers from %d to %d, the endpoints counted %d", r.MinTotal, r.MaxTotal, r.HostsCounted)
+	check(r.WronglyEjected > r.EjectedBound,
+		"a router wrongly ejected %.2f of the endpoints of a group", r.WronglyEjected)
+	check(r.RemainingEjections > 0,
+		"%d routers still eject the endpoint on others' reports %d ms after its hang", r.RemainingEjections, ejectionExpiryMs)
+	check(r.StaleReads > 0, "%d reads were answered with stale data", r.StaleReads)
+	// The number of losses varies at random. With shared state it must not exceed the
+	// number without it by more than two standard deviations.
 	lostBound := float64(r.LostStandalone) + 2*math.Sqrt(float64(r.LostStandalone))
-	fault(float64(r.LostSharing) > lostBound,
-		"%d requests lost sharing, %d standalone", r.LostSharing, r.LostStandalone)
+	check(float64(r.LostSharing) > lostBound,
+		"%d requests were lost with shared state, %d without", r.LostSharing, r.LostStandalone)
 }
 
-// isByzantine reports whether the i-th router is one that reports falsely: the
-// last ones do.
+// isByzantine reports whether router i sends false reports. The last routers do.
 func (o SharedDrill) isByzantine(i int) bool { return i >= o.Procs-o.Liars }
 
-// sharedSettings is the i-th router's settings of shared state.
+// sharedSettings returns the shared-state settings of router i.
 func (o SharedDrill) sharedSettings(i int) string {
 	settings := fmt.Sprintf(`"lease_ms": %d, "skew_ms": %d`, leaseMs, leaseSkewMs)
 	if i%2 == 1 && o.SkewMs > 0 {
@@ -181,9 +182,9 @@
 	return settings
 }
 
-// routerSettings let endpoints answer reads however stale they are, so that
-// only the routers keep the bound of staleness, and add a class for which any
-// replica's data will do.
+// routerSettings returns the routing settings of the drill. The endpoints answer reads
+// however stale their data is, so that only the routers enforce the staleness bound. A
+// further class, browse, accepts the data of any replica.
 func (o SharedDrill) routerSettings() string {
 	const lastClass = `"Semantics": "token"}]`
 	const browseClass = `"Semantics": "token"},
@@ -198,8 +199,7 @@
 	).Replace(routerSettings)
 }
 
-// standinOptions are the endpoints of the drill: they answer whatever is sent
-// to them, and count it.
+// standinOptions returns options for endpoints that answer every statement and count it.
 func (o SharedDrill) standinOptions() standin.Options {
 	opt := standin.Defaults()
 	opt.Seed = o.Seed
--- a/internal/lab/shared_audit.go
+++ b/internal/lab/shared_audit.go
@@ -14,14 +14,14 @@
 	"lotusbend/internal/standin"
 )
 
-// auditBudget compares what the warming endpoint received in every second,
-// since all routers had its start from discovery, with what the rules allow it
-// then: OverloadFactor times its capacity in the middle of that second, without
-// the slack of three square roots that the operators' standing test adds.
+// auditBudget compares the statements that the warming endpoint received in each second
+// with its budget for that second: OverloadFactor times its capacity in the middle of
+// the second. It starts once all routers know the endpoint's start from discovery, and
+// allows no slack, unlike the operators' standing test, which adds three square roots.
 func (r *sharedRun) auditBudget(host *standin.Host, startedAt float64, opt standin.Options) {
 	const overloadFactor = 2
 	const windowMs = 1000
-	var atMs []float64 // after the start
+	var atMs []float64 // arrival times, relative to the start
 	for _, received := range host.Received() {
 		if received.AtMs >= startedAt+discoveryDelayMs && received.AtMs < startedAt+opt.WarmUpMs {
 			atMs = append(atMs, received.AtMs-startedAt)
@@ -39,17 +39,17 @@
 	}
 }
 
-// sharedPage is what a router's admin page reports.
+// sharedPage is the content of a router's admin page /fleet.
 type sharedPage struct {
 	View    membership.View
 	Shared  fleetstate.StatusPage
 	Classes []string
 }
 
-// errNotRunning is a router that is paused or was killed.
-var errNotRunning = errors.New("lab: the router does not run")
+// errNotRunning is returned for a router that is paused or was killed.
+var errNotRunning = errors.New("lab: the router is not running")
 
-// page reads the i-th router's admin page.
+// page reads the admin page /fleet of router i.
 func (r *sharedRun) page(i int) (page sharedPage, err error) {
 	m := r.fleet.members[i]
 	r.mu.Lock()
@@ -66,8 +66,7 @@
 	return page, json.NewDecoder(response.Body).Decode(&page)
 }
 
-// poll reads every honest router's page: how much budget is borrowed, and which
-// endpoints are wrongly ejected.
+// poll reads the page of every honest router and updates MaxBorrowed and WronglyEjected.
 func (r *sharedRun) poll() {
 	borrowed := map[string]float64{}
 	for i := range r.fleet.members {
@@ -90,8 +89,8 @@
 	}
 }
 
-// checkEjections finds the largest fraction of a group that a router ejects on
-// others' reports without cause.
+// checkEjections updates WronglyEjected with the largest fraction of a group that the
+// router of a page ejects without cause on the reports of others.
 func (r *sharedRun) checkEjections(page sharedPage) {
 	wrong := map[string]bool{}
 	r.mu.Lock()
@@ -113,8 +112,8 @@
 	}
 }
 
-// countRemainingEjections counts the honest routers that still eject the
-// endpoint which hung on others' reports.
+// countRemainingEjections counts the honest routers that still eject, on the reports of
+// others, the endpoint that hung.
 func (r *sharedRun) countRemainingEjections() {
 	for i := range r.fleet.members {
 		page, err := r.page(i)
@@ -130,8 +129,8 @@
 	}
 }
 
-// awaitSettledViews waits until every router sees every other. That it takes longer than
-// so many milliseconds is a fault of the result, not an error.
+// awaitSettledViews waits until every router sees every other. If that takes more than
+// boundMs it adds a violation to the result and returns nil.
 func (r *sharedRun) awaitSettledViews(ctx context.Context, boundMs int64) error {
 	end := time.Now().Add(time.Duration(boundMs) * time.Millisecond)
 	for ; ctx.Err() == nil; sleep(ctx, 200) {
@@ -140,14 +139,14 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			r.result.Violations = append(r.result.Violations, "the views did not settle:"+unsettled)
+			r.result.Violations = append(r.result.Violations, "the views did not settle in time:"+unsettled)
 			return nil
 		}
 	}
 	return ctx.Err()
 }
 
-// unsettledViews describes the routers that do not see every other.
+// unsettledViews describes the routers that do not see every other router; "" if there is none.
 func (r *sharedRun) unsettledViews() string {
 	unsettled := ""
 	for i := range r.fleet.members {
@@ -161,8 +160,8 @@
 	return unsettled
 }
 
-// awaitExactCounts waits, once no more requests are sent, until every router's total is
-// what the endpoints counted, or for so long that it never will be.
+// awaitExactCounts waits until every router's total equals what the endpoints counted,
+// for at most 25 s. No request may be sent meanwhile. It then closes the clients.
 func (r *sharedRun) awaitExactCounts(ctx context.Context) error {
 	const boundMs = 25_000
 	from := time.Now()
@@ -196,8 +195,7 @@
 	return count
 }
 
-// totals returns the least and the largest total of attempts on the routers'
-// pages.
+// totals returns the smallest and the largest total of attempts on the routers' pages.
 func (r *sharedRun) totals() (least, largest uint64) {
 	least = math.MaxUint64
 	for i := range r.fleet.members {
--- a/internal/lab/shared_run.go
+++ b/internal/lab/shared_run.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// sharedRun is one fleet of the drill on shared state.
+// sharedRun is the state of one fleet of the drill.
 type sharedRun struct {
 	SharedDrill
 	fleet        *memberFleet
-	clients      []*loadClient // one for each router
+	clients      []*loadClient // one per router
 	result       *SharedResult
 	log          *slog.Logger
 	client       http.Client
@@ -25,9 +25,8 @@
 	ejectable map[string]bool // endpoints that may rightly be ejected
 }
 
-// start starts a fleet. shared returns the settings of shared state of a
-// router; nil for a fleet without it. close ends it, also after an
-// error.
+// start starts a fleet. shared returns the shared-state settings of a router; nil
+// disables shared state. The caller must call close, also after an error.
 func (o SharedDrill) start(result *SharedResult, shared func(int) string) (r *sharedRun, err error) {
 	r = &sharedRun{
 		SharedDrill: o,
@@ -54,7 +53,7 @@
 	for i, m := range r.fleet.members {
 		r.clients = append(r.clients, newLoadClient(i, m.router.Listen, o.Seed))
 	}
-	// One replica falls behind: it must receive no bounded read.
+	// One replica lags behind its staleness bound and must receive no bounded read.
 	late := r.fleet.cluster.Hosts(hangGroup)[4]
 	late.SetLag(3000)
 	r.ejectable[late.Name] = true
@@ -63,10 +62,10 @@
 
 func (r *sharedRun) close() { r.fleet.close() }
 
-// sleep sleeps for some milliseconds, but not past the end of ctx.
+// sleep sleeps for ms milliseconds or until ctx is done.
 func sleep(ctx context.Context, ms int64) { sleepFor(ctx, float64(ms)) }
 
-// allowEjection lets routers eject an endpoint from now on.
+// allowEjection records that routers may eject an endpoint from now on.
 func (r *sharedRun) allowEjection(endpoint string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,7 +94,7 @@
 	if err := r.awaitSettledViews(ctx, 15_000); err != nil {
 		return err
 	}
-	sleep(ctx, leaseMs+leaseSkewMs) // leases that an earlier incarnation may have granted
+	sleep(ctx, leaseMs+leaseSkewMs) // until leases that an earlier incarnation may have granted have expired
 	if err := r.runWarmUp(ctx); err != nil {
 		return err
 	}
@@ -108,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	r.log.Info("hang measured sharing", "lost", lost, "detect_ms", int64(detectMs))
+	r.log.Info("hang measured with shared state", "lost", lost, "detect_ms", int64(detectMs))
 	hangEnded := time.Now()
 	if err := r.awaitExactCounts(ctx); err != nil {
 		return err
@@ -118,16 +117,16 @@
 	return ctx.Err()
 }
 
-// measureHang has every router read from the group of replicas, one of which hangs. It
-// returns how many requests of honest routers that endpoint received without
-// answering, and how long after the begin a router last sent it one, the mean
-// over the honest routers.
+// measureHang makes one replica hang while every router reads from its group. lost is the
+// number of requests from honest routers that the replica received while it hung.
+// detectMs is the mean time, over the honest routers, from the begin of the hang to the
+// router's last request to the replica.
 func (r *sharedRun) measureHang(ctx context.Context) (lost int, detectMs float64, err error) {
 	traffic, stop := context.WithCancel(ctx)
 	defer stop()
 	for _, client := range r.clients {
-		// As sparse as on the deployment: a router reaches each endpoint about
-		// once a second.
+		// As little traffic as in the deployment: a router sends each endpoint about
+		// one request per second.
 		client.run(traffic, hangGroup, "browse", func() float64 { return 4 })
 		client.run(traffic, hangGroup, "park-view", func() float64 { return 1 })
 	}
@@ -138,7 +137,7 @@
 	from := float64(time.Now().UnixMicro()) / 1e3
 	r.fleet.cluster.Hang(host, hangDurationMs)
 	sleep(ctx, hangDurationMs-200)
-	lastMs := make([]float64, len(r.clients)) // of each router, after from
+	lastMs := make([]float64, len(r.clients)) // time of the last request of each router, relative to from
 	for _, received := range host.Received() {
 		id, err := strconv.ParseUint(received.ID, 16, 64)
 		router := int(id >> routerIDShift)
--- a/internal/lab/shared_warmup.go
+++ b/internal/lab/shared_warmup.go
@@ -11,17 +11,17 @@
 	"lotusbend/internal/fleetstate"
 )
 
-// warmUpPhase is the phase in which an endpoint warms up.
+// warmUpPhase is the state of the phase in which an endpoint warms up.
 type warmUpPhase struct {
 	*sharedRun
 	phaseStartedAt time.Time
-	demandStarted  atomic.Bool   // the warming endpoint gets traffic
-	silent         []atomic.Bool // routers that get no traffic
+	demandStarted  atomic.Bool   // the warming endpoint receives requests
+	silent         []atomic.Bool // by router: its clients send no requests
 }
 
-// runWarmUp cuts the fleet and restarts an endpoint during the cut. Half of the
-// routers demand all of its budget always, the others now and then: these lend
-// it while they demand nothing. Meanwhile routers are paused past their leases,
+// runWarmUp cuts the fleet and restarts an endpoint during the cut. Half of the routers
+// always demand the endpoint's whole budget. The others do so intermittently and lend
+// their share while they have no demand. Meanwhile routers are paused past their leases
 // and killed.
 func (r *sharedRun) runWarmUp(ctx context.Context) error {
 	p := &warmUpPhase{sharedRun: r, phaseStartedAt: time.Now(), silent: make([]atomic.Bool, len(r.clients))}
@@ -35,7 +35,7 @@
 	cut := r.fleet.cut(r.Cut)
 	if cut != nil {
 		r.fleet.relay.Cut(cut)
-		r.log.Info("fleet cut", "cut", r.Cut)
+		r.log.Info("links cut", "cut", r.Cut)
 	}
 	sleep(ctx, 1000+discoveryDelayMs)
 	p.demandStarted.Store(true)
@@ -52,7 +52,7 @@
 	opt := r.standinOptions()
 	sleep(ctx, int64(startedAt+opt.WarmUpMs-float64(time.Now().UnixMilli())))
 	r.auditBudget(host, startedAt, opt)
-	r.log.Info("endpoint warm", "received", r.result.WarmingReceived,
+	r.log.Info("endpoint warm-up ended", "received", r.result.WarmingReceived,
 		"budget_overrun", r.result.BudgetOverrun)
 	if cut != nil {
 		sleep(ctx, r.CutMs-time.Since(p.phaseStartedAt).Milliseconds())
@@ -63,7 +63,7 @@
 	return ctx.Err()
 }
 
-// startTraffic has the routers' clients send until ctx ends.
+// startTraffic makes the routers' clients send requests until ctx is done.
 func (p *warmUpPhase) startTraffic(ctx context.Context) {
 	for i, client := range p.clients {
 		background := func() float64 {
@@ -83,14 +83,14 @@
 	}
 }
 
-// isIdle reports whether a router has no demand just now: half of the
-// routers have none for every second two seconds.
+// isIdle reports whether a router has no demand at present. Half of the routers have
+// none in every other period of two seconds.
 func (p *warmUpPhase) isIdle(router int) bool {
 	return (router/2)%2 == 1 && int(time.Since(p.phaseStartedAt).Seconds()/2)%2 == 0
 }
 
-// drawRouters draws the routers to pause and to kill. The first one, the
-// others' seed, is spared.
+// drawRouters draws the routers to pause and to kill. It spares the first router, the
+// seed node of the others.
 func (p *warmUpPhase) drawRouters() (paused, killed []int) {
 	order := p.rand.Perm(len(p.clients) - 1)
 	for i := range order {
@@ -109,9 +109,10 @@
 	}
 }
 
-// pause stops processes. No request may be on its way to an endpoint just then:
-// a router cannot know whether it left. What clients send to a router that is
-// paused waits, and is read when it resumes.
+// pause stops the processes of routers. It first stops their traffic for 500 ms so that no
+// request is on its way to an endpoint: after a pause a router cannot know whether such
+// a request was sent. Requests that clients send during the pause wait until the router
+// resumes and reads them.
 func (p *warmUpPhase) pause(ctx context.Context, routers []int) {
 	p.setSilent(routers, true)
 	sleep(ctx, 500)
@@ -121,7 +122,7 @@
 		p.setPausedUntil(m, time.Now().Add(time.Hour))
 		p.silent[i].Store(false)
 	}
-	p.log.Info("routers paused past their leases", "routers", len(routers))
+	p.log.Info("routers paused", "routers", len(routers))
 }
 
 func (p *warmUpPhase) resume(routers []int) {
@@ -144,12 +145,12 @@
 	m.running = running
 }
 
-// restart kills routers and starts them again, without their state.
+// restart kills routers and restarts them without their state.
 func (p *warmUpPhase) restart(ctx context.Context, routers []int) error {
 	for _, i := range routers {
 		if !p.countersReplicated(ctx, i) {
 			p.result.Violations = append(p.result.Violations,
-				fmt.Sprintf("m%d replicated its counters to no router within 10 s", i+1))
+				fmt.Sprintf("m%d did not replicate its counters to another router within 10 s", i+1))
 		}
 		m := p.fleet.members[i]
 		p.setRunning(m, false)
@@ -171,8 +172,8 @@
 	return nil
 }
 
-// countersReplicated waits until some other router has all counters of the i-th
-// router: those that no other has are lost with its process.
+// countersReplicated waits up to 10 s until another router has all counters of router i.
+// Counters that no other router has are lost with its process.
 func (r *sharedRun) countersReplicated(ctx context.Context, i int) bool {
 	end := time.Now().Add(10 * time.Second)
 	for ; ctx.Err() == nil && time.Now().Before(end); sleep(ctx, 100) {
@@ -187,7 +188,7 @@
 	return false
 }
 
-// otherRouterHas reports whether a router other than the i-th has these counters.
+// otherRouterHas reports whether a router other than router i has these counters.
 func (r *sharedRun) otherRouterHas(i int, want fleetstate.CounterEntry) bool {
 	for other := range r.fleet.members {
 		page, err := r.page(other)
--- a/internal/lab/viewwatcher.go
+++ b/internal/lab/viewwatcher.go
@@ -112,7 +112,7 @@
 		w.seenDead[instance] = true
 	case update.State == membership.Alive && ended && w.seenDead[instance]:
 		if w.addViolation("resurrected "+instance,
-			fmt.Sprintf("m%d sees %s as alive again although that instance has ended", viewer+1, update.Name)) {
+			fmt.Sprintf("m%d sees an ended instance of %s as alive again", viewer+1, update.Name)) {
 			w.result.Resurrected++
 		}
 	}
@@ -129,12 +129,12 @@
 
 // addViolation adds a violation to the result. It returns false if one with the same key
 // was added before.
-func (w *viewWatcher) addViolation(key, finding string) bool {
+func (w *viewWatcher) addViolation(key, violation string) bool {
 	if w.reportedKeys[key] {
 		return false
 	}
 	w.reportedKeys[key] = true
-	w.result.Violations = append(w.result.Violations, finding)
+	w.result.Violations = append(w.result.Violations, violation)
 	return true
 }
 
--- a/internal/standin/link_datagram.go
+++ b/internal/standin/link_datagram.go
@@ -43,7 +43,12 @@
 	}
 	l := newLink(target, faults, seed)
 	l.Address = deviceConn.LocalAddr().String()
-	d := &datagramLink{link: l, deviceConn: deviceConn, targetAddr: targetAddr, targetConns: map[string]*net.UDPConn{}}
+	d := &datagramLink{
+		link:        l,
+		deviceConn:  deviceConn,
+		targetAddr:  targetAddr,
+		targetConns: map[string]*net.UDPConn{},
+	}
 	l.close = d.close
 	go d.forwardToTarget()
 	return l, nil
