--- a/internal/lab/edge_drill.go
+++ b/internal/lab/edge_drill.go
@@ -23,15 +23,15 @@
 	Loss         float64 // of datagrams, in each direction
 	Dup          float64 // of datagrams
 	Reorder      float64 // of datagrams
-	Stall        float64 // of chunks
+	Stall        float64 // of chunks and datagrams
 	Delay        float64 // one way, milliseconds
 	KillRouter   int     // number of times a router is killed and restarted
 	CrashPrimary int     // number of times a primary crashes or hangs
 	Protocol     string  // "coap", "mqtt", "frames" or "all"
 	Sabotage     standin.Sabotage
-	Baseline     bool // devices send to a baseline edge in front of each router
-	Store        bool // enables store and forward
-	Binary       string
+	Baseline     bool      // devices send to a baseline edge in front of each router
+	Store        bool      // enables store and forward
+	Binary       string    // path of the router program
 	Progress     io.Writer // receives the progress log and the routers' standard error
 }
 
@@ -62,7 +62,8 @@
 	// edgeRouters is the number of routers. With two, devices of a killed router
 	// can use the other one.
 	edgeRouters = 2
-	// edgeDrillTimeout limits the duration of a drill, without its start and end.
+	// edgeDrillTimeout limits how long the drill waits for stored readings. The
+	// devices stop earlier, by edgeSettleTime.
 	edgeDrillTimeout = 52 * time.Second
 	// edgeSettleTime is the wait before the audit for requests in flight. The audit
 	// must see a duplicate that is executed late.
--- a/internal/lab/fleetview.go
+++ b/internal/lab/fleetview.go
@@ -19,7 +19,7 @@
 	Seed      uint64
 	Procs     int       // number of routers
 	Loss      float64   // probability on every link for the whole run
-	Cut       string    // "zones", "oneway" or "" for neither
+	Cut       string    // "zones" or "oneway"; any other value cuts nothing
 	Kill      int       // number of members killed at once
 	Pause     int       // number of members paused past their suspicion, then resumed
 	SplitMs   int64     // duration of a cut
@@ -46,7 +46,7 @@
 	Procs           int      `json:"procs"`
 	Phases          []Phase  `json:"phases"`
 	FalseDead       int      `json:"false_dead"`     // running members that others saw as dead
-	Resurrected     int      `json:"ghosts"`         // ended instances that others saw as alive after they had seen them as dead
+	Resurrected     int      `json:"ghosts"`         // ended instances seen as alive after being dead
 	MissedCrashes   int      `json:"missed_crashes"` // views in which a killed member was not dead in time
 	FloodDropped    uint64   `json:"flood_dropped"`  // datagrams that the flooded member counted as dropped
 	BytesPerMemberS float64  `json:"bytes_per_member_s"`
--- a/internal/lab/fleetview_faults.go
+++ b/internal/lab/fleetview_faults.go
@@ -67,12 +67,12 @@
 // delayMembers delays all packets of some members beyond the timeout of a direct probe
 // but within the probe period, so that nacks show that the members are alive.
 func (r *fleetviewRun) delayMembers(ctx context.Context) {
-	late := r.drawMembers(r.Late)
-	for _, m := range late {
+	delayed := r.drawMembers(r.Late)
+	for _, m := range delayed {
 		r.fleet.relay.DelaySender(r.memberIndex(m.router.Name), probePeriodMs*2/5+20)
 	}
 	r.pollFor(ctx, r.boundMs)
-	r.phase(ctx, fmt.Sprintf("delay of all packets of %d members", len(late)), nil)
+	r.phase(ctx, fmt.Sprintf("%d answering late always", len(delayed)), nil)
 }
 
 // floodMember sends malformed datagrams (random bytes, some longer than the largest
@@ -82,7 +82,7 @@
 	conn, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(r.fleet.sockets[0]))
 	if err != nil {
 		never := func(int, int) bool { return false }
-		r.phase(ctx, "sending the flood failed: "+err.Error(), never)
+		r.phase(ctx, "flood could not be sent: "+err.Error(), never)
 		return
 	}
 	defer conn.Close()
@@ -104,7 +104,7 @@
 			sent++
 		}
 	}
-	r.phase(ctx, fmt.Sprintf("flood of %d malformed datagrams to one member", r.Flood), nil)
+	r.phase(ctx, fmt.Sprintf("flood of %d malformed packets at one member", r.Flood), nil)
 	r.result.FloodDropped = r.droppedPackets(r.fleet.members[0])
 }
 
@@ -122,7 +122,7 @@
 		m.router.signal(syscall.SIGCONT)
 		m.pausedUntil = time.Time{}
 	}
-	r.phase(ctx, fmt.Sprintf("pause of %d members past their suspicion", len(paused)), nil)
+	r.phase(ctx, fmt.Sprintf("pause %d past suspicion", len(paused)), nil)
 }
 
 // killMembers kills members at once and returns them.
@@ -132,7 +132,7 @@
 		m.router.Kill()
 		m.running = false
 	}
-	if !r.phase(ctx, fmt.Sprintf("kill of %d members", len(killed)), nil) {
+	if !r.phase(ctx, fmt.Sprintf("kill %d", len(killed)), nil) {
 		for _, m := range killed {
 			r.result.MissedCrashes += r.countSeenAlive(m)
 		}
@@ -160,15 +160,15 @@
 	sameZone := func(viewer, subject int) bool {
 		return r.fleet.members[subject].running && !r.cut(viewer, subject)
 	}
-	r.phase(ctx, "split between the zones", sameZone)
+	r.phase(ctx, "split into zones", sameZone)
 	r.pollFor(ctx, r.SplitMs)
-	r.phase(ctx, "end of the split", sameZone)
+	r.phase(ctx, "each half right about itself", sameZone)
 	r.fleet.relay.Cut(nil)
 	r.cut = nil
 	for _, m := range r.fleet.members {
 		m.settlingUntil = time.Now().Add(r.bound())
 	}
-	r.phase(ctx, "healed split", nil)
+	r.phase(ctx, "heal", nil)
 }
 
 // cutOneWay drops what the second member sends to the third for SplitMs. Indirect probes
@@ -179,7 +179,7 @@
 	r.pollFor(ctx, r.SplitMs)
 	r.fleet.relay.Cut(nil)
 	r.cut = nil
-	r.phase(ctx, "healed one-way cut", nil)
+	r.phase(ctx, "one-way cut healed", nil)
 }
 
 // restartMember restarts a killed member under its old name.
@@ -190,5 +190,5 @@
 	}
 	m.running = true
 	m.start = 0 // unknown until its own view reports it
-	r.phase(ctx, "restart of a member under its old name", nil)
+	r.phase(ctx, "restart under the same name", nil)
 }
--- a/internal/lab/loadclient.go
+++ b/internal/lab/loadclient.go
@@ -15,8 +15,8 @@
 // loadClient generates the load of one router's clients. It is open-loop: it sends reads
 // at a given rate, without waiting for the answers to earlier ones.
 type loadClient struct {
-	index        int // of the router; the upper bits of each request's id
-	router       string
+	index        int    // of the router; the upper bits of each request's id
+	router       string // host:port of the router's PostgreSQL front
 	rand         *rand.Rand
 	requestCount atomic.Uint64 // number of requests so far, also of those not sent
 	idleConns    chan *pgClient
--- a/internal/lab/members.go
+++ b/internal/lab/members.go
@@ -31,8 +31,8 @@
 // memberOptions configures a memberFleet.
 type memberOptions struct {
 	Seed     uint64
-	Procs    int // number of routers
-	Binary   string
+	Procs    int       // number of routers
+	Binary   string    // path of the router program
 	Log      io.Writer // receives the standard error of the routers
 	LogLevel string    // log level of the routers
 	Standin  standin.Options
--- a/internal/lab/shared.go
+++ b/internal/lab/shared.go
@@ -20,7 +20,7 @@
 	Seed      uint64
 	Procs     int       // number of routers
 	Loss      float64   // probability on every link for the whole run
-	Cut       string    // "zones", "oneway" or "" for neither
+	Cut       string    // "zones" or "oneway"; any other value cuts nothing
 	CutMs     int64     // least duration of the cut
 	ColdMs    int64     // duration of the warm-up of the restarted endpoint
 	Pause     int       // number of routers paused past their leases
@@ -155,7 +155,8 @@
 	check(r.WronglyEjected > r.EjectedBound,
 		"a router wrongly ejected %.2f of the endpoints of a group", r.WronglyEjected)
 	check(r.RemainingEjections > 0,
-		"%d routers still eject the endpoint on others' reports %d ms after its hang", r.RemainingEjections, ejectionExpiryMs)
+		"%d routers still eject the endpoint on others' reports %d ms after its hang",
+		r.RemainingEjections, ejectionExpiryMs)
 	check(r.StaleReads > 0, "%d reads were answered with stale data", r.StaleReads)
 	// The number of losses varies at random. With shared state it must not exceed the
 	// number without it by more than two standard deviations.
--- a/internal/lab/shared_audit.go
+++ b/internal/lab/shared_audit.go
@@ -16,8 +16,9 @@
 
 // auditBudget compares the statements that the warming endpoint received in each second
 // with its budget for that second: OverloadFactor times its capacity in the middle of
-// the second. It starts once all routers know the endpoint's start from discovery, and
-// allows no slack, unlike the operators' standing test, which adds three square roots.
+// the second. It starts once all routers know the endpoint's start from discovery. The
+// operators' acceptance test adds a slack of three square roots; this audit adds none.
+// startedAt is in Unix milliseconds.
 func (r *sharedRun) auditBudget(host *standin.Host, startedAt float64, opt standin.Options) {
 	const overloadFactor = 2
 	const windowMs = 1000
--- a/internal/lab/shared_run.go
+++ b/internal/lab/shared_run.go
@@ -54,9 +54,9 @@
 		r.clients = append(r.clients, newLoadClient(i, m.router.Listen, o.Seed))
 	}
 	// One replica lags behind its staleness bound and must receive no bounded read.
-	late := r.fleet.cluster.Hosts(hangGroup)[4]
-	late.SetLag(3000)
-	r.ejectable[late.Name] = true
+	lagging := r.fleet.cluster.Hosts(hangGroup)[4]
+	lagging.SetLag(3000)
+	r.ejectable[lagging.Name] = true
 	return r, nil
 }
 
--- a/internal/lab/viewwatcher.go
+++ b/internal/lab/viewwatcher.go
@@ -211,7 +211,7 @@
 
 // pollFor polls the views for ms milliseconds.
 func (w *viewWatcher) pollFor(ctx context.Context, ms int64) {
-	w.fault = "after " + w.fault
+	w.fault = "waiting after " + w.fault
 	end := time.Now().Add(time.Duration(ms) * time.Millisecond)
 	for ctx.Err() == nil && time.Now().Before(end) {
 		w.poll()
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -80,8 +80,8 @@
 	deadlineMs float64 // Unix milliseconds
 }
 
-// write executes a write on h. A write whose idempotency key is known is not
-// executed again; it returns the outcome of the first one.
+// write executes a write on h. A write whose idempotency key is known waits for the
+// first one to end and is not executed again if that took effect.
 func (g *group) write(h *Host, w write) result {
 	pending, outcome, sameKey := g.beginWrite(h, w)
 	for sameKey != nil { // wait for the running write with this key
