--- a/internal/fleetstate/adapter.go
+++ b/internal/fleetstate/adapter.go
@@ -58,22 +58,23 @@
 // Routers implements decide.Fleet. It returns the size of the fleet.
 func (a *FleetAdapter) Routers() int { return a.routers }
 
-// SlowStartRate implements decide.Fleet. It reduces the router's own rate in
-// proportion to the quota lent, and adds the borrowed quota as a share of an
-// endpoint that serves one request at a time. A lender's own rate is at least its
-// stake in such an endpoint, so it gives up at least as much as the borrower
-// gains.
-func (a *FleetAdapter) SlowStartRate(endpoint uint32, own, one float64, now time.Duration) float64 {
+// SlowStartRate implements decide.Fleet. It reduces ownRate in proportion to the
+// quota lent, and adds singleRequestRate for each stake borrowed. A lender's
+// ownRate is at least its singleRequestRate, so it gives up at least as much as
+// the borrower gains.
+func (a *FleetAdapter) SlowStartRate(
+	endpoint uint32, ownRate, singleRequestRate float64, now time.Duration,
+) float64 {
 	if a.stake <= 0 { // no advice yet, or only the size of the fleet is known
-		return own
+		return ownRate
 	}
 	quota, ok := a.slowStart[endpoint]
 	if !ok {
-		return own * a.remainingStake
+		return ownRate * a.remainingStake
 	}
-	rate := own * min(1, quota.Own/a.stake)
+	rate := ownRate * min(1, quota.Own/a.stake)
 	if now.Milliseconds() < quota.Until {
-		rate += one * quota.Borrowed / a.stake
+		rate += singleRequestRate * quota.Borrowed / a.stake
 	}
 	return rate
 }
--- a/internal/fleetstate/adapter_test.go
+++ b/internal/fleetstate/adapter_test.go
@@ -76,7 +76,8 @@
 	shifted := advice.ShiftedBy(2000)
 	quotasShifted := shifted.SlowStart["h"].Until == 2500 && shifted.SlowStart["i"].Until == math.MaxInt64 && shifted.RetryQuota.Until == 2090
 	if !quotasShifted || shifted.Ejections[0].Until != 2070 || advice.Ejections[0].Until != 70 {
-		t.Errorf("ShiftedBy(2000) = %+v from %+v", shifted, advice)
+		t.Errorf("ShiftedBy(2000) = %+v of %+v, want times 2000 ms later except math.MaxInt64, and the original unchanged",
+			shifted, advice)
 	}
 	observation := Observation{Endpoints: []EndpointHealth{{Name: "h", AnsweredSentAt: 10, FaultAt: 0, LastSentAt: 30}}}
 	got := observation.ShiftedBy(5).Endpoints[0]
--- a/internal/fleetstate/advice.go
+++ b/internal/fleetstate/advice.go
@@ -14,7 +14,7 @@
 	Routers            int              // size of the fleet; a stake is 1/Routers
 	SlowStart          map[string]Quota // fraction of each warming endpoint's budget, by endpoint name
 	RemainingStake     float64          // usable fraction of the stake in every other endpoint
-	RetryQuota         Quota            // retries per second; Own is minus the amount lent
+	RetryQuota         Quota            // retries per second; Own is minus what is or may be lent
 	Ejections          []Ejection
 	SuggestedPrimaries map[int]string // endpoint name by replica group, where the router knows no primary
 }
@@ -37,8 +37,9 @@
 
 // Advice computes the advice that holds at now, in ms. It evaluates the reports
 // on every endpoint, which is too costly for each request: call it periodically
-// and after each event that changed a lease. Expired leases are left out, so a
-// router that was paused must call it again before it sends.
+// and after each event that changed a lease. Leases that have expired at now are
+// left out. The others end at Quota.Until without another call, so that a router
+// resuming from a pause does not use an expired lease.
 func (n *Node) Advice(now int64) Advice {
 	advice := Advice{
 		Routers:            n.routers,
--- a/internal/fleetstate/config.go
+++ b/internal/fleetstate/config.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// minMessageBytes is the lower limit of Config.MaxMessageBytes. It has room for
-// an entry of any kind with the longest name.
+// minMessageBytes is the lower limit of Config.MaxMessageBytes. It has room for a
+// health report, lease request or lease grant with the longest name, and for a
+// counter entry with the longest name and 208 bytes of counters.
 const minMessageBytes = 400
 
 // Config configures a Node and is fixed for its lifetime. Times are in
@@ -18,10 +19,11 @@
 
 	// LeaseMs is the duration of a lease, which the borrower counts from its
 	// request. SkewMs is how much longer the lender waits before it uses the
-	// lent quota again. Clocks of different routers are never compared: the
+	// lent quota again. Leases never compare clocks of different routers: the
 	// lender counts from its grant, which is later than the request. SkewMs
 	// therefore covers clocks that run at different speeds or step by up to
-	// SkewMs within a lease.
+	// SkewMs within a lease. It also limits how far the stamp of a received
+	// counter entry may be ahead of this router's clock.
 	LeaseMs           int64
 	SkewMs            int64
 	MaxLentFraction   float64 // maximum fraction of its own stake that a router lends
--- a/internal/fleetstate/counters.go
+++ b/internal/fleetstate/counters.go
@@ -13,7 +13,8 @@
 	numCounterKinds
 )
 
-// CounterKindNames returns the metric name of each kind, indexed by kind.
+// CounterKindNames returns the part of a metric's name that stands for the kind,
+// indexed by kind.
 func CounterKindNames() []string {
 	return []string{"requests", "rejections", "retries", "cross_zone_attempts", "attempts"}
 }
--- a/internal/fleetstate/counterstore.go
+++ b/internal/fleetstate/counterstore.go
@@ -47,7 +47,7 @@
 	own            CounterEntry
 	entries        []CounterEntry // of peers and of this router's closed epochs, sorted by name and epoch
 	compacted      Counters       // sum of the entries removed
-	lastReceivedAt int64          // when the last message of any peer arrived, ms
+	lastReceivedAt int64          // when the last message of a peer arrived, or the epoch began if later, ms
 	rejected       uint64         // number of received entries that were too old or too many
 }
 
@@ -94,7 +94,7 @@
 	case found:
 		s.update(&s.entries[i], entry)
 	case now-entry.Stamp >= s.cfg.CounterRetentionMs || len(s.entries) >= s.cfg.MaxCounterEntries:
-		s.rejected++ // already compacted here, or the store is full
+		s.rejected++ // it may be compacted here already, or the store is full
 	default:
 		entry = entry.clone()
 		entry.sends = 0
@@ -152,9 +152,10 @@
 	return copied
 }
 
-// page returns deep copies of the own entry and of those others that fit into
-// bytesLeft. Entries sent least often since they changed come first, so that
-// updates spread epidemically and unchanged entries are repeated in turn.
+// page returns deep copies of the own entry, even if it exceeds bytesLeft, and of
+// as many others as fit into the rest. Entries sent least often since they changed
+// come first, so that updates spread epidemically and unchanged entries are
+// repeated in turn.
 func (s *counterStore) page(bytesLeft int) []CounterEntry {
 	page := []CounterEntry{s.own.clone()}
 	bytesLeft -= s.own.size()
--- a/internal/fleetstate/ejection.go
+++ b/internal/fleetstate/ejection.go
@@ -42,7 +42,8 @@
 //   - Gossip ejects at most MaxEjectedFraction of a group's ready endpoints, and
 //     never the last one that is healthy as observed here.
 //   - Gossip alone ejects for at most GossipEjectionMs before this router must
-//     try the endpoint itself.
+//     try the endpoint itself. The time restarts if the support was too low in
+//     between.
 //   - An answer of the endpoint ends its ejection. Without renewal the ejection
 //     ends after EjectionMs.
 //   - Gossip only ejects: no message of a peer readmits an endpoint, or raises the
@@ -159,8 +160,9 @@
 	return until, true
 }
 
-// ejectFromGroup ejects candidates of one group within the group's limits,
-// starting with those that an observation of this router supports.
+// ejectFromGroup ejects candidates of one group, starting with those that an
+// observation of this router supports. The group's limits do not apply to a
+// candidate with a fault observed here, whose circuit breaker is open anyway.
 func (d *outlierDetector) ejectFromGroup(
 	group int, candidates []ejectionCandidate, now int64,
 ) (ejections []Ejection) {
--- a/internal/fleetstate/event.go
+++ b/internal/fleetstate/event.go
@@ -5,7 +5,7 @@
 
 // The kinds of event.
 const (
-	LeaseGranted     EventKind = iota + 1 // a lease was granted to a peer
+	LeaseGranted     EventKind = iota + 1 // a grant answers a peer's request, also a duplicate of one
 	LeaseBorrowed                         // a lease granted by a peer was accepted
 	LeaseExpired                          // a borrowed lease expired
 	EndpointEjected                       // an ejection began
@@ -22,7 +22,8 @@
 	ReportRefuted:    "report refuted",
 }
 
-// String returns the kind's name in the log.
+// String returns the kind's name in the log. An undefined kind has the last name,
+// so that it cannot cause a panic.
 func (k EventKind) String() string { return eventKindNames[min(k, ReportRefuted)] }
 
 // IsLeaseEvent reports whether an event's Key names a budget rather than an
--- a/internal/fleetstate/gossip.go
+++ b/internal/fleetstate/gossip.go
@@ -3,11 +3,11 @@
 import "slices"
 
 const (
-	// urgentFanOutFactor multiplies FanOut when reporting a newly found fault,
-	// so that most peers hear of it quickly. Later reports use FanOut.
+	// urgentFanOutFactor multiplies FanOut in the first message on a new fault,
+	// so that more peers learn of it at once. Later reports use FanOut.
 	urgentFanOutFactor = 3
-	// drawsPerPeer limits the random draws for each peer wanted. More than one
-	// may be needed because a peer can be drawn twice.
+	// drawsPerPeer is the number of random draws for each peer wanted. One draw
+	// may not be enough because a peer can be drawn twice.
 	drawsPerPeer = 4
 )
 
@@ -52,7 +52,8 @@
 	return out.envelopes()
 }
 
-// drawPeers draws up to count distinct peers at random.
+// drawPeers draws up to count distinct peers at random. It may return fewer even
+// if there are enough peers.
 func (n *Node) drawPeers(count int) (drawn []string) {
 	for range drawsPerPeer * count {
 		peer := n.peers[n.rng.IntN(len(n.peers))]
--- a/internal/fleetstate/health.go
+++ b/internal/fleetstate/health.go
@@ -26,7 +26,8 @@
 	Primary:      "primary",
 }
 
-// String returns the status's name in the log and on the admin page.
+// String returns the status's name in the log and on the admin page. An undefined
+// status has the last name, so that it cannot cause a panic.
 func (s HealthStatus) String() string { return healthStatusNames[min(s, Primary)] }
 
 // isFault reports whether the status counts against the endpoint.
@@ -58,7 +59,8 @@
 }
 
 // HealthReport is first-hand evidence on one endpoint. A router reports only what
-// it observed itself, so that every report counts as an independent reporter.
+// it observed itself and repeats no report of a peer, so that reports of different
+// routers are independent.
 type HealthReport struct {
 	Endpoint string
 	Status   HealthStatus
@@ -84,7 +86,8 @@
 	PrimaryUnknown    bool         // no primary of its group answers
 }
 
-// faultObserved reports whether a fault was observed without a later answer.
+// faultObserved reports whether a fault was observed, and no attempt sent at that
+// time or later was answered.
 func (h *EndpointHealth) faultObserved() bool { return h.Fault != 0 && h.FaultAt > h.AnsweredSentAt }
 
 // healthy reports whether no fault was observed, or an attempt sent after the
--- a/internal/fleetstate/lease.go
+++ b/internal/fleetstate/lease.go
@@ -19,9 +19,9 @@
 // each budget, identified by a key, the router has a stake of its own, leases
 // lent to peers and leases borrowed from peers. Every lease has an expiry.
 //
-// Only the router that has a quota can lend it, for a stated duration, and does
-// not use it until the lease has expired at the borrower, whatever happens to the
-// borrower or to the messages. The quotas of all routers therefore never exceed
+// A router lends only from its own stake, for a stated duration, and does not use
+// the lent quota until the lease has expired at the borrower, whatever happens to
+// the borrower or to the messages. The quotas of all routers therefore never exceed
 // the sum of their stakes, even with partitions, pauses, restarts, and lost or
 // duplicated messages. The stake of a silent router is never reassigned, because
 // the router may be partitioned and still using it.
@@ -45,7 +45,7 @@
 type lease struct {
 	peer        string
 	requestID   uint64
-	requestedAt int64 // borrower's clock, ms; tells requests of different incarnations apart
+	requestedAt int64 // borrower's clock, ms; a restarted borrower reuses request IDs but not times
 	amount      float64
 	expiresAt   int64 // this router's clock, ms; includes SkewMs if the lease is lent
 }
@@ -68,10 +68,10 @@
 	DurationMs  int64
 }
 
-// newLeases returns a table that starts at now, in ms. Until LeaseMs and SkewMs
+// newLeaseTable returns a table that starts at now, in ms. Until LeaseMs and SkewMs
 // have passed since then, leases granted by an earlier incarnation of this router
 // may be in use, so the fraction of the stake that it could have lent is not used.
-func newLeases(cfg Config, now int64) *leaseTable {
+func newLeaseTable(cfg Config, now int64) *leaseTable {
 	return &leaseTable{
 		cfg:       cfg,
 		faults:    cfg.faults(),
@@ -144,9 +144,9 @@
 }
 
 // grant answers a peer's request with a lease of at most the lendable part of the
-// stake minus the leases lent. It returns false if it grants nothing, as it does
-// when needed, that is when this router needs its stake itself. A duplicate of a
-// request gets the same grant and no second lease.
+// stake minus the leases lent. needed states that this router needs its stake
+// itself and so grants no new lease. grant returns false if it grants nothing. A
+// duplicate of a request gets the same grant and no second lease.
 func (t *leaseTable) grant(
 	peer string, request LeaseRequest, stake float64, needed bool, now int64,
 ) (LeaseGrant, bool) {
@@ -194,8 +194,8 @@
 }
 
 // accept adds a granted lease to the borrowed ones. It accepts only one grant, for
-// the latest request to that peer, and returns false for duplicated, late and
-// unrequested grants.
+// the latest request to that peer. It returns false for duplicated, late and
+// unrequested grants, and for one that would exceed MaxBorrowedStakes.
 func (t *leaseTable) accept(peer string, grant LeaseGrant, stake float64, now int64) (lease, bool) {
 	key := pendingKey{peer: peer, budget: grant.Key}
 	request, ok := t.pending[key]
--- a/internal/fleetstate/lease_test.go
+++ b/internal/fleetstate/lease_test.go
@@ -54,7 +54,7 @@
 
 // restart starts router i without the state of its earlier incarnation.
 func (f *leaseFleet) restart(i int) {
-	f.leases[i] = newLeases(f.cfg, f.clock(i))
+	f.leases[i] = newLeaseTable(f.cfg, f.clock(i))
 	f.advise(i)
 }
 
@@ -200,10 +200,11 @@
 
 // TestExhaustiveTwoRoutersOneEndpoint simulates two routers over every sequence of
 // depth actions: either router requests a lease or restarts, one of the two oldest
-// messages in flight arrives or is duplicated, all messages are lost, or the clock
-// advances by half a lease with both routers running or one paused. A lease is
-// granted before the sequence begins. The quotas must never exceed the budget, and
-// once all leases have expired each router must have exactly its stake.
+// messages in flight arrives, the oldest arrives and stays in flight as a
+// duplicate, all messages are lost, or the clock advances by half a lease with both
+// routers running or one paused. A lease is granted before the sequence begins. The
+// quotas must never exceed the budget, and once all leases have expired each router
+// must have exactly its stake.
 func TestExhaustiveTwoRoutersOneEndpoint(t *testing.T) {
 	const depth = 6
 	count, played := 0, 0
@@ -324,9 +325,9 @@
 	return true
 }
 
-// A router that was paused past the end of a lease must not use the borrowed quota
-// when it resumes, before it gets new advice. The lender must not use the lent
-// quota until SkewMs later.
+// A router that was paused past the end of a lease, or partitioned until then, must
+// not use the borrowed quota before it gets new advice. The lender must not use the
+// lent quota until SkewMs later.
 func TestPausedRouterLosesItsBorrowedQuota(t *testing.T) {
 	f := newLeaseFleet(Defaults(), 2)
 	f.now += f.cfg.LeaseMs + f.cfg.SkewMs
--- a/internal/fleetstate/link/link.go
+++ b/internal/fleetstate/link/link.go
@@ -56,8 +56,8 @@
 	observed *fleetstate.Observation // not yet passed to the node, nil for none
 	page     fleetstate.StatusPage
 
-	Malformed atomic.Uint64 // received messages that were dropped
-	Sent      atomic.Uint64 // messages passed to the transport
+	Malformed atomic.Uint64 // received messages that could not be decoded
+	Sent      atomic.Uint64 // messages encoded, including grants dropped beyond maxDelayedGrants
 	Received  atomic.Uint64 // messages decoded
 	Bytes     atomic.Uint64 // total length of the messages counted by Sent
 }
@@ -129,7 +129,8 @@
 func (l *Link) UpdatePeers(peers []string, size int, now int64) { l.node.SetView(peers, size, now) }
 
 // Tick implements udp.SharedState. It passes a new observation to the node and
-// returns the packets that are due, including grants that the router applied.
+// returns the payloads that are due, including the delayed grants whose advice the
+// router applies.
 func (l *Link) Tick(now int64) []udp.Payload {
 	if observed := l.takeObservation(); observed != nil {
 		l.node.Observe(*observed)
@@ -201,7 +202,7 @@
 	l.advice <- Advice{Advice: advice, Seq: l.seq} // cannot block: the membership loop is the only sender
 }
 
-// encode returns the packets of messages. A message that cannot be encoded is
+// encode returns the payloads of messages. A message that cannot be encoded is
 // logged and dropped.
 func (l *Link) encode(messages []fleetstate.Envelope) (payloads []udp.Payload) {
 	for _, envelope := range messages {
--- a/internal/fleetstate/node.go
+++ b/internal/fleetstate/node.go
@@ -15,7 +15,7 @@
 	outliers *outlierDetector
 
 	configuredRouters int
-	routers           int   // size of the fleet: the larger of the configured size and the recent views
+	routers           int   // size of the fleet: the largest of the configured size and the recent views
 	routersAt         int64 // when a view last confirmed or set routers, ms
 	peers             []string
 	retryBudget       RetryBudget
@@ -39,7 +39,7 @@
 	n := &Node{
 		cfg:               cfg,
 		rng:               rand.New(rand.NewPCG(cfg.Seed, cfg.Seed^0x5eed)),
-		leases:            newLeases(cfg, now),
+		leases:            newLeaseTable(cfg, now),
 		counters:          newCounterStore(cfg, now),
 		outliers:          newOutlierDetector(cfg, now),
 		configuredRouters: max(routers, 1),
@@ -56,6 +56,7 @@
 // left). The fleet's size, from which stakes are computed, grows at once but
 // shrinks only after no view had the larger size for CounterRetentionMs, because
 // a router that cannot be reached may be partitioned and still sending requests.
+// It never falls below the configured size.
 func (n *Node) SetView(peers []string, size int, now int64) {
 	n.peers = peers
 	size = max(size, n.configuredRouters)
@@ -123,7 +124,9 @@
 }
 
 // answerRequests grants a peer's lease requests, as many as fit into one message.
-// It ignores requests for endpoints that this router does not know.
+// A lease whose grant does not fit is not announced to the peer, but counts as
+// lent until it expires. Requests for endpoints that this router does not know are
+// ignored.
 func (n *Node) answerRequests(peer string, requests []LeaseRequest, now int64) (ready Ready) {
 	var answer Message
 	for _, request := range requests {
--- a/internal/fleetstate/outlier.go
+++ b/internal/fleetstate/outlier.go
@@ -116,7 +116,8 @@
 }
 
 // receive handles a peer's report. Reports on unknown endpoints are dropped, so
-// that a peer cannot exhaust memory by inventing endpoints.
+// that a peer cannot exhaust memory by inventing endpoints. So are reports with an
+// unknown status or with evidence that is too old.
 func (d *outlierDetector) receive(peer string, report HealthReport, now int64) {
 	endpoint := d.endpoint(report.Endpoint)
 	if endpoint == nil || report.Status == 0 || report.Status >= numHealthStatuses {
--- a/internal/fleetstate/support.go
+++ b/internal/fleetstate/support.go
@@ -37,9 +37,11 @@
 }
 
 // verify compares a report with this router's observations and returns whether
-// they make it void. An answer to an attempt sent after the evidence voids a
-// reported fault. A fault that this router observed too raises the reporter's
-// reputation.
+// they make it void. An answer to an attempt sent at the time of the evidence or
+// later voids a reported fault, except Lagging, which only a fresh position voids.
+// A fault observed here later than the evidence voids a report of Healthy. A
+// reported fault that this router observed too raises the reporter's reputation,
+// once for each report.
 func (d *outlierDetector) verify(report *peerReport, endpoint *EndpointHealth) (void bool) {
 	if !report.status.isFault() {
 		return report.status == Healthy && endpoint.Fault != 0 && endpoint.FaultAt > report.evidenceAt
@@ -64,7 +66,7 @@
 
 // refutes reports whether the endpoint answered attempts sent shortly before and
 // shortly after the evidence. Then it was healthy at the time, and the report was
-// wrong.
+// wrong. If such an answer was known when the report arrived, it counts as both.
 func (d *outlierDetector) refutes(endpoint *EndpointHealth, report *peerReport) bool {
 	if report.status != Unresponsive && report.status != Failing {
 		return false // it may have been slow or lagging in between
--- a/internal/fleetstate/suspicion.go
+++ b/internal/fleetstate/suspicion.go
@@ -15,14 +15,16 @@
 	peer            string
 	status          HealthStatus
 	evidenceAt      int64 // time of the newest evidence
-	firstEvidenceAt int64 // time of the first evidence in an uninterrupted series of reports
+	firstEvidenceAt int64 // time of the first evidence in an uninterrupted series of reports with this status
 	answeredBefore  int64 // EndpointHealth.AnsweredSentAt when the report arrived
 	verified        bool  // this router's observations already confirmed or voided it
 }
 
 // asRenewalOf returns the report as a continuation of the same peer's earlier
-// report, if both have the same status. It keeps the time of the first evidence
-// and the answer that this router observed before it.
+// report, if both have the same status. It keeps the time of the first evidence.
+// If the earlier report was not verified, it also keeps that report's
+// answeredBefore, or the present one as far as it is not later than the earlier
+// evidence.
 func (p peerReport) asRenewalOf(earlier peerReport) peerReport {
 	if earlier.status != p.status {
 		return p
@@ -41,7 +43,7 @@
 	reportTTLMs     int64           // age at which reports expire, drawn at random
 	ejected         bool            // an ejection is in force or may be renewed
 	ejectedUntil    int64           // end of the last ejection
-	gossipOnlySince int64           // when ejection by gossip alone began, 0 for never
+	gossipOnlySince int64           // start of the present GossipEjectionMs, 0 for none
 	rejectedFor     rejectionReason // why the last ejection was rejected, empty if it was not
 }
 
@@ -74,9 +76,9 @@
 	})
 }
 
-// finished reports whether the suspicion can be deleted. gossipOnlySince is kept
-// for four times gossipEjectionMs, so that the limit on ejection by gossip alone
-// cannot restart at once.
+// finished reports whether the suspicion can be deleted. While gossipOnlySince is
+// set, the suspicion is kept for four times gossipEjectionMs, so that the limit on
+// ejection by gossip alone does not restart with a new suspicion.
 func (s *suspicion) finished(now, gossipEjectionMs int64) bool {
 	if len(s.reports) > 0 || now < s.ejectedUntil {
 		return false
--- a/internal/fleetstate/wire/wire.go
+++ b/internal/fleetstate/wire/wire.go
@@ -82,8 +82,8 @@
 	}
 	decoder, err := cbor.DecOptions{
 		MaxNestedLevels:   5,
-		MaxArrayElements:  maxMessageBytes,
-		MaxMapPairs:       16,
+		MaxArrayElements:  maxMessageBytes, // an element takes at least one byte
+		MaxMapPairs:       16,              // the library's minimum; a message has 5 fields
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 	}.DecMode()
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -46,7 +46,7 @@
 	return n.cfg.RetransmitMult * int(math.Ceil(math.Log10(float64(len(n.members)+2))))
 }
 
-// sendProbeMessage sends a message of the failure detector even when the byte
+// sendProbeMessage sends a ping, a ping-req or the ack of a ping even when the byte
 // budget is spent: only the gossip on it is charged. The number of these messages
 // per probe interval is bounded. If they were charged, the probes of a short
 // interval would use up the budget and delay refutations: at a 100 ms interval
@@ -60,8 +60,9 @@
 	n.emit(to, m)
 }
 
-// sendBudgeted sends any other message if the byte budget allows it, and drops
-// and counts it otherwise.
+// sendBudgeted sends any other message, which includes the ack or nack that reports
+// the result of an indirect probe, if the byte budget allows it. Otherwise it drops
+// and counts the message.
 func (n *Node) sendBudgeted(to string, m Message, now int64) {
 	n.budget.refill(now)
 	m.From = n.self.Name
--- a/internal/membership/indirectprobe.go
+++ b/internal/membership/indirectprobe.go
@@ -14,9 +14,10 @@
 	deadline           int64  // ms, when a nack is sent unless an ack arrived
 }
 
-// startIndirectProbe pings the target of a ping-req. The number of indirect probes
-// in flight is bounded by the number of members. A ping-req beyond that bound, or
-// without the target's address, is dropped and counted.
+// startIndirectProbe pings the target of a ping-req. At most as many indirect probes
+// are in flight as there are members, this one included. A ping-req beyond that
+// bound, or without the target's address, is dropped and counted. The nack is due
+// after 80% of the probe timeout, as in Lifeguard.
 func (n *Node) startIndirectProbe(from string, m Message, now int64) {
 	if m.TargetAddr == "" || len(n.indirectProbes) > len(n.members) {
 		n.stats.Dropped++
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -81,7 +81,9 @@
 	}
 }
 
-// deliver delivers a random packet, and may keep it in flight as a duplicate.
+// deliver delivers a random packet, and may keep it in flight as a duplicate. The
+// receiver is given its own address as the sender's, because a Packet does not have
+// the sender's, so it sends its replies to itself.
 func (m *model) deliver(t *rapid.T) {
 	which := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "which")
 	packet := m.inFlight[which]
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -37,7 +37,7 @@
 	version      uint64 // of the view, see View.Version
 	changedAt    int64  // ms
 	leaving      bool
-	nameConflict bool // a newer instance uses this member's name
+	nameConflict bool // another instance keeps this member's name, see recordNameConflict
 	stats        Stats
 	out          Ready // result of the current event
 }
--- a/internal/membership/pushpull.go
+++ b/internal/membership/pushpull.go
@@ -86,10 +86,11 @@
 	return addresses
 }
 
-// mergePage applies the updates of a page. As in memberlist, the death of another
-// member is applied as a suspicion by the sender: the page may come from the other
-// side of a healed partition, and the member then has the duration of a suspicion
-// to refute, instead of being declared dead at once on its own side.
+// mergePage applies the updates of a page. As in HashiCorp's memberlist library,
+// the death of another member is applied as a suspicion by the sender: the page may
+// come from the other side of a healed partition, and the member then has the
+// duration of a suspicion to refute, instead of being declared dead at once on its
+// own side.
 func (n *Node) mergePage(m Message, now int64) {
 	for _, update := range m.Updates {
 		if update.State == Dead && update.Name != n.self.Name {
@@ -97,7 +98,7 @@
 			update.Suspector = m.From
 		}
 		// Pages disseminate the joins that they contain, so those are not gossiped.
-		// The sender may be new to the fleet, so its own update is.
+		// The sender's own update is, because the sender may be new to the fleet.
 		source := fromPage
 		if update.Name == m.From {
 			source = fromGossip
--- a/internal/membership/refutation.go
+++ b/internal/membership/refutation.go
@@ -43,12 +43,12 @@
 }
 
 // applyToSelf processes an update under this member's own name. It refutes a
-// suspicion or death of this instance and reports another live instance.
+// suspicion, death or leave of this instance and reports another live instance.
 func (n *Node) applyToSelf(update Update, now int64) {
 	otherInstance := update.Start != n.self.Start || update.Addr != n.self.Addr
 	switch {
 	case otherInstance && (update.Start < n.self.Start || update.State >= Dead):
-		n.queue.add(n.self) // supersedes the update of an earlier instance
+		n.queue.add(n.self) // the other instance is older, dead or left: announce this one
 	case otherInstance:
 		n.recordNameConflict(update, now)
 	case n.leaving || n.nameConflict || n.faults.SkipsRefutation():
@@ -58,7 +58,8 @@
 }
 
 // recordNameConflict counts and reports another live instance under this member's
-// name. The newer instance keeps the name; the older one stops refuting.
+// name. The instance with the later Start, or for equal Starts the one with the
+// greater address, keeps the name; the other one stops refuting.
 func (n *Node) recordNameConflict(update Update, now int64) {
 	n.stats.Conflicts++
 	conflict := Change{Kind: Conflict, Member: update, Previous: n.self.State, At: now}
--- a/internal/membership/refutation_test.go
+++ b/internal/membership/refutation_test.go
@@ -33,7 +33,7 @@
 		suspect := n.members["a"] // may be suspected again, because the test answers no other probe
 		declaredDead := suspect.State == Dead
 		if finalPings == 0 || declaredDead == answers || answers && suspect.Incarnation != 1 {
-			t.Errorf("answers %v: the suspect is %v at incarnation %d after %d final pings",
+			t.Errorf("answers %v: suspect is %v at incarnation %d after %d final pings, want a ping and dead only if unanswered",
 				answers, suspect.State, suspect.Incarnation, finalPings)
 		}
 	}
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -3,8 +3,8 @@
 import "math"
 
 // suspicion is Lifeguard's suspicion with a dynamic timeout. Its duration is maxMs
-// without confirmations. With c of the k expected confirmations by independent
-// members, it is shorter by log(c+1)/log(k+1) of the difference to minMs.
+// without confirmations. With c of the k expected confirmations by other members,
+// it is maxMs - (maxMs-minMs) x log(c+1)/log(k+1).
 type suspicion struct {
 	startedAt             int64 // ms
 	minMs                 int64
@@ -16,7 +16,9 @@
 
 // newSuspicion returns a suspicion that suspector raised now. Its minimum duration
 // among n members is SuspicionMult x max(1, log10 n) probe intervals, in which an
-// update reaches most of the fleet.
+// update reaches most of the fleet. It expects SuspicionMult-2 confirmations, as
+// HashiCorp's memberlist library does, but at most one from each member other than
+// the suspect and the suspector.
 func (n *Node) newSuspicion(suspector string, now int64) *suspicion {
 	count := float64(len(n.members) + 1)
 	minimum := int64(n.cfg.SuspicionMult * math.Max(1, math.Log10(count)) * float64(n.cfg.ProbeIntervalMs))
--- a/internal/membership/udp/udp.go
+++ b/internal/membership/udp/udp.go
@@ -34,7 +34,7 @@
 	Malformed   atomic.Uint64 // rejected by the decoder
 	RateLimited atomic.Uint64 // exceeded the rate of their sender
 	QueueFull   atomic.Uint64 // did not fit into the queue
-	SendErrors  atomic.Uint64
+	SendErrors  atomic.Uint64 // could not be encoded, addressed or written to the socket
 }
 
 // Options holds the settings of a Transport.
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -79,9 +79,9 @@
 }
 
 // Peers returns the sorted names of the other members that are alive or suspect,
-// and the number of members that may be running: this one and all others that did
-// not leave. Dead members are counted because they may be running on the other
-// side of a partition.
+// and the number of members that may be running: this one and all others in the
+// view that did not leave. Dead members are counted until they are forgotten,
+// because they may be running on the other side of a partition.
 func (n *Node) Peers() (names []string, size int) {
 	size = 1
 	for _, name := range n.names {
--- a/internal/membership/wire/wire.go
+++ b/internal/membership/wire/wire.go
@@ -2,8 +2,8 @@
 // 8949), with integer keys to keep packets small.
 //
 // The decoder is safe for untrusted input: it rejects packets larger than
-// MaxPacketBytes, nested deeper than a message, or with more array elements than
-// fit into a packet. No input makes it panic.
+// MaxPacketBytes, nested deeper than a message, or with arrays of more than
+// MaxPacketBytes/8 elements. No input makes it panic.
 package wire
 
 import (
@@ -25,7 +25,8 @@
 	version = 1
 
 	maxNestedLevels = 4
-	// minElementBytes is a lower bound on the encoded size of an array element.
+	// minElementBytes is a lower bound on the encoded size of an update with a name,
+	// an IP address and a port. Packets contain no other arrays.
 	minElementBytes = 8
 	// maxMapPairs is the smallest limit on the fields of a map that the CBOR library
 	// accepts. Packets and updates have fewer fields.
