--- a/internal/fleetstate/advice.go
+++ b/internal/fleetstate/advice.go
@@ -13,7 +13,7 @@
 type Advice struct {
 	Routers            int              // size of the fleet; a stake is 1/Routers
 	SlowStart          map[string]Quota // fraction of each warming endpoint's budget, by endpoint name
-	RemainingStake     float64          // usable fraction of the stake in every other endpoint
+	RemainingStake     float64          // usable fraction of the stake in endpoints not in SlowStart
 	RetryQuota         Quota            // retries per second; Own is minus what is or may be lent
 	Ejections          []Ejection
 	SuggestedPrimaries map[int]string // endpoint name by replica group, where the router knows no primary
--- a/internal/fleetstate/characterization_test.go
+++ b/internal/fleetstate/characterization_test.go
@@ -21,8 +21,8 @@
 
 // TestCharacterization runs seeded scenarios of routers that share state over
 // unreliable links and compares a digest of all outputs of the nodes with the
-// recorded one. The digests cover only numbers, positions and bytes, so that
-// renaming a type, a field or a kind does not change them.
+// recorded one. The digests cover only values and their order, so that renaming a
+// type, a field or a kind does not change them.
 func TestCharacterization(t *testing.T) {
 	golden, got := readGolden(t), map[string]string{}
 	for _, s := range scenarios {
--- a/internal/fleetstate/health.go
+++ b/internal/fleetstate/health.go
@@ -12,7 +12,7 @@
 	Unresponsive                              // it accepts attempts but does not answer them
 	Failing                                   // it answers with errors, or cannot be reached
 	Slow                                      // its latency is several times that of the others
-	Lagging                                   // its position is older than any class's staleness bound
+	Lagging                                   // its position is older than every class's staleness bound
 	Primary                                   // it reported that it is its group's primary
 	numHealthStatuses                         // number of statuses, including 0 for none
 )
--- a/internal/fleetstate/wire/wire_test.go
+++ b/internal/fleetstate/wire/wire_test.go
@@ -73,8 +73,9 @@
 	})
 }
 
-// FuzzDecode checks that no input makes Decode or a node panic, and that decoded
-// messages have valid names, amounts and statuses.
+// FuzzDecode checks that no input makes Decode or a node panic, that decoded lease
+// requests have a key and a positive amount, and that decoded health reports have an
+// endpoint and a valid status.
 func FuzzDecode(f *testing.F) {
 	c, err := New()
 	if err != nil {
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -16,7 +16,7 @@
 type Config struct {
 	Name  string // unique in the fleet; a restarted process keeps it and has a later Start
 	Addr  string // address to which the other members send packets
-	Zone  string
+	Zone  string // zone of the member, only disseminated and counted in View.Zones
 	Start int64  // start time of the process, in milliseconds
 	Seed  uint64 // seed of all random choices
 
--- a/internal/membership/exhaustive_test.go
+++ b/internal/membership/exhaustive_test.go
@@ -25,8 +25,9 @@
 //
 // After the last event no more packets are lost, and each arrives within 5 ms.
 // Within settleBound(cfg, 3) every running member must believe the running members
-// alive and the crashed one dead, and still do so after that time again. No running
-// member may be declared dead, and no crashed one believed alive again.
+// alive or suspect and the crashed one neither, and still do so after that time
+// again. No running member may be declared dead, and no crashed one believed alive
+// again.
 //
 // The environment variables LOTUSBEND_EXHAUSTIVE_DEPTH and
 // LOTUSBEND_EXHAUSTIVE_WINDOW set depth and window. The default of 9 and 2 executes
--- a/internal/membership/pushpull.go
+++ b/internal/membership/pushpull.go
@@ -123,9 +123,9 @@
 	}
 }
 
-// sendPage sends the page that starts after the name after. It returns the name
-// after which the next page starts, "" for the first page once all names were
-// sent.
+// sendPage sends a page that contains the names greater than after. It returns the
+// name after which the next page starts, "" for the first page once all names were
+// sent. The byte budget may drop the page, which is then sent in the next cycle.
 func (n *Node) sendPage(to, after string, now int64) string {
 	m := Message{Kind: Sync, After: after, Count: len(n.members)}
 	last := n.fillPage(&m, to, n.cfg.MaxPacketBytes)
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -180,9 +180,9 @@
 	}
 }
 
-// settled reports whether every running member believes exactly the running
-// members alive or suspect. If expected is not nil, it returns which members a
-// member must believe alive or suspect.
+// settled reports whether every member that is up believes exactly the running
+// members, paused ones included, alive or suspect. If expected is not nil, it
+// returns instead which members a member must believe alive or suspect.
 func (sim *simulation) settled(expected func(viewer, subject *process) bool) bool {
 	for _, v := range sim.processes {
 		if !sim.isUp(v) {
