--- a/internal/fleetstate/event.go
+++ b/internal/fleetstate/event.go
@@ -5,7 +5,7 @@
 
 // The kinds of event.
 const (
-	LeaseGranted     EventKind = iota + 1 // a grant answers a peer's request, also a duplicate of one
+	LeaseGranted     EventKind = iota + 1 // a peer's request was granted, or a duplicate of it granted again
 	LeaseBorrowed                         // a lease granted by a peer was accepted
 	LeaseExpired                          // a borrowed lease expired
 	EndpointEjected                       // an ejection began
--- a/internal/fleetstate/suspicion.go
+++ b/internal/fleetstate/suspicion.go
@@ -43,7 +43,7 @@
 	reportTTLMs     int64           // age at which reports expire, drawn at random
 	ejected         bool            // an ejection is in force or may be renewed
 	ejectedUntil    int64           // end of the last ejection
-	gossipOnlySince int64           // start of the present GossipEjectionMs, 0 for none
+	gossipOnlySince int64           // start of the GossipEjectionMs in progress, 0 for none
 	rejectedFor     rejectionReason // why the last ejection was rejected, empty if it was not
 }
 
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -31,7 +31,7 @@
 	ReconnectEvery       int     // each ReconnectEvery-th push-pull goes to a dead member, to heal partitions
 	ReclaimMs            int64   // time after which a dead or left member is forgotten
 	MaxPacketBytes       int     // maximum size of an encoded packet
-	GossipBytesPerSecond int     // budget of all messages but pings, ping-reqs and acks of pings
+	GossipBytesPerSecond int     // budget of gossip and of all messages but pings, ping-reqs and their acks
 	MaxMembers           int     // maximum number of other members; further names are dropped
 
 	// FaultInjection disables guards of the protocol in drills and tests. It is nil
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -69,7 +69,7 @@
 	Start       int64 // start time of the process on its own clock, in milliseconds
 	Incarnation uint64
 	State       State
-	Suspector   string // name of the member that raised the suspicion or declared the death
+	Suspector   string // name of the member that suspects, to count confirmations, or declared the death
 }
 
 // supersedes reports whether the update is newer than old, an update of the same
