--- a/internal/edge/actions.go
+++ b/internal/edge/actions.go
@@ -80,8 +80,9 @@
 	return append(text, "') RETURNING doc"...)
 }
 
-// checkText returns the statement that reads a reading's row. It returns an
-// empty value if the row does not exist; a reading's value is never empty.
+// checkText returns the statement that reads a reading's row. The statement
+// returns an empty value if the row does not exist; a reading's value is never
+// empty.
 func checkText(table, row string) []byte {
 	return []byte("SELECT coalesce((SELECT doc FROM " + table + " WHERE id = '" + row + `'), '\x') AS doc`)
 }
--- a/internal/edge/batch/batch.go
+++ b/internal/edge/batch/batch.go
@@ -91,7 +91,7 @@
 var errInvalid = errors.New("no batch of readings")
 
 // Decode decodes b into the value that to points to. It returns an error if b
-// holds anything but one valid CBOR item.
+// holds anything but one valid CBOR item of that value's type.
 func (c *Codec) Decode(b []byte, to any) error { return c.decoder.Unmarshal(b, to) }
 
 // Encode returns the encoding of v. It panics if the type of v has none.
--- a/internal/edge/coap/request.go
+++ b/internal/edge/coap/request.go
@@ -29,9 +29,9 @@
 		return
 	}
 	// Until a valid Echo value proves that the client receives what is sent to its
-	// address, the server remembers and delivers nothing and sends only short
-	// responses (RFC 9175, 2.4). The value also bounds the request's age. The
-	// server keeps no state for it.
+	// address, the server neither remembers nor delivers its valid requests and
+	// sends only short responses (RFC 9175, 2.4). The value also bounds the
+	// request's age. The server keeps no state for it.
 	sentAfter, ok := s.verifyEcho(now, id.peer, received)
 	if !ok {
 		s.sendChallenge(now, exchange, size)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -79,8 +79,8 @@
 const maxReceiveMaximum = 65535
 
 // New opens the sockets and the store and returns an edge that accepts devices
-// once Start is called. seed seeds the random choices of the rules. The text of
-// an error is a single line.
+// once Start is called. seed seeds the random choices of intake and CoAP. The
+// text of an error is a single line.
 func New(
 	options *operatorconfig.Edge, loop *clock.Loop, log *slog.Logger,
 	budget *netio.DescriptorBudget, requestRouter RequestRouter, seed uint64,
@@ -200,9 +200,9 @@
 // nextTimer returns the earliest deadline of all subpackages, in Unix
 // milliseconds, and whether there is one.
 func (e *Edge) nextTimer() (next float64, due bool) {
-	rules := []interface{ Next() (float64, bool) }{e.intake, e.mqtt, e.frames, e.coap, e.unfinished}
-	for _, rule := range rules {
-		at, ok := rule.Next()
+	scheduled := []interface{ Next() (float64, bool) }{e.intake, e.mqtt, e.frames, e.coap, e.unfinished}
+	for _, part := range scheduled {
+		at, ok := part.Next()
 		if ok && (!due || at < next) {
 			next = at
 			due = true
@@ -225,7 +225,7 @@
 	e.armTimer()
 }
 
-// statisticsInterval is how often the counters are logged, in milliseconds.
+// statisticsIntervalMs is how often the counters are logged if they have changed.
 const statisticsIntervalMs = 60000
 
 // logStatistics logs the counters at the end of each interval in which they
--- a/internal/edge/frames/codec.go
+++ b/internal/edge/frames/codec.go
@@ -110,7 +110,8 @@
 	Arg   string
 }
 
-// Value answers Read. It has a value only if its Status is intake.Recorded.
+// Value answers Read. It has a value only if its Status, an intake.Status, is
+// Recorded. Wait is the time in milliseconds after which to retry.
 type Value struct {
 	_      struct{} `cbor:",toarray"`
 	Kind   Kind
--- a/internal/edge/input.go
+++ b/internal/edge/input.go
@@ -103,7 +103,8 @@
 }
 
 // receive handles the complete messages of an input and keeps the beginning of
-// an incomplete one. It returns false after a violation of the protocol.
+// an incomplete one. It returns false after a violation of the framing, which
+// ends the connection.
 func (conn *connection) receive(newData []byte) (keepReading bool) {
 	data := newData
 	if len(conn.unfinished) > 0 {
--- a/internal/edge/intake/admission.go
+++ b/internal/edge/intake/admission.go
@@ -1,9 +1,8 @@
 package intake
 
 // admit reports whether there is capacity for a reading. Each device and each
-// network has a limit of its own. At the total limits it evicts queued readings
-// until the new one fits: a device with fewer evictable readings displaces the
-// newest routine reading of the device with the most.
+// network has a limit of its own. At the total limits it evicts queued readings,
+// which victim selects, until the new one fits.
 func (in *Intake) admit(now float64, reading *trackedReading) bool {
 	atDeviceLimit := len(reading.device.inProgress) >= in.cfg.MaxPerDevice
 	if atDeviceLimit || in.networks[reading.network] >= in.cfg.MaxPerNetwork {
@@ -21,10 +20,10 @@
 }
 
 // victim returns the reading to evict in favour of the given one, nil if there
-// is none. The victim was never submitted and is not stored, so it can be
-// rejected safely. An urgent reading displaces a routine one of any device; a
-// routine reading displaces only one of a device that has more evictable
-// readings than its own device would have with it.
+// is none: the newest evictable reading of the device that has the most of them.
+// It was never submitted and is not stored, so it can be rejected safely. An
+// urgent reading always displaces it; a routine reading does so only if that
+// device has more evictable readings than its own device would have with it.
 func (in *Intake) victim(reading *trackedReading) *trackedReading {
 	if len(in.evictable) == 0 {
 		return nil
--- a/internal/edge/intake/device.go
+++ b/internal/edge/intake/device.go
@@ -16,9 +16,9 @@
 type trackedDevice struct {
 	name  string
 	epoch uint64 // the highest epoch received
-	// epochConfirmed is set once a reading of this epoch was recorded or found
-	// recorded by this router, epochConflicted once another value was found under
-	// the ID of one.
+	// epochConfirmed is set once this router has recorded a reading of this epoch
+	// or found a value recorded under its ID, epochConflicted once that was another
+	// value.
 	epochConfirmed  bool
 	epochConflicted bool
 	// trustedFromSeq is above every sequence number of the epoch that was dropped
@@ -114,8 +114,8 @@
 	return device
 }
 
-// markIdle lists a device as the most recently used idle one if it has no
-// readings in progress.
+// markIdle lists a device as the most recently used idle one, if it has no
+// readings in progress and was not replaced by another device.
 func (in *Intake) markIdle(device *trackedDevice) {
 	if len(device.inProgress) > 0 || in.devices[device.name] != device {
 		return
--- a/internal/edge/intake/intake.go
+++ b/internal/edge/intake/intake.go
@@ -48,7 +48,7 @@
 	inProgress  int     // number of readings in progress
 	bytes       int     // memory of the readings in progress, with overhead
 	completions rate    // readings whose recorded value became known
-	nextRetryAt float64 // when the last rejected device was told to retry, in Unix milliseconds
+	nextRetryAt float64 // latest retry time that retryAfter assigned, in Unix milliseconds
 	stats       Stats
 }
 
@@ -72,8 +72,8 @@
 	}, nil
 }
 
-// validateRoutes checks that after a check there is time for a write within the
-// idempotency window of every route.
+// validateRoutes checks that every route has a replica group, and an idempotency
+// window that leaves time for a write after a check that is answered at once.
 func validateRoutes(cfg *Config, routes []Route) error {
 	minWindowMs := cfg.MaxOverrun + cfg.ClockMargin + minWriteTimeoutMs
 	for i, route := range routes {
--- a/internal/edge/intake/queue.go
+++ b/internal/edge/intake/queue.go
@@ -92,14 +92,14 @@
 // nextReading takes out and returns the reading to submit next, or nil if there
 // is none: first those whose backoff is over, then urgent ones, then routine
 // ones, round robin among devices. Every routineTurnInterval-th turn goes to a
-// routine one.
+// device with routine readings; its own urgent readings still come first.
 func (in *Intake) nextReading(group *replicaGroup) *trackedReading {
 	if reading := group.popRetry(); reading != nil {
 		return reading
 	}
 	for len(group.urgent)+len(group.routine) > 0 {
 		queue := group.popQueue()
-		// Its readings may have been evicted, or taken out by a turn in the other
+		// Its readings may have been removed, or taken out by a turn in the other
 		// list.
 		if len(queue.urgent)+len(queue.routine) == 0 || queue.busy {
 			continue
--- a/internal/edge/intake/ratelimit.go
+++ b/internal/edge/intake/ratelimit.go
@@ -32,8 +32,9 @@
 	// success starts a recovery ramp, because endpoints that come back are still
 	// warming up.
 	outageFailures = 5
-	// routineTurnInterval is the number of turns of which one goes to a routine
-	// reading, so that urgent readings cannot starve routine ones.
+	// routineTurnInterval is the number of turns of which one goes to a device with
+	// routine readings, so that the urgent readings of other devices cannot starve
+	// these.
 	routineTurnInterval = 8
 )
 
--- a/internal/edge/intake/reading.go
+++ b/internal/edge/intake/reading.go
@@ -117,7 +117,7 @@
 	removed   bool // the reading is no longer in progress
 	arrivedAt float64
 
-	safeUntil     float64 // a write that ends before this cannot run twice; 0 if a check must come first
+	safeUntil     float64 // a write that ends before this cannot record the reading twice; 0: check first
 	writeSent     bool    // this router sent a write, which may have run
 	attemptsEndBy float64 // after this no attempt of this router can be running
 	failures      int     // submissions rejected or failed since a check last found no row
--- a/internal/edge/intake/retryafter.go
+++ b/internal/edge/intake/retryafter.go
@@ -38,7 +38,7 @@
 	r.count++
 }
 
-// decay reduces the count by the time since the last call.
+// decay lets the count decay for the time since the last call.
 func (r *rate) decay(now float64) {
 	if now > r.decayedAt {
 		r.count *= math.Exp((r.decayedAt - now) / rateTimeConstantMs)
--- a/internal/edge/intake/submission.go
+++ b/internal/edge/intake/submission.go
@@ -1,7 +1,8 @@
 package intake
 
 // coalesce handles another copy of a reading in progress, which waits for the
-// same answer. At MaxWaiters the oldest copy is answered Unknown.
+// same answer. At MaxWaiters the oldest copy is answered Unknown. A copy with
+// another value is answered Conflict at once, and one of a stored reading Stored.
 func (in *Intake) coalesce(now float64, reading *trackedReading, sum uint64, from Origin) {
 	if sum != reading.digest { // two devices have one name, or one lost its counter without a new epoch
 		in.answer(from, Answer{Status: Conflict})
@@ -29,8 +30,9 @@
 }
 
 // answerTimedOut answers Unknown to all waiters, so that the device keeps the
-// reading and sends it again. A submission in flight goes on and its result is
-// kept for later copies; a reading without one is removed.
+// reading and sends it again. A submission in flight or a write to the store goes
+// on, and its result is kept for later copies; a reading that is queued or waits
+// for its retry is removed.
 func (in *Intake) answerTimedOut(now float64, reading *trackedReading) {
 	reading.answerTimer = nil
 	for _, waiter := range reading.waiters {
@@ -211,7 +213,8 @@
 
 // The backoff before a retry doubles with each failure from minBackoffMs to
 // maxBackoffMs. The wait is drawn at random between half of the backoff and all
-// of it.
+// of it. maxBackoffDoublings keeps the power of two from overflowing; fewer than
+// that many doublings reach maxBackoffMs.
 const (
 	minBackoffMs        = 100
 	maxBackoffMs        = 2000
--- a/internal/edge/intake/types.go
+++ b/internal/edge/intake/types.go
@@ -13,7 +13,7 @@
 	Conflict               // another value is recorded under the reading's ID; nothing was written
 	Rejected               // the reading was not submitted; retry after RetryAfter
 	Unknown                // the reading may have been recorded; retry after RetryAfter, marked as a retry
-	Invalid                // the reading is malformed and is rejected however often it is sent
+	Invalid                // the reading is malformed; a retry cannot succeed
 )
 
 // String returns the status as one word, which MQTT devices also receive. A
@@ -106,8 +106,8 @@
 	Rejected      uint64 // copies answered Rejected
 	Unknown       uint64 // copies answered Unknown
 	Invalid       uint64 // copies answered Invalid
-	Duplicates    uint64 // copies answered from the recorded readings in memory
-	Coalesced     uint64 // copies of a reading in progress
+	Duplicates    uint64 // copies answered Recorded from the recorded readings in memory
+	Coalesced     uint64 // further copies of a reading in progress, with the same value
 	PastEpoch     uint64 // readings of an earlier epoch than the device's latest
 	Evicted       uint64 // admitted readings that were rejected in favour of others
 	Writes        uint64 // write submissions
--- a/internal/edge/mqtt/connect.go
+++ b/internal/edge/mqtt/connect.go
@@ -23,7 +23,7 @@
 )
 
 // IsConnectHeader reports whether b is the first byte of a CONNECT packet. Every
-// MQTT connection begins with one, so the byte tells other protocols apart.
+// MQTT connection begins with one, so any other byte shows another protocol.
 func IsConnectHeader(b byte) bool { return b == packets.Connect<<4 }
 
 // handleConnect handles CONNECT [MQTT 3.1].
--- a/internal/edge/protocols.go
+++ b/internal/edge/protocols.go
@@ -17,7 +17,7 @@
 	protocolFrames
 )
 
-// mqttOut implements mqtt.Actions for an Edge.
+// mqttActions implements mqtt.Actions for an Edge.
 type mqttActions Edge
 
 // Send implements mqtt.Actions.
@@ -52,7 +52,7 @@
 	})
 }
 
-// framesOut implements frames.Actions for an Edge.
+// framesActions implements frames.Actions for an Edge.
 type framesActions Edge
 
 // Send implements frames.Actions.
@@ -88,7 +88,7 @@
 	return a.intake.Known(device, epoch)
 }
 
-// coapOut implements coap.Actions for an Edge.
+// coapActions implements coap.Actions for an Edge.
 type coapActions Edge
 
 // Send implements coap.Actions.
--- a/internal/edge/store/page.go
+++ b/internal/edge/store/page.go
@@ -17,9 +17,9 @@
 // pageFlags returns the flags in a page's header.
 func pageFlags(b []byte) uint16 { return binary.LittleEndian.Uint16(b[pageFlagsOffset:]) }
 
-// parsePage reads the header of the page in b. It returns an error if that is
-// neither a leaf nor a branch with entries, or if its elements exceed b. b must
-// hold a page header.
+// parsePage reads the header of the page in b. It returns an error if the page is
+// neither a leaf nor a branch with at least one entry, or if its elements exceed
+// b. b must hold a page header.
 func parsePage(name string, b []byte) (page, error) {
 	flags := pageFlags(b)
 	p := page{
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -14,8 +14,8 @@
 	"lotusbend/internal/edge/intake"
 )
 
-// maxQueuedChanges is the number of changes waiting for a commit past which Put
-// returns ErrFull.
+// maxQueuedChanges is the number of changes waiting for a commit at which Put
+// fails with ErrFull.
 const maxQueuedChanges = 1 << 16
 
 // Store is an open file of readings. Its methods are safe for concurrent use and
@@ -58,7 +58,8 @@
 
 // Open opens or creates the file at path and returns the readings in it, ordered
 // by device, epoch and sequence number. maxBytes limits the size of the readings
-// with their keys; those already in the file are loaded even beyond it. The
+// with their keys, without the quarantined ones; readings already in the file are
+// loaded even beyond it. The
 // whole file is verified first: one that is damaged or not a store is left
 // unchanged and gives an error of one line.
 func Open(path string, maxBytes int) (s *Store, readings []intake.Reading, err error) {
@@ -120,7 +121,7 @@
 }
 
 // Bytes returns the size of the stored readings with their keys, in bytes. It
-// includes those that wait for a commit.
+// includes those that wait for a commit, but not the quarantined ones.
 func (s *Store) Bytes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,8 +214,9 @@
 		return nil
 	})
 	if err != nil {
-		// Nothing was changed. Readings that were to be deleted stay in the file
-		// and are checked after a restart; those that were to be stored are lost.
+		// Nothing was changed. Readings that were to be deleted or quarantined stay
+		// in the file and are checked after a restart; those that were to be stored
+		// are not, and their done functions get the error.
 		freed = putBytes(queue)
 	}
 	s.mu.Lock()
--- a/internal/edge/store/verify.go
+++ b/internal/edge/store/verify.go
@@ -42,7 +42,8 @@
 
 // verify checks every page of the file's newest tree before bbolt opens it,
 // because bbolt can end the process at an inconsistent page. It returns
-// errNotStore if there is no valid meta page, and wraps errDamaged otherwise.
+// errNotStore if there is no valid meta page, and an error that wraps errDamaged
+// if the file is too short or a page is inconsistent.
 func verify(path string) error {
 	file, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/pooling/function.go
+++ b/internal/pooling/function.go
@@ -30,7 +30,7 @@
 	switch tokens[i].text {
 	case "insert", "update", "delete", "merge":
 		effect.Writes = true // also inside WITH; SELECT FOR UPDATE needs a primary, too
-	case "share":
+	case "share": // SELECT FOR SHARE and FOR KEY SHARE need a primary, too
 		effect.Writes = effect.Writes || before.is("for") || before.is("key")
 	case "into":
 		if i == 0 || before.is("insert") || before.is("merge") {
--- a/internal/pooling/lease.go
+++ b/internal/pooling/lease.go
@@ -57,7 +57,8 @@
 	// Open starts to open a connection. The outcome must be reported to
 	// Leases.Opened or Leases.Closed.
 	Open(conn uint64, key PoolKey)
-	// Grant leases a connection to a client until Leases.Released is called.
+	// Grant leases a connection to a client until Leases.Released or
+	// Leases.Closed is called.
 	Grant(client, conn uint64)
 	// Reject fails a request with SQLSTATE 53300. retryAfter is in milliseconds.
 	Reject(client uint64, retryAfter float64)
@@ -217,7 +218,8 @@
 }
 
 // retryAfter draws the time after which a rejected client may retry, in
-// milliseconds. Retries are spread over half of the longest time in the queue.
+// milliseconds. Retries are spread over the upper half of the longest time in the
+// queue, or of minRetryAfterBoundMs if that is longer.
 func (l *Leases) retryAfter() float64 {
 	return max(l.limits.MaxQueueTimeout, minRetryAfterBoundMs) * (0.5 + 0.5*l.rand.Float64())
 }
--- a/internal/pooling/pipeline.go
+++ b/internal/pooling/pipeline.go
@@ -139,7 +139,8 @@
 	return send, p.takeSynthesized()
 }
 
-// passThrough returns a client's message with a server-side statement name.
+// passThrough returns a client's message with a server-side statement name, and
+// expects its response.
 func (p *Pipeline) passThrough(m *ClientMessage, name string) []ServerMessage {
 	p.expect(expectedResponse{kind: m.Kind, portal: m.Portal})
 	return []ServerMessage{{Kind: m.Kind, Name: name, ClientMessage: m}}
