--- a/internal/edge/frames/characterization_test.go
+++ b/internal/edge/frames/characterization_test.go
@@ -152,7 +152,7 @@
 	c.record("4 %d %d =%x =%x", token, conn, route, arg)
 }
 
-func (c *connection) Known(device string, epoch uint64) []uint64 {
+func (c *connection) RecordedSequences(device string, epoch uint64) []uint64 {
 	c.record("5 %x %d", device, epoch)
 	return []uint64{1, 2, 3, 7, 9, 10}
 }
--- a/internal/edge/frames/frames.go
+++ b/internal/edge/frames/frames.go
@@ -31,9 +31,9 @@
 	// Read reads the value that arg names. The result goes to Server.Value with
 	// the token.
 	Read(token, conn uint64, route, arg string)
-	// Known returns the sequence numbers that are known to be recorded, in
+	// RecordedSequences returns the sequence numbers that are known to be recorded, in
 	// ascending order.
-	Known(device string, epoch uint64) []uint64
+	RecordedSequences(device string, epoch uint64) []uint64
 }
 
 // Limits bound a connection.
--- a/internal/edge/frames/frames_test.go
+++ b/internal/edge/frames/frames_test.go
@@ -40,7 +40,7 @@
 func (gateway *testGateway) Read(token, _ uint64, _, _ string) {
 	gateway.tokens = append(gateway.tokens, token)
 }
-func (gateway *testGateway) Known(string, uint64) []uint64 {
+func (gateway *testGateway) RecordedSequences(string, uint64) []uint64 {
 	return []uint64{1, 2, 3, 7, 9, 10}
 }
 func (gateway *testGateway) send(frame any) {
--- a/internal/edge/frames/handle.go
+++ b/internal/edge/frames/handle.go
@@ -108,7 +108,7 @@
 	if err := s.decode(body, KindQuery, &query); err != nil {
 		return err
 	}
-	known := knownRanges(s.actions.Known(query.Device, query.Epoch))
+	known := knownRanges(s.actions.RecordedSequences(query.Device, query.Epoch))
 	s.send(conn, Known{Kind: KindKnown, ID: query.ID, Ranges: known})
 	return nil
 }
--- a/internal/edge/intake/characterization_test.go
+++ b/internal/edge/intake/characterization_test.go
@@ -456,13 +456,13 @@
 func (r *router) known() {
 	device := r.random.IntN(r.devices)
 	for epoch := range r.epochs[device] + 1 {
-		known := r.intake.Known(fmt.Sprint("meter-", device), epoch)
+		known := r.intake.RecordedSequences(fmt.Sprint("meter-", device), epoch)
 		r.digest.int(len(known))
 		for _, seq := range known {
 			r.digest.uint(seq)
 		}
 	}
-	r.digest.int(len(r.intake.Known("nobody", 0)))
+	r.digest.int(len(r.intake.RecordedSequences("nobody", 0)))
 }
 
 // observe adds the Intake's Stats and the time of the next timer to the digest.
--- a/internal/edge/intake/intake.go
+++ b/internal/edge/intake/intake.go
@@ -202,10 +202,10 @@
 	in.dispatch(now, reading.group)
 }
 
-// Known returns the sequence numbers of the named device's epoch that this
+// RecordedSequences returns the sequence numbers of the named device's epoch that this
 // router knows to be recorded, in ascending order. At most Config.MaxRecent are
 // known of a device; nil means none.
-func (in *Intake) Known(name string, epoch uint64) []uint64 {
+func (in *Intake) RecordedSequences(name string, epoch uint64) []uint64 {
 	device := in.devices[name]
 	if device == nil {
 		return nil
--- a/internal/edge/protocols.go
+++ b/internal/edge/protocols.go
@@ -83,9 +83,9 @@
 	(*Edge)(a).startRead(protocolFrames, token, match, row)
 }
 
-// Known implements frames.Actions.
-func (a *framesActions) Known(device string, epoch uint64) []uint64 {
-	return a.intake.Known(device, epoch)
+// RecordedSequences implements frames.Actions.
+func (a *framesActions) RecordedSequences(device string, epoch uint64) []uint64 {
+	return a.intake.RecordedSequences(device, epoch)
 }
 
 // coapActions implements coap.Actions for an Edge.
--- a/internal/pooling/characterization_test.go
+++ b/internal/pooling/characterization_test.go
@@ -610,7 +610,7 @@
 		d.texts(value)
 		d.flags(ok)
 	}
-	set := s.Session()
+	set := s.CommittedSettings()
 	for _, name := range slices.Sorted(maps.Keys(set)) {
 		d.texts(name, set[name])
 	}
--- a/internal/pooling/session.go
+++ b/internal/pooling/session.go
@@ -138,6 +138,6 @@
 
 // RecordHandover records that the statements of HandoverSQL have succeeded.
 func (c *ConnectionState) RecordHandover(s *Session) {
-	c.settings = s.Session()
+	c.settings = s.CommittedSettings()
 	c.prepared = maps.Clone(s.prepared)
 }
--- a/internal/pooling/session_test.go
+++ b/internal/pooling/session_test.go
@@ -86,9 +86,9 @@
 			if again := connection.HandoverSQL(s); again != "" {
 				t.Fatalf("HandoverSQL after RecordHandover = %q, want none", again)
 			}
-			onServer := real.Session.Session()
-			if !maps.Equal(onServer, s.Session()) && fmt.Sprint(onServer) != fmt.Sprint(s.Session()) {
-				t.Fatalf("settings on the server %v, want %v", real.Session.Session(), s.Session())
+			onServer := real.Session.CommittedSettings()
+			if !maps.Equal(onServer, s.CommittedSettings()) && fmt.Sprint(onServer) != fmt.Sprint(s.CommittedSettings()) {
+				t.Fatalf("settings on the server %v, want %v", real.Session.CommittedSettings(), s.CommittedSettings())
 			}
 			if fmt.Sprint(real.prepared) != fmt.Sprint(s.prepared) && len(real.prepared)+len(s.prepared) > 0 {
 				t.Fatalf("prepared statements on the server %v, want %v", real.prepared, s.prepared)
--- a/internal/pooling/settings_test.go
+++ b/internal/pooling/settings_test.go
@@ -147,8 +147,8 @@
 					t.Fatalf("Get(%q) after %+v = %q, %t; want %q, %t", name, e, v, ok, w, set)
 				}
 			}
-			if !s.InTransaction() && !maps.Equal(s.Session(), m.session) {
-				t.Fatalf("Session() after %+v = %v, want %v", e, s.Session(), m.session)
+			if !s.InTransaction() && !maps.Equal(s.CommittedSettings(), m.session) {
+				t.Fatalf("CommittedSettings() after %+v = %v, want %v", e, s.CommittedSettings(), m.session)
 			}
 		}
 	})
@@ -217,7 +217,7 @@
 			s.Apply(e)
 		}
 		got := map[string]string{}
-		for name, v := range s.Session() {
+		for name, v := range s.CommittedSettings() {
 			got[name] = v
 		}
 		for name, v := range to {
