--- a/internal/edge/coap/characterization_test.go
+++ b/internal/edge/coap/characterization_test.go
@@ -19,14 +19,14 @@
 )
 
 // update rewrites the expected values. They may change only with a deliberate
-// change of behaviour, which the commit has to name.
+// change of behaviour, which the commit message must name.
 var update = flag.Bool("update", false,
 	"rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
 
 const expectedFile = "testdata/characterization.txt"
 
-// TestCharacterization pins every datagram that is sent in answer to those of
-// clients, and what is delivered.
+// TestCharacterization compares every datagram that the server sends, every
+// message that it delivers and its counters with the expected values.
 func TestCharacterization(t *testing.T) {
 	got := map[string]string{}
 	for name, run := range exchanges {
--- a/internal/edge/coap/coap_test.go
+++ b/internal/edge/coap/coap_test.go
@@ -8,7 +8,8 @@
 )
 
 // FuzzDatagram passes a datagram to a server as it is and, if it can be decoded,
-// with a valid Echo value. No transfer may outlive the progress window.
+// with a valid Echo value. Every transfer must have ended after 300 s, since it
+// makes no progress.
 func FuzzDatagram(f *testing.F) {
 	client := newTestClient(&testing.T{})
 	f.Add(client.post(message.Confirmable, "batch", block(0, true), message.Option{ID: message.Echo, Value: make([]byte, 16)}))
--- a/internal/edge/coap/exchange_test.go
+++ b/internal/edge/coap/exchange_test.go
@@ -12,11 +12,11 @@
 func TestDuplicateIsDeliveredOnceAndAnsweredAgain(t *testing.T) {
 	client := newTestClient(t)
 	b := client.post(message.Confirmable, "batch", client.echoOption(home))
-	minted := client.now
+	echoCreatedAt := client.now
 	client.advance(100)
 	client.server.Receive(client.now, home, b)
 	client.server.Receive(client.now, home, b)
-	if len(client.delivered) != 1 || client.delivered[0].payload != "batch" || client.delivered[0].notBefore != minted {
+	if len(client.delivered) != 1 || client.delivered[0].payload != "batch" || client.delivered[0].notBefore != echoCreatedAt {
 		t.Fatalf("delivered = %+v, want the message once, not before the Echo value", client.delivered)
 	}
 	client.server.Answer(client.now, client.delivered[0].token, codes.Changed, []byte("ok"), 0)
--- a/internal/edge/coap/response.go
+++ b/internal/edge/coap/response.go
@@ -110,12 +110,13 @@
 }
 
 // responseOptions returns the options of a response in the order of their
-// numbers, without Echo, which has the highest.
+// numbers, without Echo, which has the highest. Of the payloads, only that of a
+// successful message of readings is declared as CBOR.
 func (s *Server) responseOptions(
 	exchange *requestExchange, code codes.Code, hasPayload bool, maxAgeMs float64,
 ) (options message.Options) {
-	isReply := code>>codeClassShift == successClass && code != codes.Content
-	if hasPayload && isReply {
+	isBatchReply := code>>codeClassShift == successClass && code != codes.Content
+	if hasPayload && isBatchReply {
 		options = append(options, uintOption(message.ContentFormat, uint64(message.AppCBOR)))
 	}
 	if maxAgeMs > 0 {
--- a/internal/edge/frames/characterization_test.go
+++ b/internal/edge/frames/characterization_test.go
@@ -17,14 +17,15 @@
 )
 
 // update rewrites the expected values. They may change only with a deliberate
-// change of behaviour, which the commit has to name.
+// change of behaviour, which the commit message must name.
 var update = flag.Bool("update", false,
 	"rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
 
 const expectedFile = "testdata/characterization.txt"
 
-// TestCharacterization pins the bytes of every frame, of the answers within
-// whole connections, and what is delivered.
+// TestCharacterization compares the bytes of every kind of frame, the server's
+// actions on whole connections and the results of FrameLength with the expected
+// values.
 func TestCharacterization(t *testing.T) {
 	codec := batch.NewCodec()
 	got := map[string]string{}
--- a/internal/edge/frames/frames.go
+++ b/internal/edge/frames/frames.go
@@ -31,8 +31,8 @@
 	// Read reads the value that arg names. The result goes to Server.Value with
 	// the token.
 	Read(token, conn uint64, route, arg string)
-	// RecordedSequences returns the sequence numbers that are known to be recorded, in
-	// ascending order.
+	// RecordedSequences returns the sequence numbers of the device's epoch that
+	// are known to be recorded, in ascending order.
 	RecordedSequences(device string, epoch uint64) []uint64
 }
 
--- a/internal/edge/intake/admission.go
+++ b/internal/edge/intake/admission.go
@@ -89,7 +89,7 @@
 // copies.
 func (in *Intake) evict(now float64, reading *trackedReading) {
 	reading.queue.remove(reading)
-	in.countEvictable(reading.device, -1)
+	in.adjustEvictable(reading.device, -1)
 	for _, waiter := range reading.waiters {
 		in.reject(now, waiter)
 	}
--- a/internal/edge/intake/device.go
+++ b/internal/edge/intake/device.go
@@ -141,9 +141,9 @@
 // first, and equal ones by name. It implements heap.Interface.
 type evictionHeap []*trackedDevice
 
-// countEvictable adds change to a device's number of evictable readings and
+// adjustEvictable adds change to a device's number of evictable readings and
 // updates its position in the heap.
-func (in *Intake) countEvictable(device *trackedDevice, change int) {
+func (in *Intake) adjustEvictable(device *trackedDevice, change int) {
 	device.evictable += change
 	listed := device.heapIndex >= 0
 	switch {
--- a/internal/edge/intake/intake.go
+++ b/internal/edge/intake/intake.go
@@ -121,7 +121,7 @@
 		in.reject(now, from)
 		return
 	}
-	sum := digest(received.Value)
+	sum := valueDigest(received.Value)
 	if reading := device.inProgress[received.local()]; reading != nil {
 		in.coalesce(now, reading, sum, from)
 		return
@@ -192,7 +192,7 @@
 	device.advanceEpoch(received.Epoch)
 	reading := &trackedReading{
 		Reading:   received,
-		digest:    digest(received.Value),
+		digest:    valueDigest(received.Value),
 		device:    device,
 		arrivedAt: now,
 		stored:    true,
@@ -202,9 +202,9 @@
 	in.dispatch(now, reading.group)
 }
 
-// RecordedSequences returns the sequence numbers of the named device's epoch that this
-// router knows to be recorded, in ascending order. At most Config.MaxRecent are
-// known of a device; nil means none.
+// RecordedSequences returns the sequence numbers of the named device's epoch that
+// this router knows to be recorded, in ascending order. At most Config.MaxRecent
+// are known of a device; nil means none.
 func (in *Intake) RecordedSequences(name string, epoch uint64) []uint64 {
 	device := in.devices[name]
 	if device == nil {
--- a/internal/edge/intake/model_test.go
+++ b/internal/edge/intake/model_test.go
@@ -66,7 +66,7 @@
 	return last
 }
 
-// after schedules a function in a number of milliseconds.
+// after schedules a function to run after a number of milliseconds.
 func (sim *simulation) after(ms float64, run func()) {
 	sim.lastEvent++
 	heap.Push(&sim.events, event{sim.now + ms, sim.lastEvent, run})
@@ -140,13 +140,13 @@
 	})
 }
 
-// deliverAfter delivers an event to the Intake in a number of milliseconds,
+// deliverAfter delivers an event to the Intake after a number of milliseconds,
 // unless the router restarts before that.
 func (router *modelRouter) deliverAfter(ms float64, deliver func()) {
 	router.deliverTo(router.incarnation, ms, deliver)
 }
 
-// deliverTo delivers an event to the Intake in a number of milliseconds, unless
+// deliverTo delivers an event to the Intake after a number of milliseconds, unless
 // the router's incarnation is another one by then.
 func (router *modelRouter) deliverTo(incarnation int, ms float64, deliver func()) {
 	router.simulation.after(ms, func() {
--- a/internal/edge/intake/queue.go
+++ b/internal/edge/intake/queue.go
@@ -65,7 +65,7 @@
 		reading.queue.routine = append(reading.queue.routine, reading)
 	}
 	if reading.evictable() {
-		in.countEvictable(reading.device, 1)
+		in.adjustEvictable(reading.device, 1)
 	}
 	in.scheduleQueue(reading.queue)
 }
@@ -106,7 +106,7 @@
 		}
 		reading := queue.pop()
 		if reading.evictable() {
-			in.countEvictable(reading.device, -1)
+			in.adjustEvictable(reading.device, -1)
 		}
 		queue.busy = in.cfg.Durable
 		in.scheduleQueue(queue)
--- a/internal/edge/intake/reading.go
+++ b/internal/edge/intake/reading.go
@@ -71,8 +71,8 @@
 
 func (id ID) local() localID { return localID{epoch: id.Epoch, seq: id.Seq} }
 
-// digest returns 64 bits of a value's SHA-256, by which values are compared.
-func digest(value []byte) uint64 {
+// valueDigest returns 64 bits of a value's SHA-256, by which values are compared.
+func valueDigest(value []byte) uint64 {
 	sum := sha256.Sum256(value)
 	return binary.BigEndian.Uint64(sum[:])
 }
--- a/internal/edge/intake/submission.go
+++ b/internal/edge/intake/submission.go
@@ -43,7 +43,7 @@
 	case queued:
 		reading.queue.remove(reading)
 		if reading.evictable() {
-			in.countEvictable(reading.device, -1)
+			in.adjustEvictable(reading.device, -1)
 		}
 		in.remove(reading)
 	case backingOff, retryReady:
@@ -115,7 +115,7 @@
 	}
 	group := reading.group
 	group.recordSuccess(now, &in.cfg)
-	sum := digest(value)
+	sum := valueDigest(value)
 	switch {
 	case reading.phase == checking && len(value) == 0:
 		in.rowAbsent(now, reading)
--- a/internal/edge/intake/types.go
+++ b/internal/edge/intake/types.go
@@ -33,8 +33,8 @@
 // Origin identifies one copy of a reading, so that its answer reaches the
 // sender. The caller of Offer assigns the numbers; Intake only hands them back.
 type Origin struct {
-	Peer    uint64 // the connection or session that sent the copy
-	Message uint32 // the message on it
+	Peer    uint64 // the sender, or the message itself
+	Message uint32 // the message of the sender; 0 if Peer identifies it
 	Index   uint16 // the reading within the message
 }
 
--- a/internal/edge/mqtt/characterization_test.go
+++ b/internal/edge/mqtt/characterization_test.go
@@ -18,14 +18,15 @@
 )
 
 // update rewrites the expected values. They may change only with a deliberate
-// change of behaviour, which the commit has to name.
+// change of behaviour, which the commit message must name.
 var update = flag.Bool("update", false,
 	"rewrite testdata/characterization.txt; only for a deliberate change of behaviour")
 
 const expectedFile = "testdata/characterization.txt"
 
-// TestCharacterization pins every packet that is sent, in both versions of the
-// protocol, and what is delivered.
+// TestCharacterization compares, in both versions of the protocol, every packet
+// that the server sends, every message that it delivers and its counters with the
+// expected values.
 func TestCharacterization(t *testing.T) {
 	got := map[string]string{}
 	for _, version := range []byte{version311, version5} {
--- a/internal/edge/store/page.go
+++ b/internal/edge/store/page.go
@@ -44,10 +44,10 @@
 	bucket bool   // the value is a nested bucket, in a leaf
 }
 
-// entry returns the entry at the given index. The element of a branch consists of
-// position, key size and child; that of a leaf of flags, position, key size and
+// entryAt returns the entry at the given index. The element of a branch consists
+// of position, key size and child; that of a leaf of flags, position, key size and
 // value size. The position of the key is relative to the start of the element.
-func (p page) entry(index int) (entry, error) {
+func (p page) entryAt(index int) (entry, error) {
 	start := pageHeaderSize + index*elementSize
 	element := p.bytes[start : start+elementSize]
 	uint32At := func(offset int) uint64 { return uint64(binary.LittleEndian.Uint32(element[offset:])) }
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -59,9 +59,8 @@
 // Open opens or creates the file at path and returns the readings in it, ordered
 // by device, epoch and sequence number. maxBytes limits the size of the readings
 // with their keys, without the quarantined ones; readings already in the file are
-// loaded even beyond it. The
-// whole file is verified first: one that is damaged or not a store is left
-// unchanged and gives an error of one line.
+// loaded even beyond it. The whole file is verified first: one that is damaged or
+// not a store is left unchanged and gives an error of one line.
 func Open(path string, maxBytes int) (s *Store, readings []intake.Reading, err error) {
 	db, err := openFile(path)
 	if err != nil {
--- a/internal/edge/store/store_test.go
+++ b/internal/edge/store/store_test.go
@@ -112,7 +112,7 @@
 		t.Fatal(err)
 	}
 	const pageSize = 4096
-	store := func(rs ...*intake.Reading) (queue []change) {
+	putChanges := func(rs ...*intake.Reading) (queue []change) {
 		for _, r := range rs {
 			queue = append(queue, change{kind: putReading, id: r.ID, encoded: encodeReading(r)})
 		}
@@ -125,10 +125,10 @@
 	deletion := change{kind: deleteReading, id: intake.ID{Device: "a", Epoch: 1, Seq: 1}}
 	quarantine := change{kind: quarantineReading, id: many[7].ID, encoded: encodeReading(many[7])}
 	for step, queue := range [][]change{ // each is one commit
-		store(reading("c", 1, "three")),
-		store(reading("d", 1, strings.Repeat("long", 3000))),
-		store(many...),
-		append(store(reading("f", 1, "last")), deletion),
+		putChanges(reading("c", 1, "three")),
+		putChanges(reading("d", 1, strings.Repeat("long", 3000))),
+		putChanges(many...),
+		append(putChanges(reading("f", 1, "last")), deletion),
 		{quarantine, deletion},
 	} {
 		s.commit(queue)
--- a/internal/edge/store/verify.go
+++ b/internal/edge/store/verify.go
@@ -57,7 +57,7 @@
 		return fmt.Errorf("%w: %d bytes are too few for %d pages", errDamaged, len(file), newest.pages)
 	}
 	v := &verifier{file: file, meta: newest, visited: map[uint64]bool{}}
-	if err := v.tree(newest.root, keyRange{}, 0); err != nil {
+	if err := v.verifyTree(newest.root, keyRange{}, 0); err != nil {
 		return fmt.Errorf("%w: %w", errDamaged, err)
 	}
 	return nil
@@ -136,8 +136,8 @@
 	visited map[uint64]bool // by page number
 }
 
-// tree verifies the page with the given number and all pages below it.
-func (v *verifier) tree(id uint64, keys keyRange, depth int) error {
+// verifyTree verifies the page with the given number and all pages below it.
+func (v *verifier) verifyTree(id uint64, keys keyRange, depth int) error {
 	if id < firstTreePage || id >= v.meta.pages || depth > maxDepth {
 		return fmt.Errorf("page %d at depth %d is out of range", id, depth)
 	}
@@ -158,14 +158,14 @@
 	if err != nil {
 		return err
 	}
-	return v.page(p, keys, depth)
+	return v.verifyPage(p, keys, depth)
 }
 
-// page verifies the entries of a page and all pages below them.
-func (v *verifier) page(p page, keys keyRange, depth int) error {
+// verifyPage verifies the entries of a page and all pages below them.
+func (v *verifier) verifyPage(p page, keys keyRange, depth int) error {
 	var last []byte
 	for i := range p.count {
-		e, err := p.entry(i)
+		e, err := p.entryAt(i)
 		if err != nil {
 			return err
 		}
@@ -175,9 +175,9 @@
 		last = e.key
 		switch {
 		case p.branch:
-			err = v.child(p, i, e, keys, depth)
+			err = v.verifyChild(p, i, e, keys, depth)
 		case e.bucket:
-			err = v.bucket(e.value, depth)
+			err = v.verifyBucket(e.value, depth)
 		}
 		if err != nil {
 			return err
@@ -186,28 +186,28 @@
 	return nil
 }
 
-// child verifies the subtree of a branch's entry, whose keys must be before the
-// key of the next entry.
-func (v *verifier) child(p page, index int, e entry, keys keyRange, depth int) error {
+// verifyChild verifies the subtree of a branch's entry, whose keys must be before
+// the key of the next entry.
+func (v *verifier) verifyChild(p page, index int, e entry, keys keyRange, depth int) error {
 	below := keyRange{from: e.key, before: keys.before}
 	if index+1 < p.count {
-		next, err := p.entry(index + 1)
+		next, err := p.entryAt(index + 1)
 		if err != nil {
 			return err
 		}
 		below.before = next.key
 	}
-	return v.tree(e.child, below, depth+1)
+	return v.verifyTree(e.child, below, depth+1)
 }
 
-// bucket verifies a nested bucket. The value holds the page number of its root,
-// or 0 and the whole bucket as an inline page.
-func (v *verifier) bucket(value []byte, depth int) error {
+// verifyBucket verifies a nested bucket. The value holds the page number of its
+// root, or 0 and the whole bucket as an inline page.
+func (v *verifier) verifyBucket(value []byte, depth int) error {
 	if len(value) < bucketHeaderSize {
 		return fmt.Errorf("bucket of %d bytes is too short", len(value))
 	}
 	if root := binary.LittleEndian.Uint64(value); root != 0 {
-		return v.tree(root, keyRange{}, depth+1)
+		return v.verifyTree(root, keyRange{}, depth+1)
 	}
 	inline := value[bucketHeaderSize:]
 	if len(inline) < pageHeaderSize || pageFlags(inline) != leafPage || depth > maxDepth {
@@ -217,5 +217,5 @@
 	if err != nil {
 		return err
 	}
-	return v.page(p, keyRange{}, depth+1)
+	return v.verifyPage(p, keyRange{}, depth+1)
 }
--- a/internal/pooling/effect.go
+++ b/internal/pooling/effect.go
@@ -108,7 +108,7 @@
 	}
 	effects := make([]Effect, len(statements))
 	for i, statement := range statements {
-		effects[i] = a.statement(statement.tokens)
+		effects[i] = a.analyzeStatement(statement.tokens)
 		if effects[i].Kind == Prepare {
 			effects[i].Text = statement.text
 		}
--- a/internal/pooling/lease_test.go
+++ b/internal/pooling/lease_test.go
@@ -45,7 +45,7 @@
 	m.conns[conn], m.opening[conn] = key, true
 	checkLimit := func(scope string, n, limit int) {
 		if limit > 0 && n > limit {
-			m.fail("%d open connections %s, want at most %d", n, scope, limit)
+			m.fail("%d connections %s, want at most %d", n, scope, limit)
 		}
 	}
 	checkLimit("in total", len(m.conns), m.limits.Total)
@@ -58,7 +58,7 @@
 			n++
 		}
 	}
-	checkLimit("in state opening", n, m.limits.MaxOpening)
+	checkLimit("being opened to one endpoint", n, m.limits.MaxOpening)
 	if m.draining[key.Endpoint] {
 		m.fail("connection %d was opened to draining endpoint %d", conn, key.Endpoint)
 	}
--- a/internal/pooling/pipeline_test.go
+++ b/internal/pooling/pipeline_test.go
@@ -220,7 +220,7 @@
 	}
 }
 
-func TestPipelineRejectsUnexpectedAnswer(t *testing.T) {
+func TestPipelineRejectsUnexpectedResponse(t *testing.T) {
 	var catalog StatementCatalog
 	for _, c := range []struct{ sent, received byte }{{'B', '1'}, {'E', 'Z'}, {'S', 'C'}, {'D', '2'}} {
 		pipeline := NewPipeline(&catalog, &ClientStatements{}, &ConnectionStatements{})
--- a/internal/pooling/scan.go
+++ b/internal/pooling/scan.go
@@ -63,24 +63,24 @@
 	switch {
 	case first == '\'':
 		t.kind = stringConstant
-		t.text, err = s.stringConstant(!s.standardStrings)
+		t.text, err = s.readStringConstant(!s.standardStrings)
 	case first == '"':
 		t.kind = quotedIdentifier
-		t.text, err = s.quotedIdentifier()
+		t.text, err = s.readQuotedIdentifier()
 	case first == '$':
-		t, err = s.dollarToken()
+		t, err = s.readDollarToken()
 	case strings.IndexByte("eEbBxXnN", first) >= 0 && s.peek(1) == '\'':
 		s.offset++
 		t.kind = stringConstant
-		t.text, err = s.stringConstant(first == 'e' || first == 'E')
+		t.text, err = s.readStringConstant(first == 'e' || first == 'E')
 	case (first == 'u' || first == 'U') && s.peek(1) == '&' && s.peek(2) == '\'':
 		s.offset += 2
 		t.kind = stringConstant
-		t.text, err = s.stringConstant(false)
+		t.text, err = s.readStringConstant(false)
 	case (first == 'u' || first == 'U') && s.peek(1) == '&' && s.peek(2) == '"':
 		s.offset += 2
 		t.kind = quotedIdentifier
-		t.text, err = s.quotedIdentifier()
+		t.text, err = s.readQuotedIdentifier()
 	case isLetter(first):
 		t.kind = identifier
 		t.text = strings.ToLower(s.takeWhile(isIdentifierByte))
@@ -167,10 +167,10 @@
 	return nil
 }
 
-// stringConstant reads a string constant, starting at its opening quote, and
+// readStringConstant reads a string constant, starting at its opening quote, and
 // returns its value. With escapes, a backslash is dropped and the character
 // after it is taken literally.
-func (s *scanner) stringConstant(escapes bool) (string, error) {
+func (s *scanner) readStringConstant(escapes bool) (string, error) {
 	var value strings.Builder
 	for s.offset++; s.offset < len(s.input); s.offset++ {
 		b := s.input[s.offset]
@@ -194,9 +194,9 @@
 	return "", errUnterminatedString
 }
 
-// quotedIdentifier reads a quoted identifier, starting at its opening quote, and
-// returns the name.
-func (s *scanner) quotedIdentifier() (string, error) {
+// readQuotedIdentifier reads a quoted identifier, starting at its opening quote,
+// and returns the name.
+func (s *scanner) readQuotedIdentifier() (string, error) {
 	var name strings.Builder
 	for s.offset++; s.offset < len(s.input); s.offset++ {
 		b := s.input[s.offset]
@@ -212,9 +212,9 @@
 	return "", errUnterminatedString
 }
 
-// dollarToken reads a token that starts with a dollar sign: a parameter, a
+// readDollarToken reads a token that starts with a dollar sign: a parameter, a
 // dollar-quoted string, or otherwise the sign itself as a symbol.
-func (s *scanner) dollarToken() (token, error) {
+func (s *scanner) readDollarToken() (token, error) {
 	start := s.offset
 	s.offset++
 	if digits := s.takeWhile(isDigit); digits != "" {
--- a/internal/pooling/settings.go
+++ b/internal/pooling/settings.go
@@ -220,6 +220,6 @@
 	return text, ok
 }
 
-// CommittedSettings returns a copy of the settings that apply to the session outside any
-// transaction: values as SQL by name.
+// CommittedSettings returns a copy of the settings that apply to the session
+// outside any transaction: values as SQL by name.
 func (s *Settings) CommittedSettings() map[string]string { return maps.Clone(s.committed) }
--- a/internal/pooling/statement.go
+++ b/internal/pooling/statement.go
@@ -47,10 +47,10 @@
 	return c.take("and", "chain")
 }
 
-// statement returns the effect of one statement. A statement that belongs to no
-// group, such as DO, CALL or LOAD, is Opaque.
-func (a Analyzer) statement(tokens []token) Effect {
-	groups := []func(tokenCursor) (Effect, bool){
+// analyzeStatement returns the effect of one statement. A statement that none of
+// the parsers knows, such as DO, CALL or LOAD, is Opaque.
+func (a Analyzer) analyzeStatement(tokens []token) Effect {
+	parsers := []func(tokenCursor) (Effect, bool){
 		a.transactionStatement,
 		a.settingStatement,
 		a.discardStatement,
@@ -60,8 +60,8 @@
 		a.schemaStatement,
 		a.queryStatement,
 	}
-	for _, group := range groups {
-		if effect, known := group(tokenCursor(tokens)); known {
+	for _, parse := range parsers {
+		if effect, known := parse(tokenCursor(tokens)); known {
 			return effect
 		}
 	}
