--- a/internal/edge/batch/batch_test.go
+++ b/internal/edge/batch/batch_test.go
@@ -16,7 +16,7 @@
 func TestBatchRoundTrip(t *testing.T) {
 	codec := NewCodec()
 	if got, err := codec.DecodeBatch(codec.Encode(sample())); err != nil || !reflect.DeepEqual(got, sample()) {
-		t.Errorf("DecodeBatch(Encode(%+v)) = %+v, %v", sample(), got, err)
+		t.Errorf("DecodeBatch(Encode(%+v)) = %+v, %v, want the same Batch", sample(), got, err)
 	}
 }
 
@@ -43,7 +43,7 @@
 		"deep nesting":      bytes.Repeat([]byte{0x81}, 100),
 	} {
 		if got, err := codec.DecodeBatch(b); err == nil {
-			t.Errorf("%s: DecodeBatch(%x) = %+v without an error", name, b, got)
+			t.Errorf("%s: DecodeBatch(%x) = %+v without an error, want an error", name, b, got)
 		}
 	}
 }
--- a/internal/edge/coap/block_test.go
+++ b/internal/edge/coap/block_test.go
@@ -32,23 +32,23 @@
 		return client.last().Code
 	}
 	if c := send(home, 0); c != codes.Continue {
-		t.Fatal(c)
+		t.Fatalf("first block = %v, want %v", c, codes.Continue)
 	}
 	if c := send(home, 2); c != codes.RequestEntityIncomplete { // block 1 is missing
-		t.Fatal(c)
+		t.Fatalf("block 2 before block 1 = %v, want %v", c, codes.RequestEntityIncomplete)
 	}
 	if c := send(home, 0); c != codes.Continue { // a duplicate whose acknowledgement was lost
-		t.Fatal(c)
+		t.Fatalf("duplicate of the first block = %v, want %v", c, codes.Continue)
 	}
 	client.advance(5000)
 	if c := send(away, 1); c != codes.Continue {
-		t.Fatal(c)
+		t.Fatalf("block 1 from another address = %v, want %v", c, codes.Continue)
 	}
 	if c := send(away, 1); c != codes.Continue {
-		t.Fatal(c)
+		t.Fatalf("duplicate of block 1 = %v, want %v", c, codes.Continue)
 	}
 	if c := send(away, 2); c != 0 || len(client.delivered) != 1 || client.delivered[0].payload != strings.Join(parts, "") {
-		t.Fatalf("last block: code %v, delivered %+v, want the whole message without a response", c, client.delivered)
+		t.Fatalf("last block: code %v, delivered %+v, want the whole message and no response yet", c, client.delivered)
 	}
 	if len(client.server.transfers)+len(client.server.transferByOwner)+client.server.unfinished.Len() != 0 {
 		t.Error("state of the complete transfer is left, want none")
--- a/internal/edge/coap/coap.go
+++ b/internal/edge/coap/coap.go
@@ -33,8 +33,9 @@
 const (
 	// maxOptions is how many options a request may have.
 	maxOptions = 32
-	// maxDatagramBytes is the longest datagram that is accepted. Clients send
-	// longer messages in blocks.
+	// maxDatagramBytes is the longest datagram that is accepted: 1500 bytes, as an
+	// Ethernet frame carries, less the IPv4 and UDP headers. Clients send longer
+	// messages in blocks.
 	maxDatagramBytes = 1472
 	// maxSegmentBytes is the longest segment of a path.
 	maxSegmentBytes = 64
--- a/internal/edge/frames/codec.go
+++ b/internal/edge/frames/codec.go
@@ -34,7 +34,8 @@
 	KindBye      Kind = 12
 )
 
-// Hello is the first frame of a connection.
+// Hello is the first frame of a connection. Name is the gateway's name, which the
+// server does not use.
 type Hello struct {
 	_       struct{} `cbor:",toarray"`
 	Kind    Kind
--- a/internal/edge/intake/model_test.go
+++ b/internal/edge/intake/model_test.go
@@ -418,7 +418,7 @@
 			rapid.IntRange(1, 3).Draw(t, "routers"), rapid.IntRange(1, 8).Draw(t, "devices"),
 			rapid.IntRange(1, 8).Draw(t, "readings"), kills)
 		if len(sim.faults) > 0 {
-			t.Fatalf("%d faults, the first at %s", len(sim.faults), sim.faults[0])
+			t.Fatalf("%d faults, want none; the first at %s", len(sim.faults), sim.faults[0])
 		}
 	})
 }
--- a/internal/edge/intake/retryafter.go
+++ b/internal/edge/intake/retryafter.go
@@ -4,13 +4,15 @@
 
 // retryAfter returns how long a rejected device should wait before it retries,
 // in milliseconds. Successive devices are spaced at the rate at which readings
-// complete, so that they do not retry together. Waits that would exceed
-// MaxRetryAfter are spread at random over its upper half.
+// complete, at least one a second, and each wait is shortened at random by up to a
+// fifth, so that they do not retry together. Waits that would exceed MaxRetryAfter
+// are spread at random over its upper half.
 func (in *Intake) retryAfter(now float64) float64 {
 	interval := 1000 / max(in.completions.perSecond(now), 1)
 	in.nextRetryAt = max(in.nextRetryAt, now+in.cfg.MinRetryAfter) + interval
 	wait := (in.nextRetryAt - now) * (0.8 + 0.2*in.rand.Float64())
 	if wait > in.cfg.MaxRetryAfter {
+		// Bounds how far ahead retry times are assigned.
 		in.nextRetryAt = min(in.nextRetryAt, now+2*in.cfg.MaxRetryAfter)
 		wait = in.cfg.MaxRetryAfter * (0.5 + 0.5*in.rand.Float64())
 	}
--- a/internal/edge/mqtt/mqtt.go
+++ b/internal/edge/mqtt/mqtt.go
@@ -51,7 +51,7 @@
 	MaxSessionExpiryMs float64 // longest time that a session is kept without a connection
 	MaxKeepAliveMs     float64 // longest keep-alive that a client may choose
 	ReceiveMax         int     // unanswered and unreleased messages of one client
-	MessageBytes       int     // size of one packet
+	MessageBytes       int     // largest size of one packet, stated to clients
 }
 
 // Stats counts events since the start.
@@ -87,7 +87,7 @@
 	connectedAt float64  // when CONNACK was sent
 
 	lastPacketAt   float64
-	timeoutMs      float64 // after which the connection is closed without a packet
+	timeoutMs      float64 // time without a packet after which the connection is closed
 	keepAliveTimer *timers.Timer
 
 	omitProblemInfo bool              // the client set Request Problem Information to 0
--- a/internal/edge/store/store_test.go
+++ b/internal/edge/store/store_test.go
@@ -291,7 +291,7 @@
 		a, b := id.Draw(t, "a"), id.Draw(t, "b")
 		got, err := decodeReading(encodeKey(a), encodeReading(&intake.Reading{ID: a, Value: []byte("v")}))
 		if err != nil || got.ID != a {
-			t.Fatalf("decodeReading(encodeKey(%v)) = %v, %v", a, got.ID, err)
+			t.Fatalf("decodeReading(encodeKey(%v)) = %v, %v, want the same ID", a, got.ID, err)
 		}
 		if (a == b) != bytes.Equal(encodeKey(a), encodeKey(b)) {
 			t.Fatalf("encodeKey(%v) == encodeKey(%v) is %t, want %t", a, b, a != b, a == b)
--- a/internal/pooling/effect_test.go
+++ b/internal/pooling/effect_test.go
@@ -134,7 +134,7 @@
 					again := analyzer.Analyze(SettingsDifference(nil, map[string]string{e.Name: e.Value}))
 					kindKept := len(again) == 1 && (again[0].Kind == Set || again[0].Kind == Reset)
 					if !kindKept || again[0].Kind == Set && (again[0].Value != e.Value || again[0].Name != e.Name) {
-						t.Errorf("Analyze(%q): %+v was read back as %+v", sql, e, again)
+						t.Errorf("Analyze(%q): %+v was read back as %+v, want the same name and value", sql, e, again)
 					}
 				}
 			}
--- a/internal/pooling/prepared_test.go
+++ b/internal/pooling/prepared_test.go
@@ -100,7 +100,7 @@
 					delete(server, name)
 				}
 				if _, ok := server[p.ServerName]; ok == steps.Parse {
-					t.Fatalf("Ensure(%v) has Parse %t, statement on the server %t", p, steps.Parse, ok)
+					t.Fatalf("Ensure(%v).Parse = %t, want %t", p, steps.Parse, !ok)
 				}
 				if steps.Parse {
 					server[p.ServerName] = catalog.generation
