--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
-# All targets need only Go; the module versions are in go.sum.
+# All targets but sites need only Go and the usual shell tools; go.mod and go.sum
+# pin the module versions.
 
 VERSION ?= $(shell git describe --always --dirty 2>/dev/null || echo dev)
 
--- a/cmd/lotusbend/endpoints.go
+++ b/cmd/lotusbend/endpoints.go
@@ -32,7 +32,8 @@
 		PollInterval: clock.Millis(config.PollInterval),
 	}, n.config.Seed+uint64(len(n.watches)))
 	// Another address may use other index numbers for its lists, so only the
-	// first watch resumes from the index in the configuration.
+	// first watch resumes from the index in the configuration. A pushed list comes
+	// from a local agent, which a request for the whole list costs nothing.
 	if known := n.config.KnownEndpoints; config.PollOnly && len(n.watches) == 1 && len(known.Endpoints) > 0 {
 		schedule.Resume(known.Index)
 	}
@@ -93,7 +94,7 @@
 	n.names[listed.ID] = listed.Name
 }
 
-// endpointID returns the number of the endpoint with this name, and whether it
+// endpointID returns the ID of the endpoint with this name, and whether the name
 // is known. It searches all names: they are few, and looked up only for
 // endpoints that peers report on.
 func (n *node) endpointID(name string) (uint32, bool) {
--- a/cmd/lotusbend/fleet.go
+++ b/cmd/lotusbend/fleet.go
@@ -23,10 +23,10 @@
 // page, and the time to write its response.
 const adminTimeout = 2 * time.Second
 
-// fleet is a router's membership in the fleet.
-type fleet struct {
-	view *udp.Transport
-	link *link.Link // carries the shared state, nil where that is off
+// fleetMember is this router as a member of the fleet.
+type fleetMember struct {
+	transport *udp.Transport // maintains the view of the members
+	link      *link.Link     // carries the shared state, nil if that is off
 	// clockAheadMs is how far the clock of membership and shared state is ahead
 	// of the router's clock; 0 except in drills.
 	clockAheadMs int64
@@ -39,56 +39,57 @@
 // cannot be bound.
 func startMembership(
 	ctx context.Context, config *deployconfig.Config, options *operatorconfig.Options,
-	now *clock.Clock, log *slog.Logger,
-) (*fleet, error) {
+	timeSource *clock.Clock, log *slog.Logger,
+) (*fleetMember, error) {
 	if options.Membership == nil {
 		return nil, nil
 	}
-	f := &fleet{}
+	m := &fleetMember{}
 	if options.Shared != nil {
-		f.clockAheadMs = int64(options.Shared.ClockOffsetMs)
-		now = now.Shifted(options.Shared.ClockOffsetMs)
+		m.clockAheadMs = int64(options.Shared.ClockOffsetMs)
+		timeSource = timeSource.Shifted(options.Shared.ClockOffsetMs)
 	}
-	rules := memberConfig(config, options.Membership, now)
-	var shared udp.SharedState // left nil without shared state: with a nil *link.Link it would not be nil
+	rules := memberConfig(config, options.Membership, timeSource)
+	var shared udp.SharedState // assigned only with shared state: an interface that holds a nil *link.Link is not nil
 	if options.Shared != nil {
-		if err := f.startSharedState(config, options.Shared, rules, log); err != nil {
+		if err := m.startSharedState(config, options.Shared, rules, log); err != nil {
 			return nil, err
 		}
-		shared = f.link
+		shared = m.link
 	}
 	var err error
-	f.view, err = udp.Start(ctx, udp.Options{
+	m.transport, err = udp.Start(ctx, udp.Options{
 		Config: rules,
 		Bind:   options.Membership.Bind,
 		Seeds:  options.Membership.Seeds,
 		Shared: shared,
-		Clock:  now,
+		Clock:  timeSource,
 		Log:    log,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("starting membership: %w", err)
 	}
-	log.Info("joining fleet", "component", "membership", "name", rules.Name, "bind", f.view.Addr(),
-		"seeds", options.Membership.Seeds, "shared", f.link != nil)
+	log.Info("joining fleet", "component", "membership", "name", rules.Name, "bind", m.transport.Addr(),
+		"seeds", options.Membership.Seeds, "shared", m.link != nil)
 	if options.Membership.Admin == "" {
-		return f, nil
+		return m, nil
 	}
-	return f, f.serveAdmin(ctx, options.Membership.Admin, config)
+	return m, m.serveAdmin(ctx, options.Membership.Admin, config)
 }
 
-// memberConfig returns the configuration of the membership rules.
+// memberConfig returns the configuration of the membership rules. The member's
+// start time is the current time.
 func memberConfig(
-	config *deployconfig.Config, options *operatorconfig.Membership, now *clock.Clock,
+	config *deployconfig.Config, options *operatorconfig.Membership, timeSource *clock.Clock,
 ) membership.Config {
 	rules := membership.Defaults()
 	rules.Name = cmp.Or(options.Name, config.Name)
 	rules.Addr = cmp.Or(options.Advertise, options.Bind)
 	rules.Zone = options.Zone
-	rules.Start = int64(now.Now())
+	rules.Start = int64(timeSource.Now())
 	rules.Seed = config.Seed ^ xxhash.Sum64String(rules.Name) ^ uint64(rules.Start)
 	rules.ProbeIntervalMs = options.ProbeIntervalMs
-	rules.ProbeTimeoutMs = max(1, options.ProbeIntervalMs*2/5)
+	rules.ProbeTimeoutMs = max(1, options.ProbeIntervalMs*2/5) // the ratio of the defaults, 80 ms to 200 ms
 	rules.SuspicionMult = options.SuspicionMult
 	rules.GossipBytesPerSecond = options.GossipBytesPerSecond
 	rules.FaultInjection = options.FaultInjection
@@ -97,7 +98,7 @@
 
 // startSharedState creates the link of the shared state, with the name, start
 // time and seed of the member.
-func (f *fleet) startSharedState(
+func (m *fleetMember) startSharedState(
 	config *deployconfig.Config, options *operatorconfig.Shared, member membership.Config, log *slog.Logger,
 ) error {
 	rules := options.Rules
@@ -105,18 +106,18 @@
 	rules.Start = member.Start
 	rules.Seed = member.Seed
 	var err error
-	f.link, err = link.New(rules, config.Settings.Config.Routers, member.Start, log)
+	m.link, err = link.New(rules, config.Settings.Config.Routers, member.Start, log)
 	return err
 }
 
 // serveAdmin serves the admin page until ctx ends.
-func (f *fleet) serveAdmin(ctx context.Context, address string, config *deployconfig.Config) error {
+func (m *fleetMember) serveAdmin(ctx context.Context, address string, config *deployconfig.Config) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return fmt.Errorf("listening for the admin page: %w", err)
 	}
 	server := &http.Server{
-		Handler:           f.adminHandler(config),
+		Handler:           m.adminHandler(config),
 		ReadHeaderTimeout: adminTimeout,
 		WriteTimeout:      adminTimeout,
 	}
--- a/cmd/lotusbend/fleetpage.go
+++ b/cmd/lotusbend/fleetpage.go
@@ -22,21 +22,21 @@
 
 // adminHandler returns the handler of the admin page: the view, the metrics and
 // the fleet page.
-func (f *fleet) adminHandler(config *deployconfig.Config) http.Handler {
+func (m *fleetMember) adminHandler(config *deployconfig.Config) http.Handler {
 	var classes []string
 	for _, class := range config.Settings.Config.Classes {
 		classes = append(classes, class.Name)
 	}
 	mux := http.NewServeMux()
-	if f.link == nil {
-		mux.Handle("/", f.view.Handler())
+	if m.link == nil {
+		mux.Handle("/", m.transport.Handler())
 	} else {
-		mux.Handle("/", f.view.Handler(func() map[string]uint64 { return f.link.Metrics(classes) }))
+		mux.Handle("/", m.transport.Handler(func() map[string]uint64 { return m.link.Metrics(classes) }))
 	}
 	mux.HandleFunc("GET /fleet", func(w http.ResponseWriter, _ *http.Request) {
-		page := fleetPage{View: f.view.View(), Classes: classes}
-		if f.link != nil {
-			status := f.link.StatusPage()
+		page := fleetPage{View: m.transport.View(), Classes: classes}
+		if m.link != nil {
+			status := m.link.StatusPage()
 			page.Shared = &status
 		}
 		w.Header().Set("Content-Type", "application/json")
@@ -65,9 +65,9 @@
 	fmt.Fprintf(w, "%d to %d routers, version %d, unchanged for %s\n\n",
 		view.Fleet.Low, view.Fleet.High, view.Version, unchanged)
 	fmt.Fprintln(w, "ROUTER\tZONE\tSTATE\tINCARNATION\tSTARTED\tADDRESS")
-	for _, m := range view.Members {
+	for _, listed := range view.Members {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\n",
-			m.Name, m.Zone, m.State, m.Incarnation, timestamp(m.Start), m.Addr)
+			listed.Name, listed.Zone, listed.State, listed.Incarnation, timestamp(listed.Start), listed.Addr)
 	}
 }
 
@@ -90,20 +90,20 @@
 
 // printShared writes the quotas, the ejections and the reputations.
 func (p fleetPage) printShared(w io.Writer) {
-	s := p.Shared
-	fmt.Fprintf(w, "\nstake 1/%d of each warming endpoint's rate; ", s.Routers)
+	shared := p.Shared
+	fmt.Fprintf(w, "\nstake 1/%d of each warming endpoint's rate; ", shared.Routers)
 	fmt.Fprintf(w, "retries lent %.2f, borrowed %.2f a second\n",
-		s.Lent[fleetstate.RetryBudgetKey], s.Borrowed[fleetstate.RetryBudgetKey])
-	for endpoint, quota := range s.SlowStart {
+		shared.Lent[fleetstate.RetryBudgetKey], shared.Borrowed[fleetstate.RetryBudgetKey])
+	for endpoint, quota := range shared.SlowStart {
 		fmt.Fprintf(w, "warming endpoint %s: own quota %.4f, borrowed %.4f\n",
 			endpoint, quota.Own, quota.Borrowed)
 	}
-	for _, ejection := range s.Ejections {
+	for _, ejection := range shared.Ejections {
 		fmt.Fprintf(w, "endpoint %s: %s, by a reputation of %.2f, observed here %v, until %s\n",
 			ejection.Endpoint, ejection.Status, ejection.Support, ejection.ObservedHere,
 			timestamp(ejection.Until))
 	}
-	for peer, reputation := range s.Reputation {
+	for peer, reputation := range shared.Reputation {
 		fmt.Fprintf(w, "peer %s: reputation %.2f\n", peer, reputation)
 	}
 }
--- a/cmd/lotusbend/main.go
+++ b/cmd/lotusbend/main.go
@@ -84,9 +84,9 @@
 		return nil
 	}
 	loop := clock.NewLoop(clock.System())
-	classes, err := router.New(loop, config.Settings.Config, config.Seed)
+	requestRouter, err := router.New(loop, config.Settings.Config, config.Seed)
 	if err != nil {
 		return err
 	}
-	return edge.Check(options.Edge, classes)
+	return edge.Check(options.Edge, requestRouter)
 }
--- a/cmd/lotusbend/node.go
+++ b/cmd/lotusbend/node.go
@@ -32,7 +32,7 @@
 	edge    *edge.Edge           // nil if the edge is off
 	config  *deployconfig.Config // the configuration in force
 	watches []*endpointWatch     // the watches that run, newest last
-	names   map[uint32]string    // endpoint names by number, nil without shared state
+	names   map[uint32]string    // endpoint names by ID, nil without shared state
 }
 
 // newNode creates a router. It listens for clients at once, but serves them only
@@ -40,7 +40,7 @@
 func newNode(
 	config *deployconfig.Config, options *operatorconfig.Options, loop *clock.Loop, log *slog.Logger,
 ) (*node, error) {
-	requests, err := router.New(loop, config.Settings.Config, config.Seed)
+	requestRouter, err := router.New(loop, config.Settings.Config, config.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -48,21 +48,21 @@
 		loop:   loop,
 		budget: netio.NewDescriptorBudget(descriptorLimit(config)),
 		log:    log,
-		router: requests,
+		router: requestRouter,
 		config: config,
 	}
 	n.pool = back.New(loop, back.Options{
 		ConnectTimeout: config.Settings.ConnectTimeoutMs,
 		IdleTimeout:    config.Settings.IdleTimeoutMs,
-	}, n.budget, requests)
-	n.server, err = front.Listen(config.Listen, loop, n.budget, config.MemoryMiB, requests)
+	}, n.budget, requestRouter)
+	n.server, err = front.Listen(config.Listen, loop, n.budget, config.MemoryMiB, requestRouter)
 	if err != nil {
 		return nil, fmt.Errorf("listening for clients: %w", err)
 	}
 	if options.Edge == nil {
 		return n, nil
 	}
-	if n.edge, err = edge.New(options.Edge, loop, log, n.budget, requests, config.Seed); err != nil {
+	if n.edge, err = edge.New(options.Edge, loop, log, n.budget, requestRouter, config.Seed); err != nil {
 		return nil, err
 	}
 	return n, nil
@@ -76,8 +76,9 @@
 	return config.Descriptors
 }
 
-// start starts the decisions with the endpoint list in the configuration, and
-// the watch for newer lists. A reload before it changes where the watch begins.
+// start begins routing with the endpoint list in the configuration, and starts the
+// watch for newer lists. If reload was called before, the watch uses the address
+// of the reloaded configuration.
 func (n *node) start() {
 	n.loop.Do(func() {
 		n.router.Start(n.pool, n.applyUpdate(n.config.KnownEndpoints))
@@ -86,7 +87,8 @@
 }
 
 // reload applies the parts of a new configuration that can change while serving:
-// the address of the discovery service and the limits.
+// the address of the discovery service and the limits. It logs a warning if
+// another part has changed, which needs a restart.
 func (n *node) reload(fresh *deployconfig.Config) {
 	n.loop.Do(func() {
 		config := n.config
--- a/cmd/lotusbend/serve.go
+++ b/cmd/lotusbend/serve.go
@@ -19,8 +19,9 @@
 	"lotusbend/internal/operatorconfig"
 )
 
-// heapShare is the fraction of the memory limit that is meant for the heap; the
-// rest is for stacks, the binary and the system's buffers.
+// heapShare is the fraction of the process's memory limit that limitHeap sets as
+// the runtime's limit. The rest is for memory that the runtime does not count: the
+// binary, the stacks of system threads and the system's buffers.
 const heapShare = 0.6
 
 type serveCmd struct{ settingsFlag }
@@ -55,11 +56,11 @@
 	if err != nil {
 		return err
 	}
-	members, err := startMembership(ctx, config, options, systemClock, log)
+	member, err := startMembership(ctx, config, options, systemClock, log)
 	if err != nil {
 		return err
 	}
-	n.joinFleet(ctx, members)
+	n.joinFleet(ctx, member)
 	go loop.Run(context.Background()) // runs until the process exits
 	n.start()
 	reloads := reloader{cmd: cmd, node: n, started: options, level: &level, log: log}
@@ -69,6 +70,7 @@
 
 // reloader reads the configuration file and the settings file again on SIGHUP.
 // If a file is invalid, the error is logged and its old contents stay in force.
+// Only some settings change without a restart: see node.reload and needsRestart.
 type reloader struct {
 	cmd     serveCmd
 	node    *node
@@ -85,6 +87,7 @@
 	}
 }
 
+// reloadConfig reads the configuration file again and applies what can change.
 func (r *reloader) reloadConfig() {
 	config, err := deployconfig.Reload(os.Getenv)
 	if err != nil {
@@ -95,6 +98,7 @@
 	r.node.reload(config)
 }
 
+// reloadOptions reads the settings file again and applies the log level.
 func (r *reloader) reloadOptions() {
 	options, err := r.cmd.load()
 	if err != nil {
@@ -135,7 +139,8 @@
 }
 
 // limitHeap sets the runtime's soft memory limit, so that the garbage collector
-// runs more often well before the process reaches the platform's limit.
+// runs more often well before the process reaches the platform's limit. Without a
+// limit in the configuration, the runtime's limit stays as it is.
 func limitHeap(config *deployconfig.Config) {
 	if config.MemoryMiB > 0 {
 		debug.SetMemoryLimit(int64(config.MemoryMiB * (1 << 20) * heapShare))
--- a/cmd/lotusbend/shutdown.go
+++ b/cmd/lotusbend/shutdown.go
@@ -22,11 +22,11 @@
 // shutdown is the state of a graceful shutdown. It is owned by the loop.
 type shutdown struct {
 	*node
-	beganAt        float64
-	onlyRejectedAt float64 // since when only rejected clients are connected, 0 if others are
-	clients        int     // open client connections
-	unsent         int     // of these, the ones with answers not yet written to the socket
-	ended          chan struct{}
+	beganAt        float64       // time at which begin ran, in milliseconds
+	onlyRejectedAt float64       // since when nothing but rejected clients is left, 0 while anything else is
+	clients        int           // open client connections
+	unsent         int           // of these, the ones with answers not yet written to the socket
+	ended          chan struct{} // closed at the end of the shutdown
 }
 
 // begin stops accepting work, after the drain delay.
@@ -41,9 +41,11 @@
 
 // check ends the shutdown once no request, no unsent answer and no client
 // connection is left, and otherwise runs again later. Each wait is bounded:
-//   - requests by the longest deadline of any class, whatever their clients ask;
+//   - requests by longestWaitMs, whatever deadline their clients ask for;
+//   - answers to devices by edgeAnswerMs;
 //   - unsent answers and closing connections by the timeouts of package front;
-//   - new clients, which keep connecting and are rejected, by rejectedClientsMs.
+//   - rejected clients, of which new ones keep connecting, by rejectedClientsMs
+//     after everything else has ended.
 func (s *shutdown) check() {
 	now := s.loop.Now()
 	if now >= s.beganAt+s.longestWaitMs() {
--- a/cmd/lotuslab/fleetview.go
+++ b/cmd/lotuslab/fleetview.go
@@ -21,7 +21,7 @@
 	Late     int     `help:"Routers whose packets are delayed past the direct probe's timeout." default:"1"`
 	Flood    int     `help:"Malformed datagrams sent directly to the first router." default:"2000"`
 	Sabotage string  `help:"Disabled safeguard; the drill must fail." enum:"${fleetview_sabotage}" default:""`
-	JSON     bool    `help:"Print only the JSON object on standard output." name:"json"`
+	JSON     bool    `help:"Print no progress on standard error." name:"json"`
 	Router   string  `help:"Path of lotusbend; default: in this program's directory." type:"path"`
 	Logs     bool    `help:"Copy the routers' log lines to standard error."`
 }
@@ -74,8 +74,8 @@
 }
 
 // progressLog returns the writer of a drill's progress, nil for none.
-func progressLog(onlyJSON bool) io.Writer {
-	if onlyJSON {
+func progressLog(quiet bool) io.Writer {
+	if quiet {
 		return nil
 	}
 	return os.Stderr
--- a/cmd/lotuslab/main.go
+++ b/cmd/lotuslab/main.go
@@ -57,7 +57,7 @@
 		kong.UsageOnError(),
 		enums,
 		kong.Exit(func(code int) {
-			if code != 0 {
+			if code != 0 { // kong's own codes could be taken for exitFault
 				code = exitNotRun
 			}
 			os.Exit(code)
--- a/cmd/lotuslab/shared.go
+++ b/cmd/lotuslab/shared.go
@@ -20,7 +20,7 @@
 	Liars    int     `help:"Byzantine routers: they report that every host hangs." default:"2"`
 	SkewMs   int64   `help:"Lead of every second router's clock, in ms." default:"2000" name:"skew-ms"`
 	Sabotage string  `help:"Disabled safeguard; the drill must fail." enum:"${shared_sabotage}" default:""`
-	JSON     bool    `help:"Print only the JSON object on standard output." name:"json"`
+	JSON     bool    `help:"Print no progress on standard error." name:"json"`
 	Router   string  `help:"Path of lotusbend; default: in this program's directory." type:"path"`
 	Logs     bool    `help:"Copy the routers' log lines to standard error."`
 }
--- a/internal/deployconfig/config.go
+++ b/internal/deployconfig/config.go
@@ -39,7 +39,7 @@
 	MemoryMiB      float64 // memory limit of the process, 0 for none
 	Descriptors    int     // file descriptor limit of the process, 0 for none
 	Settings       *routingconfig.Settings
-	EndpointIDs    *discovery.EndpointIDs // the numbers given to the endpoints
+	EndpointIDs    *discovery.EndpointIDs // assigns the endpoints' IDs; it assigned those in KnownEndpoints
 	KnownEndpoints discovery.Update       // the last known endpoint list, possibly empty
 }
 
@@ -72,7 +72,10 @@
 	})
 }
 
-// Parse reads a configuration from the contents of a file and the environment.
+// Parse reads a configuration from the contents of a file and the environment. The
+// address to listen on and that of discovery are required, from one of the two, and
+// so is the key settings. Unknown keys are ignored, and a limit or a seed of another
+// JSON type counts as missing.
 func Parse(data []byte, getenv func(string) string) (*Config, error) {
 	object, err := fastjson.ParseBytes(data)
 	if err != nil {
--- a/internal/discovery/polling/backoff.go
+++ b/internal/discovery/polling/backoff.go
@@ -14,12 +14,12 @@
 
 const (
 	// pollCostMs is the time for which one request is assumed to occupy the
-	// service, until failures show that it takes longer. It is also the first
-	// delay if the endpoint list is pushed.
+	// service, until failures show that it takes longer. If the endpoint list is
+	// pushed, it is also the delay after the first failure, before jitter.
 	pollCostMs = 50
-	// maxPushDelayMs bounds the delays if the endpoint list is pushed. Then a
-	// router must know every change that its local agent has, whether it has
-	// received it or not, and a request to the agent costs nothing.
+	// maxPushDelayMs bounds the backoff, before jitter, if the endpoint list is
+	// pushed. Then a router must know every change that its local agent has,
+	// whether it has received it or not, and a request to the agent costs nothing.
 	maxPushDelayMs = 200
 	// maxDelayMs bounds the delay before the first request and after each failure.
 	// A router must know a change 6 s after discovery has it and can be reached,
@@ -32,10 +32,10 @@
 	// for which an overloaded service is given time. A shorter delay would keep
 	// the service overloaded permanently.
 	overloadedPolls = 4
-	// maxDelayIntervals bounds the backoff, in poll intervals. The settings allow
-	// a delay of four intervals after a failed request, and the jitter adds up to
-	// a half of the backoff.
-	maxDelayIntervals = 2
+	// maxBackoffIntervals bounds the backoff before jitter, in poll intervals. The
+	// settings allow a delay of four intervals after a failed request, and the
+	// jitter adds up to a half of the backoff.
+	maxBackoffIntervals = 2
 	// initialDelayIntervals bounds the initial delay, in poll intervals. A router
 	// must know the list at the end of the interval even if it has not polled, and
 	// its request has to queue first.
@@ -54,10 +54,10 @@
 type Backoff struct {
 	rng                  *rand.Rand
 	pollOnly             bool
-	initialDelayMs       float64 // delay after the first failure, before jitter
-	maxDelayMs           float64 // bound on nextDelayMs
+	initialDelayMs       float64 // delay after the first failure, before jitter; also bounds InitialDelay
+	maxBackoffMs         float64 // bound on nextDelayMs
 	nextDelayMs          float64 // delay after the next failure, before jitter
-	maxOverloadedDelayMs float64 // bound on the delay after an overloaded service
+	maxOverloadedDelayMs float64 // bound on the delay after a rejection by an overloaded service
 }
 
 // NewBackoff returns the backoff of a router that has not polled yet.
@@ -66,14 +66,14 @@
 		rng:            rand.New(rand.NewPCG(seed, seed^0xd1b54a32d192ed03)),
 		pollOnly:       cfg.PollOnly,
 		initialDelayMs: pollCostMs,
-		maxDelayMs:     maxPushDelayMs,
+		maxBackoffMs:   maxPushDelayMs,
 	}
 	if b.pollOnly {
 		b.initialDelayMs *= float64(max(cfg.Routers, 1))
 		if cfg.PollInterval > 0 {
 			b.initialDelayMs = min(b.initialDelayMs, initialDelayIntervals*cfg.PollInterval)
 		}
-		b.maxDelayMs = max(maxPushDelayMs, maxDelayIntervals*cfg.PollInterval, b.initialDelayMs)
+		b.maxBackoffMs = max(maxPushDelayMs, maxBackoffIntervals*cfg.PollInterval, b.initialDelayMs)
 	}
 	b.maxOverloadedDelayMs = max(maxDelayMs, overloadedPolls*pollCostMs*float64(cfg.Routers))
 	b.nextDelayMs = b.initialDelayMs
@@ -81,7 +81,8 @@
 }
 
 // InitialDelay returns the delay before the first request, in milliseconds. hasList
-// says that the router holds an endpoint list; a router without one polls at once.
+// says that the router holds an endpoint list; a router without one polls at once,
+// and so does any router whose list is pushed.
 func (b *Backoff) InitialDelay(hasList bool) float64 {
 	if !b.pollOnly || !hasList {
 		return 0
@@ -89,11 +90,13 @@
 	return min(b.initialDelayMs, maxDelayMs) * b.rng.Float64()
 }
 
-// Failed returns the delay after a failed request, in milliseconds. overloaded says
-// that the service rejected the request because it is overloaded.
+// Failed returns the delay after a failed request, in milliseconds: half to one and
+// a half times a backoff that doubles with each failure up to a bound. overloaded
+// says that the service rejected the request because it is overloaded. The delay is
+// at most maxDelayMs, and at most maxOverloadedDelayMs if overloaded is set.
 func (b *Backoff) Failed(overloaded bool) float64 {
 	delay := b.nextDelayMs * (0.5 + b.rng.Float64())
-	b.nextDelayMs = min(2*b.nextDelayMs, b.maxDelayMs)
+	b.nextDelayMs = min(2*b.nextDelayMs, b.maxBackoffMs)
 	limit := float64(maxDelayMs)
 	if overloaded {
 		limit = b.maxOverloadedDelayMs
@@ -102,7 +105,8 @@
 }
 
 // TimedOut returns the delay after a request that timed out, in milliseconds. The
-// delay is short because the timeout has already taken time.
+// delay is short because the timeout has already taken time. The backoff of Failed
+// does not change.
 func (b *Backoff) TimedOut() float64 { return maxTimeoutDelayMs * b.rng.Float64() }
 
 // Succeeded resets the backoff after a request that was answered.
--- a/internal/discovery/polling/schedule.go
+++ b/internal/discovery/polling/schedule.go
@@ -25,7 +25,7 @@
 const (
 	ConnectionFailed Failure = iota // no connection, a broken one, or a malformed HTTP response
 	TimedOut                        // no response within the timeout
-	Overloaded                      // the service is overloaded, which any request may be told
+	Overloaded                      // the service rejected the request for its load, whatever was requested
 	ErrorStatus                     // another HTTP status; the requested index may be the cause
 	Malformed                       // the response is not an endpoint list
 )
@@ -82,10 +82,10 @@
 // list in the response, snapshot says that the response is the whole list, and
 // updated that it contains anything new.
 //
-// A service that answers a long poll at once without an update must not be polled
-// again without a delay. A service whose index has decreased has restarted, so the
-// whole list is requested next: a long poll at the old index would wait for
-// updates in vain.
+// A service that answers a long poll without an update, in less than half of the
+// time that it may wait, must not be polled again without a delay. A service that
+// answers with changes at a lower index has restarted, so the whole list is
+// requested next: a long poll at the old index would wait for updates in vain.
 func (s *Schedule) Answered(poll Poll, index uint64, snapshot, updated bool, took float64) float64 {
 	s.incremental = snapshot || !poll.Incremental || index >= poll.Index
 	s.index = index
@@ -98,7 +98,8 @@
 }
 
 // Failed handles the failure of a request and returns the delay before the next
-// request, in milliseconds.
+// request, in milliseconds. After ErrorStatus and Malformed the next request is for
+// the whole list.
 func (s *Schedule) Failed(failure Failure) float64 {
 	switch failure {
 	case TimedOut:
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -12,7 +12,7 @@
 // Limits on the size of a response, in bytes.
 const (
 	maxBodyBytes   = 4 << 20
-	maxHeaderBytes = 64 << 10 // applies to the header and to the trailers
+	maxHeaderBytes = 64 << 10 // applies to the header and to the trailers, each
 )
 
 var (
@@ -62,7 +62,8 @@
 }
 
 // readStatus reads the status line. A status other than 200 is an error that wraps
-// errStatus, and errOverloaded if the status is 503.
+// errStatus, and errOverloaded if the status is 503. A line that is not a status
+// line is an error that wraps errHTTP.
 func readStatus(in *bufio.Reader) error {
 	line, err := readLine(in)
 	if err != nil {
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -50,7 +50,7 @@
 // Parse reads an update from a JSON document. It skips entries that have no name or
 // an unknown status, so that a malformed entry does not invalidate the others.
 // It returns an error if the document has no array of endpoints.
-func (n *EndpointIDs) Parse(document *fastjson.Value) (Update, error) {
+func (e *EndpointIDs) Parse(document *fastjson.Value) (Update, error) {
 	entries := document.Get("endpoints")
 	if entries == nil || entries.Type() != fastjson.TypeArray {
 		return Update{}, errMalformedList
@@ -60,7 +60,7 @@
 		Snapshot: document.GetBool("snapshot"),
 	}
 	for _, entry := range entries.GetArray() {
-		if endpoint, ok := n.parseEndpoint(entry); ok {
+		if endpoint, ok := e.parseEndpoint(entry); ok {
 			update.Endpoints = append(update.Endpoints, endpoint)
 		}
 	}
@@ -68,7 +68,7 @@
 }
 
 // parseEndpoint reads one entry and reports whether it is valid.
-func (n *EndpointIDs) parseEndpoint(entry *fastjson.Value) (Endpoint, bool) {
+func (e *EndpointIDs) parseEndpoint(entry *fastjson.Value) (Endpoint, bool) {
 	endpoint := Endpoint{
 		Name:    string(entry.GetStringBytes("name")),
 		Address: string(entry.GetStringBytes("address")),
@@ -86,29 +86,29 @@
 	default:
 		return endpoint, false
 	}
-	endpoint.ID = n.id(endpoint.Name)
-	endpoint.Zone = slices.Index(n.zones, string(entry.GetStringBytes("zone")))
+	endpoint.ID = e.id(endpoint.Name)
+	endpoint.Zone = slices.Index(e.zones, string(entry.GetStringBytes("zone")))
 	endpoint.Group = entry.GetInt("group")
-	endpoint.Primary = string(entry.GetStringBytes("recovery")) == "off"
+	endpoint.Primary = string(entry.GetStringBytes("recovery")) == "off" // a PostgreSQL replica is in recovery
 	endpoint.StartedAt = clock.Duration(entry.GetFloat64("since_ms"))
 	return endpoint, true
 }
 
 // id returns the ID of an endpoint name, and assigns one to a new name.
-func (n *EndpointIDs) id(name string) uint32 {
-	id, ok := n.ids[name]
+func (e *EndpointIDs) id(name string) uint32 {
+	id, ok := e.ids[name]
 	if !ok {
-		id = uint32(len(n.ids) + 1)
-		n.ids[name] = id
+		id = uint32(len(e.ids) + 1)
+		e.ids[name] = id
 	}
 	return id
 }
 
 // ParseBytes is like Parse, for a JSON text.
-func (n *EndpointIDs) ParseBytes(body []byte) (Update, error) {
+func (e *EndpointIDs) ParseBytes(body []byte) (Update, error) {
 	document, err := fastjson.ParseBytes(body)
 	if err != nil {
 		return Update{}, fmt.Errorf("discovery: parsing endpoint list: %w", err)
 	}
-	return n.Parse(document)
+	return e.Parse(document)
 }
--- a/internal/faultnet/relay.go
+++ b/internal/faultnet/relay.go
@@ -23,6 +23,7 @@
 	// Packets beyond it are lost.
 	maxDelayedPackets = 20_000
 	// maxPacketBytes is the size of the largest packet that is forwarded whole.
+	// Larger packets are truncated.
 	maxPacketBytes = 2048
 )
 
@@ -30,8 +31,8 @@
 type Faults struct {
 	Loss     float64 // probability that a packet is lost, at least 0 and below 1
 	Dup      float64 // probability that a packet is duplicated, at least 0 and below 1
-	DelayMs  float64 // minimum delay
-	JitterMs float64 // maximum of the random delay that is added to DelayMs
+	DelayMs  float64 // minimum delay, in milliseconds
+	JitterMs float64 // maximum of the random delay that is added to DelayMs, in milliseconds
 }
 
 // Relay forwards packets between members, which are numbered from 0. It is safe for
@@ -54,8 +55,9 @@
 	senderDelays map[int]time.Duration   // added to the delay of a member's packets, by its number
 }
 
-// New starts a relay between members with the given sockets. The seed determines
-// the random faults. Close stops the relay.
+// New starts a relay between members with the given sockets. seed seeds the random
+// faults; which packet a fault hits also depends on the order in which packets
+// arrive. Close stops the relay.
 func New(seed uint64, members []netip.AddrPort) (*Relay, error) {
 	r := &Relay{
 		members:      members,
@@ -116,7 +118,7 @@
 		}
 		from, known := r.numbers[source]
 		if err != nil || !known {
-			continue // packets from other senders are ignored
+			continue // packets from other senders and failed reads are ignored
 		}
 		copies, delays := r.drawFaults(from, to)
 		if copies == 0 {
--- a/internal/operatorconfig/edge.go
+++ b/internal/operatorconfig/edge.go
@@ -31,10 +31,10 @@
 	MaxSessions      int     // MQTT sessions kept for devices that are disconnected
 	SessionExpiryMs  float64 // longest time that such a session is kept
 	MaxExchanges     int     // CoAP exchanges remembered
-	MaxMessageBytes  int     // length of one message
+	MaxMessageBytes  int     // bound on the length of one message
 	UnfinishedBytes  int     // bound on the bytes of all unfinished messages together
 	ProgressWindowMs float64 // window over which the progress of a message is measured
-	MinProgressBytes int     // least progress of a message within the window
+	MinProgressBytes int     // least progress of a message within the window; a slower one is aborted
 	FirstMessageMs   float64 // bound on the time to a connection's first complete message
 	IdleTimeoutMs    float64 // bound on the silence of a frames connection and on MQTT's keep alive
 	Store            string  // path of the store's file, "" to pass readings through
--- a/internal/operatorconfig/membership.go
+++ b/internal/operatorconfig/membership.go
@@ -13,13 +13,13 @@
 // Membership configures membership: the routers' view of each other, kept with
 // SWIM over UDP (docs/membership.md).
 type Membership struct {
-	Bind                 string   // UDP address and port of this member
-	Advertise            string   // address that other members send to, as of a relay; "" for Bind
-	Admin                string   // TCP address and port of the admin page, "" for none
-	Seeds                []string // UDP addresses of members to join through
-	Name                 string   // of the member, "" for the router's name
-	Zone                 string
-	ProbeIntervalMs      int64
+	Bind                 string                    // UDP address and port of this member
+	Advertise            string                    // UDP address and port that others send to, such as a relay's; "" for Bind
+	Admin                string                    // TCP address and port of the admin page, "" for none
+	Seeds                []string                  // UDP addresses of members to join through
+	Name                 string                    // of the member, "" for the router's name
+	Zone                 string                    // of the member, "" for none
+	ProbeIntervalMs      int64                     // see membership.Config
 	SuspicionMult        float64                   // see membership.Config
 	GossipBytesPerSecond int                       // see membership.Config
 	FaultInjection       membership.FaultInjection // for drills only, nil in service
--- a/internal/operatorconfig/options.go
+++ b/internal/operatorconfig/options.go
@@ -1,9 +1,9 @@
 // Package operatorconfig reads the operators' settings file: JSON with comments
-// and trailing commas (JWCC). Every section is optional, and what it configures
-// is off if the section is missing. Parsing is strict: an unknown key or an
-// invalid value is an error of one line that names the file, the line and the
-// path, and yields no options, so that a caller that reloads keeps its current
-// ones.
+// and trailing commas (JWCC). Every section is optional. Without its section the
+// edge, membership or shared state is off, and the log is text at level info.
+// Parsing is strict: an unknown key or an invalid value is an error of one line
+// that names the file, the line and the path, and yields no options, so that a
+// caller that reloads keeps its current ones.
 package operatorconfig
 
 import (
--- a/internal/operatorconfig/value.go
+++ b/internal/operatorconfig/value.go
@@ -133,7 +133,7 @@
 	return number
 }
 
-// integer reads a whole number from low to high.
+// integer reads a whole number from low to high. It returns low after an error.
 func (v *value) integer(low, high int) int {
 	return int(v.number(float64(low), float64(high), true))
 }
@@ -159,10 +159,10 @@
 }
 
 // choice reads a string that must be one of the given ones.
-func (v *value) choice(of ...string) string {
+func (v *value) choice(allowed ...string) string {
 	text := v.text()
-	if v.ok() && !slices.Contains(of, text) {
-		v.fail("%q: expected one of %s", text, strings.Join(of, ", "))
+	if v.ok() && !slices.Contains(allowed, text) {
+		v.fail("%q: expected one of %s", text, strings.Join(allowed, ", "))
 	}
 	return text
 }
@@ -171,13 +171,13 @@
 // an unknown one.
 const maxEditDistance = 2
 
-// suggestKey returns the suggestion of a known key that differs by at most
-// maxEditDistance letters, "" if there is none.
+// suggestKey returns the end of an error message that suggests the known key with
+// the smallest edit distance to name, "" if every distance exceeds maxEditDistance.
 func suggestKey(name string, known []string) string {
-	best, suggestion := maxEditDistance+1, ""
+	smallest, suggestion := maxEditDistance+1, ""
 	for _, key := range known {
-		if typos := editDistance(name, key); typos < best {
-			best, suggestion = typos, key
+		if distance := editDistance(name, key); distance < smallest {
+			smallest, suggestion = distance, key
 		}
 	}
 	if suggestion == "" {
