--- a/cmd/lotusbend/main_test.go
+++ b/cmd/lotusbend/main_test.go
@@ -52,15 +52,15 @@
 func TestNetpollLogsAtDebugLevel(t *testing.T) {
 	for level, want := range map[slog.Level]bool{slog.LevelInfo: false, slog.LevelDebug: true} {
 		var out bytes.Buffer
-		l := debugLog{slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: level}))}
-		if n, err := l.Write([]byte("reset by peer\n")); n != 14 || err != nil || strings.Contains(out.String(), "reset") != want {
+		writer := debugLog{slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: level}))}
+		if n, err := writer.Write([]byte("reset by peer\n")); n != 14 || err != nil || strings.Contains(out.String(), "reset") != want {
 			t.Errorf("level %v: Write = %d, %v with log %q, want 14, nil and the line logged: %v", level, n, err, out.String(), want)
 		}
 	}
 }
 
-// An invalid settings file must end the start with one line that names the place
-// of the error.
+// With an invalid settings file the program must fail to start, with one line that
+// names the place of the error.
 func TestInvalidSettingsEndStartWithOneLine(t *testing.T) {
 	dir := t.TempDir()
 	config, settings := filepath.Join(dir, "config.json"), filepath.Join(dir, "settings.json5")
@@ -86,23 +86,23 @@
 // leaves its old contents in force.
 func TestSIGHUPReloadsTheConfiguration(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	put := func(text []byte) {
+	writeConfig := func(text []byte) {
 		t.Helper()
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	first, second := listen(t), listen(t)
-	put(configuration(first, 100))
+	writeConfig(configuration(first, 100))
 	program := exec.Command(os.Args[0])
 	settings := filepath.Join(t.TempDir(), "settings.json5")
-	set := func(text string) {
+	writeSettings := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(settings, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	set(`{"log": {"form": "json"}} // from here on`)
+	writeSettings(`{"log": {"form": "json"}} // from here on`)
 	log := startWithLog(t, program, "GW_CONFIG="+path, "LOTUSBEND_SETTINGS="+settings)
 	lines := bufio.NewScanner(log)
 	await := func(part string) {
@@ -114,24 +114,24 @@
 		}
 		t.Fatalf("the program ended before it logged %q", part)
 	}
-	signal := func(s os.Signal) {
+	signal := func(sig os.Signal) {
 		t.Helper()
-		if err := program.Process.Signal(s); err != nil {
+		if err := program.Process.Signal(sig); err != nil {
 			t.Fatal(err)
 		}
 	}
 	await(`"msg":"serving"`)
-	put(configuration(second, 200))
+	writeConfig(configuration(second, 200))
 	signal(syscall.SIGHUP)
 	await("configuration reloaded")
 	acceptWatch(t, second)
-	put(bytes.Replace(configuration(first, 100), []byte(`"settings"`), []byte(`"other"`), 1))
+	writeConfig(bytes.Replace(configuration(first, 100), []byte(`"settings"`), []byte(`"other"`), 1))
 	signal(syscall.SIGHUP)
 	await("configuration reload failed")
-	set(`{"log": {"form": "jsn"}}`)
+	writeSettings(`{"log": {"form": "jsn"}}`)
 	signal(syscall.SIGHUP)
 	await("settings file reload failed")
-	set(`{"log": {"form": "text"}}`)
+	writeSettings(`{"log": {"form": "text"}}`)
 	signal(syscall.SIGHUP)
 	await("settings change needs a restart")
 	signal(syscall.SIGTERM)
@@ -144,18 +144,18 @@
 // The fleet command must decode the page that a router serves, and print its
 // contents.
 func TestFleetPageIsDecodedAndPrinted(t *testing.T) {
-	p := fleetPage{Classes: []string{"view"}, View: membership.View{Version: 3, Fleet: membership.Size{Low: 1, High: 2},
+	page := fleetPage{Classes: []string{"view"}, View: membership.View{Version: 3, Fleet: membership.Size{Low: 1, High: 2},
 		Members: []membership.Update{{Name: "a", Zone: "z", State: membership.Suspect, Start: 1}}}}
 	var totals fleetstate.Counters
 	totals.Add(0, fleetstate.Rejections, 7)
-	p.Shared = &fleetstate.StatusPage{Routers: 4, Totals: totals, SlowStart: map[string]fleetstate.Quota{"h1": {Own: 0.125, Borrowed: 0.25, Until: math.MaxInt64}},
+	page.Shared = &fleetstate.StatusPage{Routers: 4, Totals: totals, SlowStart: map[string]fleetstate.Quota{"h1": {Own: 0.125, Borrowed: 0.25, Until: math.MaxInt64}},
 		Ejections: []fleetstate.Ejection{{Endpoint: "h2", Status: fleetstate.Unresponsive, Until: 1000, Support: 2}}, Reputation: map[string]float64{"liar": 0.25}}
-	b, err := json.Marshal(p)
+	encoded, err := json.Marshal(page)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got fleetPage
-	if err := json.Unmarshal(b, &got); err != nil {
+	if err := json.Unmarshal(encoded, &got); err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
--- a/cmd/lotusbend/shutdown_test.go
+++ b/cmd/lotusbend/shutdown_test.go
@@ -49,14 +49,14 @@
 // A client may read its last answer late: if the process ended before, the system
 // would reset the connection and the answer would be lost.
 func TestShutdownWaitsUntilTheLastAnswerIsRead(t *testing.T) {
-	l := listen(t)
-	bed := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
-	p := bed.client()
-	p.query(write)
-	h := accept(t, l)
-	h.message()
+	listener := listen(t)
+	bed := newTestbed(t, 100, endpointEntry("p", listener, "off", "ready"))
+	client := bed.client()
+	client.query(writeStatement)
+	endpoint := accept(t, listener)
+	endpoint.message()
 	bed.beginDraining()
-	h.write(rowAnswer(write, "late", "off"))
+	endpoint.write(rowAnswer(writeStatement, "late", "off"))
 	bed.waitUntil(func() bool { return bed.node.router.PendingRequests() == 0 })
 	bed.advance(500) // half of the time that the client has
 	for range 1000 {
@@ -65,9 +65,9 @@
 	if len(bed.ended) > 0 {
 		t.Fatal("the router ended before the answer was read")
 	}
-	p.want(p.answer(), "late")
-	p.want(p.answer(), "closed")
-	_ = p.c.Close()
+	client.want(client.answer(), "late")
+	client.want(client.answer(), "closed")
+	_ = client.conn.Close()
 	bed.awaitEnd()
 }
 
@@ -75,13 +75,13 @@
 // of a minute, must not delay the shutdown beyond the longest deadline in the
 // settings and the timeouts of the front.
 func TestShutdownIsBounded(t *testing.T) {
-	l := listen(t)
-	bed := newTestbed(t, 100, endpoint("p", l, "off", "ready"))
+	listener := listen(t)
+	bed := newTestbed(t, 100, endpointEntry("p", listener, "off", "ready"))
 	bed.client() // reads nothing, and stays
-	p := bed.client()
-	p.query(strings.Replace(write, "d=2000", "d=60000", 1))
-	h := accept(t, l)
-	h.message()
+	client := bed.client()
+	client.query(strings.Replace(writeStatement, "d=2000", "d=60000", 1))
+	endpoint := accept(t, listener)
+	endpoint.message()
 	bed.beginDraining()
 	bed.advance(5000 - 2*shutdownCheckMs) // just before the longest deadline in the settings
 	bed.loop.Do(func() {
@@ -90,8 +90,8 @@
 		}
 	})
 	bed.advance(3 * shutdownCheckMs)
-	p.want(p.answer(), "57014")
-	p.want(p.answer(), "closed")
+	client.want(client.answer(), "57014")
+	client.want(client.answer(), "closed")
 	bed.advance(1000) // the time that each client has to disconnect
 	bed.awaitEnd()
 }
@@ -105,7 +105,7 @@
 	}
 	program := exec.Command(os.Args[0])
 	log := startWithLog(t, program, "GW_CONFIG="+path)
-	to, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until the program opens it for reading
+	configFile, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until the program opens it for reading
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,10 +114,10 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := to.Write(configuration(listen(t), 100)); err != nil {
+	if _, err := configFile.Write(configuration(listen(t), 100)); err != nil {
 		t.Fatal(err)
 	}
-	_ = to.Close()
+	_ = configFile.Close()
 	text, err := io.ReadAll(bufio.NewReader(log))
 	if err != nil {
 		t.Fatal(err)
@@ -130,12 +130,12 @@
 // A reload before the start applies from the start on: the watch must use the new
 // address, and none may run at the first one.
 func TestReloadBeforeStartReplacesAddress(t *testing.T) {
-	old, moved := listen(t), listen(t)
-	loop := clock.NewLoop(clock.Manual(start))
+	oldDiscovery, newDiscovery := listen(t), listen(t)
+	loop := clock.NewLoop(clock.Manual(startMs))
 	var configs [2]*deployconfig.Config
-	for i, l := range []net.Listener{old, moved} {
+	for i, listener := range []net.Listener{oldDiscovery, newDiscovery} {
 		var err error
-		if configs[i], err = deployconfig.Parse(configuration(l, 100), func(string) string { return "" }); err != nil {
+		if configs[i], err = deployconfig.Parse(configuration(listener, 100), func(string) string { return "" }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -145,7 +145,7 @@
 	}
 	n.reload(configs[1])
 	n.start()
-	acceptWatch(t, moved).answerWatch("/v1/endpoints", `{"index":4,"snapshot":true,"endpoints":[]}`)
+	acceptWatch(t, newDiscovery).answerWatch("/v1/endpoints", `{"index":4,"snapshot":true,"endpoints":[]}`)
 	loop.Do(func() {
 		if len(n.watches) != 1 {
 			t.Errorf("%d watches run, want 1", len(n.watches))
--- a/cmd/lotusbend/start_test.go
+++ b/cmd/lotusbend/start_test.go
@@ -56,28 +56,28 @@
 // A router that starts while discovery does not answer must be ready at once and
 // serve from the endpoint list in its configuration.
 func TestStartServesWhileDiscoveryIsSilent(t *testing.T) {
-	discovery, host := listen(t), listen(t) // requests to discovery are never answered
+	discovery, listener := listen(t), listen(t) // requests to discovery are never answered
 	began := time.Now()
-	address, before := startProgram(t, `exec "$0"`, configuration(discovery, 100, endpoint("p", host, "off", "ready")))
+	address, before := startProgram(t, `exec "$0"`, configuration(discovery, 100, endpointEntry("p", listener, "off", "ready")))
 	for _, line := range before {
 		if strings.Contains(line, "component=discovery") {
 			t.Errorf("a request to discovery ended before the program served: %s", line)
 		}
 	}
-	c, err := net.Dial("tcp", address)
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newPeer(t, c)
-	p.write(wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), nil))
-	p.want(p.answer(), "RKZ")
-	p.want(p.answer(), "IZ")
+	client := newPeer(t, conn)
+	client.write(wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), nil))
+	client.want(client.answer(), "RKZ")
+	client.want(client.answer(), "IZ")
 	if took := time.Since(began); took > maxStartDuration {
 		t.Errorf("ready after %v, want at most %v", took, maxStartDuration)
 	}
-	p.query(write)
-	accept(t, host).serve("value", "off")
-	p.want(p.answer(), "value")
+	client.query(writeStatement)
+	accept(t, listener).serve("value", "off")
+	client.want(client.answer(), "value")
 }
 
 // Idle clients may use up the descriptors while discovery is down: the watch and
@@ -85,35 +85,35 @@
 // connects later is served. The system's limit equals the configured one.
 func TestIdleClientsLeaveDescriptorsToDiscoveryAndEndpoints(t *testing.T) {
 	const descriptors, idle = 100, 300
-	discovery, host := reservePort(t), listen(t)
+	discovery, listener := reservePort(t), listen(t)
 	address, _ := startProgram(t, fmt.Sprintf(`ulimit -n %d; exec "$0"`, descriptors), configuration(discovery, descriptors))
 	for range idle {
-		c, err := net.Dial("tcp", address)
+		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { _ = c.Close() })
-		_, _ = c.Write(wire.AppendStartup(nil, "app", "shop"))
+		t.Cleanup(func() { _ = conn.Close() })
+		_, _ = conn.Write(wire.AppendStartup(nil, "app", "shop"))
 	}
-	back := discovery.listen()
-	if err := back.(*net.TCPListener).SetDeadline(time.Now().Add(6 * time.Second)); err != nil {
+	discoveryListener := discovery.listen()
+	if err := discoveryListener.(*net.TCPListener).SetDeadline(time.Now().Add(6 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	told := acceptWatch(t, back)
-	told.answerWatch("/v1/endpoints", fmt.Sprintf(`{"index":2,"snapshot":true,"endpoints":[%s]}`, endpoint("p", host, "off", "ready")))
-	if _, err := http.ReadRequest(told.in); err != nil { // the next request: the list has been applied
+	watch := acceptWatch(t, discoveryListener)
+	watch.answerWatch("/v1/endpoints", fmt.Sprintf(`{"index":2,"snapshot":true,"endpoints":[%s]}`, endpointEntry("p", listener, "off", "ready")))
+	if _, err := http.ReadRequest(watch.in); err != nil { // the next request: the list has been applied
 		t.Fatal(err)
 	}
-	c, err := net.Dial("tcp", address)
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newPeer(t, c)
-	p.write(wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), []byte(write)))
-	if err := host.(*net.TCPListener).SetDeadline(time.Now().Add(2 * time.Second)); err != nil {
+	client := newPeer(t, conn)
+	client.write(wire.AppendQuery(wire.AppendStartup(nil, "app", "shop"), []byte(writeStatement)))
+	if err := listener.(*net.TCPListener).SetDeadline(time.Now().Add(2 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	accept(t, host).serve("value", "off")
-	p.want(p.answer(), "RKZ")
-	p.want(p.answer(), "value")
+	accept(t, listener).serve("value", "off")
+	client.want(client.answer(), "RKZ")
+	client.want(client.answer(), "value")
 }
--- a/cmd/lotusbend/testbed_test.go
+++ b/cmd/lotusbend/testbed_test.go
@@ -21,7 +21,7 @@
 	"lotusbend/internal/postgres/wire"
 )
 
-const start = 1767225600000 // initial time of the manual clock, in Unix milliseconds
+const startMs = 1767225600000 // initial time of the manual clock, in Unix milliseconds
 
 const settingsJSON = `{"Classes": [
 	{"AimMs": 500, "GiveUpMs": 1200, "Group": "all", "Importance": 2, "KeyTtlMs": 5000, "LateWorth": 0, "Name": "view", "Semantics": "pure"},
@@ -61,12 +61,12 @@
 // listen returns a listener on a free port of loopback.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() })
-	return l
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener
 }
 
 // reservedPort is a port of loopback that no other process can bind until the test
@@ -106,34 +106,34 @@
 	if err := syscall.Listen(int(r.file.Fd()), syscall.SOMAXCONN); err != nil {
 		r.t.Fatal(err)
 	}
-	l, err := net.FileListener(r.file)
+	listener, err := net.FileListener(r.file)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { _ = l.Close() })
-	return l
+	r.t.Cleanup(func() { _ = listener.Close() })
+	return listener
 }
 
 // addresser is a listener or a reserved port.
 type addresser interface{ Addr() net.Addr }
 
-// endpoint returns an entry of the endpoint list, in group 1.
-func endpoint(name string, l addresser, recovery, status string) string {
+// endpointEntry returns an entry of the endpoint list, in group 1.
+func endpointEntry(name string, listener addresser, recovery, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","group":1,"status":%q,"recovery":%q,"since_ms":0}`,
-		name, l.Addr(), status, recovery)
+		name, listener.Addr(), status, recovery)
 }
 
 // newTestbed starts a router with a limit on descriptors and the known endpoints.
-func newTestbed(t *testing.T, sockets int, known ...string) *testbed {
+func newTestbed(t *testing.T, descriptors int, known ...string) *testbed {
 	t.Helper()
-	bed := &testbed{t: t, clock: clock.Manual(start), discovery: listen(t), ended: make(chan error, 1),
+	bed := &testbed{t: t, clock: clock.Manual(startMs), discovery: listen(t), ended: make(chan error, 1),
 		logged: make(chan string, 100)}
 	bed.loop = clock.NewLoop(bed.clock)
-	c, err := deployconfig.Parse(configuration(bed.discovery, sockets, known...), func(string) string { return "" })
+	config, err := deployconfig.Parse(configuration(bed.discovery, descriptors, known...), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if bed.node, err = newNode(c, &operatorconfig.Options{}, bed.loop, slog.New(slog.NewTextHandler(bed, nil))); err != nil {
+	if bed.node, err = newNode(config, &operatorconfig.Options{}, bed.loop, slog.New(slog.NewTextHandler(bed, nil))); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -145,10 +145,10 @@
 }
 
 // configuration returns the contents of a configuration file.
-func configuration(discovery addresser, sockets int, known ...string) []byte {
+func configuration(discovery addresser, descriptors int, known ...string) []byte {
 	return fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"sockets":%d},
 		"known":{"index":1,"snapshot":true,"endpoints":[%s]},"settings":%s}`,
-		discovery.Addr(), sockets, strings.Join(known, ","), settingsJSON)
+		discovery.Addr(), descriptors, strings.Join(known, ","), settingsJSON)
 }
 
 // advance moves the clock forward by ms, timer by timer. It first waits until no
@@ -171,9 +171,9 @@
 // advanceToAnswer advances the clock while p waits for its answer, by little more
 // than the 2 s that the client of a write waits: later, the router would drop an
 // answer that it has not written yet.
-func (bed *testbed) advanceToAnswer(p *peer) string {
+func (bed *testbed) advanceToAnswer(client *peer) string {
 	done := make(chan string, 1)
-	go func() { done <- p.answer() }()
+	go func() { done <- client.answer() }()
 	for range 201 {
 		bed.advance(10)
 		runtime.Gosched()
@@ -191,35 +191,35 @@
 
 // peer is the test's end of a connection, as a client, an endpoint or discovery.
 type peer struct {
-	t  *testing.T
-	c  net.Conn
-	in *bufio.Reader
+	t    *testing.T
+	conn net.Conn
+	in   *bufio.Reader
 }
 
 // newPeer returns the test's end of a connection, which is closed when the test ends.
-func newPeer(t *testing.T, c net.Conn) *peer {
-	t.Cleanup(func() { _ = c.Close() })
-	return &peer{t, c, bufio.NewReader(c)}
+func newPeer(t *testing.T, conn net.Conn) *peer {
+	t.Cleanup(func() { _ = conn.Close() })
+	return &peer{t, conn, bufio.NewReader(conn)}
 }
 
 func (p *peer) write(b []byte) {
 	p.t.Helper()
-	if _, err := p.c.Write(b); err != nil {
+	if _, err := p.conn.Write(b); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
 // message reads one message. Kind 0 means that the connection has ended.
 func (p *peer) message() (kind byte, body string) {
-	h := make([]byte, wire.HeaderLen)
-	if _, err := io.ReadFull(p.in, h); err != nil {
+	header := make([]byte, wire.HeaderLen)
+	if _, err := io.ReadFull(p.in, header); err != nil {
 		return 0, ""
 	}
-	b := make([]byte, binary.BigEndian.Uint32(h[1:])-4)
-	if _, err := io.ReadFull(p.in, b); err != nil {
+	content := make([]byte, binary.BigEndian.Uint32(header[1:])-4)
+	if _, err := io.ReadFull(p.in, content); err != nil {
 		return 0, ""
 	}
-	return h[0], string(b)
+	return header[0], string(content)
 }
 
 // answer reads messages up to ReadyForQuery, or the end of the connection. It
@@ -255,60 +255,60 @@
 // dial connects a client that has not sent anything.
 func (bed *testbed) dial() *peer {
 	bed.t.Helper()
-	c, err := net.Dial("tcp", bed.node.server.Address())
+	conn, err := net.Dial("tcp", bed.node.server.Address())
 	if err != nil {
 		bed.t.Fatal(err)
 	}
-	return newPeer(bed.t, c)
+	return newPeer(bed.t, conn)
 }
 
 // client connects a client up to its first ReadyForQuery.
 func (bed *testbed) client() *peer {
-	p := bed.dial()
-	p.write(wire.AppendStartup(nil, "app", "shop"))
-	p.want(p.answer(), "RKZ")
-	return p
+	client := bed.dial()
+	client.write(wire.AppendStartup(nil, "app", "shop"))
+	client.want(client.answer(), "RKZ")
+	return client
 }
 
 // query sends a statement as a client.
 func (p *peer) query(sql string) { p.write(wire.AppendQuery(nil, []byte(sql))) }
 
 const (
-	view  = `SELECT doc FROM items WHERE id = '7f3a' /* id=9b1f,c=view,d=1000,cluster=1 */`
-	write = `INSERT INTO items (id, doc) VALUES ('7f3a', '\x9f03') RETURNING doc /* id=9b20,c=write,d=2000,k=5c0f,cluster=1 */`
+	viewStatement  = `SELECT doc FROM items WHERE id = '7f3a' /* id=9b1f,c=view,d=1000,cluster=1 */`
+	writeStatement = `INSERT INTO items (id, doc) VALUES ('7f3a', '\x9f03') RETURNING doc /* id=9b20,c=write,d=2000,k=5c0f,cluster=1 */`
 )
 
 // accept accepts a router's connection to an endpoint and answers its startup with
 // ReadyForQuery.
-func accept(t *testing.T, l net.Listener) *peer {
+func accept(t *testing.T, listener net.Listener) *peer {
 	t.Helper()
-	p := acceptUnready(t, l)
-	p.sendReady()
-	return p
+	endpoint := acceptUnready(t, listener)
+	endpoint.sendReady()
+	return endpoint
 }
 
 // serve answers the next statement as an endpoint and returns the statement.
-func (p *peer) serve(value, role string) string {
+func (p *peer) serve(value, recovery string) string {
 	kind, body := p.message()
 	if kind != wire.Query {
 		p.t.Fatalf("endpoint got a message %q, want a statement", kind)
 	}
-	p.write(rowAnswer(body, value, role))
+	p.write(rowAnswer(body, value, recovery))
 	return strings.TrimRight(body, "\x00")
 }
 
 // rowAnswer returns an endpoint's complete answer to a statement.
-func rowAnswer(statement, value, role string) []byte {
-	b := wire.AppendRowDescription(nil, wire.Column{Name: []byte("doc"), Type: 17, Size: -1, Binary: true})
-	b = wire.AppendDataRow(b, []byte(value))
+func rowAnswer(statement, value, recovery string) []byte {
+	answer := wire.AppendRowDescription(nil, wire.Column{Name: []byte("doc"), Type: 17, Size: -1, Binary: true})
+	answer = wire.AppendDataRow(answer, []byte(value))
 	tag := "SELECT 1"
 	if strings.HasPrefix(statement, "INSERT") {
 		tag = "INSERT 0 1"
 	}
-	b = wire.AppendCommandComplete(b, []byte(tag))
-	b = wire.AppendParameterStatus(b, "recovery", role)
-	b = wire.AppendParameterStatus(b, "lsn_ms", fmt.Sprint(start))
-	return wire.AppendReadyForQuery(b)
+	answer = wire.AppendCommandComplete(answer, []byte(tag))
+	answer = wire.AppendParameterStatus(answer, "recovery", recovery)
+	answer = wire.AppendParameterStatus(answer, "lsn_ms", fmt.Sprint(startMs))
+	return wire.AppendReadyForQuery(answer)
 }
 
 // refuse answers the next statement with an error as an endpoint.
@@ -320,22 +320,22 @@
 }
 
 // acceptWatch accepts the router's next connection to discovery.
-func acceptWatch(t *testing.T, l net.Listener) *peer {
+func acceptWatch(t *testing.T, listener net.Listener) *peer {
 	t.Helper()
-	c, err := l.Accept()
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return newPeer(t, c)
+	return newPeer(t, conn)
 }
 
 // answerWatch answers the next request to discovery, which must be for want, with
 // a list.
-func (p *peer) answerWatch(want, list string) {
+func (p *peer) answerWatch(wantURL, list string) {
 	p.t.Helper()
-	r, err := http.ReadRequest(p.in)
-	if err != nil || r.URL.String() != want {
-		p.t.Fatalf("discovery got request %v, %v; want %s", r, err, want)
+	request, err := http.ReadRequest(p.in)
+	if err != nil || request.URL.String() != wantURL {
+		p.t.Fatalf("discovery got request %v, %v; want %s", request, err, wantURL)
 	}
 	p.write(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list))
 }
--- a/internal/operatorconfig/membership_test.go
+++ b/internal/operatorconfig/membership_test.go
@@ -6,16 +6,16 @@
 )
 
 func TestMembershipIsOffByDefault(t *testing.T) {
-	o, err := Parse("f", []byte(`{"log": {}}`))
-	if err != nil || o.Membership != nil {
-		t.Fatalf("Parse without membership = %v, %+v; want nil", err, o.Membership)
+	options, err := Parse("f", []byte(`{"log": {}}`))
+	if err != nil || options.Membership != nil {
+		t.Fatalf("Parse without membership = %v, %+v; want nil", err, options.Membership)
 	}
-	o, err = Parse("f", []byte(`{"membership": {"bind": "127.0.0.2:7946", "seeds": ["127.0.0.1:7946"], "period_ms": 100}}`))
+	options, err = Parse("f", []byte(`{"membership": {"bind": "127.0.0.2:7946", "seeds": ["127.0.0.1:7946"], "period_ms": 100}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m := o.Membership; m.Bind != "127.0.0.2:7946" || len(m.Seeds) != 1 || m.ProbeIntervalMs != 100 || m.SuspicionMult != 4 {
-		t.Fatalf("Parse = %+v, want the values of the section and defaults", m)
+	if section := options.Membership; section.Bind != "127.0.0.2:7946" || len(section.Seeds) != 1 || section.ProbeIntervalMs != 100 || section.SuspicionMult != 4 {
+		t.Fatalf("Parse = %+v, want the values of the section and defaults", section)
 	}
 }
 
--- a/internal/operatorconfig/options_test.go
+++ b/internal/operatorconfig/options_test.go
@@ -20,33 +20,33 @@
 }`
 
 func TestParseAppliesDefaults(t *testing.T) {
-	o, err := Parse("f", []byte(example))
+	options, err := Parse("f", []byte(example))
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := o.Edge
-	if o.Level != slog.LevelDebug || !o.JSON || e.MQTT != "127.0.0.1:1883" || e.CoAP != "" || e.Intake.MaxReadings != 5000 ||
-		!e.Intake.Durable || len(e.Routes) != 2 || e.Routes[0].Table != "items" || e.Intake.WriteTimeout != 1200 {
-		t.Errorf("Parse(example) = %+v, want the values of the example and defaults", o)
+	edge := options.Edge
+	if options.Level != slog.LevelDebug || !options.JSON || edge.MQTT != "127.0.0.1:1883" || edge.CoAP != "" || edge.Intake.MaxReadings != 5000 ||
+		!edge.Intake.Durable || len(edge.Routes) != 2 || edge.Routes[0].Table != "items" || edge.Intake.WriteTimeout != 1200 {
+		t.Errorf("Parse(example) = %+v, want the values of the example and defaults", options)
 	}
-	if o, err = Parse("f", []byte("{}")); err != nil || o.Edge != nil || o.Level != slog.LevelInfo || o.JSON {
-		t.Errorf("Parse({}) = %+v, %v; want no edge and text at level info", o, err)
+	if options, err = Parse("f", []byte("{}")); err != nil || options.Edge != nil || options.Level != slog.LevelInfo || options.JSON {
+		t.Errorf("Parse({}) = %+v, %v; want no edge and text at level info", options, err)
 	}
 }
 
 // The file must be valid as it is, and with its commented-out examples enabled.
 func TestDeploymentFileIsValid(t *testing.T) {
 	const path = "../../deploy/lotusbend.json5"
-	if o, err := Load(path); err != nil || o.Edge != nil {
-		t.Errorf("Load(%s) = %+v, %v; want no edge", path, o, err)
+	if options, err := Load(path); err != nil || options.Edge != nil {
+		t.Errorf("Load(%s) = %+v, %v; want no edge", path, options, err)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	on := strings.NewReplacer("/*", "", "*/", "").Replace(string(text))
-	if o, err := Parse(path, []byte(on)); err != nil || o.Edge == nil {
-		t.Errorf("Parse with the examples enabled = %+v, %v; want an edge", o, err)
+	enabled := strings.NewReplacer("/*", "", "*/", "").Replace(string(text))
+	if options, err := Parse(path, []byte(enabled)); err != nil || options.Edge == nil {
+		t.Errorf("Parse with the examples enabled = %+v, %v; want an edge", options, err)
 	}
 }
 
@@ -71,9 +71,9 @@
 		`{"edge": {"mqtt": "127.0.0.1:1"}}`:                                                            `f:1: edge: routes are required`,
 		`{"edge": {"routes": []}}`:                                                                     `f:1: edge: one of coap, mqtt and frames`,
 	} {
-		o, err := Parse("f", []byte(text))
+		options, err := Parse("f", []byte(text))
 		if err == nil {
-			t.Errorf("Parse(%q) = %+v, want an error", text, o)
+			t.Errorf("Parse(%q) = %+v, want an error", text, options)
 			continue
 		}
 		if !regexp.MustCompile("^"+want).MatchString(err.Error()) || strings.Contains(err.Error(), "\n") {
@@ -86,7 +86,7 @@
 	f.Add(example)
 	f.Add(`{"edge": {"routes": [{"groups": 1}]}}`)
 	f.Fuzz(func(t *testing.T, text string) {
-		if o, err := Parse("f", []byte(text)); err == nil && o.Edge != nil && len(o.Edge.Routes) == 0 {
+		if options, err := Parse("f", []byte(text)); err == nil && options.Edge != nil && len(options.Edge.Routes) == 0 {
 			t.Error("Parse returned an edge without routes")
 		}
 	})
