--- a/cmd/lotusbend/fleet.go
+++ b/cmd/lotusbend/fleet.go
@@ -50,7 +50,7 @@
 		timeSource = timeSource.Shifted(options.Shared.ClockOffsetMs)
 	}
 	rules := memberConfig(config, options.Membership, timeSource)
-	var shared udp.SharedState // assigned only with shared state: an interface that holds a nil *link.Link is not nil
+	var shared udp.SharedState // only set with shared state: holding a nil *link.Link, it would not be nil
 	if options.Shared != nil {
 		if err := m.startSharedState(config, options.Shared, rules, log); err != nil {
 			return nil, err
--- a/cmd/lotusbend/maysend_test.go
+++ b/cmd/lotusbend/maysend_test.go
@@ -43,7 +43,7 @@
 	watch := acceptWatch(t, bed.discovery)
 	watch.answerWatch("/v1/endpoints", fmt.Sprintf(`{"index":4,"snapshot":true,"endpoints":[%s,%s]}`,
 		endpointEntry("p", primaryListener, "off", "ready"), endpointEntry("r", replicaListener, "on", "ready")))
-	client := bed.client()
+	client := bed.connectClient()
 	client.query(viewStatement)
 	replica := acceptUnready(t, replicaListener)
 	watch.answerWatch("/v1/endpoints?after=4&wait_ms=3000", fmt.Sprintf(`{"index":5,"snapshot":false,"endpoints":[%s]}`,
@@ -64,7 +64,7 @@
 func TestQueuedAttemptIsNotWrittenForDisconnectedClient(t *testing.T) {
 	listener := listen(t)
 	bed := newTestbed(t, 100, endpointEntry("p", listener, "off", "ready"))
-	gone, next := bed.client(), bed.client()
+	gone, next := bed.connectClient(), bed.connectClient()
 	gone.query(writeStatement)
 	endpoint := acceptUnready(t, listener)
 	_ = gone.conn.Close()
@@ -80,7 +80,7 @@
 func TestRetryIsNotSentForDisconnectedClient(t *testing.T) {
 	listener := listen(t)
 	bed := newTestbed(t, 100, endpointEntry("p", listener, "off", "ready"))
-	gone, next := bed.client(), bed.client()
+	gone, next := bed.connectClient(), bed.connectClient()
 	gone.query(writeStatement)
 	endpoint := accept(t, listener)
 	endpoint.refuse(wire.CodeReadOnlyTransaction)
--- a/cmd/lotusbend/serving_test.go
+++ b/cmd/lotusbend/serving_test.go
@@ -43,7 +43,7 @@
 // usable.
 func TestInvalidStatementsReachNoEndpoint(t *testing.T) {
 	bed := newTestbed(t, 100)
-	client := bed.client()
+	client := bed.connectClient()
 	for sql, want := range map[string]string{
 		"": "IZ", " ; ": "IZ", "SELECT 1": "42601", "SELECT 1 /* id=1,c=view,d=x,cluster=1 */": "42601",
 		"SELECT 1 /* id=1,c=what,d=9,cluster=1 */": "unknown class", "SELECT 1 /* id=1,c=view,d=9 */": "42601",
@@ -63,9 +63,9 @@
 // A message with a false length must end its own connection only.
 func TestMalformedMessagesEndOnlyTheirConnection(t *testing.T) {
 	bed := newTestbed(t, 100)
-	good := bed.client()
+	good := bed.connectClient()
 	for _, malformed := range []string{"Q\xff\xff\xff\xff", "Q\x00\x00\x00\x00"} {
-		client := bed.client()
+		client := bed.connectClient()
 		client.write([]byte(malformed))
 		client.want(client.answer(), "08P01")
 	}
@@ -83,7 +83,7 @@
 // to retry.
 func TestRefusedConnectionHasNoEffect(t *testing.T) {
 	bed := newTestbed(t, 100, endpointEntry("p", reservePort(t), "off", "ready"))
-	client := bed.client()
+	client := bed.connectClient()
 	client.query(writeStatement)
 	bed.waitUntil(func() bool { return bed.node.router.PendingRequests() == 1 })
 	got := bed.advanceToAnswer(client)
@@ -97,7 +97,7 @@
 func TestConnectionBrokenAfterTheLastByteMayHaveExecuted(t *testing.T) {
 	listener := listen(t)
 	bed := newTestbed(t, 100, endpointEntry("p", listener, "off", "ready"))
-	client := bed.client()
+	client := bed.connectClient()
 	client.query(writeStatement)
 	endpoint := accept(t, listener)
 	endpoint.message()
@@ -111,7 +111,7 @@
 func TestDeadlineEndsTheAttempt(t *testing.T) {
 	listener := listen(t)
 	bed := newTestbed(t, 100, endpointEntry("p", listener, "off", "ready"))
-	client := bed.client()
+	client := bed.connectClient()
 	client.query(writeStatement)
 	endpoint := accept(t, listener)
 	endpoint.message()
@@ -129,7 +129,7 @@
 func TestDisconnectedClientCancelsItsAttempt(t *testing.T) {
 	listener := listen(t)
 	bed := newTestbed(t, 100, endpointEntry("p", listener, "off", "ready"))
-	client := bed.client()
+	client := bed.connectClient()
 	client.query(writeStatement)
 	endpoint := accept(t, listener)
 	endpoint.message()
@@ -144,7 +144,7 @@
 func TestIneligibleAnswerIsRetriedElsewhereAndConnectionsAreReused(t *testing.T) {
 	primaryListener, replicaListener := listen(t), listen(t)
 	bed := newTestbed(t, 100, endpointEntry("p", primaryListener, "off", "ready"), endpointEntry("r", replicaListener, "on", "ready"))
-	client := bed.client()
+	client := bed.connectClient()
 	client.query(viewStatement)
 	replica := accept(t, replicaListener)
 	replica.refuse(wire.CodeTooFarBehind)
@@ -169,7 +169,7 @@
 func TestBytesAfterAnswerEndConnection(t *testing.T) {
 	listener := listen(t)
 	bed := newTestbed(t, 100, endpointEntry("p", listener, "off", "ready"))
-	client := bed.client()
+	client := bed.connectClient()
 	twice := func(value string) []byte {
 		return append(rowAnswer(writeStatement, value, "off"), rowAnswer(writeStatement, value, "off")...)
 	}
@@ -210,7 +210,7 @@
 		valid[strings.Index(valid, "D\x00"):], valid[strings.Index(valid, "C\x00"):], valid[strings.Index(valid, "Z"):],
 		strings.Replace(valid, "Z\x00\x00\x00\x05I", "Z\x00\x00\x00\x05x", 1),
 	} {
-		client := bed.client()
+		client := bed.connectClient()
 		client.query(writeStatement)
 		endpoint := accept(t, listener)
 		endpoint.message()
@@ -229,7 +229,7 @@
 func TestPipelinedStatementsAreAnsweredInOrder(t *testing.T) {
 	listener := listen(t)
 	bed := newTestbed(t, 100, endpointEntry("p", listener, "off", "ready"))
-	client := bed.client()
+	client := bed.connectClient()
 	client.write(wire.AppendQuery(wire.AppendQuery(wire.AppendQuery(nil, []byte(writeStatement)), nil), []byte(writeStatement)))
 	endpoint := accept(t, listener)
 	endpoint.serve("one", "off")
@@ -260,7 +260,7 @@
 	if request, err := http.ReadRequest(oldWatch.in); err != nil || request.URL.RawQuery != "after=5&wait_ms=3000" {
 		t.Fatalf("discovery got request %v, %v; want after=5&wait_ms=3000", request, err)
 	}
-	client := bed.client()
+	client := bed.connectClient()
 	client.query(writeStatement)
 	endpoint := accept(t, newEndpoint)
 	endpoint.serve("new", "off")
@@ -283,7 +283,7 @@
 	watch := acceptWatch(t, bed.discovery)
 	answer := watch.answerWatch
 	answer("/v1/endpoints", `{"index":4,"snapshot":true,"endpoints":[`+endpointEntry("old", oldEndpoint, "off", "ready")+`]}`)
-	client := bed.client()
+	client := bed.connectClient()
 	client.query(writeStatement)
 	endpoint := accept(t, oldEndpoint)
 	endpoint.serve("old", "off")
@@ -305,9 +305,9 @@
 func TestShutdownFinishesPendingRequests(t *testing.T) {
 	listener := listen(t)
 	bed := newTestbed(t, 100, endpointEntry("p", listener, "off", "ready"))
-	idle := bed.client()
+	idle := bed.connectClient()
 	bed.beginShutdown()
-	client := bed.client()
+	client := bed.connectClient()
 	client.query(writeStatement)
 	endpoint := accept(t, listener)
 	endpoint.message()
@@ -345,12 +345,12 @@
 func TestTooManyClientsAreRejected(t *testing.T) {
 	bed := newTestbed(t, 28) // room for 2 clients
 	activeClient := func() *peer {
-		client := bed.client()
+		client := bed.connectClient()
 		client.query("SELECT 1")
 		client.want(client.answer(), "42601")
 		return client
 	}
-	silent := []*peer{bed.client(), bed.dial()}
+	silent := []*peer{bed.connectClient(), bed.dial()}
 	active := []*peer{activeClient(), activeClient()}
 	for _, client := range silent {
 		client.want(client.answer(), "closed")
@@ -380,7 +380,7 @@
 	var endpoint *peer
 	var clients []*peer
 	for range 17 { // 20 descriptors are for active clients; above 15 of them an idle client is evicted
-		client := bed.client()
+		client := bed.connectClient()
 		client.query(writeStatement)
 		if endpoint == nil {
 			endpoint = accept(t, listener)
@@ -402,11 +402,11 @@
 func TestIdleClientsAreClosed(t *testing.T) {
 	listener := listen(t)
 	bed := newTestbed(t, 100, endpointEntry("p", listener, "off", "ready"))
-	busy := bed.client()
+	busy := bed.connectClient()
 	busy.query(writeStatement)
 	endpoint := accept(t, listener)
 	endpoint.message()
-	silent, started, idle := bed.dial(), bed.client(), bed.client()
+	silent, started, idle := bed.dial(), bed.connectClient(), bed.connectClient()
 	idle.query("SELECT 1")
 	idle.want(idle.answer(), "42601")
 	bed.waitUntil(func() bool { clients, _ := bed.node.budget.InUse(); return clients == 4 })
@@ -430,7 +430,7 @@
 func TestRequestIDsInUseAreRejected(t *testing.T) {
 	listener := listen(t)
 	bed := newTestbed(t, 100, endpointEntry("p", listener, "off", "ready"))
-	first, second := bed.client(), bed.client()
+	first, second := bed.connectClient(), bed.connectClient()
 	first.query(writeStatement)
 	endpoint := accept(t, listener)
 	endpoint.message()
@@ -448,7 +448,7 @@
 // memory: the router closes the connection.
 func TestClientThatKeepsSendingAfterErrorIsDisconnected(t *testing.T) {
 	bed := newTestbed(t, 100)
-	client := bed.client()
+	client := bed.connectClient()
 	input := append([]byte("Q\x7f\xff\xff\xff"), make([]byte, 1<<16)...)
 	for range 1 << 12 { // 256 MiB, more than the system's buffers hold
 		if _, err := client.conn.Write(input); err != nil {
@@ -463,7 +463,7 @@
 func TestAnsweredRequestsLeaveNoDeadline(t *testing.T) {
 	listener := listen(t)
 	bed := newTestbed(t, 100, endpointEntry("p", listener, "off", "ready"))
-	client := bed.client()
+	client := bed.connectClient()
 	var endpoint *peer
 	for range 10 {
 		client.query(writeStatement)
--- a/cmd/lotusbend/shutdown_test.go
+++ b/cmd/lotusbend/shutdown_test.go
@@ -51,7 +51,7 @@
 func TestShutdownWaitsUntilTheLastAnswerIsRead(t *testing.T) {
 	listener := listen(t)
 	bed := newTestbed(t, 100, endpointEntry("p", listener, "off", "ready"))
-	client := bed.client()
+	client := bed.connectClient()
 	client.query(writeStatement)
 	endpoint := accept(t, listener)
 	endpoint.message()
@@ -77,8 +77,8 @@
 func TestShutdownIsBounded(t *testing.T) {
 	listener := listen(t)
 	bed := newTestbed(t, 100, endpointEntry("p", listener, "off", "ready"))
-	bed.client() // reads nothing, and stays
-	client := bed.client()
+	bed.connectClient() // reads nothing, and stays
+	client := bed.connectClient()
 	client.query(strings.Replace(writeStatement, "d=2000", "d=60000", 1))
 	endpoint := accept(t, listener)
 	endpoint.message()
--- a/cmd/lotusbend/testbed_test.go
+++ b/cmd/lotusbend/testbed_test.go
@@ -262,8 +262,8 @@
 	return newPeer(bed.t, conn)
 }
 
-// client connects a client up to its first ReadyForQuery.
-func (bed *testbed) client() *peer {
+// connectClient connects a connectClient up to its first ReadyForQuery.
+func (bed *testbed) connectClient() *peer {
 	client := bed.dial()
 	client.write(wire.AppendStartup(nil, "app", "shop"))
 	client.want(client.answer(), "RKZ")
--- a/cmd/lotuslab/edge.go
+++ b/cmd/lotuslab/edge.go
@@ -26,7 +26,7 @@
 	Sabotage     string  `help:"Stand-ins' fault; the drill must fail." enum:"${edge_sabotage}" default:""`
 	Baseline     bool    `help:"Use a baseline edge instead of the router's, over frames."`
 	Store        bool    `help:"Store and forward on each router's disk."`
-	JSON         bool    `help:"No effect: standard output holds only the JSON object in any case." name:"json"`
+	JSON         bool    `help:"No effect: standard output holds only the JSON object." name:"json"`
 	Router       string  `help:"Path of lotusbend; default: in this program's directory." type:"path"`
 }
 
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -89,7 +89,7 @@
 	endpoint.ID = e.id(endpoint.Name)
 	endpoint.Zone = slices.Index(e.zones, string(entry.GetStringBytes("zone")))
 	endpoint.Group = entry.GetInt("group")
-	endpoint.Primary = string(entry.GetStringBytes("recovery")) == "off" // a PostgreSQL replica is in recovery
+	endpoint.Primary = string(entry.GetStringBytes("recovery")) == "off" // a replica is in recovery
 	endpoint.StartedAt = clock.Duration(entry.GetFloat64("since_ms"))
 	return endpoint, true
 }
--- a/internal/operatorconfig/membership.go
+++ b/internal/operatorconfig/membership.go
@@ -14,7 +14,7 @@
 // SWIM over UDP (docs/membership.md).
 type Membership struct {
 	Bind                 string                    // UDP address and port of this member
-	Advertise            string                    // UDP address and port that others send to, such as a relay's; "" for Bind
+	Advertise            string                    // UDP address and port that others send to, "" for Bind
 	Admin                string                    // TCP address and port of the admin page, "" for none
 	Seeds                []string                  // UDP addresses of members to join through
 	Name                 string                    // of the member, "" for the router's name
