--- a/cmd/lotusbend/node.go
+++ b/cmd/lotusbend/node.go
@@ -88,7 +88,7 @@
 
 // reload applies the parts of a new configuration that can change while serving:
 // the address of the discovery service and the limits. It logs a warning if
-// another part has changed, which needs a restart.
+// the name, the listen address or the settings have changed, which needs a restart.
 func (n *node) reload(fresh *deployconfig.Config) {
 	n.loop.Do(func() {
 		config := n.config
