--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -98,8 +98,9 @@
 // Groups are numbered from 1.
 func (c *Cluster) Hosts(group int) []*Host { return c.groups[group-1].hosts }
 
-// Crash stops a host, resets its connections and restarts it after downMs. It does
-// not wait for the restart.
+// Crash stops a host, resets its connections and restarts it after downMs
+// milliseconds. If it is a primary and stays down for long enough, its group elects
+// another. Crash does not wait for the election or the restart.
 func (c *Cluster) Crash(h *Host, downMs float64) {
 	h.stop()
 	go h.group.failOver(h)
@@ -116,7 +117,8 @@
 }
 
 // Hang makes a host receive statements without answering them for ms milliseconds.
-// It does not wait for the end of the hang.
+// If it is a primary and hangs for long enough, its group elects another. Hang does
+// not wait for the election or the end of the hang.
 func (c *Cluster) Hang(h *Host, ms float64) {
 	hung := make(chan struct{})
 	h.mu.Lock()
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -13,7 +13,7 @@
 	Address  string  `json:"address"`
 	Zone     string  `json:"zone"`
 	Group    int     `json:"group"`
-	Status   string  `json:"status"`
+	Status   string  `json:"status"`   // always "ready", also while the host is down
 	Recovery string  `json:"recovery"` // "off" for a primary, "on" for a replica
 	Since    float64 `json:"since_ms"` // start of the host, Unix milliseconds; 0 if it has not restarted
 }
@@ -41,7 +41,8 @@
 	return body
 }
 
-// endpoint returns the host's entry in the endpoint list.
+// endpoint returns the host's entry in the endpoint list. firstPrimary says that it
+// was the primary at the start of the cluster.
 func (h *Host) endpoint(firstPrimary bool) endpoint {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -64,8 +65,8 @@
 const maxWaitMs = 60000
 
 // serveEndpoints is a long poll for the endpoint list. It answers immediately if
-// the index of the list is past the parameter "after", and otherwise after the next
-// change or after "wait_ms".
+// the index of the list is past the parameter "after" or if "wait_ms" is 0 or
+// absent, and otherwise after the next change or after "wait_ms" milliseconds.
 func (c *Cluster) serveEndpoints(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	waitMs, _ := strconv.ParseFloat(r.URL.Query().Get("wait_ms"), 64)
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -167,8 +167,8 @@
 func (g *group) rowDoc(row string) []byte { return []byte(g.log[g.rows[row]].Doc) }
 
 // read executes a read of a class on h. A replica answers from the writes that it
-// has applied, and rejects a read that must see a later position. minPosition is
-// in Unix milliseconds.
+// has applied. It rejects every read of FreshClass, and a read that must see a
+// position that it has not applied yet. minPosition is in Unix milliseconds.
 func (g *group) read(h *Host, row, class string, minPosition float64) result {
 	arrived := nowMs()
 	g.mu.Lock()
@@ -224,8 +224,9 @@
 	g.elect(h)
 }
 
-// elect makes the first running host primary, or the lost one if no other runs.
-// Any host qualifies because every replica has the whole log.
+// elect makes the first other host that is neither down nor hung the primary, or
+// the lost one if there is none. Any host qualifies because every replica has the
+// whole log.
 func (g *group) elect(lost *Host) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/standin/group_test.go
+++ b/internal/standin/group_test.go
@@ -41,7 +41,7 @@
 		for range 5 {
 			wg.Go(func() {
 				if r := g.write(g.hosts[0], write{row: "row", key: "key", doc: "doc", deadlineMs: nowMs() + 1e4}); r.code != "" || string(r.doc) != "doc" {
-					t.Errorf("write() = %+v, want the document of the first write", r)
+					t.Errorf("write() with sabotage %q = %+v, want document %q and no code", sabotage, r, "doc")
 				}
 			})
 		}
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -26,14 +26,15 @@
 	received    []Received
 }
 
-// Received records a statement that a host read from a connection.
+// Received records an insert or select that a host read from a connection, also
+// one that it rejected. Health checks are not recorded.
 type Received struct {
 	AtMs float64 // Unix milliseconds
 	ID   string  // the request's id in the statement's comment
 	Hung bool    // the host was hanging at that time
 }
 
-// Received returns every statement that the host has received.
+// Received returns every insert and select that the host has received.
 func (h *Host) Received() []Received {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,7 +79,9 @@
 }
 
 // work occupies a core for the execution time of a statement, which is longer
-// while the host warms up. With Options.IgnoresLoad it only sleeps.
+// while the host warms up. With Options.IgnoresLoad it only sleeps, for an
+// execution time that does not depend on the warm-up. It also waits for the end
+// of a hang.
 func (h *Host) work() {
 	opt := h.group.opt
 	if opt.IgnoresLoad {
@@ -90,9 +93,9 @@
 	defer func() { <-h.cores }()
 	h.waitWhileHung()
 	ms := h.group.draw(opt.WorkMinMs, opt.WorkMaxMs)
-	startedAt := h.StartedAtMs()
-	if age := nowMs() - startedAt; startedAt > 0 && age < opt.WarmUpMs {
-		ms /= opt.StartCapacity + (1-opt.StartCapacity)*age/opt.WarmUpMs
+	startedAtMs := h.StartedAtMs()
+	if ageMs := nowMs() - startedAtMs; startedAtMs > 0 && ageMs < opt.WarmUpMs {
+		ms /= opt.StartCapacity + (1-opt.StartCapacity)*ageMs/opt.WarmUpMs
 	}
 	sleepMs(ms)
 }
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -8,7 +8,7 @@
 
 // Faults configures the faults of a link. Probabilities are from 0 to below 1.
 type Faults struct {
-	Loss           float64 // probability that a datagram is lost, or a TCP chunk retransmitted late
+	Loss           float64 // probability that a datagram is lost, or a TCP chunk is late as if retransmitted
 	Duplicate      float64 // probability that a datagram is sent twice
 	Reorder        float64 // probability that a datagram is delayed so that later ones overtake it
 	Stall          float64 // probability of a stall: of a datagram, or half way through a TCP chunk
--- a/internal/standin/options.go
+++ b/internal/standin/options.go
@@ -34,26 +34,26 @@
 	KeyTTLMs         float64 // idempotency window
 	WorkMinMs        float64 // execution time of a statement
 	WorkMaxMs        float64
-	ReplicateMinMs   float64 // replication time of a write
+	ReplicateMinMs   float64 // replication time of a write; a replica's lag is drawn likewise, plus 5 ms
 	ReplicateMaxMs   float64
 	DetectMinMs      float64 // time until the loss of a primary is detected
 	DetectMaxMs      float64
 	ElectMinMs       float64 // time from the detection until a replica is primary
 	ElectMaxMs       float64
-	WarmUpMs         float64 // duration of the warm-up after a host starts
-	StartCapacity    float64 // capacity of a host at its start, as a fraction of its full capacity
+	WarmUpMs         float64 // duration of the warm-up after a host restarts
+	StartCapacity    float64 // capacity of a host at its restart, as a fraction of its full capacity
 	Cores            int     // statements that a host executes concurrently
 	QueueLimit       int     // statements on a host, queued or running; more are rejected
 	ResetChance      float64 // probability that a connection is reset after its write was executed
 	RejectChance     float64 // probability that a host rejects a request as if its queue were full
-	FreshClass       string  // class whose reads must see every earlier write
+	FreshClass       string  // class whose reads must see every earlier write: only the primary answers them
 	Sabotage         Sabotage
 	// IgnoresLoad makes a host answer each statement after its execution time,
 	// regardless of its load and warm-up; it only records what it receives. Such
 	// a host still accepts connections while it hangs.
 	IgnoresLoad bool
 	// BoundedClass is the class whose reads have a staleness bound. A read that a
-	// replica answers with data older than MaxStalenessMs counts as stale.
+	// replica answers while its lag exceeds MaxStalenessMs counts as stale.
 	BoundedClass   string
 	MaxStalenessMs float64 // staleness bound; 0 counts no read as stale
 }
--- a/internal/standin/statement.go
+++ b/internal/standin/statement.go
@@ -13,7 +13,7 @@
 )
 
 // serve speaks the PostgreSQL protocol on a connection until it ends. It accepts
-// the startup message and then simple queries; it ignores other messages.
+// the startup message, then simple queries and Terminate; it ignores other messages.
 func (h *Host) serve(conn net.Conn) {
 	defer conn.Close()
 	defer h.removeConn(conn)
