--- a/internal/lab/address.go
+++ b/internal/lab/address.go
@@ -15,7 +15,7 @@
 	lastPort = 1<<16 - 1
 )
 
-// errNoAddress is returned when every port of the process's loopback host was tried.
+// errNoAddress is returned when every port of the process's loopback host has been tried.
 var errNoAddress = errors.New("lab: no free loopback address left")
 
 // addresses allocates the addresses of the routers that this process starts.
@@ -24,7 +24,8 @@
 // addressAllocator allocates loopback addresses, each at most once. Their host in
 // 127.0.0.0/8 is specific to this process. Other programs and outgoing connections
 // use 127.0.0.1, so none of them can take an address after its allocation and
-// before the router binds it. It is safe for concurrent use.
+// before the router binds it; only a program that listens on all addresses of the
+// machine can. It is safe for concurrent use.
 type addressAllocator struct {
 	host netip.Addr
 
@@ -57,7 +58,7 @@
 	return netip.AddrPort{}, errNoAddress
 }
 
-// canListen reports whether a socket can be bound to an address.
+// canListen reports whether a socket can be bound to an address on a network.
 func canListen(network string, address netip.AddrPort) bool {
 	if network == "udp" {
 		conn, err := net.ListenPacket(network, address.String())
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -113,7 +113,8 @@
 
 // answer returns the answer to a frame and queues the readings in it. Readings that do
 // not fit into the queue are lost although they are acknowledged. It returns nil for
-// a frame of another kind.
+// a frame that is neither a hello nor has readings. body has at least 2 bytes: the
+// header of a CBOR array and the frame's kind.
 func (e *baselineEdge) answer(body []byte) (any, error) {
 	switch frames.Kind(body[1]) {
 	case frames.KindHello:
@@ -153,9 +154,9 @@
 	}
 }
 
-// write writes a value with up to baselineAttempts attempts. It uses the given
-// connection, or a new one if that is nil. It returns the connection, or nil if it
-// broke.
+// write writes a value with up to baselineAttempts attempts; a failed connect counts as
+// one. It uses the given connection, or a new one if that is nil. It returns the
+// connection, or nil if it broke.
 func (e *baselineEdge) write(client *pgClient, value string) *pgClient {
 	for range baselineAttempts {
 		if client == nil {
@@ -182,7 +183,8 @@
 	return client
 }
 
-// newInsert returns a statement that writes a value with a new row and key.
+// newInsert returns a statement that writes a value to a random one of the two groups,
+// with a new row and key.
 func (e *baselineEdge) newInsert(value string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/lab/coap.go
+++ b/internal/lab/coap.go
@@ -30,8 +30,8 @@
 	coapMaxEchoAttempts  = 4 // per message that is answered with a new Echo value
 )
 
-// coapDevice is a CoAP client. It uses confirmable or non-confirmable messages, and
-// block-wise transfer for long batches.
+// coapDevice is a CoAP client. Every fourth device uses non-confirmable messages, the
+// others confirmable ones. Long batches use block-wise transfer.
 type coapDevice struct {
 	device         *device
 	conn           net.Conn
@@ -40,7 +40,9 @@
 	token          uint32
 	nonConfirmable bool
 	requestTag     []byte
-	echoSent       bool // an Echo value was sent in this exchange: the router may have accepted it
+	// echoSent reports that a message of this exchange had an Echo value. The router
+	// accepts no readings without a valid one.
+	echoSent bool
 }
 
 func dialCoAP(_ context.Context, d *device, address string) (transport, error) {
@@ -132,7 +134,9 @@
 	return nil, errors.New("the router accepted no Echo value")
 }
 
-// attempt sends one message, with retransmissions, and returns its answer.
+// attempt sends one message and returns its answer. It sends the message up to
+// coapMaxTransmissions times, also if it is non-confirmable, until the router
+// acknowledges or answers it.
 func (t *coapDevice) attempt(ctx context.Context, payload []byte, block int64) (*message.Message, error) {
 	t.messageID++
 	t.token++
@@ -188,7 +192,7 @@
 
 // receive reads until the answer with the token arrives. It returns no answer and no
 // error if the deadline passes first. acked reports that the router acknowledged the
-// message and will answer it separately.
+// message and will answer it separately. The error is errDrillEnded once ctx is done.
 func (t *coapDevice) receive(ctx context.Context, token []byte, deadline time.Time) (
 	answer *message.Message, acked bool, err error,
 ) {
--- a/internal/lab/device.go
+++ b/internal/lab/device.go
@@ -51,8 +51,9 @@
 	// readings were sent before. sent reports whether the batch may have reached
 	// the router; it is also valid if err is not nil.
 	exchange(ctx context.Context, b *batch.Batch, again bool) (results []batch.Result, sent bool, err error)
-	// elapsed returns the time since the router's last time mark, in milliseconds;
-	// nil if batches of the protocol carry no elapsed time.
+	// elapsed returns the time since the router's last time mark (frames) or since
+	// CONNACK (MQTT), in milliseconds; nil if batches of the protocol carry no
+	// elapsed time (CoAP).
 	elapsed() *float64
 	close()
 }
@@ -113,8 +114,9 @@
 // chooseRouter picks a random router for the next connection.
 func (d *device) chooseRouter() { d.router = d.rand.IntN(len(d.addresses)) }
 
-// nextReadings returns up to maxBatchReadings readings of one epoch that exist by now,
-// may be sent and are not acknowledged. done reports that all are acknowledged.
+// nextReadings returns up to maxBatchReadings readings of one epoch that have been made
+// by now, may be sent and are not acknowledged. The device makes one reading per
+// interval. done reports that all readings are acknowledged.
 func (d *device) nextReadings(now time.Time) (readings []*Reading, done bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/edge_audit.go
+++ b/internal/lab/edge_audit.go
@@ -3,15 +3,16 @@
 import "lotusbend/internal/standin"
 
 // auditEdge compares the acknowledgements that the devices received with the executed
-// writes. It matches readings by their values, which are unique.
+// writes, and sets OK if every reading was acknowledged and recorded exactly once, in a
+// row of its own. It matches readings by their values, which are unique.
 func auditEdge(devices []*device, log []standin.Execution, result *EdgeResult) {
 	recordings := map[string]int{} // number of executions by value
-	rows := map[string]bool{}
+	rows := map[string]bool{}      // rows that were written
 	for _, execution := range log {
 		recordings[execution.Doc]++
 		rows[execution.Row] = true
 	}
-	sent := map[string]bool{}
+	sent := map[string]bool{} // values of all readings
 	for _, d := range devices {
 		d.mu.Lock()
 		for _, reading := range d.readings {
--- a/internal/lab/edge_drill.go
+++ b/internal/lab/edge_drill.go
@@ -20,50 +20,50 @@
 	Seed         uint64
 	Devices      int
 	Readings     int     // per device
-	Loss         float64 // of datagrams, in each direction
+	Loss         float64 // of datagrams, in each direction; TCP chunks are late instead
 	Dup          float64 // of datagrams
 	Reorder      float64 // of datagrams
 	Stall        float64 // of chunks and datagrams
-	Delay        float64 // one way, milliseconds
+	Delay        float64 // least one-way delay, milliseconds; up to as much again is added at random
 	KillRouter   int     // number of times a router is killed and restarted
 	CrashPrimary int     // number of times a primary crashes or hangs
-	Protocol     string  // "coap", "mqtt", "frames" or "all"
+	Protocol     string  // "coap", "mqtt", "frames" or "all"; Baseline implies "frames"
 	Sabotage     standin.Sabotage
-	Baseline     bool      // devices send to a baseline edge in front of each router
-	Store        bool      // enables store and forward
+	Baseline     bool      // devices send frames to a baseline edge in front of each router
+	Store        bool      // enables store and forward, unless Baseline is set
 	Binary       string    // path of the router program
-	Progress     io.Writer // receives the progress log and the routers' standard error
+	Progress     io.Writer // receives the progress log and the routers' standard error; nil to discard both
 }
 
-// EdgeResult is the result of the audit. It derives only from the answers that the
-// devices received and from what the stand-ins recorded.
+// EdgeResult is the result of the drill. The audit derives OK and the counts of readings
+// only from the answers that the devices received and from what the stand-ins recorded.
 type EdgeResult struct {
 	Drill            string  `json:"drill"`
 	Seed             uint64  `json:"seed"`
 	OK               bool    `json:"ok"`
-	Sent             int     `json:"sent"` // readings that the devices made
-	Recorded         int     `json:"recorded"`
-	RecordedTwice    int     `json:"recorded_twice"`
-	RecordedUnasked  int     `json:"recorded_unasked"` // recorded values that no device sent
-	Acked            int     `json:"acked"`
-	AckedNotRecorded int     `json:"acked_not_recorded"`
-	Unanswered       int     `json:"unanswered"`
-	Lost             int     `json:"lost"`
-	PeakBytes        int64   `json:"peak_bytes"` // largest resident memory of a router
-	Transmissions    uint64  `json:"transmissions"`
-	KeyRepeats       int     `json:"key_repeats_dropped"`
-	Aborted          int     `json:"writes_that_died"`
+	Sent             int     `json:"sent"`                // all readings of the devices
+	Recorded         int     `json:"recorded"`            // readings recorded at least once
+	RecordedTwice    int     `json:"recorded_twice"`      // readings recorded more than once
+	RecordedUnasked  int     `json:"recorded_unasked"`    // executed writes of values that no device has
+	Acked            int     `json:"acked"`               // acknowledged readings
+	AckedNotRecorded int     `json:"acked_not_recorded"`  // acknowledged readings that were not recorded
+	Unanswered       int     `json:"unanswered"`          // readings that were not acknowledged
+	Lost             int     `json:"lost"`                // readings that were not recorded
+	PeakBytes        int64   `json:"peak_bytes"`          // largest resident memory of a router
+	Transmissions    uint64  `json:"transmissions"`       // times that a reading may have reached a router
+	KeyRepeats       int     `json:"key_repeats_dropped"` // writes not executed because their key was known
+	Aborted          int     `json:"writes_that_died"`    // writes lost with their primary
 	RouterKills      int     `json:"router_kills"`
-	PrimaryCrashes   int     `json:"primary_crashes"`
-	Seconds          float64 `json:"seconds"`
+	PrimaryCrashes   int     `json:"primary_crashes"` // crashes and hangs of a primary
+	Seconds          float64 `json:"seconds"`         // duration of the drill
 }
 
 const (
 	// edgeRouters is the number of routers. With two, devices of a killed router
 	// can use the other one.
 	edgeRouters = 2
-	// edgeDrillTimeout limits how long the drill waits for stored readings. The
-	// devices stop earlier, by edgeSettleTime.
+	// edgeDrillTimeout limits the time from the start of the drill during which it
+	// waits for stored readings. The devices run for at most edgeSettleTime less.
 	edgeDrillTimeout = 52 * time.Second
 	// edgeSettleTime is the wait before the audit for requests in flight. The audit
 	// must see a duplicate that is executed late.
@@ -150,7 +150,8 @@
 	return nil
 }
 
-// link starts a link to each of a router's addresses, given by protocol.
+// link starts a link to each of a router's addresses, given by protocol. A chunk on a TCP
+// link breaks the connection with a twentieth of the probability of loss.
 func (r *edgeRun) link(targets map[string]string) error {
 	faults := standin.Faults{
 		Loss:      r.Loss,
@@ -204,8 +205,8 @@
 	return edgeProtocols
 }
 
-// runDevices runs the devices and injects faults, until the devices are done or the
-// drill's time is over.
+// runDevices runs the devices and injects faults. It returns when the devices are done or
+// have run for edgeDrillTimeout-edgeSettleTime.
 func (r *edgeRun) runDevices(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, edgeDrillTimeout-edgeSettleTime)
 	defer cancel()
@@ -231,7 +232,8 @@
 	r.awaitDevices(done)
 }
 
-// awaitDevices waits until done is closed. Meanwhile it samples the routers' memory.
+// awaitDevices waits until done is closed. Meanwhile it samples the routers' memory and
+// logs the progress every 2 s.
 func (r *edgeRun) awaitDevices(done <-chan struct{}) {
 	tick := time.NewTicker(2 * time.Second)
 	defer tick.Stop()
--- a/internal/lab/edge_faults.go
+++ b/internal/lab/edge_faults.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// injectFaults kills routers and fails primaries, spread over about 10 s.
+// injectFaults kills routers and fails primaries. Before each fault it waits for 10 s
+// divided by the number of faults, and for up to 1 s more.
 func (r *edgeRun) injectFaults(ctx context.Context) {
 	total := r.KillRouter + r.CrashPrimary
 	for n := range total {
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -17,7 +17,8 @@
 	"lotusbend/internal/standin"
 )
 
-// errDrillEnded is returned by a device's exchange when the drill has ended.
+// errDrillEnded is returned to a device that waits for an answer when its context is
+// done.
 var errDrillEnded = errors.New("lab: the drill has ended")
 
 // Fleet is a stand-in cluster and routers with their edge enabled.
@@ -33,7 +34,7 @@
 	Standin     standin.Options
 	Routers     int
 	EdgeKeys    string    // further keys of the edge settings, each followed by a comma
-	SocketLimit int       // limit of sockets of each router; 0 for 4096
+	SocketLimit int       // limit of sockets of each router; 0 for defaultSocketLimit
 	Store       bool      // enables store and forward
 	Log         io.Writer // receives the routers' standard error; nil to discard
 }
@@ -41,7 +42,7 @@
 const (
 	defaultSocketLimit = 4096
 	// maxStartAttempts limits the attempts to start a router. An address that was
-	// free may be in use by the time the router listens.
+	// free may be in use by the time the router listens; see addressAllocator.
 	maxStartAttempts = 5
 )
 
@@ -90,7 +91,7 @@
 	return err
 }
 
-// configure allocates the addresses of router n and writes its files.
+// configure allocates new addresses for router n and writes its files.
 func (f *Fleet) configure(r *Router, n int, o FleetOptions) error {
 	for _, address := range []struct {
 		network string
--- a/internal/lab/fleetview.go
+++ b/internal/lab/fleetview.go
@@ -19,11 +19,11 @@
 	Seed      uint64
 	Procs     int       // number of routers
 	Loss      float64   // probability on every link for the whole run
-	Cut       string    // "zones" or "oneway"; any other value cuts nothing
-	Kill      int       // number of members killed at once
+	Cut       string    // "zones" or "oneway", see splitZones and cutOneWay; any other value cuts nothing
+	Kill      int       // number of members killed at once; one of them is restarted
 	Pause     int       // number of members paused past their suspicion, then resumed
-	SplitMs   int64     // duration of a cut
-	Late      int       // number of members with packets later than a direct probe waits
+	SplitMs   int64     // duration of a cut, not counting the time until the views settle
+	Late      int       // number of members whose packets arrive after the timeout of a direct probe
 	Flood     int       // number of malformed datagrams sent directly to one member
 	Sabotage  string    // safeguard that the members disable; "" for none
 	Binary    string    // path of the router program
@@ -45,8 +45,8 @@
 	Seed            uint64   `json:"seed"`
 	Procs           int      `json:"procs"`
 	Phases          []Phase  `json:"phases"`
-	FalseDead       int      `json:"false_dead"`     // running members that others saw as dead
-	Resurrected     int      `json:"ghosts"`         // ended instances seen as alive after being dead
+	FalseDead       int      `json:"false_dead"`     // views in which a running member was wrongly dead
+	Resurrected     int      `json:"ghosts"`         // views in which an ended instance was alive again
 	MissedCrashes   int      `json:"missed_crashes"` // views in which a killed member was not dead in time
 	FloodDropped    uint64   `json:"flood_dropped"`  // datagrams that the flooded member counted as dropped
 	BytesPerMemberS float64  `json:"bytes_per_member_s"`
@@ -63,8 +63,9 @@
 // sum of:
 //
 //   - the bound of the membership rules, as their tests state it: the longest
-//     suspicion, two rounds of probes, log2(memberCount)+4 periods of gossip, and two direct
-//     probe waits before a member is declared dead
+//     suspicion, the time until a probe fails (2 periods, doubled at low local health),
+//     log2(memberCount)+4 periods of gossip, and the final ping to the suspect (2
+//     timeouts of a direct probe, which are 2/5 of a period)
 //   - 2 s for what processes add: the relay's delays, polls every 100 ms, scheduling,
 //     and Lifeguard's slower probes while a split deprives members of nacks (with a
 //     period of 100 ms, a split of 12 members settled in 3.1 to 4.8 s, seeds 1 to 7)
--- a/internal/lab/fleetview_faults.go
+++ b/internal/lab/fleetview_faults.go
@@ -19,9 +19,9 @@
 	candidates []int // all members but the first, in the order in which faults use them
 }
 
-// runPhases injects the faults that the options ask for, in a fixed order, each into
-// members drawn from the seed. It spares the first member, the seed node of the
-// others.
+// runPhases injects the faults that the options ask for, in a fixed order. The members
+// to delay, pause and kill are drawn from the seed; the first member, the seed node of
+// the others, is never one of them.
 func (r *fleetviewRun) runPhases(ctx context.Context) {
 	r.phase(ctx, "join", nil)
 	for _, i := range r.rand.Perm(len(r.fleet.members) - 1) {
@@ -52,7 +52,8 @@
 	r.pollFor(ctx, 2*probePeriodMs)
 }
 
-// drawMembers returns the next count running members for a fault.
+// drawMembers returns the first count candidates that run, or fewer if fewer run. It then
+// moves the first count candidates to the end. count must not exceed their number.
 func (r *fleetviewRun) drawMembers(count int) []*member {
 	var drawn []*member
 	for _, i := range r.candidates {
@@ -64,8 +65,9 @@
 	return drawn
 }
 
-// delayMembers delays all packets of some members beyond the timeout of a direct probe
-// but within the probe period, so that nacks show that the members are alive.
+// delayMembers delays all packets of some members for the rest of the run, beyond the
+// timeout of a direct probe but within the probe period, so that nacks show that the
+// members are alive.
 func (r *fleetviewRun) delayMembers(ctx context.Context) {
 	delayed := r.drawMembers(r.Late)
 	for _, m := range delayed {
@@ -76,7 +78,7 @@
 }
 
 // floodMember sends malformed datagrams (random bytes, some longer than the largest
-// packet) directly to the first member's socket, over about two seconds. Afterwards
+// packet) directly to the first member's socket, over at most four seconds. Afterwards
 // the views must still be settled, and the member must have counted the drops.
 func (r *fleetviewRun) floodMember(ctx context.Context) {
 	conn, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(r.fleet.sockets[0]))
@@ -108,7 +110,8 @@
 	r.result.FloodDropped = r.droppedPackets(r.fleet.members[0])
 }
 
-// pauseMembers pauses members past their suspicion and resumes them.
+// pauseMembers pauses members for boundMs, which is longer than their suspicion, and
+// resumes them.
 func (r *fleetviewRun) pauseMembers(ctx context.Context) {
 	paused := r.drawMembers(r.Pause)
 	for _, m := range paused {
@@ -140,7 +143,7 @@
 	return killed
 }
 
-// countSeenAlive returns in how many views of the last poll this instance is alive or
+// countSeenAlive returns in how many views of the last poll the instance of m is alive or
 // suspect.
 func (r *fleetviewRun) countSeenAlive(m *member) (count int) {
 	for _, view := range r.views {
@@ -153,7 +156,8 @@
 	return count
 }
 
-// splitZones cuts all links between the zones for SplitMs and then heals the cut.
+// splitZones cuts all links between the zones. It heals the cut SplitMs after the views
+// of each zone have settled on its own members.
 func (r *fleetviewRun) splitZones(ctx context.Context) {
 	r.cut = r.fleet.cut("zones")
 	r.fleet.relay.Cut(r.cut)
@@ -182,7 +186,7 @@
 	r.phase(ctx, "one-way cut healed", nil)
 }
 
-// restartMember restarts a killed member under its old name.
+// restartMember restarts a killed member under its old name, as a new instance.
 func (r *fleetviewRun) restartMember(ctx context.Context, m *member) {
 	if err := m.router.Start(); err != nil {
 		r.log.Error("router restart failed", "router", m.router.Name, "error", err)
--- a/internal/lab/framestream.go
+++ b/internal/lab/framestream.go
@@ -63,7 +63,7 @@
 }
 
 // receive reads frames until one of the given kind arrives and decodes it into to. It
-// returns errDisconnected for a bye frame.
+// returns errDisconnected for a bye frame, and errDrillEnded once ctx is done.
 func (t *frameDevice) receive(ctx context.Context, kind frames.Kind, to any) error {
 	for {
 		if err := t.conn.SetReadDeadline(time.Now().Add(deviceAnswerTimeout)); err != nil {
@@ -76,7 +76,7 @@
 		if ctx.Err() != nil {
 			return errDrillEnded
 		}
-		if len(body) < 2 {
+		if len(body) < 2 { // too short for the header of a CBOR array and the frame's kind
 			continue
 		}
 		switch frames.Kind(body[1]) {
--- a/internal/lab/lastline.go
+++ b/internal/lab/lastline.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// last returns the last line, complete or not; "" if nothing was written.
+// last returns the last line that is not empty, complete or not; "" if there is none.
 func (w *lastLineWriter) last() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/lab/loadclient.go
+++ b/internal/lab/loadclient.go
@@ -13,7 +13,8 @@
 const maxLoadClientConns = 64
 
 // loadClient generates the load of one router's clients. It is open-loop: it sends reads
-// at a given rate, without waiting for the answers to earlier ones.
+// at a given mean rate, at random times, without waiting for the answers to earlier
+// ones.
 type loadClient struct {
 	index        int    // of the router; the upper bits of each request's id
 	router       string // host:port of the router's PostgreSQL front
@@ -23,9 +24,9 @@
 	openConns    atomic.Int64 // number of open connections
 	wg           sync.WaitGroup
 
-	served      atomic.Int64
-	rejected    atomic.Int64
-	brokenConns atomic.Int64 // number of connections that failed
+	served      atomic.Int64 // number of requests that succeeded
+	rejected    atomic.Int64 // number of requests answered with an error
+	brokenConns atomic.Int64 // number of connections that failed or could not be opened
 }
 
 func newLoadClient(index int, router string, seed uint64) *loadClient {
@@ -38,7 +39,7 @@
 }
 
 // run starts to send reads of a class to a group until ctx is done. Before each read it
-// calls rate for the current rate in requests per second; a rate of 0 pauses. run
+// calls rate for the current mean rate in requests per second; a rate of 0 pauses. run
 // returns immediately; wait waits for the end.
 func (c *loadClient) run(ctx context.Context, group int, class string, rate func() float64) {
 	rnd := rand.New(rand.NewPCG(c.rand.Uint64(), uint64(group)))
@@ -99,6 +100,7 @@
 	return conn
 }
 
+// connBroken counts a connection that failed or could not be opened.
 func (c *loadClient) connBroken() {
 	c.openConns.Add(-1)
 	c.brokenConns.Add(1)
--- a/internal/lab/measure.go
+++ b/internal/lab/measure.go
@@ -14,15 +14,15 @@
 
 // EdgeMetrics compares the cost of the edge with that of the PostgreSQL front. All
 // values are measured in one run against stand-in hosts that answer without delay.
-// Latencies are in milliseconds, by front.
+// Latencies are in milliseconds, by front. Memory is the router's resident memory.
 type EdgeMetrics struct {
 	Requests    int                `json:"requests"` // per front, without idle devices
 	MedianMs    map[string]float64 `json:"median_ms"`
 	P99Ms       map[string]float64 `json:"p99_ms"`
 	IdleDevices int                `json:"idle_devices"`
-	BeforeBytes int64              `json:"resident_before_bytes"`
-	IdleBytes   int64              `json:"resident_with_idle_bytes"`
-	BesideIdle  map[string]float64 `json:"median_ms_beside_idle"`
+	BeforeBytes int64              `json:"resident_before_bytes"`    // before the idle devices connect
+	IdleBytes   int64              `json:"resident_with_idle_bytes"` // while they are connected
+	BesideIdle  map[string]float64 `json:"median_ms_beside_idle"`    // while they are connected
 }
 
 const (
@@ -52,7 +52,7 @@
 func MeasureEdge(ctx context.Context, binary string, requests, idle int, progress io.Writer) (
 	EdgeMetrics, error,
 ) {
-	figures := EdgeMetrics{Requests: requests, IdleDevices: idle}
+	metrics := EdgeMetrics{Requests: requests, IdleDevices: idle}
 	fleet, err := StartFleet(FleetOptions{
 		Binary:      binary,
 		Standin:     immediateHosts(),
@@ -62,35 +62,35 @@
 		EdgeKeys:    fmt.Sprintf(`"connections": %d, "sessions": %d, `, idle+100, idle+100),
 	})
 	if err != nil {
-		return figures, err
+		return metrics, err
 	}
 	defer fleet.Close()
 	m := &edgeMeasurement{router: fleet.Routers[0], send: map[string]func(int) error{}}
 	defer m.close()
 	if err := m.connect(ctx); err != nil {
-		return figures, err
+		return metrics, err
 	}
 	if _, err := m.measureRounds(warmUpRequests); err != nil {
-		return figures, err
+		return metrics, err
 	}
 	latencies, err := m.measureRounds(requests)
 	if err != nil {
-		return figures, err
+		return metrics, err
 	}
-	figures.MedianMs = percentiles(latencies, 50)
-	figures.P99Ms = percentiles(latencies, 99)
-	figures.BeforeBytes = m.router.residentBytes()
+	metrics.MedianMs = percentiles(latencies, 50)
+	metrics.P99Ms = percentiles(latencies, 99)
+	metrics.BeforeBytes = m.router.residentBytes()
 	if err := m.connectIdle(ctx, idle); err != nil {
-		return figures, err
+		return metrics, err
 	}
 	time.Sleep(2 * time.Second) // until the garbage collector has run
-	figures.IdleBytes = m.router.residentBytes()
+	metrics.IdleBytes = m.router.residentBytes()
 	if err := m.connectPostgres(); err != nil { // the first connection was idle for too long
-		return figures, err
+		return metrics, err
 	}
 	latencies, err = m.measureRounds(max(requests/4, 50))
-	figures.BesideIdle = percentiles(latencies, 50)
-	return figures, err
+	metrics.BesideIdle = percentiles(latencies, 50)
+	return metrics, err
 }
 
 // immediateHosts returns options for hosts that answer without delay or faults.
@@ -145,7 +145,8 @@
 	return nil
 }
 
-// sendReading sends reading n of a device. It returns an error unless it is recorded.
+// sendReading sends reading n of a device. It returns an error unless the answer says
+// that the reading was recorded.
 func sendReading(ctx context.Context, d *device, conn transport, protocol string, n int) error {
 	b := &batch.Batch{
 		Device:   d.name,
@@ -163,8 +164,8 @@
 	return nil
 }
 
-// measureRounds sends count requests through each front and returns the latencies in
-// milliseconds, by front.
+// measureRounds sends count requests through each front, one front after the other, and
+// returns the latencies in milliseconds, by front.
 func (m *edgeMeasurement) measureRounds(count int) (map[string][]float64, error) {
 	latencies := map[string][]float64{}
 	for last := m.requests + count; m.requests < last; m.requests++ {
@@ -207,7 +208,8 @@
 	}
 }
 
-// percentiles returns the given percentile of the latencies of each front. It sorts them.
+// percentiles returns a percentile, from 0 to 99, of the latencies of each front. It sorts
+// them.
 func percentiles(latencies map[string][]float64, percent int) map[string]float64 {
 	result := map[string]float64{}
 	for front, all := range latencies {
--- a/internal/lab/members.go
+++ b/internal/lab/members.go
@@ -19,10 +19,10 @@
 type member struct {
 	router        *Router
 	admin         string // host:port of the admin page
-	start         int64  // start of the instance as its own view reports it; 0 if not known yet
+	start         int64  // membership.Update.Start in the instance's own view; 0 if not known yet
 	running       bool
 	zone          int
-	settlingUntil time.Time // until then it may be dead in the views of others
+	settlingUntil time.Time // until then it may be dead in others' views, and others in its view
 	pausedUntil   time.Time // zero if it is not paused
 }
 
@@ -37,7 +37,7 @@
 	LogLevel string    // log level of the routers
 	Standin  standin.Options
 	Faults   faultnet.Faults    // on every link
-	Settings string             // format string of the routing settings, for the number of routers
+	Settings string             // format string of the routing settings; its argument is Procs
 	Sabotage string             // sabotage setting of membership; "" for none
 	Shared   func(i int) string // returns the shared-state settings of router i; nil disables shared state
 }
@@ -146,7 +146,7 @@
 // close stops every process, the relay and the stand-ins, and removes the files.
 func (f *memberFleet) close() {
 	for _, m := range f.members {
-		m.router.signal(syscall.SIGCONT) // a paused process must run again before it can be waited for
+		m.router.signal(syscall.SIGCONT) // it may be paused
 		m.router.Kill()
 	}
 	if f.relay != nil {
@@ -160,8 +160,9 @@
 	}
 }
 
-// cut returns which links a drill's option Cut blocks: all between the two zones
-// for "zones", those from zone 1 to zone 0 for "oneway". It returns nil for none.
+// cut returns a function that reports which links a cut blocks: all between the two
+// zones for "zones", those from zone 1 to zone 0 for "oneway". It returns nil, which
+// blocks none, for any other name.
 func (f *memberFleet) cut(name string) func(from, to int) bool {
 	switch name {
 	case "zones":
--- a/internal/lab/mqtt.go
+++ b/internal/lab/mqtt.go
@@ -97,7 +97,8 @@
 	return err
 }
 
-// readPacket reads and decodes one packet. It returns errDisconnected for a DISCONNECT.
+// readPacket reads and decodes one packet. It returns errDisconnected for a DISCONNECT,
+// and errDrillEnded once ctx is done.
 func (t *mqttDevice) readPacket(ctx context.Context) (packet packets.Packet, err error) {
 	if err := t.conn.SetReadDeadline(time.Now().Add(deviceAnswerTimeout)); err != nil {
 		return packet, err
@@ -181,8 +182,9 @@
 	return results, true, err
 }
 
-// publishResults returns the results of the readings: all recorded after a success;
-// otherwise those in the user properties of the answer, or unknown.
+// publishResults returns the results of the readings: all recorded, which is the zero
+// status, after a success; otherwise those in the user properties of the answer, or
+// unknown.
 func publishResults(b *batch.Batch, answer *packets.Packet) []batch.Result {
 	results := make([]batch.Result, len(b.Readings))
 	for i, reading := range b.Readings {
@@ -212,8 +214,9 @@
 	return err
 }
 
-// parseResult parses a reading's result in a user property of MQTT 5. It returns
-// fallback if the property is malformed.
+// parseResult parses a reading's result in a user property of MQTT 5. The result has the
+// status of fallback if the status is not known, and the status and wait of fallback if
+// the property is malformed.
 func parseResult(property string, fallback batch.Result) batch.Result {
 	result := fallback
 	var status string
--- a/internal/lab/router.go
+++ b/internal/lab/router.go
@@ -23,8 +23,8 @@
 	routerStopTime = 10 * time.Second
 )
 
-// Router runs one router in its own process. Its methods are safe for concurrent
-// use.
+// Router runs one router in its own process. Only one goroutine at a time may call its
+// methods, except signal and residentBytes.
 type Router struct {
 	Name              string
 	Listen            string // host:port of the PostgreSQL front
@@ -99,7 +99,8 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return fmt.Errorf("router %s is not ready: its ready address accepts no connections", r.Name)
+	return fmt.Errorf("router %s is not ready: %s accepted no connection within %v",
+		r.Name, r.readyAddress, routerReadyTime)
 }
 
 // Kill kills the router's process and waits until it has exited.
@@ -142,7 +143,7 @@
 func (r *Router) residentBytes() int64 { return r.statusBytes("VmRSS:") }
 
 // statusBytes returns a field of the process's /proc status file in bytes, or 0 if
-// the process does not run.
+// the process does not run. The name ends with a colon.
 func (r *Router) statusBytes(name string) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -156,8 +157,8 @@
 	defer file.Close()
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
-		if figure, ok := strings.CutPrefix(lines.Text(), name); ok {
-			kilobytes := strings.TrimSuffix(strings.TrimSpace(figure), " kB")
+		if value, ok := strings.CutPrefix(lines.Text(), name); ok {
+			kilobytes := strings.TrimSuffix(strings.TrimSpace(value), " kB")
 			count, _ := strconv.ParseInt(kilobytes, 10, 64) // 0 if malformed
 			return count << 10
 		}
@@ -166,18 +167,18 @@
 }
 
 // FindRouter returns the absolute path of the router program: the given one, or
-// "lotusbend" in the directory of this program if named is empty. It returns an
+// "lotusbend" in the directory of this program if path is empty. It returns an
 // error if the file does not exist.
-func FindRouter(named string) (string, error) {
-	if named == "" {
+func FindRouter(path string) (string, error) {
+	if path == "" {
 		self, err := os.Executable()
 		if err != nil {
 			return "", err
 		}
-		named = filepath.Join(filepath.Dir(self), "lotusbend")
+		path = filepath.Join(filepath.Dir(self), "lotusbend")
 	}
-	if _, err := os.Stat(named); err != nil {
+	if _, err := os.Stat(path); err != nil {
 		return "", fmt.Errorf("finding the router program: %w; build it with make build", err)
 	}
-	return filepath.Abs(named)
+	return filepath.Abs(path)
 }
--- a/internal/lab/shared.go
+++ b/internal/lab/shared.go
@@ -20,8 +20,8 @@
 	Seed      uint64
 	Procs     int       // number of routers
 	Loss      float64   // probability on every link for the whole run
-	Cut       string    // "zones" or "oneway"; any other value cuts nothing
-	CutMs     int64     // least duration of the cut
+	Cut       string    // "zones" or "oneway", see memberFleet.cut; any other value cuts nothing
+	CutMs     int64     // least time from the start of the warm-up phase to the end of the cut
 	ColdMs    int64     // duration of the warm-up of the restarted endpoint
 	Pause     int       // number of routers paused past their leases
 	Kill      int       // number of routers killed and restarted
@@ -42,36 +42,38 @@
 	// BudgetOverrun is the largest number of statements that the warming endpoint
 	// received in a second, as a fraction of its budget for that second.
 	BudgetOverrun   float64 `json:"budget_overrun"`
-	WarmingReceived int     `json:"cold_received"` // statements that the endpoint received while it warmed up
-	// MaxBorrowed is the largest fraction of a budget that all routers together had
-	// borrowed at one poll.
+	WarmingReceived int     `json:"cold_received"` // statements that the audit of the budget counted
+	// MaxBorrowed is the largest fraction of a budget, other than the retry budget,
+	// that all honest routers together had borrowed at one poll.
 	MaxBorrowed float64 `json:"borrowed_most"`
-	// CountsExact reports whether every router's total equals HostsCounted.
+	// CountsExact reports whether every router's total of attempts equals HostsCounted.
 	CountsExact    bool   `json:"counts_exact"`
-	HostsCounted   uint64 `json:"hosts_counted"` // statements that the endpoints received
-	MinTotal       uint64 `json:"totals_least"`  // smallest total of a router
-	MaxTotal       uint64 `json:"totals_most"`   // largest total of a router
-	CountsSettleMs int64  `json:"counts_settle_ms"`
+	HostsCounted   uint64 `json:"hosts_counted"`    // statements that the endpoints received
+	MinTotal       uint64 `json:"totals_least"`     // smallest total of a router
+	MaxTotal       uint64 `json:"totals_most"`      // largest total of a router
+	CountsSettleMs int64  `json:"counts_settle_ms"` // time until the totals were exact, or of the whole wait
 	// WronglyEjected is the largest fraction of a group that a router ejected
 	// without cause on the reports of others; EjectedBound is its bound.
 	WronglyEjected float64 `json:"wrongly_excluded_share"`
 	EjectedBound   float64 `json:"wrongly_excluded_bound"`
-	StaleReads     int     `json:"stale_reads"`
-	// RemainingEjections counts the routers that still ejected the endpoint on others'
-	// reports ejectionExpiryMs after its hang.
+	StaleReads     int     `json:"stale_reads"` // reads answered with data past the staleness bound
+	// RemainingEjections counts the honest routers that still ejected the endpoint on
+	// others' reports ejectionExpiryMs after its hang.
 	RemainingEjections int `json:"judgements_outlived"`
 	// DetectStandaloneMs and DetectSharingMs are the mean time, over the honest
-	// routers, from the begin of the hang to the router's last statement to the
+	// routers, from the start of the hang to the router's last statement to the
 	// endpoint.
-	DetectStandaloneMs float64  `json:"detect_ms_alone"`
-	DetectSharingMs    float64  `json:"detect_ms_together"`
-	LostStandalone     int      `json:"requests_lost_to_hung_host_alone"`
-	LostSharing        int      `json:"requests_lost_to_hung_host_together"`
-	Served             int64    `json:"served"`
-	BytesPerMemberS    float64  `json:"bytes_per_member_s"`
-	Seconds            float64  `json:"seconds"`
-	Violations         []string `json:"faults_seen,omitempty"`
-	OK                 bool     `json:"ok"`
+	DetectStandaloneMs float64 `json:"detect_ms_alone"`
+	DetectSharingMs    float64 `json:"detect_ms_together"`
+	// LostStandalone and LostSharing count the statements from honest routers that
+	// the endpoint received while it hung.
+	LostStandalone  int      `json:"requests_lost_to_hung_host_alone"`
+	LostSharing     int      `json:"requests_lost_to_hung_host_together"`
+	Served          int64    `json:"served"`
+	BytesPerMemberS float64  `json:"bytes_per_member_s"`
+	Seconds         float64  `json:"seconds"`
+	Violations      []string `json:"faults_seen,omitempty"`
+	OK              bool     `json:"ok"`
 }
 
 const (
@@ -83,8 +85,8 @@
 	// endpoint. It is more than twice what a warm endpoint may receive.
 	warmUpRequestsPerSecond = 1000.0
 	hangDurationMs          = 8000
-	// discoveryDelayMs is the time after a start until every router knows it from
-	// discovery, which lists it after 500 ms.
+	// discoveryDelayMs is the time after an endpoint's start until every router knows
+	// the start from discovery, which lists it after 500 ms.
 	discoveryDelayMs = 800
 	// leaseMs and leaseSkewMs are the routers' lease_ms and skew_ms settings.
 	leaseMs     = 3000
@@ -139,7 +141,8 @@
 	return nil
 }
 
-// addViolations adds a violation for each bound that the result exceeds.
+// addViolations adds a violation for each bound that the result exceeds, and for each
+// safeguard that the run did not test.
 func (r *SharedResult) addViolations(o SharedDrill) {
 	check := func(violated bool, format string, args ...any) {
 		if violated {
--- a/internal/lab/shared_audit.go
+++ b/internal/lab/shared_audit.go
@@ -17,15 +17,15 @@
 // auditBudget compares the statements that the warming endpoint received in each second
 // with its budget for that second: OverloadFactor times its capacity in the middle of
 // the second. It starts once all routers know the endpoint's start from discovery. The
-// operators' acceptance test adds a slack of three square roots; this audit adds none.
-// startedAt is in Unix milliseconds.
-func (r *sharedRun) auditBudget(host *standin.Host, startedAt float64, opt standin.Options) {
+// operators' own test adds a slack of three square roots; this audit adds none.
+// startedAtMs is in Unix milliseconds.
+func (r *sharedRun) auditBudget(host *standin.Host, startedAtMs float64, opt standin.Options) {
 	const overloadFactor = 2
 	const windowMs = 1000
 	var atMs []float64 // arrival times, relative to the start
 	for _, received := range host.Received() {
-		if received.AtMs >= startedAt+discoveryDelayMs && received.AtMs < startedAt+opt.WarmUpMs {
-			atMs = append(atMs, received.AtMs-startedAt)
+		if received.AtMs >= startedAtMs+discoveryDelayMs && received.AtMs < startedAtMs+opt.WarmUpMs {
+			atMs = append(atMs, received.AtMs-startedAtMs)
 		}
 	}
 	r.result.WarmingReceived = len(atMs)
@@ -131,7 +131,8 @@
 }
 
 // awaitSettledViews waits until every router sees every other. If that takes more than
-// boundMs it adds a violation to the result and returns nil.
+// boundMs it adds a violation to the result and returns nil. It returns an error only if
+// ctx is done.
 func (r *sharedRun) awaitSettledViews(ctx context.Context, boundMs int64) error {
 	end := time.Now().Add(time.Duration(boundMs) * time.Millisecond)
 	for ; ctx.Err() == nil; sleep(ctx, 200) {
@@ -162,7 +163,8 @@
 }
 
 // awaitExactCounts waits until every router's total equals what the endpoints counted,
-// for at most 25 s. No request may be sent meanwhile. It then closes the clients.
+// for about 25 s at most. No request may be sent meanwhile. It then adds the stale reads
+// and the clients' counts to the result and closes the clients.
 func (r *sharedRun) awaitExactCounts(ctx context.Context) error {
 	const boundMs = 25_000
 	from := time.Now()
@@ -196,7 +198,8 @@
 	return count
 }
 
-// totals returns the smallest and the largest total of attempts on the routers' pages.
+// totals returns the smallest and the largest total of attempts, over all classes, on the
+// routers' pages. It leaves out routers whose page cannot be read.
 func (r *sharedRun) totals() (least, largest uint64) {
 	least = math.MaxUint64
 	for i := range r.fleet.members {
--- a/internal/lab/shared_run.go
+++ b/internal/lab/shared_run.go
@@ -25,8 +25,9 @@
 	ejectable map[string]bool // endpoints that may rightly be ejected
 }
 
-// start starts a fleet. shared returns the shared-state settings of a router; nil
-// disables shared state. The caller must call close, also after an error.
+// start starts a fleet and its load clients, and makes one replica lag. shared returns
+// the shared-state settings of a router; nil disables shared state. The caller must call
+// close, also after an error.
 func (o SharedDrill) start(result *SharedResult, shared func(int) string) (r *sharedRun, err error) {
 	r = &sharedRun{
 		SharedDrill: o,
@@ -53,7 +54,8 @@
 	for i, m := range r.fleet.members {
 		r.clients = append(r.clients, newLoadClient(i, m.router.Listen, o.Seed))
 	}
-	// One replica lags behind its staleness bound and must receive no bounded read.
+	// The lag of this replica exceeds the staleness bound, so it must receive no
+	// bounded read.
 	lagging := r.fleet.cluster.Hosts(hangGroup)[4]
 	lagging.SetLag(3000)
 	r.ejectable[lagging.Name] = true
@@ -79,7 +81,8 @@
 	}
 }
 
-// runPhases runs the phases of a fleet with shared state.
+// runPhases runs the phases of a fleet with shared state. Meanwhile it polls the admin
+// pages.
 func (r *sharedRun) runPhases(ctx context.Context) error {
 	watch, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -119,8 +122,8 @@
 
 // measureHang makes one replica hang while every router reads from its group. lost is the
 // number of requests from honest routers that the replica received while it hung.
-// detectMs is the mean time, over the honest routers, from the begin of the hang to the
-// router's last request to the replica.
+// detectMs is the mean time, over the honest routers, from the start of the hang to the
+// router's last request to the replica, with 0 for a router that sent none.
 func (r *sharedRun) measureHang(ctx context.Context) (lost int, detectMs float64, err error) {
 	traffic, stop := context.WithCancel(ctx)
 	defer stop()
@@ -131,22 +134,22 @@
 		client.run(traffic, hangGroup, "park-view", func() float64 { return 1 })
 	}
 	sleep(ctx, 4000)
-	host := r.fleet.cluster.Hosts(hangGroup)[1+r.rand.IntN(3)]
+	host := r.fleet.cluster.Hosts(hangGroup)[1+r.rand.IntN(3)] // a replica other than the lagging one
 	r.allowEjection(host.Name)
 	r.hungEndpoint = host.Name
-	from := float64(time.Now().UnixMicro()) / 1e3
+	hangStartMs := float64(time.Now().UnixMicro()) / 1e3
 	r.fleet.cluster.Hang(host, hangDurationMs)
 	sleep(ctx, hangDurationMs-200)
-	lastMs := make([]float64, len(r.clients)) // time of the last request of each router, relative to from
+	lastMs := make([]float64, len(r.clients)) // time of each router's last request, since hangStartMs
 	for _, received := range host.Received() {
 		id, err := strconv.ParseUint(received.ID, 16, 64)
 		router := int(id >> routerIDShift)
 		if err != nil || router >= len(lastMs) || r.isByzantine(router) {
 			continue
 		}
-		if received.Hung && received.AtMs >= from {
+		if received.Hung && received.AtMs >= hangStartMs {
 			lost++
-			lastMs[router] = received.AtMs - from
+			lastMs[router] = received.AtMs - hangStartMs
 		}
 	}
 	stop()
--- a/internal/lab/shared_warmup.go
+++ b/internal/lab/shared_warmup.go
@@ -15,14 +15,14 @@
 type warmUpPhase struct {
 	*sharedRun
 	phaseStartedAt time.Time
-	demandStarted  atomic.Bool   // the warming endpoint receives requests
+	demandStarted  atomic.Bool   // clients send requests for the warming endpoint
 	silent         []atomic.Bool // by router: its clients send no requests
 }
 
-// runWarmUp cuts the fleet and restarts an endpoint during the cut. Half of the routers
-// always demand the endpoint's whole budget. The others do so intermittently and lend
-// their share while they have no demand. Meanwhile routers are paused past their leases
-// and killed.
+// runWarmUp cuts the fleet and restarts an endpoint during the cut. About half of the
+// routers always have demand for the endpoint, together more than its whole budget. The
+// others have demand intermittently and lend their share while they have none. Meanwhile
+// routers are paused past their leases and killed.
 func (r *sharedRun) runWarmUp(ctx context.Context) error {
 	p := &warmUpPhase{sharedRun: r, phaseStartedAt: time.Now(), silent: make([]atomic.Bool, len(r.clients))}
 	cluster := r.fleet.cluster
@@ -39,7 +39,7 @@
 	}
 	sleep(ctx, 1000+discoveryDelayMs)
 	p.demandStarted.Store(true)
-	startedAt := host.StartedAtMs()
+	startedAtMs := host.StartedAtMs()
 	paused, killed := p.drawRouters()
 	sleep(ctx, 2500)
 	p.pause(ctx, paused)
@@ -50,8 +50,8 @@
 		return err
 	}
 	opt := r.standinOptions()
-	sleep(ctx, int64(startedAt+opt.WarmUpMs-float64(time.Now().UnixMilli())))
-	r.auditBudget(host, startedAt, opt)
+	sleep(ctx, int64(startedAtMs+opt.WarmUpMs-float64(time.Now().UnixMilli())))
+	r.auditBudget(host, startedAtMs, opt)
 	r.log.Info("endpoint warm-up ended", "received", r.result.WarmingReceived,
 		"budget_overrun", r.result.BudgetOverrun)
 	if cut != nil {
@@ -83,8 +83,8 @@
 	}
 }
 
-// isIdle reports whether a router has no demand at present. Half of the routers have
-// none in every other period of two seconds.
+// isIdle reports whether a router has no demand at present. Those with index 2, 3, 6, 7 and so
+// on have none in every other period of two seconds; the rest always have demand.
 func (p *warmUpPhase) isIdle(router int) bool {
 	return (router/2)%2 == 1 && int(time.Since(p.phaseStartedAt).Seconds()/2)%2 == 0
 }
@@ -145,7 +145,8 @@
 	m.running = running
 }
 
-// restart kills routers and restarts them without their state.
+// restart waits until other routers have the counters of the given ones, kills these, and
+// restarts them without their state.
 func (p *warmUpPhase) restart(ctx context.Context, routers []int) error {
 	for _, i := range routers {
 		if !p.countersReplicated(ctx, i) {
@@ -181,7 +182,7 @@
 		if err != nil {
 			continue
 		}
-		if r.otherRouterHas(i, own.Shared.Counters[0]) {
+		if r.otherRouterHas(i, own.Shared.Counters[0]) { // the first entry is its own
 			return true
 		}
 	}
--- a/internal/lab/viewwatcher.go
+++ b/internal/lab/viewwatcher.go
@@ -29,14 +29,14 @@
 	result  *FleetviewResult
 	log     *slog.Logger
 	client  http.Client
-	boundMs int64 // in which the views must settle after a fault
+	boundMs int64 // time within which the views must settle after a fault
 
 	cut          func(from, to int) bool // reports whether a link is cut; nil for no cut
 	fault        string                  // current fault, for the texts of violations
 	views        map[int]membership.View // of the last poll, by index of the member
 	reportedKeys map[string]bool         // keys of the violations, each of which counts once
-	seenDead     map[string]bool         // instances seen as dead, by "viewer name start"
-	unsettled    string                  // describes the first pair that was not settled
+	seenDead     map[string]bool         // instances seen as dead or left, by "viewer name start"
+	unsettled    string                  // describes a pair that was not settled at the last check
 }
 
 func newViewWatcher(
@@ -83,7 +83,7 @@
 
 // checkViews adds the violations in the views of the last poll: running members that
 // others see as dead (false_dead), and ended instances that others see as alive after
-// they had seen them as dead (ghosts).
+// they had seen them as dead or left (ghosts).
 func (w *viewWatcher) checkViews() {
 	now := time.Now()
 	for viewer, view := range w.views {
