--- a/internal/lab/shared_audit.go
+++ b/internal/lab/shared_audit.go
@@ -16,8 +16,9 @@
 
 // auditBudget compares the statements that the warming endpoint received in each second
 // with its budget for that second: OverloadFactor times its capacity in the middle of
-// the second. It starts once all routers know the endpoint's start from discovery. The
-// operators' own test adds a slack of three square roots; this audit adds none.
+// the second. A second begins at each statement. The audit starts once all routers know
+// the endpoint's start from discovery. The operators' own test adds a slack of three
+// square roots; this audit adds none.
 // startedAtMs is in Unix milliseconds.
 func (r *sharedRun) auditBudget(host *standin.Host, startedAtMs float64, opt standin.Options) {
 	const overloadFactor = 2
--- a/internal/lab/shared_warmup.go
+++ b/internal/lab/shared_warmup.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// isIdle reports whether a router has no demand at present. Those with index 2, 3, 6, 7 and so
-// on have none in every other period of two seconds; the rest always have demand.
+// isIdle reports whether a router has no demand at present. Routers with index 2, 3, 6, 7
+// and so on have none in every other period of two seconds; the rest always have demand.
 func (p *warmUpPhase) isIdle(router int) bool {
 	return (router/2)%2 == 1 && int(time.Since(p.phaseStartedAt).Seconds()/2)%2 == 0
 }
