--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Everything here needs Go alone; modules come by go.sum.
+# All targets need only Go; the module versions are in go.sum.
 
 VERSION ?= $(shell git describe --always --dirty 2>/dev/null || echo dev)
 
@@ -20,20 +20,21 @@
 	@.ci/pure.sh
 	@.ci/doc-names.sh
 
-# A stand-in fleet, discovery and a router with its edge on loopback.
+# Runs stand-in database hosts, discovery and a router with its edge on loopback.
 up: build
 	exec bin/lotuslab up
 
-# Is every reading recorded exactly once, whatever happens? Under a minute.
+# Checks that every reading is recorded exactly once under injected faults; takes
+# less than a minute.
 drill: build
 	bin/lotuslab drill edge --seed $(or $(SEED),1) --json
 
-# GW_CONFIG names the configuration file; see README.md.
+# Runs a router with the configuration file that GW_CONFIG names; see README.md.
 run: build
 	exec bin/lotusbend serve
 
-# The operators' bench wants its own files beside a site's: they are laid there
-# from its kit and stay out of the repository.
+# Copies the files that the operators' bench needs next to a site's file from the
+# bench's kit; they are not part of the repository.
 KIT ?= ../given/kit
 sites:
 	@[ -f $(KIT)/sites/real.json ] || { echo "make sites: no kit of the operators' bench at $(KIT): name it with KIT=folder"; exit 1; }
--- a/cmd/lotusbend/endpoints.go
+++ b/cmd/lotusbend/endpoints.go
@@ -9,18 +9,18 @@
 	"lotusbend/internal/discovery/polling"
 )
 
-// endpointWatch is the watch on the endpoint list at one address of the
-// discovery service.
+// endpointWatch is a watch on the endpoint list that the discovery service
+// serves at one address.
 type endpointWatch struct {
 	ctx      context.Context
 	stop     context.CancelFunc
 	address  string
-	received bool // an endpoint list
+	received bool // whether an endpoint list has arrived from this address
 }
 
-// watchEndpoints watches the endpoint list at an address, in place of every
-// earlier watch once it has received a list there: until then the updates of an
-// earlier one still count. It runs inside Do.
+// watchEndpoints starts a watch on the endpoint list at an address. It replaces
+// every earlier watch once it has received a list; until then the updates of an
+// earlier watch are still applied. It must be called within the loop's Do.
 func (n *node) watchEndpoints(address string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	watch := &endpointWatch{ctx: ctx, stop: cancel, address: address}
@@ -31,8 +31,8 @@
 		PollOnly:     config.PollOnly,
 		PollInterval: clock.Millis(config.PollInterval),
 	}, n.config.Seed+uint64(len(n.watches)))
-	// Another address may number its lists otherwise, so only the first watch
-	// goes on from what the configuration holds.
+	// Another address may use other index numbers for its lists, so only the
+	// first watch resumes from the index in the configuration.
 	if known := n.config.KnownEndpoints; config.PollOnly && len(n.watches) == 1 && len(known.Endpoints) > 0 {
 		schedule.Resume(known.Index)
 	}
@@ -47,9 +47,9 @@
 	go watcher.Run(ctx)
 }
 
-// endpointsUpdated takes an update from a watch, which ends every earlier one.
+// endpointsUpdated applies an update from a watch and stops every earlier watch.
 func (n *node) endpointsUpdated(watch *endpointWatch, update discovery.Update) {
-	if watch.ctx.Err() != nil { // it waited for the loop while a later one took its place
+	if watch.ctx.Err() != nil { // a later watch replaced it while the update waited for the loop
 		return
 	}
 	if !watch.received {
@@ -68,8 +68,8 @@
 	n.router.EndpointsUpdated(kind, n.applyUpdate(update))
 }
 
-// applyUpdate hands the addresses of an update to the pool, and returns its
-// endpoints for the decisions.
+// applyUpdate passes the addresses of an update to the connection pool, and
+// returns its endpoints for package decide.
 func (n *node) applyUpdate(update discovery.Update) []decide.Endpoint {
 	endpoints := make([]decide.Endpoint, len(update.Endpoints))
 	for i, listed := range update.Endpoints {
@@ -80,7 +80,8 @@
 	return endpoints
 }
 
-// rememberName keeps an endpoint's name, where the shared state needs it.
+// rememberName records the name of an endpoint, or deletes that of a removed
+// one. Without shared state it does nothing.
 func (n *node) rememberName(listed discovery.Endpoint) {
 	if n.names == nil {
 		return
@@ -92,8 +93,9 @@
 	n.names[listed.ID] = listed.Name
 }
 
-// endpointID is an endpoint's number by its name. Names are few, and looked up
-// only where peers have something to say of an endpoint.
+// endpointID returns the number of the endpoint with this name, and whether it
+// is known. It searches all names: they are few, and looked up only for
+// endpoints that peers report on.
 func (n *node) endpointID(name string) (uint32, bool) {
 	for id, known := range n.names {
 		if known == name {
@@ -103,5 +105,5 @@
 	return 0, false
 }
 
-// endpointName is the name of an endpoint, "" if it is not known.
+// endpointName returns the name of an endpoint, "" if it is unknown.
 func (n *node) endpointName(id uint32) string { return n.names[id] }
--- a/cmd/lotusbend/fleetadvice.go
+++ b/cmd/lotusbend/fleetadvice.go
@@ -6,13 +6,13 @@
 	"lotusbend/internal/fleetstate"
 )
 
-// observeIntervalMs is how often, in milliseconds, what the router observed is
-// given to the shared state.
+// observeIntervalMs is the interval, in milliseconds, at which the router's
+// observations are passed to the shared state.
 const observeIntervalMs = 50
 
-// joinFleet has the router's decisions consult the fleet until ctx ends: the
-// number of routers in the view, and with shared state the advice of peers. A
-// nil fleet leaves the router on its own.
+// joinFleet passes what is known of the fleet to the router's decisions until
+// ctx ends: the number of routers in the view, or with shared state the advice
+// drawn from peers. With a nil fleet the router decides alone.
 func (n *node) joinFleet(ctx context.Context, members *fleet) {
 	if members == nil {
 		return
@@ -32,7 +32,7 @@
 	go n.offerObservations(ctx, members)
 }
 
-// followFleetSize takes the number of routers from the view.
+// followFleetSize applies the number of routers in the view whenever it changes.
 func (n *node) followFleetSize(ctx context.Context, members *fleet, adapter *fleetstate.FleetAdapter) {
 	for {
 		select {
@@ -44,8 +44,8 @@
 	}
 }
 
-// followAdvice takes the advice drawn from what peers share, and confirms that
-// it is in force.
+// followAdvice applies the advice drawn from what peers share, and confirms to
+// the link that it is in force.
 func (n *node) followAdvice(ctx context.Context, members *fleet, adapter *fleetstate.FleetAdapter) {
 	for {
 		select {
@@ -58,12 +58,14 @@
 	}
 }
 
-// setAdvice puts advice in force on the router's clock.
+// setAdvice converts the times of advice to the router's clock and puts it in
+// force.
 func (n *node) setAdvice(adapter *fleetstate.FleetAdapter, advice fleetstate.Advice, members *fleet) {
 	adapter.Set(advice.ShiftedBy(-members.clockAheadMs), n.endpointID, int64(n.loop.Now()))
 }
 
-// offerObservations gives what the router observed to the shared state.
+// offerObservations passes the router's observations to the shared state until
+// ctx ends.
 func (n *node) offerObservations(ctx context.Context, members *fleet) {
 	for ctx.Err() == nil {
 		<-n.loop.After(observeIntervalMs)
--- a/cmd/lotusbend/fleetpage.go
+++ b/cmd/lotusbend/fleetpage.go
@@ -13,14 +13,15 @@
 	"lotusbend/internal/membership"
 )
 
-// fleetPage is the content of GET /fleet.
+// fleetPage is the response body of GET /fleet, as JSON.
 type fleetPage struct {
 	View    membership.View
-	Shared  *fleetstate.StatusPage `json:",omitempty"` // nil where no state is shared
-	Classes []string
+	Shared  *fleetstate.StatusPage `json:",omitempty"` // nil if shared state is off
+	Classes []string               // names of the classes, in the order of the totals
 }
 
-// adminHandler serves the view, the counters and the fleet page.
+// adminHandler returns the handler of the admin page: the view, the metrics and
+// the fleet page.
 func (f *fleet) adminHandler(config *deployconfig.Config) http.Handler {
 	var classes []string
 	for _, class := range config.Settings.Config.Classes {
@@ -44,7 +45,7 @@
 	return mux
 }
 
-// print writes the page for people.
+// print writes the page as tables; now is the time that ages are computed from.
 func (p fleetPage) print(to io.Writer, now time.Time) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	p.printView(w, now)
@@ -57,6 +58,7 @@
 	return w.Flush()
 }
 
+// printView writes the size of the fleet and a row for each member.
 func (p fleetPage) printView(w io.Writer, now time.Time) {
 	view := p.View
 	unchanged := now.Sub(time.UnixMilli(view.ChangedAt)).Round(time.Second)
@@ -69,7 +71,7 @@
 	}
 }
 
-// printTotals writes the fleet's totals, a line a class.
+// printTotals writes the fleet's totals, a row for each class.
 func (p fleetPage) printTotals(w io.Writer) {
 	kinds := fleetstate.CounterKindNames()
 	fmt.Fprint(w, "\nCLASS")
@@ -86,6 +88,7 @@
 	}
 }
 
+// printShared writes the quotas, the ejections and the reputations.
 func (p fleetPage) printShared(w io.Writer) {
 	s := p.Shared
 	fmt.Fprintf(w, "\nstake 1/%d of each warming endpoint's rate; ", s.Routers)
@@ -105,5 +108,5 @@
 	}
 }
 
-// timestamp formats a time in Unix milliseconds.
+// timestamp formats a time in Unix milliseconds as RFC 3339, in UTC.
 func timestamp(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
--- a/cmd/lotusbend/main.go
+++ b/cmd/lotusbend/main.go
@@ -16,14 +16,15 @@
 	"lotusbend/internal/router"
 )
 
-// version is set by the linker in a release build.
+// version is the version of the build, set with the linker flag -X.
 var version = "dev"
 
+// cli lists the commands; kong derives their names from the fields' names.
 type cli struct {
-	Serve       serveCmd       `cmd:"" help:"Serve clients until SIGTERM, as GW_CONFIG says."`
+	Serve       serveCmd       `cmd:"" help:"Serve clients until SIGTERM, as the file in GW_CONFIG says."`
 	Version     versionCmd     `cmd:"" help:"Print the version."`
-	CheckConfig checkConfigCmd `cmd:"" help:"Check the configuration that GW_CONFIG names, and end."`
-	Fleet       fleetCmd       `cmd:"" help:"Print a router's view of the fleet and what the fleet carried."`
+	CheckConfig checkConfigCmd `cmd:"" help:"Check the configuration file in GW_CONFIG and exit."`
+	Fleet       fleetCmd       `cmd:"" help:"Print a router's view of the fleet and the fleet's totals."`
 }
 
 func main() {
@@ -37,18 +38,18 @@
 
 type versionCmd struct{}
 
-// Run implements the command.
+// Run prints the version of the program and of Go.
 func (versionCmd) Run() error {
 	fmt.Println("lotusbend", version, runtime.Version())
 	return nil
 }
 
-// settingsFlag names the operators' settings file.
+// settingsFlag is the flag that names the operators' settings file.
 type settingsFlag struct {
-	Settings string `help:"The operators' settings, JSON with comments." env:"LOTUSBEND_SETTINGS" type:"path"`
+	Settings string `help:"The settings file, JSON with comments." env:"LOTUSBEND_SETTINGS" type:"path"`
 }
 
-// load reads the file, if there is one: without it everything in it is off.
+// load reads the settings file. Without one, every option has its zero value.
 func (f settingsFlag) load() (*operatorconfig.Options, error) {
 	if f.Settings == "" {
 		return &operatorconfig.Options{}, nil
@@ -58,7 +59,8 @@
 
 type checkConfigCmd struct{ settingsFlag }
 
-// Run implements the command.
+// Run checks the settings file and the configuration file, and the edge's routes
+// against the classes of requests.
 func (cmd checkConfigCmd) Run() error {
 	options, err := cmd.load()
 	if err != nil {
@@ -71,12 +73,12 @@
 	if err := checkEdge(config, options); err != nil {
 		return fmt.Errorf("%s: %w", cmd.Settings, err)
 	}
-	fmt.Printf("configuration of %s is in order: %d classes, %d database hosts known\n",
+	fmt.Printf("configuration of %s is valid: %d classes, %d known endpoints\n",
 		config.Name, len(config.Settings.Config.Classes), len(config.KnownEndpoints.Endpoints))
 	return nil
 }
 
-// checkEdge checks the edge against the classes of the routing settings.
+// checkEdge checks the edge's routes against the classes of the routing settings.
 func checkEdge(config *deployconfig.Config, options *operatorconfig.Options) error {
 	if options.Edge == nil {
 		return nil
--- a/cmd/lotusbend/node.go
+++ b/cmd/lotusbend/node.go
@@ -16,10 +16,12 @@
 	"lotusbend/internal/router"
 )
 
-// defaultDescriptors stands in where the configuration sets no limit.
+// defaultDescriptors is the limit on file descriptors if the configuration sets
+// none.
 const defaultDescriptors = 1024
 
-// node is one router put together.
+// node is a running router: its client listener, its connection pool, its watch
+// on the endpoint list, and the edge.
 type node struct {
 	loop    *clock.Loop
 	budget  *netio.DescriptorBudget
@@ -27,13 +29,14 @@
 	router  *router.Router
 	pool    *back.Pool
 	server  *front.Server
-	edge    *edge.Edge           // nil where it is off
-	config  *deployconfig.Config // in force
-	watches []*endpointWatch     // running, the newest last
-	names   map[uint32]string    // of endpoints, by number; nil without shared state
+	edge    *edge.Edge           // nil if the edge is off
+	config  *deployconfig.Config // the configuration in force
+	watches []*endpointWatch     // the watches that run, newest last
+	names   map[uint32]string    // endpoint names by number, nil without shared state
 }
 
-// newNode puts a router together; it listens, and serves clients once run.
+// newNode creates a router. It listens for clients at once, but serves them only
+// after run is called.
 func newNode(
 	config *deployconfig.Config, options *operatorconfig.Options, loop *clock.Loop, log *slog.Logger,
 ) (*node, error) {
@@ -65,6 +68,7 @@
 	return n, nil
 }
 
+// descriptorLimit returns the limit on file descriptors.
 func descriptorLimit(config *deployconfig.Config) int {
 	if config.Descriptors == 0 {
 		return defaultDescriptors
@@ -72,8 +76,8 @@
 	return config.Descriptors
 }
 
-// start begins the work: with the endpoint list as last known, and the watch
-// for what it is now. What a reload changes comes after it.
+// start starts the decisions with the endpoint list in the configuration, and
+// the watch for newer lists. A reload before it changes where the watch begins.
 func (n *node) start() {
 	n.loop.Do(func() {
 		n.router.Start(n.pool, n.applyUpdate(n.config.KnownEndpoints))
@@ -81,13 +85,14 @@
 	})
 }
 
-// reload puts a new configuration in force, as far as that goes while serving.
+// reload applies the parts of a new configuration that can change while serving:
+// the address of the discovery service and the limits.
 func (n *node) reload(fresh *deployconfig.Config) {
 	n.loop.Do(func() {
 		config := n.config
 		if fresh.Listen != config.Listen || fresh.Name != config.Name ||
 			!bytes.Equal(fresh.Settings.JSON, config.Settings.JSON) {
-			n.log.Warn("a new name, listen or settings takes effect at the next start")
+			n.log.Warn("configuration change needs a restart: name, listen or settings")
 		}
 		moved := fresh.Discovery != config.Discovery
 		config.Discovery = fresh.Discovery
@@ -95,15 +100,15 @@
 		config.MemoryMiB = fresh.MemoryMiB
 		n.budget.Resize(descriptorLimit(fresh))
 		n.server.SetMemoryLimit(fresh.MemoryMiB)
-		n.log.Info("configuration read anew",
+		n.log.Info("configuration reloaded",
 			"discovery", fresh.Discovery, "moved", moved, "descriptors", fresh.Descriptors)
-		if moved && len(n.watches) > 0 { // before the start there is none to replace
+		if moved && len(n.watches) > 0 { // before start there is no watch to replace
 			n.watchEndpoints(fresh.Discovery)
 		}
 	})
 }
 
-// run serves until ctx ends and all that was taken is answered.
+// run serves clients until ctx ends, then shuts down gracefully.
 func (n *node) run(ctx context.Context) error {
 	defer n.loop.Do(func() {
 		for _, watch := range n.watches {
@@ -126,8 +131,8 @@
 	return n.shutDown()
 }
 
-// shutDown ends gracefully: it returns once everything is answered, or its time
-// is up.
+// shutDown drains the router. It returns once every accepted request is answered
+// or the bounds in shutdown.check have passed.
 func (n *node) shutDown() error {
 	s := shutdown{node: n, ended: make(chan struct{})}
 	n.loop.Do(func() { n.loop.At(n.loop.Now()+drainDelayMs, s.begin) })
--- a/cmd/lotusbend/serve.go
+++ b/cmd/lotusbend/serve.go
@@ -19,16 +19,17 @@
 	"lotusbend/internal/operatorconfig"
 )
 
-// heapShare is the part of the memory limit for the heap; the rest is for
-// stacks, the binary and the system's buffers.
+// heapShare is the fraction of the memory limit that is meant for the heap; the
+// rest is for stacks, the binary and the system's buffers.
 const heapShare = 0.6
 
 type serveCmd struct{ settingsFlag }
 
-// Run implements the command.
+// Run serves clients until SIGTERM or SIGINT.
 func (cmd serveCmd) Run() error {
-	// From the first moment on SIGHUP must not end the program, and SIGTERM must
-	// end it in good order. A second one changes nothing.
+	// Signals are handled before anything else: a SIGHUP during the start must
+	// not end the program, and a SIGTERM must end it gracefully. Repeated
+	// signals have no further effect.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -47,7 +48,7 @@
 	var level slog.LevelVar
 	level.Set(options.Level)
 	log := newLogger(os.Stderr, options.JSON, &level).With("router", config.Name)
-	netpoll.SetLoggerOutput(debugLog{log}) // it has a line for each connection that a peer resets
+	netpoll.SetLoggerOutput(debugLog{log}) // netpoll logs a line for each connection that a peer resets
 	systemClock := clock.System()
 	loop := clock.NewLoop(systemClock)
 	n, err := newNode(config, options, loop, log)
@@ -59,24 +60,24 @@
 		return err
 	}
 	n.joinFleet(ctx, members)
-	go loop.Run(context.Background()) // it ends with the process
+	go loop.Run(context.Background()) // runs until the process exits
 	n.start()
 	reloads := reloader{cmd: cmd, node: n, started: options, level: &level, log: log}
 	go reloads.run(hangups)
 	return n.run(ctx)
 }
 
-// reloader reads the two configurations again on SIGHUP. One that is not in
-// order is logged, and the old one stays in force.
+// reloader reads the configuration file and the settings file again on SIGHUP.
+// If a file is invalid, the error is logged and its old contents stay in force.
 type reloader struct {
 	cmd     serveCmd
 	node    *node
-	started *operatorconfig.Options // those of the start
+	started *operatorconfig.Options // the options that the program started with
 	level   *slog.LevelVar
 	log     *slog.Logger
 }
 
-// run lives as long as the process.
+// run reloads on every signal, until the process exits.
 func (r *reloader) run(hangups <-chan os.Signal) {
 	for range hangups {
 		r.reloadConfig()
@@ -87,7 +88,7 @@
 func (r *reloader) reloadConfig() {
 	config, err := deployconfig.Reload(os.Getenv)
 	if err != nil {
-		r.log.Error("the new configuration is not taken", "error", err)
+		r.log.Error("configuration reload failed", "error", err)
 		return
 	}
 	limitHeap(config)
@@ -97,16 +98,17 @@
 func (r *reloader) reloadOptions() {
 	options, err := r.cmd.load()
 	if err != nil {
-		r.log.Error("the new settings file is not taken", "error", err)
+		r.log.Error("settings file reload failed", "error", err)
 		return
 	}
 	r.level.Set(options.Level)
 	if needsRestart(r.started, options) {
-		r.log.Warn("a new form of the log, edge, membership or shared state takes effect at the next start")
+		r.log.Warn("settings change needs a restart: log form, edge, membership or shared")
 	}
 }
 
-// needsRestart reports whether the settings differ in more than the log's level.
+// needsRestart reports whether the options differ in more than the log level,
+// which is the only one that a reload applies.
 func needsRestart(started, fresh *operatorconfig.Options) bool {
 	return fresh.JSON != started.JSON ||
 		!reflect.DeepEqual(fresh.Edge, started.Edge) ||
@@ -114,7 +116,7 @@
 		!reflect.DeepEqual(fresh.Shared, started.Shared)
 }
 
-// newLogger writes lines as text or JSON.
+// newLogger returns a logger that writes lines as text or as JSON.
 func newLogger(to io.Writer, asJSON bool, level slog.Leveler) *slog.Logger {
 	options := &slog.HandlerOptions{Level: level}
 	if asJSON {
@@ -123,7 +125,7 @@
 	return slog.New(slog.NewTextHandler(to, options))
 }
 
-// debugLog takes another package's lines as debugging ones.
+// debugLog is an io.Writer that logs each line written to it at debug level.
 type debugLog struct{ *slog.Logger }
 
 // Write implements io.Writer.
@@ -132,8 +134,8 @@
 	return len(line), nil
 }
 
-// limitHeap lets the garbage collector work harder long before the platform's
-// limit.
+// limitHeap sets the runtime's soft memory limit, so that the garbage collector
+// runs more often well before the process reaches the platform's limit.
 func limitHeap(config *deployconfig.Config) {
 	if config.MemoryMiB > 0 {
 		debug.SetMemoryLimit(int64(config.MemoryMiB * (1 << 20) * heapShare))
--- a/cmd/lotusbend/shutdown.go
+++ b/cmd/lotusbend/shutdown.go
@@ -4,29 +4,32 @@
 
 // Times of a graceful shutdown, in milliseconds.
 const (
-	// drainDelayMs is how long after SIGTERM new clients are still served: the
-	// load balancer in front needs a while to learn of the restart.
+	// drainDelayMs is how long new clients are still served after SIGTERM: the
+	// load balancer in front needs this long to learn of the restart.
 	drainDelayMs = 600
-	// edgeAnswerMs is how long devices' readings may take to have their answers;
-	// who gets none by then sends them again. It is also the least time that a
-	// request is waited for.
+	// edgeAnswerMs bounds the wait for the answers to devices' readings; a device
+	// without an answer by then sends its readings again. It is also the shortest
+	// time that the shutdown waits for a request.
 	edgeAnswerMs = 3000
-	// shutdownCheckMs is how often it is checked what is left.
+	// shutdownCheckMs is the interval at which the shutdown checks for pending
+	// work.
 	shutdownCheckMs = 20
-	// rejectedClientsMs is how long the last rejected clients have to read that.
+	// rejectedClientsMs is how long the last rejected clients have to read the
+	// rejection.
 	rejectedClientsMs = 1000
 )
 
-// shutdown is a graceful shutdown after its delay. It lives in the loop.
+// shutdown is the state of a graceful shutdown. It is owned by the loop.
 type shutdown struct {
 	*node
 	beganAt        float64
-	onlyRejectedAt float64 // since when only rejected connections are left, 0 if others are
-	clients        int     // connections left
-	unsent         int     // of these, with answers that the system has not taken yet
+	onlyRejectedAt float64 // since when only rejected clients are connected, 0 if others are
+	clients        int     // open client connections
+	unsent         int     // of these, the ones with answers not yet written to the socket
 	ended          chan struct{}
 }
 
+// begin stops accepting work, after the drain delay.
 func (s *shutdown) begin() {
 	s.beganAt = s.loop.Now()
 	s.server.Drain()
@@ -36,11 +39,11 @@
 	s.check()
 }
 
-// check ends the shutdown when nothing is left to wait for: a request, the way
-// of its answer to the client, a connection that has not ended. Each has its
-// bound: a request the longest wait that any class gives its clients, whatever
-// its own client says; an answer and an end their own in the front; and clients
-// that go on coming and are rejected one second.
+// check ends the shutdown once no request, no unsent answer and no client
+// connection is left, and otherwise runs again later. Each wait is bounded:
+//   - requests by the longest deadline of any class, whatever their clients ask;
+//   - unsent answers and closing connections by the timeouts of package front;
+//   - new clients, which keep connecting and are rejected, by rejectedClientsMs.
 func (s *shutdown) check() {
 	now := s.loop.Now()
 	if now >= s.beganAt+s.longestWaitMs() {
@@ -63,13 +66,14 @@
 	close(s.ended)
 }
 
-// edgePending reports whether devices still wait for answers, within bounds.
+// edgePending reports whether devices still wait for answers and edgeAnswerMs
+// has not passed.
 func (s *shutdown) edgePending(now float64) bool {
 	return s.edge != nil && s.edge.HasPending() && now < s.beganAt+edgeAnswerMs
 }
 
-// longestWaitMs is the longest that a client waits by the settings; settings
-// that do not say cut nobody off.
+// longestWaitMs returns the longest deadline of any class, in milliseconds, and
+// at least edgeAnswerMs: settings without deadlines must not end requests at once.
 func (n *node) longestWaitMs() float64 {
 	longest := float64(edgeAnswerMs)
 	for _, class := range n.config.Settings.Config.Classes {
--- a/internal/operatorconfig/shared.go
+++ b/internal/operatorconfig/shared.go
@@ -5,18 +5,19 @@
 	"lotusbend/internal/fleetstate/faultinjection"
 )
 
-// maxClockOffsetMs bounds the clock offset of drills.
+// maxClockOffsetMs is the largest clock offset of a drill, an hour.
 const maxClockOffsetMs = 3600e3
 
-// Shared switches the state that routers share on (docs/shared-state.md).
+// Shared configures the state that routers share (docs/shared-state.md).
 type Shared struct {
-	Rules fleetstate.Config // its Name, Start and Seed are the router's to fill in
-	// ClockOffsetMs sets the clock of membership and shared state off, for
-	// drills of clocks that disagree.
+	Rules fleetstate.Config // without Name, Start and Seed, which the caller fills in
+	// ClockOffsetMs moves the clock of membership and shared state ahead, for
+	// drills in which the routers' clocks disagree.
 	ClockOffsetMs float64
 }
 
-// parseShared reads the section; what it leaves out has the rules' default.
+// parseShared reads the section. Missing keys keep the defaults of package
+// fleetstate.
 func parseShared(section *value) *Shared {
 	options := &Shared{Rules: fleetstate.Defaults()}
 	rules := &options.Rules
@@ -39,7 +40,7 @@
 		},
 	})
 	if section.ok() {
-		named := *rules
+		named := *rules // with a name, which Check requires and the caller fills in later
 		named.Name = "checked"
 		if err := named.Check(); err != nil {
 			section.fail("%v", err)
@@ -48,7 +49,8 @@
 	return options
 }
 
-// wholeMilliseconds parses a whole number of milliseconds into to.
+// wholeMilliseconds returns a function that reads a whole number of milliseconds into
+// to.
 func wholeMilliseconds(to *int64, low, high int) func(*value) {
 	return func(v *value) { *to = int64(v.integer(low, high)) }
 }
--- a/internal/routingconfig/routingconfig.go
+++ b/internal/routingconfig/routingconfig.go
@@ -1,7 +1,7 @@
-// Package routingconfig reads the routing settings, classes of requests, rules
-// and limits, into the decisions' configuration. The simulator sends them, and a
-// deployment's configuration file holds them in the same form. It is the one
-// place that knows the settings' own names.
+// Package routingconfig reads the routing settings (classes of requests, rules
+// and limits) into the configuration of package decide. The simulator sends the
+// settings, and a deployment's configuration file holds them in the same form.
+// No other package knows the keys of the settings.
 package routingconfig
 
 import (
@@ -17,33 +17,35 @@
 	"lotusbend/internal/clock"
 )
 
-// ErrInvalid is wrapped by every error about settings that the decisions cannot
-// work with.
-var ErrInvalid = errors.New("settings")
+// ErrInvalid is wrapped by every error about settings that are malformed or lack
+// a required value.
+var ErrInvalid = errors.New("invalid settings")
 
+// invalid returns an error that wraps ErrInvalid.
 func invalid(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrInvalid, fmt.Sprintf(format, args...))
 }
 
-// Settings is the decisions' configuration and what lies around it.
+// Settings holds the configuration of package decide, and the settings that apply
+// outside it.
 type Settings struct {
-	JSON             []byte // the settings as they came, to tell them from others
+	JSON             []byte // the settings as JSON, to compare them with others
 	Config           decide.Config
-	PositionZero     time.Duration // from which the simulator counts positions
-	Zones            []string      // by number
+	PositionZero     time.Duration // the router's clock where the simulator's positions are 0
+	Zones            []string      // names of the zones, by number
 	IdleTimeoutMs    float64       // after which an endpoint closes an idle connection
-	ConnectTimeoutMs float64
-	positionIndex    int // of FieldPosition in a health check's report, -1 if it has none
-	roleIndex        int // of FieldRole, likewise
+	ConnectTimeoutMs float64       // bound on opening a connection to an endpoint
+	positionIndex    int           // index of FieldPosition in a health check's report, -1 for none
+	roleIndex        int           // index of FieldRole in a health check's report, -1 for none
 }
 
-// The names of the values of a health check's report that are read.
+// Names of the values of a health check's report that are used.
 const (
 	FieldPosition = "x0" // in seconds
 	FieldRole     = "x1" // 1 from a primary, 0 from a replica
 )
 
-// The settings' names for the values of the decisions' types.
+// Names in the settings of the values of package decide's types.
 var (
 	idempotencies = map[string]decide.Idempotency{
 		"pure":        decide.Idempotent,
@@ -69,7 +71,7 @@
 	}
 )
 
-// Parse reads the settings from JSON.
+// Parse reads the settings from JSON. Its errors wrap ErrInvalid.
 func Parse(data []byte) (*Settings, error) {
 	object, err := fastjson.ParseBytes(data)
 	if err != nil {
@@ -78,21 +80,21 @@
 	return From(object)
 }
 
-// From reads the settings from a parsed object. Unknown keys are skipped; what
-// the decisions cannot do without is an error that wraps ErrInvalid.
+// From reads the settings from a parsed object. It ignores unknown keys. Required
+// values that are missing or unknown give an error that wraps ErrInvalid.
 func From(object *fastjson.Value) (*Settings, error) {
 	classes, info := object.GetArray("Classes"), object.Get("FamilyInfo")
 	limits, rules := object.Get("Limits"), object.Get("Rules")
 	if len(classes) == 0 || info == nil || limits == nil || rules == nil {
-		return nil, invalid("Classes, FamilyInfo, Limits and Rules are needed")
+		return nil, invalid("Classes, FamilyInfo, Limits and Rules are required")
 	}
 	reads := info.GetArray("ClassRead")
 	if len(reads) != len(classes) {
-		return nil, invalid("%d classes, %d entries of ClassRead", len(classes), len(reads))
+		return nil, invalid("%d entries in Classes but %d in ClassRead", len(classes), len(reads))
 	}
 	policy, known := staleReadPolicies[text(info, "WhenBehind")]
 	if !known {
-		return nil, invalid("unknown WhenBehind %q", text(info, "WhenBehind"))
+		return nil, invalid("WhenBehind %q: not off, refuse or wait", text(info, "WhenBehind"))
 	}
 	fields := texts(object.GetArray("Feedback", "Fields"))
 	settings := &Settings{
@@ -118,8 +120,8 @@
 	return settings, nil
 }
 
-// configFrom reads the decisions' configuration but for its classes and its
-// policy on stale reads.
+// configFrom reads the configuration of package decide, except for its classes,
+// its policy on stale reads and whether health checks report a role.
 func configFrom(object, info, limits, rules *fastjson.Value) decide.Config {
 	config := decide.Config{
 		Zone:                 object.GetInt("Locality"),
@@ -145,8 +147,8 @@
 	return config
 }
 
-// classFrom reads one class; read is its entry of ClassRead, and the bounds are
-// those of every class.
+// classFrom reads the class at index. read is its entry in ClassRead, and bounds
+// are the staleness bounds of all classes, in milliseconds.
 func classFrom(object, read *fastjson.Value, bounds []*fastjson.Value, index int) (decide.Class, error) {
 	class := decide.Class{
 		Name:              text(object, "Name"),
@@ -161,24 +163,25 @@
 	class.Idempotency, known = idempotencies[text(object, "Semantics")]
 	class.Consistency, knownRead = consistencies[string(consistency)]
 	if !known || !knownRead {
-		return decide.Class{}, invalid("class %q: unknown semantics %q or read %q",
+		return decide.Class{}, invalid("class %q: unknown Semantics %q or ClassRead %q",
 			class.Name, text(object, "Semantics"), consistency)
 	}
 	class.IdempotencyScope, known = idempotencyScopes[text(object, "Group")]
 	if !known && class.Idempotency == decide.IdempotencyKey {
-		return decide.Class{}, invalid("class %q: unknown group %q", class.Name, text(object, "Group"))
+		return decide.Class{}, invalid("class %q: Group %q: not cell, zone or all",
+			class.Name, text(object, "Group"))
 	}
 	if class.Consistency == decide.Bounded {
 		if index >= len(bounds) {
-			return decide.Class{}, invalid("class %q has no OldestDataMs", class.Name)
+			return decide.Class{}, invalid("class %q: bounded reads need OldestDataMs", class.Name)
 		}
 		class.MaxStaleness = clock.Duration(bounds[index].GetFloat64())
 	}
 	return class, nil
 }
 
-// OnRouterClock puts the position of an answer in the simulator on the router's
-// clock.
+// OnRouterClock converts the position in a simulated answer to the router's
+// clock. Position 0 means unknown and stays.
 func (s *Settings) OnRouterClock(status decide.ReplicationStatus) decide.ReplicationStatus {
 	if status.Position > 0 {
 		status.Position += s.PositionZero
@@ -186,8 +189,9 @@
 	return status
 }
 
-// HealthReport reads the values of a health check's report in the simulator,
-// given in the order of the settings.
+// HealthReport reads the replication status from a simulated health check's
+// report, whose values are in the order of the settings. Values that are missing
+// or out of range stay unknown.
 func (s *Settings) HealthReport(values []float32) decide.ReplicationStatus {
 	var status decide.ReplicationStatus
 	if s.roleIndex >= 0 && s.roleIndex < len(values) {
@@ -204,9 +208,10 @@
 	return status
 }
 
-// position puts a position, in seconds, on the router's clock; 0 if it is none.
-// A float32 of seconds is as coarse as a millisecond after hours, so it is
-// rounded down by one unit in the last place.
+// position converts a position in seconds to the router's clock; 0 if it is not a
+// positive finite number. After a few hours a float32 of seconds resolves only
+// about a millisecond, so the value is rounded down by one unit in the last place:
+// it must not be taken for newer than it is.
 func (s *Settings) position(seconds float32) time.Duration {
 	rounded := math.Nextafter32(seconds, 0)
 	if !(rounded > 0) || math.IsInf(float64(rounded), 0) {
@@ -215,12 +220,15 @@
 	return s.PositionZero + clock.Duration(float64(rounded)*1e3)
 }
 
+// text returns the string under a key, "" if there is none.
 func text(object *fastjson.Value, key string) string { return string(object.GetStringBytes(key)) }
 
+// millis returns the time in milliseconds under a key, 0 if there is none.
 func millis(object *fastjson.Value, key string) time.Duration {
 	return clock.Duration(object.GetFloat64(key))
 }
 
+// texts returns the strings of a list, "" for every other value.
 func texts(values []*fastjson.Value) []string {
 	var out []string
 	for _, value := range values {
--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ActionWriter writes one instance's actions into a reply. It implements
+// ActionWriter appends the actions of one instance to a reply. It implements
 // decide.Actions.
 type ActionWriter struct {
 	Reply    *Reply
--- a/internal/simprotocol/characterization_test.go
+++ b/internal/simprotocol/characterization_test.go
@@ -20,22 +20,22 @@
 	"lotusbend/internal/simprotocol"
 )
 
-// update rewrites the golden file. Its values may change only together with a
+// update rewrites the golden file. The file may change only together with a
 // deliberate change of behaviour, never with a renaming or a refactoring. The
-// frames to decode are input and stay.
+// frames to decode are input and do not change.
 var update = flag.Bool("update", false,
 	"rewrite testdata/characterization.txt; its values may change only with a deliberate change of behaviour")
 
 const (
 	goldenFile = "testdata/characterization.txt"
-	// framesFile holds frames of events, one scenario a line: its name, then
-	// the bytes in hexadecimal, with blanks between fields.
+	// framesFile holds frames of events, one scenario per line: its name, then
+	// the bytes in hexadecimal, with spaces between fields.
 	framesFile = "testdata/frames.txt"
 )
 
 // TestCharacterization compares the bytes of every reply, and the numbers that
-// frames of every event are decoded to, with the golden file. It holds numbers
-// and bytes only, so that it survives any renaming.
+// frames of every event are decoded to, with the golden file. The file holds only
+// numbers and bytes, so that renaming identifiers does not change it.
 func TestCharacterization(t *testing.T) {
 	got := map[string]string{
 		"decode/large-body":     largeBodyDigest(t),
@@ -59,8 +59,8 @@
 	endpoint = 0x03124a07
 )
 
-// replies fills one reply for each scenario. The names are those of the
-// simulator's actions.
+// replies holds, by scenario, a function that fills a reply. The scenarios carry
+// the simulator's names of the actions.
 var replies = map[string]func(*simprotocol.Reply, *simprotocol.ActionWriter){
 	"no-action": func(*simprotocol.Reply, *simprotocol.ActionWriter) {},
 	"place": func(_ *simprotocol.Reply, s *simprotocol.ActionWriter) {
@@ -115,7 +115,8 @@
 	},
 }
 
-// encodeReply returns a reply's bytes, after another reply used its memory.
+// encodeReply returns a reply's bytes in hexadecimal. The reply's buffer has held
+// another reply before.
 func encodeReply(fill func(*simprotocol.Reply, *simprotocol.ActionWriter)) string {
 	var reply simprotocol.Reply
 	reply.Reset(11)
@@ -125,7 +126,8 @@
 	return abbreviate(hex.EncodeToString(reply.Bytes()))
 }
 
-// maxText bounds what is kept as it is in one line of the golden file.
+// maxText is the length, in bytes, up to which a text is written to the golden
+// file in full.
 const maxText = 4000
 
 // abbreviate returns the digest of a text that is too long for the golden file.
@@ -137,7 +139,7 @@
 	return fmt.Sprintf("%d bytes, sha256 %x", len(text), sum)
 }
 
-// How a stream ended.
+// Codes of how a stream ended.
 const (
 	cleanEnd = iota
 	malformedFrame
@@ -145,7 +147,7 @@
 	otherError
 )
 
-// errStopped is a caller's own error.
+// errStopped is the error of a caller that stops decoding.
 var errStopped = errors.New("stopped")
 
 // decodeStream returns all batches of a stream as decimal numbers: for each
@@ -170,6 +172,7 @@
 	}
 }
 
+// ending returns the code for the error that ended a stream.
 func ending(err error) int64 {
 	switch {
 	case err == io.EOF:
@@ -182,7 +185,7 @@
 	return otherError
 }
 
-// numbers is a text of decimal numbers and hexadecimal bytes.
+// numbers builds a text of decimal numbers and hexadecimal bytes.
 type numbers struct{ strings.Builder }
 
 func (n *numbers) token(text string) {
@@ -266,8 +269,7 @@
 	}
 }
 
-// decodeUntilStopped decodes the first of two events, at which the caller
-// stops.
+// decodeUntilStopped decodes a batch of two events whose caller stops at the first.
 func decodeUntilStopped(t *testing.T) string {
 	t.Helper()
 	timer := []byte{simprotocol.EventTimerFired, 6, 0, 0, 0, 3, 0, 77, 0, 0, 0}
@@ -284,7 +286,7 @@
 	return n.String()
 }
 
-// largeBodyDigest decodes settings of some megabytes, which arrive in pieces.
+// largeBodyDigest decodes an event with 2.56 MB of settings that arrive in pieces.
 func largeBodyDigest(t *testing.T) string {
 	t.Helper()
 	settings := bytes.Repeat([]byte("0123456789abcdef"), 160_000)
@@ -296,7 +298,7 @@
 	return abbreviate(decodeStream(&pieces{encodeFrame(1, body)}))
 }
 
-// encodeFrame puts a header before a body of so many records.
+// encodeFrame returns a frame of a body with count records.
 func encodeFrame(count uint32, body []byte) []byte {
 	frame := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
 	frame = binary.LittleEndian.AppendUint32(frame, count)
@@ -305,7 +307,7 @@
 	return append(frame, body...)
 }
 
-// pieces is a reader that gives a few kilobytes at a time.
+// pieces is a reader that returns at most 5000 bytes per call.
 type pieces struct{ rest []byte }
 
 func (p *pieces) Read(b []byte) (int, error) {
--- a/internal/simprotocol/codes.go
+++ b/internal/simprotocol/codes.go
@@ -7,8 +7,8 @@
 	"lotusbend/decide"
 )
 
-// Codes of events, as the simulator's page numbers them. Behind each stands the
-// page's name.
+// Codes of events in the simulator's protocol. The comment after each is the
+// protocol's own name for it.
 const (
 	EventClientCancelled  = 0  // lapsed
 	EventAnswerStarted    = 1  // first bytes
@@ -23,7 +23,7 @@
 	EventHealthChecked    = 10 // ping result
 )
 
-// Codes of actions, likewise.
+// Codes of actions in the simulator's protocol, each with the protocol's own name.
 const (
 	actionSend           = 0  // place
 	actionReject         = 1  // push back
@@ -36,16 +36,16 @@
 	actionWatchEndpoints = 10 // keep informed
 )
 
-// updateKinds are the kinds of a list event, by their number.
+// updateKinds holds the kinds of an endpoint list update, indexed by their code.
 var updateKinds = [...]decide.EndpointUpdateKind{
 	decide.UpdateDelta, decide.UpdateSnapshot, decide.UpdateCachedSnapshot, decide.WatchFailed,
 }
 
-// endpointStates are the states of a list entry, by their number.
+// endpointStates holds the states of an endpoint, indexed by their code.
 var endpointStates = [...]decide.EndpointState{decide.Removed, decide.Ready, decide.Draining}
 
-// outcomesByCode are the outcomesByCode by their result code, which are those of errno
-// where there is one.
+// outcomesByCode holds the outcomes by result code. The codes are values of errno
+// on Linux, where one fits.
 var outcomesByCode = map[uint16]decide.Outcome{
 	0:   decide.OK,
 	2:   decide.Ineligible,
@@ -58,7 +58,7 @@
 	125: decide.Cancelled,
 }
 
-// role translates a role's number.
+// role returns the role for its code; other codes than 1 and 2 mean unknown.
 func role(number uint32) decide.Role {
 	switch number {
 	case 1:
@@ -72,6 +72,7 @@
 // ErrMalformed is wrapped by every error about the contents of a frame.
 var ErrMalformed = errors.New("malformed frame")
 
+// malformed returns an error that wraps ErrMalformed.
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
--- a/internal/simprotocol/doc.go
+++ b/internal/simprotocol/doc.go
@@ -1,5 +1,5 @@
 // Package simprotocol translates between the simulator's binary frames and the
-// types of package decide. A batch of events comes in, a reply with the actions
-// of each instance goes out; both are little-endian records of a code, a length
-// and fields. The package makes no decision.
+// types of package decide. The simulator sends batches of events and receives, for
+// each batch, a reply with the actions of each instance. Both are sequences of
+// little-endian records, each of a code, a length and fields.
 package simprotocol
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -8,17 +8,18 @@
 	"lotusbend/internal/clock"
 )
 
-// maxNumberBytes is the length of the widest number.
+// maxNumberBytes is the length of the longest number.
 const maxNumberBytes = 8
 
-// fields reads the fields of one record, little-endian. Past the record's end it
-// notes an error and returns zeros.
+// fields reads the little-endian fields of one record. A read past the end of the
+// record sets err, and from then on every read returns zeros.
 type fields struct {
-	bytes []byte // not read yet
+	bytes []byte // the bytes not read yet
 	err   error
 }
 
-// take reads n bytes.
+// take returns the next n bytes. After an error it returns zeros, at most enough
+// for a number.
 func (f *fields) take(n int) []byte {
 	if f.err == nil && n > len(f.bytes) {
 		f.err = malformed("field runs past its record")
@@ -38,10 +39,11 @@
 func (f *fields) f32() float32 { return math.Float32frombits(f.u32()) }
 func (f *fields) f64() float64 { return math.Float64frombits(f.u64()) }
 
-// duration reads a time in milliseconds; what is no time at all becomes zero.
+// duration reads a time in milliseconds; clock.Duration converts it.
 func (f *fields) duration() time.Duration { return clock.Duration(f.f64()) }
 
-// counted reads n bytes that follow a count.
+// counted returns the next n bytes, where n comes from a count in the record; nil
+// after an error.
 func (f *fields) counted(n int) []byte {
 	if f.err == nil && (n < 0 || n > len(f.bytes)) {
 		f.err = malformed("count %d runs past its record", n)
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// replyHeaderBytes is the length of a reply's header: length, count, number.
+	// replyHeaderBytes is the length of a reply's header: body length, record
+	// count, sequence number.
 	replyHeaderBytes = 12
-	// maxTextBytes bounds the text of an exception.
+	// maxTextBytes bounds the text of an exception, whose length has 16 bits.
 	maxTextBytes = 1<<16 - 1
 )
 
-// Lengths of the fields of a record, for the sums below.
+// Lengths of the fields of a record, in bytes.
 const (
 	instanceBytes = 2
 	requestBytes  = 8
@@ -28,7 +29,7 @@
 	count  uint32
 }
 
-// Reset empties the reply for the batch numbered seq.
+// Reset empties the reply and starts the one to the batch with number seq.
 func (p *Reply) Reset(seq uint32) {
 	p.buffer = append(p.buffer[:0], 0, 0, 0, 0, 0, 0, 0, 0)
 	p.buffer = binary.LittleEndian.AppendUint32(p.buffer, seq)
@@ -42,8 +43,8 @@
 	return p.buffer
 }
 
-// record starts a record; bytes is the length of the fields that follow the
-// instance.
+// record starts a record. bytes is the length of the fields after the instance,
+// which the caller appends.
 func (p *Reply) record(code uint8, bytes int, instance uint16) {
 	p.count++
 	p.buffer = append(p.buffer, code)
@@ -55,12 +56,13 @@
 func (p *Reply) u32(v uint32) { p.buffer = binary.LittleEndian.AppendUint32(p.buffer, v) }
 func (p *Reply) u64(v uint64) { p.buffer = binary.LittleEndian.AppendUint64(p.buffer, v) }
 
-// duration writes a time in milliseconds.
+// duration appends a time in milliseconds, as a float64.
 func (p *Reply) duration(d time.Duration) {
 	p.u64(math.Float64bits(float64(d) / float64(time.Millisecond)))
 }
 
-// Exception reports that the decisions of an instance panicked.
+// Exception appends a report that the decisions of an instance panicked. It
+// truncates text to maxTextBytes.
 func (p *Reply) Exception(instance uint16, text string) {
 	text = text[:min(len(text), maxTextBytes)]
 	p.record(actionException, textLenBytes+len(text), instance)
